--- a/internal/cachemap/bench_test.go
+++ b/internal/cachemap/bench_test.go
@@ -10,7 +10,7 @@
 // blockHash spreads hashes as the chain does.
 func blockHash(i int) prefix.Hash { return prefix.Hash(uint64(i+1) * 0x9E3779B97F4A7C15) }
 
-func filled(blocks int) *Picture {
+func filled(blocks int) *View {
 	p := New(Params{})
 	p.Connected(1)
 	for i := range blocks {
@@ -29,7 +29,7 @@
 
 func BenchmarkApplyEvent(b *testing.B) {
 	p := filled(23000)
-	seq := p.Next()
+	seq := p.NextSeq()
 	hashes := make([]prefix.Hash, 1)
 	kinds := [...]Kind{Removed, Stored}
 	b.ReportAllocs()
--- a/internal/cachemap/doubt.go
+++ b/internal/cachemap/doubt.go
@@ -8,7 +8,7 @@
 // doubt is a gap in the events: blocks last confirmed before it may be gone.
 type doubt struct {
 	from, last uint64 // the missing sequence numbers
-	before     Mark
+	before     Revision
 	until      time.Duration
 	// unfillable is set when the engine no longer has the missing events. The
 	// doubt then only ends by ageing out with the blocks that it is on.
@@ -55,8 +55,8 @@
 
 // expire ends the doubts that have lasted too long and returns the mark before
 // which their blocks must be dropped, or 0.
-func (d *doubts) expire(now time.Duration) Mark {
-	var bound Mark
+func (d *doubts) expire(now time.Duration) Revision {
+	var bound Revision
 	d.list = slices.DeleteFunc(d.list, func(x doubt) bool {
 		if now < x.until {
 			return false
@@ -68,8 +68,8 @@
 }
 
 // bound is the mark before which blocks are in doubt, or 0.
-func (d *doubts) bound() Mark {
-	var bound Mark
+func (d *doubts) bound() Revision {
+	var bound Revision
 	for _, x := range d.list {
 		bound = max(bound, x.before)
 	}
--- a/internal/cachemap/picture.go
+++ b/internal/cachemap/picture.go
@@ -13,14 +13,14 @@
 	weights     string
 }
 
-// Mark is a moment in a picture's history.
-type Mark uint64
+// Revision is a moment in a picture's history.
+type Revision uint64
 
-// Picture is what an engine is believed to hold.
-type Picture struct {
+// View is what an engine is believed to hold.
+type View struct {
 	params Params
 	// blocks has for each resident block when it was last confirmed.
-	blocks map[prefix.Hash]Mark
+	blocks map[prefix.Hash]Revision
 	roots  roots
 	doubts doubts
 	stream stream
@@ -35,34 +35,34 @@
 	before     string
 	retired    []string // past incarnations
 
-	clock     Mark
-	voidedAt  Mark
-	removedAt Mark
+	clock     Revision
+	voidedAt  Revision
+	removedAt Revision
 }
 
 // maxRetired bounds the incarnations remembered as past.
 const maxRetired = 8
 
 // New returns an empty Picture.
-func New(p Params) *Picture {
+func New(p Params) *View {
 	p = p.withDefaults()
-	return &Picture{
+	return &View{
 		params: p,
-		blocks: make(map[prefix.Hash]Mark),
-		roots:  newRoots(p.MaxRoots),
+		blocks: make(map[prefix.Hash]Revision),
+		roots:  newRoots(p.MaxLevels),
 		stream: stream{next: 1},
 	}
 }
 
-// Next is the sequence number to open the event stream from.
-func (p *Picture) Next() uint64 { return p.stream.next }
+// NextSeq is the sequence number to open the event stream from.
+func (p *View) NextSeq() uint64 { return p.stream.next }
 
 // Connected notes that the event stream was opened at from: Next, or a Resync's
 // From. The first event that follows is the first that the engine still has.
-func (p *Picture) Connected(from uint64) { p.stream.connect(from) }
+func (p *View) Connected(from uint64) { p.stream.connect(from) }
 
 // Apply takes one event of the stream.
-func (p *Picture) Apply(now time.Duration, e Event) []Action {
+func (p *View) Apply(now time.Duration, e Event) []Action {
 	past, ok := p.identify(now, e)
 	if !ok {
 		return nil
@@ -88,7 +88,7 @@
 // identify moves to a new identity if that is what e shows. It reports whether e
 // is of past weights, so that it only counts in the sequence, and whether e
 // belongs to a live incarnation at all.
-func (p *Picture) identify(now time.Duration, e Event) (past, ok bool) {
+func (p *View) identify(now time.Duration, e Event) (past, ok bool) {
 	id := identity{e.Incarnation, e.Weights}
 	if id == p.identity {
 		p.observed = false
@@ -114,7 +114,7 @@
 
 // Observe takes an engine's identity from its load report or an answer's
 // headers, as it was age ago. A new engine's events are asked for from the first.
-func (p *Picture) Observe(now, age time.Duration, incarnation, weights string) []Action {
+func (p *View) Observe(now, age time.Duration, incarnation, weights string) []Action {
 	id := identity{incarnation, weights}
 	if id == p.identity || incarnation == "" || slices.Contains(p.retired, incarnation) {
 		return nil
@@ -140,7 +140,7 @@
 // void empties the picture for a new identity. An engine that came back holds
 // nothing of what it had, and blocks of other weights must not be used; a picture
 // that kept them would draw requests here for nothing.
-func (p *Picture) void(now time.Duration, id identity) {
+func (p *View) void(now time.Duration, id identity) {
 	if p.identity.incarnation != id.incarnation && p.identity.incarnation != "" {
 		p.retire(p.identity.incarnation)
 		p.stream.restart()
@@ -154,7 +154,7 @@
 	p.voidedAt = p.clock
 }
 
-func (p *Picture) retire(incarnation string) {
+func (p *View) retire(incarnation string) {
 	p.retired = append(p.retired, incarnation)
 	if len(p.retired) > maxRetired {
 		p.retired = slices.Delete(p.retired, 0, 1)
@@ -164,7 +164,7 @@
 // gap handles an event that came before its predecessors. Removals are taken at
 // once, since claiming less is always safe; what was stored waits for the replay,
 // which brings it again in its order.
-func (p *Picture) gap(now time.Duration, e Event, s step) []Action {
+func (p *View) gap(now time.Duration, e Event, s step) []Action {
 	p.clock++
 	switch e.Kind {
 	case Removed:
@@ -181,18 +181,18 @@
 
 // cast notes doubt on all that is confirmed so far. A gap that nothing can fill
 // is no reason to doubt an empty picture.
-func (p *Picture) cast(now time.Duration, d doubt) {
+func (p *View) cast(now time.Duration, d doubt) {
 	if d.unfillable && len(p.blocks) == 0 {
 		return
 	}
 	p.clock++
 	d.before = p.clock
-	d.until = now + p.params.DoubtLife
+	d.until = now + p.params.StaleTTL
 	p.doubts.cast(d)
 }
 
 // change applies an event that is in order.
-func (p *Picture) change(e Event) {
+func (p *View) change(e Event) {
 	switch e.Kind {
 	case Stored:
 		for _, h := range e.Hashes {
@@ -205,7 +205,7 @@
 	}
 }
 
-func (p *Picture) store(h prefix.Hash, at Mark) {
+func (p *View) store(h prefix.Hash, at Revision) {
 	if _, held := p.blocks[h]; !held {
 		if len(p.blocks) >= p.params.MaxBlocks {
 			p.shrink()
@@ -215,14 +215,14 @@
 	p.blocks[h] = at
 }
 
-func (p *Picture) removeAll(hashes []prefix.Hash) {
+func (p *View) removeAll(hashes []prefix.Hash) {
 	p.removedAt = p.clock
 	for _, h := range hashes {
 		p.remove(h)
 	}
 }
 
-func (p *Picture) remove(h prefix.Hash) {
+func (p *View) remove(h prefix.Hash) {
 	if _, held := p.blocks[h]; held {
 		delete(p.blocks, h)
 		p.roots.changed(h)
@@ -230,20 +230,20 @@
 }
 
 // clear empties the picture. With nothing claimed there is nothing to doubt.
-func (p *Picture) clear() {
+func (p *View) clear() {
 	p.clearBlocks()
 	p.doubts.clear()
 }
 
-func (p *Picture) clearBlocks() {
+func (p *View) clearBlocks() {
 	p.removedAt = p.clock
 	clear(p.blocks)
 	p.roots.allChanged()
 }
 
 // shrink forgets the quarter of the blocks that were confirmed longest ago.
-func (p *Picture) shrink() {
-	marks := make([]Mark, 0, len(p.blocks))
+func (p *View) shrink() {
+	marks := make([]Revision, 0, len(p.blocks))
 	for _, m := range p.blocks {
 		marks = append(marks, m)
 	}
@@ -251,7 +251,7 @@
 	p.dropBefore(marks[len(marks)/4] + 1)
 }
 
-func (p *Picture) dropBefore(bound Mark) {
+func (p *View) dropBefore(bound Revision) {
 	for h, m := range p.blocks {
 		if m < bound {
 			p.remove(h)
@@ -260,21 +260,21 @@
 }
 
 // Tick ages out doubtful blocks. Call it every second or so.
-func (p *Picture) Tick(now time.Duration) {
+func (p *View) Tick(now time.Duration) {
 	if bound := p.doubts.expire(now); bound > 0 {
 		p.dropBefore(bound)
 	}
 }
 
 // Len returns the number of blocks believed resident.
-func (p *Picture) Len() int { return len(p.blocks) }
+func (p *View) Len() int { return len(p.blocks) }
 
-// Doubtful reports whether an event was missed that nothing has made up for yet.
-func (p *Picture) Doubtful() bool { return p.doubts.bound() > 0 }
+// Stale reports whether an event was missed that nothing has made up for yet.
+func (p *View) Stale() bool { return p.doubts.bound() > 0 }
 
 // Resident returns how many tokens of a chain the engine holds in a row from its
 // start, and whether any of them are in doubt.
-func (p *Picture) Resident(chain []prefix.Hash) (tokens int, doubtful bool) {
+func (p *View) Resident(chain []prefix.Hash) (tokens int, doubtful bool) {
 	bound := p.doubts.bound()
 	for i, h := range chain {
 		at, held := p.blocks[h]
@@ -286,13 +286,13 @@
 	return len(chain) * prefix.BlockTokens, doubtful
 }
 
-// Mark returns the present moment, to be kept while a request runs.
-func (p *Picture) Mark() Mark { return p.clock + 1 }
+// NextRevision returns the present moment, to be kept while a request runs.
+func (p *View) NextRevision() Revision { return p.clock + 1 }
 
-// Correct takes an answer's own count of cached tokens for a request that was
+// Reconcile takes an answer's own count of cached tokens for a request that was
 // handed to the engine at mark. Blocks within the count were resident then;
 // those beyond it were not, but for any stored since.
-func (p *Picture) Correct(mark Mark, chain []prefix.Hash, cachedTokens int) {
+func (p *View) Reconcile(mark Revision, chain []prefix.Hash, cachedTokens int) {
 	if mark <= p.voidedAt {
 		return
 	}
@@ -309,7 +309,7 @@
 
 // confirm notes that a block was resident at mark. One that the picture lacks is
 // added only if nothing that came since may have removed it.
-func (p *Picture) confirm(h prefix.Hash, mark Mark) {
+func (p *View) confirm(h prefix.Hash, mark Revision) {
 	at, held := p.blocks[h]
 	if held {
 		p.blocks[h] = max(at, mark-1)
--- a/internal/cachemap/picture_test.go
+++ b/internal/cachemap/picture_test.go
@@ -16,7 +16,7 @@
 	return Event{Seq: seq, Incarnation: "i1", Weights: "w1", Kind: Removed, Hashes: hashes}
 }
 
-func resident(t *testing.T, p *Picture, want int, chain ...prefix.Hash) {
+func resident(t *testing.T, p *View, want int, chain ...prefix.Hash) {
 	t.Helper()
 	if got, _ := p.Resident(chain); got != want*prefix.BlockTokens {
 		t.Errorf("Resident(%v) = %d tokens, want %d blocks", chain, got, want)
@@ -51,7 +51,7 @@
 	p.Apply(0, stored(3, 3))
 	resident(t, p, 1, 1, 2)
 	resident(t, p, 1, 3)
-	if p.Doubtful() {
+	if p.Stale() {
 		t.Error("in doubt after a whole replay")
 	}
 }
@@ -60,14 +60,14 @@
 // Sequence: an event is lost and the engine's buffer no longer has it.
 // Cause: no replay can fill the gap.
 func TestUnfillableGapAgesOut(t *testing.T) {
-	p := New(Params{DoubtLife: 5 * second})
+	p := New(Params{StaleTTL: 5 * second})
 	p.Connected(1)
 	p.Apply(0, stored(1, 1, 2))
 	p.Apply(0, stored(5, 3))
 	p.Connected(2)
 	p.Apply(0, stored(5, 3))
-	mark := p.Mark()
-	p.Correct(mark, []prefix.Hash{1}, prefix.BlockTokens)
+	mark := p.NextRevision()
+	p.Reconcile(mark, []prefix.Hash{1}, prefix.BlockTokens)
 	resident(t, p, 2, 1, 2)
 	p.Tick(6 * second)
 	resident(t, p, 1, 1)
@@ -93,9 +93,9 @@
 	p := New(Params{})
 	p.Connected(1)
 	p.Apply(0, stored(1, 1, 2, 3))
-	mark := p.Mark()
+	mark := p.NextRevision()
 	p.Apply(0, stored(2, 3))
-	p.Correct(mark, []prefix.Hash{1, 2, 3}, prefix.BlockTokens)
+	p.Reconcile(mark, []prefix.Hash{1, 2, 3}, prefix.BlockTokens)
 	resident(t, p, 1, 1, 2)
 	resident(t, p, 1, 3)
 }
@@ -109,9 +109,9 @@
 	p := New(Params{})
 	p.Connected(1)
 	p.Apply(0, stored(1, 1))
-	mark := p.Mark()
+	mark := p.NextRevision()
 	p.Apply(0, Event{Seq: 1, Incarnation: "i2", Weights: "w1", Kind: Stored, Hashes: []prefix.Hash{7}})
-	p.Correct(mark, []prefix.Hash{1, 2}, 2*prefix.BlockTokens)
+	p.Reconcile(mark, []prefix.Hash{1, 2}, 2*prefix.BlockTokens)
 	resident(t, p, 0, 1, 2)
 }
 
@@ -121,26 +121,26 @@
 	levels := []prefix.Level{{Hash: 2, Tokens: 32}, {Hash: 4, Tokens: 64}}
 	p.Apply(0, stored(1, 100))
 	p.Track(99, []prefix.Level{{Hash: 100, Tokens: 16}})
-	before := p.RootVersion()
+	before := p.LevelVersion()
 	p.Track(99, levels)
-	told, next := p.RootsSince(before)
+	told, next := p.LevelsSince(before)
 	if len(told) != 0 {
 		t.Fatalf("told an owner that blocks are missing which it has just sent for: %v", told)
 	}
 	p.Apply(0, stored(2, 1, 2, 3, 4))
-	told, next = p.RootsSince(next)
-	if len(told) != 2 || told[0].Owner != 99 || told[0].Resident.Tokens+told[1].Resident.Tokens != 96 {
+	told, next = p.LevelsSince(next)
+	if len(told) != 2 || told[0].OwnerKey != 99 || told[0].Resident.Tokens+told[1].Resident.Tokens != 96 {
 		t.Fatalf("told %+v of two stored levels", told)
 	}
-	if told, _ = p.RootsSince(next); len(told) != 0 {
+	if told, _ = p.LevelsSince(next); len(told) != 0 {
 		t.Fatalf("told again: %+v", told)
 	}
 	p.Apply(0, removed(3, 4, 100))
-	told, _ = p.RootsSince(next)
+	told, _ = p.LevelsSince(next)
 	if len(told) != 2 || told[0].Resident.Tokens != 0 || told[1].Resident.Tokens != 0 {
 		t.Fatalf("told %+v of two removed levels", told)
 	}
-	if told, _ = p.RootsSince(0); len(told) != 1 || told[0].Resident.Hash != 2 {
+	if told, _ = p.LevelsSince(0); len(told) != 1 || told[0].Resident.Hash != 2 {
 		t.Fatalf("all that is resident: %+v", told)
 	}
 }
--- a/internal/cachemap/property_test.go
+++ b/internal/cachemap/property_test.go
@@ -68,7 +68,7 @@
 // channel delivers an engine's events with faults.
 type channel struct {
 	t      *rapid.T
-	p      *Picture
+	p      *View
 	engine *fakeEngine
 	at     int // next event to deliver
 	resync bool
@@ -76,15 +76,15 @@
 
 func (c *channel) apply(now time.Duration, e Event) {
 	for _, a := range c.p.Apply(now, e) {
-		if a.(Resync).From != c.p.Next() {
-			c.t.Fatalf("resync from %d, next is %d", a.(Resync).From, c.p.Next())
+		if a.(Resync).From != c.p.NextSeq() {
+			c.t.Fatalf("resync from %d, next is %d", a.(Resync).From, c.p.NextSeq())
 		}
 		c.resync = true
 	}
 }
 
 func (c *channel) reconnect() {
-	from := c.p.Next()
+	from := c.p.NextSeq()
 	c.resync = false
 	c.p.Connected(from)
 	c.at = max(int(from)-1, c.engine.kept)
@@ -98,7 +98,7 @@
 		if known && !c.engine.owns(h) {
 			c.t.Fatalf("claims block %d of another engine or weights", h)
 		}
-		if known && at >= bound && !c.engine.truth[c.p.Next()-1][h] {
+		if known && at >= bound && !c.engine.truth[c.p.NextSeq()-1][h] {
 			c.t.Fatalf("claims block %d without doubt; it is gone", h)
 		}
 	}
@@ -156,7 +156,7 @@
 // finish replays what the engine still has, without faults, and compares.
 func (c *channel) finish() {
 	kept := c.engine.kept
-	whole := int(c.p.Next())-1 >= kept && !c.p.Doubtful()
+	whole := int(c.p.NextSeq())-1 >= kept && !c.p.Stale()
 	c.reconnect()
 	for c.at < len(c.engine.events) {
 		c.apply(0, c.engine.events[c.at])
@@ -167,12 +167,12 @@
 		c.t.Fatal("asks again after a replay without gaps")
 	}
 	truth := c.engine.truth[len(c.engine.truth)-1]
-	if whole && c.p.Doubtful() {
+	if whole && c.p.Stale() {
 		c.t.Fatal("in doubt after a whole replay")
 	}
 	// When the buffer holds nothing newer than Next, no event can tell of the
 	// gap yet: the replay was not whole.
-	if !c.p.Doubtful() && int(c.p.Next())-1 == len(c.engine.events) {
+	if !c.p.Stale() && int(c.p.NextSeq())-1 == len(c.engine.events) {
 		for h := range c.p.blocks {
 			if !truth[h] {
 				c.t.Fatalf("claims block %d after a whole replay", h)
@@ -209,8 +209,8 @@
 			c.at++
 		}
 		truth := c.engine.truth[len(c.engine.truth)-1]
-		if len(truth) != c.p.Len() || c.p.Doubtful() {
-			t.Fatalf("%d blocks, doubtful %v; truth has %d", c.p.Len(), c.p.Doubtful(), len(truth))
+		if len(truth) != c.p.Len() || c.p.Stale() {
+			t.Fatalf("%d blocks, doubtful %v; truth has %d", c.p.Len(), c.p.Stale(), len(truth))
 		}
 		for h := range truth {
 			if _, held := c.p.blocks[h]; !held {
@@ -223,7 +223,7 @@
 // Doubt ends only by a whole replay or by ageing out with its blocks.
 func TestDoubtIsClearedOnlyByEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(Params{DoubtLife: 5 * time.Second})
+		p := New(Params{StaleTTL: 5 * time.Second})
 		p.Connected(1)
 		p.Apply(0, stored(1, 1, 2, 3))
 		missing := rapid.IntRange(1, 5).Draw(t, "missing")
@@ -234,7 +234,7 @@
 		for i := range brought {
 			p.Apply(time.Second, stored(uint64(2+i), 5))
 		}
-		if got, want := p.Doubtful(), brought < missing; got != want {
+		if got, want := p.Stale(), brought < missing; got != want {
 			t.Fatalf("doubtful = %v after %d of %d missing events", got, brought, missing)
 		}
 		p.Tick(6 * time.Second)
--- a/internal/cachemap/roots.go
+++ b/internal/cachemap/roots.go
@@ -7,10 +7,10 @@
 	"skylarklead/internal/protocol"
 )
 
-// Root is a tracked level with its residency. Owner is the rendezvous key of the
+// TrackedLevel is a tracked level with its residency. Owner is the rendezvous key of the
 // requests that named it.
-type Root struct {
-	Owner    uint64
+type TrackedLevel struct {
+	OwnerKey uint64
 	Resident protocol.Resident
 }
 
@@ -73,7 +73,7 @@
 
 // Track remembers the levels of a request that came here. Owner is its
 // rendezvous key (route.OwnerKey).
-func (p *Picture) Track(owner uint64, levels []prefix.Level) {
+func (p *View) Track(owner uint64, levels []prefix.Level) {
 	var parent prefix.Hash
 	for _, l := range levels {
 		_, resident := p.blocks[l.Hash]
@@ -82,13 +82,13 @@
 	}
 }
 
-// RootVersion is the version to ask RootsSince for changes from now on.
-func (p *Picture) RootVersion() uint64 { return p.roots.version }
+// LevelVersion is the version to ask RootsSince for changes from now on.
+func (p *View) LevelVersion() uint64 { return p.roots.version }
 
-// RootsSince returns the tracked levels whose residency has changed after a
+// LevelsSince returns the tracked levels whose residency has changed after a
 // version, and the version to ask from next time. A level that is not resident
 // has 0 tokens. From version 0 it is all that is resident, for a full report.
-func (p *Picture) RootsSince(version uint64) (changed []Root, next uint64) {
+func (p *View) LevelsSince(version uint64) (changed []TrackedLevel, next uint64) {
 	for at := p.roots.recent.Front(); at != nil; at = at.Next() {
 		r := at.Value.(*root)
 		if r.version <= version {
@@ -98,14 +98,14 @@
 		if version == 0 && tokens == 0 {
 			continue // a full report lists only what is there
 		}
-		changed = append(changed, Root{r.owner, protocol.Resident{Hash: r.level.Hash, Tokens: tokens}})
+		changed = append(changed, TrackedLevel{r.owner, protocol.Resident{Hash: r.level.Hash, Tokens: tokens}})
 	}
 	return changed, p.roots.version
 }
 
 // rootTokens is a level's length if its last block and those of the levels that
 // it is nested in are resident, else 0.
-func (p *Picture) rootTokens(r *root) int {
+func (p *View) rootTokens(r *root) int {
 	tokens := r.level.Tokens
 	// A malformed list of levels could name two as each other's parents; the
 	// bound keeps the walk finite then.
--- a/internal/cachemap/types.go
+++ b/internal/cachemap/types.go
@@ -39,30 +39,30 @@
 type Params struct {
 	// MaxBlocks bounds the blocks remembered.
 	MaxBlocks int
-	// MaxRoots bounds the levels tracked.
-	MaxRoots int
-	// DoubtLife is how long blocks that may have been removed in an unfilled
+	// MaxLevels bounds the levels tracked.
+	MaxLevels int
+	// StaleTTL is how long blocks that may have been removed in an unfilled
 	// gap still count as resident.
-	DoubtLife time.Duration
+	StaleTTL time.Duration
 }
 
 // Defaults of Params. Engines evict within seconds, so a doubtful block is not
 // believed for longer than that.
 const (
 	DefaultMaxBlocks = 1 << 16
-	DefaultMaxRoots  = 4096
-	DefaultDoubtLife = 5 * time.Second
+	DefaultMaxLevels = 4096
+	DefaultStaleTTL  = 5 * time.Second
 )
 
 func (p Params) withDefaults() Params {
 	if p.MaxBlocks <= 0 {
 		p.MaxBlocks = DefaultMaxBlocks
 	}
-	if p.MaxRoots <= 0 {
-		p.MaxRoots = DefaultMaxRoots
+	if p.MaxLevels <= 0 {
+		p.MaxLevels = DefaultMaxLevels
 	}
-	if p.DoubtLife <= 0 {
-		p.DoubtLife = DefaultDoubtLife
+	if p.StaleTTL <= 0 {
+		p.StaleTTL = DefaultStaleTTL
 	}
 	return p
 }
--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -147,7 +147,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.board.Saw(p.replica.ID, j.asked.Model, head.Version, 0) {
-		s.feed.Emptied(p.replica.ID, j.entry.clock.now())
+		s.feed.CacheCleared(p.replica.ID, j.entry.clock.now())
 	}
 }
 
@@ -169,6 +169,6 @@
 		e.replaced(p.replica, head.Instance, 0)
 	case j.asked.Model != "":
 		s.board.Saw(p.replica.ID, j.asked.Model, p.version+1, 0)
-		s.feed.Emptied(p.replica.ID, now)
+		s.feed.CacheCleared(p.replica.ID, now)
 	}
 }
--- a/internal/direct/digest_test.go
+++ b/internal/direct/digest_test.go
@@ -73,12 +73,12 @@
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	now := e.clock.now()
-	q := &route.FeedQuery{
-		Levels:       route.FeedLevels("m/", []string{prefix}, []int{3000}),
+	q := &route.PickQuery{
+		Levels:       route.PrefixLevels("m/", []string{prefix}, []int{3000}),
 		SharedTokens: 3000, PromptTokens: 4000,
 	}
-	choice, _ := e.state.feed.Pick(now, q, []route.FeedCandidate{{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}})
-	e.state.feed.Placed(now, q, &choice)
+	choice, _ := e.state.feed.Pick(now, q, []route.PickCandidate{{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}})
+	e.state.feed.Dispatched(now, q, &choice)
 }
 
 // held is how many tokens an entry expects a replica to read anew of a prompt, and the wait
@@ -86,14 +86,14 @@
 func (e *talker) held(replica, prefix string) (missed int, wait float64) {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
-	q := &route.FeedQuery{
-		Levels:       route.FeedLevels("m/", []string{prefix}, []int{3000}),
+	q := &route.PickQuery{
+		Levels:       route.PrefixLevels("m/", []string{prefix}, []int{3000}),
 		SharedTokens: 3000, PromptTokens: 4000,
 	}
-	choice, _ := e.state.feed.Pick(e.clock.now(), q, []route.FeedCandidate{
-		{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}, {ID: "elsewhere", Slots: 8, Engine: true, MemoryTokens: 100_000, Doubtful: true},
+	choice, _ := e.state.feed.Pick(e.clock.now(), q, []route.PickCandidate{
+		{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}, {ID: "elsewhere", Slots: 8, Engine: true, MemoryTokens: 100_000, RecentFaults: true},
 	})
-	return choice.Missed, choice.Load
+	return choice.MissingTokens, choice.WaitMs
 }
 
 // Guards against a domain's loads and placements that no other domain, or one entry of it only, is told of.
--- a/internal/direct/drain.go
+++ b/internal/direct/drain.go
@@ -105,7 +105,7 @@
 		return plainTime
 	}
 	q := j.newQuery()
-	return streamTime + streamSpread*j.entry.state.feed.StreamTime(&q)
+	return streamTime + streamSpread*j.entry.state.feed.ExpectedStreamTime(&q)
 }
 
 // refuseWaiting turns away those that wait for a place at an entry that ends before
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -239,7 +239,7 @@
 		return func() int64 {
 			e.state.mu.Lock()
 			defer e.state.mu.Unlock()
-			return int64(1000 * of(e.state.feed.Speeds()[service]))
+			return int64(1000 * of(e.state.feed.EngineSpeeds()[service]))
 		}
 	}
 	m := e.tel.Metrics
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -74,7 +74,7 @@
 	}
 	pause := p.pause()
 	p.entry.state.mu.Lock()
-	p.entry.state.feed.PeersSpeakEvery(pause)
+	p.entry.state.feed.SetPeerInterval(pause)
 	p.entry.state.mu.Unlock()
 	if p.entry.hub == nil {
 		return
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -45,11 +45,11 @@
 func (s *state) dispatch(g *gate, now time.Duration) {
 	for {
 		t := g.line.Next(now)
-		if t == nil || g.window != nil && !s.feed.Informed(now) && !g.window.Open(t.Work) {
+		if t == nil || g.window != nil && !s.feed.PeerLoadsKnown(now) && !g.window.Open(t.Work) {
 			return
 		}
 		j := t.Value.(*job)
-		j.query.MaxLoad = t.LoadBound(now, j.loadBound())
+		j.query.MaxWaitMs = t.LoadBound(now, j.loadBound())
 		p := j.pick(now)
 		if p == nil {
 			return
@@ -125,7 +125,7 @@
 	s := j.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.feed.Ended(&j.query, &p.choice, false)
+	s.feed.Finished(&j.query, &p.choice, false)
 	p.done()
 }
 
@@ -141,7 +141,7 @@
 // ticket is the request's place in the line. The caller holds the state's lock.
 func (j *job) ticket(now time.Duration) *admit.Ticket {
 	feed := j.entry.state.feed
-	work := feed.ReadTime(&j.query, j.query.PromptTokens-j.query.SharedTokens)
+	work := feed.PrefillMs(&j.query, j.query.PromptTokens-j.query.SharedTokens)
 	t := &admit.Ticket{
 		Priority: j.priority(),
 		Work:     work,
@@ -157,7 +157,7 @@
 		t.Organisation = j.organisation.Name
 	}
 	if j.route.Objective > 0 {
-		t.OnTime = j.began + j.route.Objective - time.Duration((work+feed.Overhead(&j.query))*float64(time.Millisecond))
+		t.OnTime = j.began + j.route.Objective - time.Duration((work+feed.OverheadMs(&j.query))*float64(time.Millisecond))
 	}
 	if j.first > 0 {
 		t.Priority, t.OnTime = goesOn, j.ends
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -25,7 +25,7 @@
 // placed is a replica that was picked for the request.
 type placed struct {
 	replica *fleet.Replica
-	choice  route.FeedChoice
+	choice  route.PickResult
 	version uint64
 	// at is when it was picked.
 	at time.Duration
@@ -148,8 +148,8 @@
 // pick picks a replica now, nil if there is none. The caller holds the state's lock.
 func (j *job) pick(now time.Duration) *placed {
 	s := j.entry.state
-	j.query.Wanted = s.wanted(j.asked.Model)
-	var candidates []route.FeedCandidate
+	j.query.WantedVersion = s.wanted(j.asked.Model)
+	var candidates []route.PickCandidate
 	candidates, j.excluded = s.candidates(j.service, j.asked.Model, now)
 	j.query.Sample = s.sample(len(candidates))
 	choice, ok := s.feed.Pick(now, &j.query, candidates)
@@ -158,7 +158,7 @@
 		j.query.Exclude = nil
 		return nil
 	}
-	s.feed.Placed(now, &j.query, &choice)
+	s.feed.Dispatched(now, &j.query, &choice)
 	limit, _ := s.limits.State(choice.ID, now)
 	s.limits.Take(choice.ID, now)
 	p := &placed{replica: s.replicas.Get(choice.ID), choice: choice, at: now}
@@ -167,8 +167,8 @@
 	}
 	j.cacheSource(p)
 	j.hands = append(j.hands, hand{
-		replica: choice.ID, reason: choice.Reason, score: choice.Score, load: choice.Load,
-		missed: choice.Missed, source: p.source, of: choice.Of, version: p.version,
+		replica: choice.ID, reason: choice.Reason, score: choice.Score, load: choice.WaitMs,
+		missed: choice.MissingTokens, source: p.source, of: choice.CandidateCount, version: p.version,
 		listAge: now - time.Duration(s.listReadAt.Load()), listFrom: s.listFrom(), offList: s.replicas.OffList(choice.ID, now),
 		limit: limit,
 	})
@@ -179,9 +179,9 @@
 // it is kept. The caller holds the state's lock.
 func (j *job) cacheSource(p *placed) {
 	s := j.entry.state
-	use := s.feed.Cache(j.entry.clock.now(), &j.query, &p.choice, j.salt(p.version), j.config.KeptCaches())
-	p.source, p.keep = use.Store, use.KeepIn
-	if r := s.replicas.Get(use.Holder); r != nil {
+	use := s.feed.PlanCache(j.entry.clock.now(), &j.query, &p.choice, j.salt(p.version), j.config.KeptCaches())
+	p.source, p.keep = use.Store, use.SaveTo
+	if r := s.replicas.Get(use.Donor); r != nil {
 		p.source = r.Address
 	}
 }
@@ -196,7 +196,7 @@
 	defer func() {
 		h.took = e.clock.now() - began
 		e.state.mu.Lock()
-		e.state.feed.Ended(&j.query, &p.choice, !startedFirst && j.first > 0)
+		e.state.feed.Finished(&j.query, &p.choice, !startedFirst && j.first > 0)
 		p.done()
 		e.state.mu.Unlock()
 	}()
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -61,7 +61,7 @@
 	// ends is when the request must have its final answer.
 	ends    time.Duration
 	forward *attempt.Forward
-	query   route.FeedQuery
+	query   route.PickQuery
 	// print is the request's fingerprint.
 	print uint64
 	// turn brings the place that the request waits for, nil if there is none in time.
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -233,7 +233,7 @@
 	s.mu.Lock()
 	loads := s.feed.Loads()
 	now := p.entry.clock.now()
-	placements := s.feed.Placements(now-max(toldFor, (wordRepeats+1)*p.pause()), wordRepeats, maxWordPlacements)
+	placements := s.feed.PlacementsToSend(now-max(toldFor, (wordRepeats+1)*p.pause()), wordRepeats, maxWordPlacements)
 	served := s.outage.Served(now)
 	s.mu.Unlock()
 	p.seq++
@@ -241,7 +241,7 @@
 	w.Loads = telling(loads, p.toldTaken, maxWordLoads-len(placements)*placementLoads)
 	for _, placed := range placements {
 		levels := placed.Levels[max(0, len(placed.Levels)-maxWordLevels):]
-		w.Placements = append(w.Placements, wordPlacement{Levels: levels, Replica: placed.Replica, Read: placed.Read, Kept: placed.Kept})
+		w.Placements = append(w.Placements, wordPlacement{Levels: levels, Replica: placed.Replica, Read: placed.Prefilled, Kept: placed.Saved})
 	}
 	return w
 }
@@ -252,9 +252,9 @@
 func telling(loads map[uint64]route.Load, toldTaken map[uint64]uint16, most int) []wordLoad {
 	var out []wordLoad
 	for id, l := range loads {
-		news := l.Running > 0 || toldTaken[id] != l.Taken
+		news := l.Running > 0 || toldTaken[id] != l.AddedTokens
 		if news {
-			out = append(out, wordLoad{Replica: id, Reading: uint32(l.Reading), Running: uint32(l.Running), Taken: l.Taken})
+			out = append(out, wordLoad{Replica: id, Reading: uint32(l.PrefillTokens), Running: uint32(l.Running), Taken: l.AddedTokens})
 		}
 	}
 	slices.SortFunc(out, func(a, b wordLoad) int {
@@ -337,11 +337,11 @@
 	e := p.entry
 	loads := make(map[uint64]route.Load, len(w.Loads))
 	for _, l := range w.Loads {
-		loads[l.Replica] = route.Load{Reading: float64(l.Reading), Running: int(l.Running), Taken: l.Taken}
+		loads[l.Replica] = route.Load{PrefillTokens: float64(l.Reading), Running: int(l.Running), AddedTokens: l.Taken}
 	}
 	placements := make([]route.Placement, len(w.Placements))
 	for i, placed := range w.Placements {
-		placements[i] = route.Placement{Levels: placed.Levels, Replica: placed.Replica, Read: placed.Read, Kept: placed.Kept}
+		placements[i] = route.Placement{Levels: placed.Levels, Replica: placed.Replica, Prefilled: placed.Read, Saved: placed.Kept}
 	}
 	if w.Of == "" {
 		p.digests.export(w.Placements)
@@ -351,11 +351,11 @@
 	now := e.clock.now()
 	e.state.mu.Lock()
 	if w.Of == "" {
-		e.state.feed.Heard(w.From, w.Epoch, w.Seq, loads, now)
+		e.state.feed.UpdatePeerLoads(w.From, w.Epoch, w.Seq, loads, now)
 	} else {
-		e.state.feed.HeardDomain(w.Of, w.Epoch, w.Seq, loads, now)
+		e.state.feed.UpdateDomainLoads(w.Of, w.Epoch, w.Seq, loads, now)
 	}
-	e.state.feed.HeardPlacements(placements, now)
+	e.state.feed.ApplyPlacements(placements, now)
 	if w.Served > 0 {
 		e.state.outage.Heard(w.From, time.Duration(w.Served-1)*time.Millisecond, now)
 	}
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -65,9 +65,9 @@
 	toldTaken := make(map[uint64]uint16)
 	loads := make(map[uint64]route.Load)
 	for id := range uint64(replicas) {
-		loads[id] = route.Load{Taken: uint16(id + 1)}
+		loads[id] = route.Load{AddedTokens: uint16(id + 1)}
 		if id < atWork {
-			loads[id] = route.Load{Running: 1, Reading: 4000, Taken: uint16(id + 1)}
+			loads[id] = route.Load{Running: 1, PrefillTokens: 4000, AddedTokens: uint16(id + 1)}
 		}
 	}
 	told := map[uint64]bool{}
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -156,7 +156,7 @@
 	}
 	for model, version := range r.Weights {
 		if e.state.board.Saw(r.ID, model, version, 0) && known {
-			e.state.feed.Emptied(r.ID, e.clock.now())
+			e.state.feed.CacheCleared(r.ID, e.clock.now())
 			listing.Changed = true
 		}
 	}
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -212,7 +212,7 @@
 	s.mu.Lock()
 	news := s.board.Take(n, e.clock.now())
 	if news {
-		s.feed.Emptied(n.Replica, e.clock.now())
+		s.feed.CacheCleared(n.Replica, e.clock.now())
 	}
 	if n.Phase == rollout.PhaseServing || n.Phase == rollout.PhaseReleased {
 		s.signal()
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -205,8 +205,8 @@
 	j.handOn()
 }
 
-func (j *job) newQuery() route.FeedQuery {
-	q := route.FeedQuery{
+func (j *job) newQuery() route.PickQuery {
+	q := route.PickQuery{
 		Service:       j.service.Name,
 		SharedTokens:  j.asked.SharedTokens(),
 		PromptTokens:  j.asked.PromptTokens,
@@ -230,14 +230,14 @@
 }
 
 // levels are the nested prefixes that the prompt may share with others.
-func (j *job) levels() []route.FeedLevel {
+func (j *job) levels() []route.PrefixLevel {
 	shared := j.asked.Shared()
 	ids := make([]string, len(shared))
 	tokens := make([]int, len(shared))
 	for i, part := range shared {
 		ids[i], tokens[i] = part.ID, part.Tokens
 	}
-	return route.FeedLevels(j.asked.Model+"/"+j.wall(), ids, tokens)
+	return route.PrefixLevels(j.asked.Model+"/"+j.wall(), ids, tokens)
 }
 
 // wall names the organisation if its cached parts must not be shared.
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -46,7 +46,7 @@
 	// outage is the reader's of the list of replicas.
 	outage  *member.Outage
 	board   *rollout.Board
-	feed    *route.Feed
+	feed    *route.Picker
 	demands map[string]*rollout.Demand // of each model
 	budgets map[string]*attempt.Budget
 	strikes *attempt.Strikes
@@ -88,7 +88,7 @@
 		replicas: member.NewReplicas(member.DefaultReplicaParams),
 		outage:   member.NewOutage(outageParams),
 		board:    rollout.NewBoard(),
-		feed:     route.NewFeed(route.DefaultFeedParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		feed:     route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		demands:  make(map[string]*rollout.Demand),
 		budgets:  make(map[string]*attempt.Budget),
 		strikes:  attempt.NewStrikes(attempt.DefaultStrikeParams),
@@ -206,7 +206,7 @@
 // forget drops what is known of a replica that is gone. The caller holds mu.
 func (s *state) forget(id string) {
 	s.board.Gone(id)
-	s.feed.Gone(id)
+	s.feed.RemoveReplica(id)
 	s.limits.Forget(id)
 }
 
@@ -233,8 +233,8 @@
 
 // candidates lists the replicas of a service that may take a request for a model
 // ("" for plain services), doubtful ones marked. The caller holds mu.
-func (s *state) candidates(service *fleet.Service, model string, now time.Duration) ([]route.FeedCandidate, exclusions) {
-	var out []route.FeedCandidate
+func (s *state) candidates(service *fleet.Service, model string, now time.Duration) ([]route.PickCandidate, exclusions) {
+	var out []route.PickCandidate
 	var excluded exclusions
 	var oldest uint64
 	if d := s.demands[model]; d != nil {
@@ -263,9 +263,9 @@
 			excluded.limited++
 			continue
 		}
-		c := route.FeedCandidate{
+		c := route.PickCandidate{
 			ID: id, FailureDomain: r.FailureDomain, Slots: r.Slots,
-			Engine: service.Engine != nil, Doubtful: health == member.Doubtful,
+			Engine: service.Engine != nil, RecentFaults: health == member.Doubtful,
 		}
 		if service.Engine != nil {
 			c.MemoryTokens = service.Engine.MemoryTokens
@@ -280,7 +280,7 @@
 				continue
 			}
 			c.Version = s.board.Version(id, model)
-			c.Turn, c.Planned = s.board.Turn(id, model, now)
+			c.RolloutIn, c.RolloutPlanned = s.board.Turn(id, model, now)
 			if c.Version < oldest {
 				excluded.overdue++
 				continue
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -127,9 +127,9 @@
 	s := j.entry.state
 	s.mu.Lock()
 	now := j.entry.clock.now()
-	s.feed.Began(now, &j.query, &p.choice, now-p.at)
+	s.feed.FirstEvent(now, &j.query, &p.choice, now-p.at)
 	if p.window != nil {
-		own := s.feed.OwnTime(&j.query, &p.choice)
+		own := s.feed.PrefillTime(&j.query, &p.choice)
 		p.window.Began(p.work, now-p.at-own, j.route.Objective-own, now)
 	}
 	p.done()
@@ -149,7 +149,7 @@
 	j.worked(p)
 	s := j.entry.state
 	s.mu.Lock()
-	s.feed.Streamed(&j.query, j.entry.clock.now()-j.began-j.first)
+	s.feed.ObserveStream(&j.query, j.entry.clock.now()-j.began-j.first)
 	s.mu.Unlock()
 	return 0, true
 }
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -163,7 +163,7 @@
 	}
 	for model, version := range report.Weights {
 		if s.board.Saw(r.ID, model, version, report.Orders) {
-			s.feed.Emptied(r.ID, now)
+			s.feed.CacheCleared(r.ID, now)
 		}
 		phase := rollout.PhaseReleased
 		if report.Busy {
--- a/internal/endpoint/admission.go
+++ b/internal/endpoint/admission.go
@@ -45,7 +45,7 @@
 		item.Deadline = now + time.Duration(a.run.DeadlineMs)*time.Millisecond
 	}
 	e.perform(e.admission.Arrive(now, item))
-	if e.backlog.Rises(now, e.admission.Summary().QueuedTokens) {
+	if e.backlog.ShouldReport(now, e.admission.Summary().QueuedTokens) {
 		e.beatAll()
 	}
 }
@@ -74,7 +74,7 @@
 	a.predicted, _ = e.picture.Resident(a.chain)
 	e.picture.Track(route.OwnerKey(a.run.Organisation, a.run.Model, a.run.Levels), a.run.Levels)
 	partial := len(a.run.Partial) / prefix.BytesPerToken
-	return max(0, prefix.Tokens(a.messages)+partial-a.predicted)
+	return max(0, prefix.EstimateTokens(a.messages)+partial-a.predicted)
 }
 
 // perform does what the admission core asks for.
@@ -189,8 +189,8 @@
 	if end.PromptTokens == 0 {
 		return
 	}
-	e.picture.Correct(a.mark, a.chain, end.CachedTokens)
-	e.router.Finished(e.now(), route.Finished{
+	e.picture.Reconcile(a.mark, a.chain, end.CachedTokens)
+	e.router.RequestFinished(e.now(), route.Outcome{
 		Endpoint:     e.settings.ID,
 		Epoch:        e.tel.Epoch,
 		Organisation: a.run.Organisation,
--- a/internal/endpoint/ask.go
+++ b/internal/endpoint/ask.go
@@ -43,7 +43,7 @@
 	query := &route.Query{
 		Ask:     *ask,
 		Suspect: verdict.Kind == attempt.Alone,
-		GivenUp: verdict.Kind == attempt.GivenUp || len(ask.Crashed) >= attempt.DefaultPoisonParams.Limit,
+		Poison:  verdict.Kind == attempt.GivenUp || len(ask.Crashed) >= attempt.DefaultPoisonParams.Limit,
 	}
 	result := e.router.Decide(now, e.rng, query, endpoints)
 	decision := &protocol.Decision{
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -55,7 +55,7 @@
 	admission *admit.Core
 	poison    *attempt.Poison
 	registry  *attempt.Registry
-	picture   *cachemap.Picture
+	picture   *cachemap.View
 	group     group
 
 	// executions run or can be resumed; held ones are admitted and wait for
@@ -71,7 +71,7 @@
 	engineTold engineState
 	// rootsTold is the picture's root version up to which owners are told.
 	rootsTold uint64
-	backlog   route.Backlog
+	backlog   route.BacklogTrigger
 }
 
 // Run serves peers until ctx ends and the last stream has.
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -205,7 +205,7 @@
 func (e *Endpoint) openEvents(cancel context.CancelFunc) uint64 {
 	from := e.watch.from
 	if from == 0 {
-		from = e.picture.Next()
+		from = e.picture.NextSeq()
 	}
 	e.watch.from = 0
 	e.watch.cancel = cancel
@@ -273,7 +273,7 @@
 	load.Model, load.Version = state.model, state.version
 	load.CacheUsed = w.load.KVUsedBlocks * prefix.BlockTokens
 	load.CacheTotal = w.load.KVTotalBlocks * prefix.BlockTokens
-	load.PictureDoubtful = e.picture.Doubtful()
+	load.PictureDoubtful = e.picture.Stale()
 	load.PictureAgeMs = (e.now() - w.loadAt).Milliseconds()
 	return load
 }
--- a/internal/endpoint/executions.go
+++ b/internal/endpoint/executions.go
@@ -67,7 +67,7 @@
 	messages  []prefix.Message
 	chain     []prefix.Hash
 	predicted int
-	mark      cachemap.Mark
+	mark      cachemap.Revision
 	startedAt time.Duration
 	// incarnation is the engine's when the attempt was handed to it.
 	incarnation string
--- a/internal/endpoint/group.go
+++ b/internal/endpoint/group.go
@@ -102,7 +102,7 @@
 
 func (e *Endpoint) forgetPeer(id string) {
 	delete(e.group.peers, id)
-	e.router.EndpointGone(id)
+	e.router.RemoveEndpoint(id)
 }
 
 // logPeers tells of members that get no new work from now on, or do again.
--- a/internal/endpoint/heartbeat.go
+++ b/internal/endpoint/heartbeat.go
@@ -128,7 +128,7 @@
 // collectResidents shares out what has changed in the cache picture among the
 // owners concerned, this endpoint always being one.
 func (e *Endpoint) collectResidents() {
-	changed, next := e.picture.RootsSince(e.rootsTold)
+	changed, next := e.picture.LevelsSince(e.rootsTold)
 	e.rootsTold = next
 	if len(changed) == 0 {
 		return
@@ -146,8 +146,8 @@
 	e.advertised(e.settings.ID, e.tel.Epoch, e.watch.incarnation, e.watch.version, own, false)
 }
 
-func owners(root cachemap.Root, ids []string) []string {
-	order := rendezvous.Order(root.Owner, ids)
+func owners(root cachemap.TrackedLevel, ids []string) []string {
+	order := rendezvous.Order(root.OwnerKey, ids)
 	return order[:min(ownersTold, len(order))]
 }
 
@@ -170,7 +170,7 @@
 }
 
 func (e *Endpoint) allResidents(id string) []protocol.Resident {
-	all, _ := e.picture.RootsSince(0)
+	all, _ := e.picture.LevelsSince(0)
 	ids := e.usableIDs()
 	if !slices.Contains(ids, id) {
 		// It isn't usable yet only because its own heartbeat is still to come.
@@ -235,7 +235,7 @@
 }
 
 func (e *Endpoint) advertised(id string, epoch protocol.Epoch, incarnation, version string, residents []protocol.Resident, full bool) {
-	e.router.Advertised(e.now(), route.Advertised{
+	e.router.ApplyAdvertisement(e.now(), route.Advertisement{
 		Endpoint:    id,
 		Epoch:       epoch,
 		Incarnation: incarnation,
--- a/internal/endpoint/run.go
+++ b/internal/endpoint/run.go
@@ -127,7 +127,7 @@
 	a.phase = phaseRunning
 	a.startedAt = e.now()
 	a.stop = stop
-	a.mark = e.picture.Mark()
+	a.mark = e.picture.NextRevision()
 	a.incarnation, a.crashes = e.watch.incarnation, e.watch.crashes
 	j := job{run: a.run, messages: a.messages, stream: a.stream, begun: time.Now(), incarnation: a.incarnation,
 		priority: a.enginePriority, repeatable: a.repeatable()}
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -61,7 +61,7 @@
 		parameters: body.Parameters,
 		structured: parameters.Structured(body.Parameters),
 	}
-	j.promptTokens = prefix.Tokens(wholePrompt(req.organisation, body.Messages))
+	j.promptTokens = prefix.EstimateTokens(wholePrompt(req.organisation, body.Messages))
 	j.fingerprint = chatFingerprint(j)
 	j.useVersion(version)
 	return j, nil
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -71,8 +71,8 @@
 	return append(text, m.Content...)
 }
 
-// Tokens estimates the length of a prompt in tokens, rounded up.
-func Tokens(messages []Message) int {
+// EstimateTokens estimates the length of a prompt in tokens, rounded up.
+func EstimateTokens(messages []Message) int {
 	n := 0
 	for _, m := range messages {
 		n += len(m.Role) + len(m.Content) + len("<||>")
--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -72,7 +72,7 @@
 			}
 			last = l.Tokens
 		}
-		if len(messages) > 1 && last > Tokens(messages[:len(messages)-1]) {
+		if len(messages) > 1 && last > EstimateTokens(messages[:len(messages)-1]) {
 			t.Fatalf("a level of %d tokens takes in the last message", last)
 		}
 	})
--- a/internal/route/backlog.go
+++ b/internal/route/backlog.go
@@ -10,7 +10,7 @@
 	backlogPause = 100 * time.Millisecond
 )
 
-// Backlog tells when an endpoint has to send its load summary at once: when the
+// BacklogTrigger tells when an endpoint has to send its load summary at once: when the
 // prompt tokens that its engine is still to compute have doubled, and grown by
 // backlogStep, since the least after the last word. Its zero value is an empty one.
 //
@@ -19,15 +19,15 @@
 // a second. With a report each second, two that chose one endpoint both go on
 // sending there, and its callers wait for several times what each was told to
 // expect.
-type Backlog struct {
+type BacklogTrigger struct {
 	least int
 	told  time.Duration
 	any   bool // word went out
 }
 
-// Rises takes the backlog of tokens as of now and reports whether to tell it. The
+// ShouldReport takes the backlog of tokens as of now and reports whether to tell it. The
 // caller then does.
-func (b *Backlog) Rises(now time.Duration, tokens int) bool {
+func (b *BacklogTrigger) ShouldReport(now time.Duration, tokens int) bool {
 	b.least = min(b.least, tokens)
 	if tokens < 2*b.least+backlogStep || b.any && now-b.told < backlogPause {
 		return false
--- a/internal/route/backlog_test.go
+++ b/internal/route/backlog_test.go
@@ -25,10 +25,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var b Backlog
+			var b BacklogTrigger
 			for i, tokens := range tt.tokens {
 				now := time.Duration(tt.at[i]) * time.Millisecond
-				if got := b.Rises(now, tokens); got != tt.want[i] {
+				if got := b.ShouldReport(now, tokens); got != tt.want[i] {
 					t.Errorf("at %v with %d tokens: %v", now, tokens, got)
 				}
 			}
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -29,7 +29,7 @@
 		q := rootQuery(i)
 		now := time.Duration(i) * time.Millisecond
 		got := r.Decide(now, rng, q, endpoints)
-		r.Finished(now, Finished{
+		r.RequestFinished(now, Outcome{
 			Endpoint: got.Executor, Epoch: got.Epoch, Organisation: q.Organisation,
 			Levels: q.Levels, CachedTokens: got.PredictedCached, PromptTokens: q.PromptTokens, Ran: true,
 		})
@@ -92,9 +92,9 @@
 	for i := range 100 {
 		residents = append(residents, protocol.Resident{Hash: prefix.Hash(100 + i), Tokens: 4000})
 	}
-	a := Advertised{Endpoint: endpoints[3].ID, Epoch: endpoints[3].Epoch, Residents: residents, Full: true}
+	a := Advertisement{Endpoint: endpoints[3].ID, Epoch: endpoints[3].Epoch, Residents: residents, Full: true}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Advertised(time.Minute, a)
+		r.ApplyAdvertisement(time.Minute, a)
 	}
 }
--- a/internal/route/decide.go
+++ b/internal/route/decide.go
@@ -47,7 +47,7 @@
 
 // Decide picks the executor of q. Endpoints is the whole group, in any order.
 func (r *Router) Decide(now time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) Result {
-	if q.GivenUp {
+	if q.Poison {
 		return refuseGivenUp()
 	}
 	r.filter(q, endpoints)
--- a/internal/route/donor_test.go
+++ b/internal/route/donor_test.go
@@ -60,7 +60,7 @@
 			first := r.Decide(0, rng, q, endpoints)
 			holder := &endpoints[slices.IndexFunc(endpoints, func(e Endpoint) bool { return e.ID == first.Executor })]
 			if test.confirmed {
-				r.Finished(time.Second, Finished{Endpoint: holder.ID, Epoch: holder.Epoch, Organisation: q.Organisation,
+				r.RequestFinished(time.Second, Outcome{Endpoint: holder.ID, Epoch: holder.Epoch, Organisation: q.Organisation,
 					Levels: q.Levels, PromptTokens: q.PromptTokens, Ran: true})
 			}
 			holder.Alive, holder.Leaving = false, true
--- a/internal/route/enginespeed.go
+++ b/internal/route/enginespeed.go
@@ -39,7 +39,7 @@
 	minOverhead, maxOverhead       = 1, 250
 )
 
-func newEngineSpeed(p FeedParams) *engineSpeed {
+func newEngineSpeed(p PickerParams) *engineSpeed {
 	e := &engineSpeed{theta: [3]float64{p.OverheadMs, tokenUnit / p.PrefillTokensPerMs, runningUnit * p.TokenMs}}
 	for i := range e.p {
 		e.p[i][i] = speedPrior
@@ -50,7 +50,7 @@
 // began takes a request that began the time given after it was placed, in milliseconds,
 // behind a load that includes its own prompt.
 func (e *engineSpeed) began(ahead Load, took float64) {
-	x := [3]float64{1, ahead.Reading / tokenUnit, float64(ahead.Running) / runningUnit}
+	x := [3]float64{1, ahead.PrefillTokens / tokenUnit, float64(ahead.Running) / runningUnit}
 	var px [3]float64
 	weight := speedForgets
 	for i := range x {
@@ -103,5 +103,5 @@
 
 // wait is the time until a load lets another request begin, in milliseconds.
 func (e *engineSpeed) wait(l Load) float64 {
-	return e.reading(l.Reading) + e.theta[2]*float64(l.Running)/runningUnit
+	return e.reading(l.PrefillTokens) + e.theta[2]*float64(l.Running)/runningUnit
 }
--- a/internal/route/enginespeed_test.go
+++ b/internal/route/enginespeed_test.go
@@ -12,8 +12,8 @@
 // teach has the speed see requests of all lengths at all loads, with noise.
 func (e engine) teach(s *engineSpeed, requests int, rng *rand.Rand) {
 	for range requests {
-		l := Load{Reading: 100 + 9000*rng.Float64(), Running: rng.IntN(60)}
-		took := e.overhead + e.perToken*l.Reading + e.perRunning*float64(l.Running)
+		l := Load{PrefillTokens: 100 + 9000*rng.Float64(), Running: rng.IntN(60)}
+		took := e.overhead + e.perToken*l.PrefillTokens + e.perRunning*float64(l.Running)
 		s.began(l, took+20*rng.NormFloat64())
 	}
 }
@@ -23,10 +23,10 @@
 // judged against objectives of some hundred ms.
 func TestEngineSpeedIsLearnt(t *testing.T) {
 	for _, e := range []engine{{40, 1.0 / 56, 2}, {35, 1.0 / 112, 0.4}, {80, 1.0 / 10, 3}, {25, 1.0 / 400, 0.1}} {
-		s := newEngineSpeed(DefaultFeedParams)
+		s := newEngineSpeed(DefaultPickerParams)
 		e.teach(s, 1000, rand.New(rand.NewPCG(1, 2)))
-		ahead := Load{Reading: 6000, Running: 30}
-		want := e.perToken*ahead.Reading + e.perRunning*float64(ahead.Running)
+		ahead := Load{PrefillTokens: 6000, Running: 30}
+		want := e.perToken*ahead.PrefillTokens + e.perRunning*float64(ahead.Running)
 		if got := s.wait(ahead); math.Abs(got-want) > 10+0.1*want {
 			t.Errorf("%+v: a wait of %.0f ms is expected to take %.0f", e, want, got)
 		}
@@ -38,28 +38,28 @@
 // weights. Cause: every delay taken for the engine's speed.
 func TestWildDelaysAreNoSpeed(t *testing.T) {
 	e, rng := engine{40, 1.0 / 100, 1}, rand.New(rand.NewPCG(3, 4))
-	s := newEngineSpeed(DefaultFeedParams)
+	s := newEngineSpeed(DefaultPickerParams)
 	e.teach(s, 1000, rng)
 	for range 100 {
-		s.began(Load{Reading: 3000, Running: 10}, 3000)
+		s.began(Load{PrefillTokens: 3000, Running: 10}, 3000)
 		e.teach(s, 20, rng)
 	}
-	if got := s.wait(Load{Reading: 6000}); got > 150 {
+	if got := s.wait(Load{PrefillTokens: 6000}); got > 150 {
 		t.Errorf("60 ms of reading are expected to take %.0f after one delay of 3 s in 20", got)
 	}
 }
 
 // Whatever is seen, what is believed stays within bounds and is a number.
 func TestEngineSpeedIsBounded(t *testing.T) {
-	s := newEngineSpeed(DefaultFeedParams)
+	s := newEngineSpeed(DefaultPickerParams)
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 20_000 {
-		s.began(Load{Reading: 1e6 * rng.Float64() * rng.Float64(), Running: rng.IntN(3)}, 1e5*rng.Float64())
+		s.began(Load{PrefillTokens: 1e6 * rng.Float64() * rng.Float64(), Running: rng.IntN(3)}, 1e5*rng.Float64())
 	}
 	for range 20_000 {
 		s.began(Load{}, 0)
 	}
-	for _, ms := range []float64{s.overhead(), s.reading(1000), s.wait(Load{Reading: 1000, Running: 10})} {
+	for _, ms := range []float64{s.overhead(), s.reading(1000), s.wait(Load{PrefillTokens: 1000, Running: 10})} {
 		if math.IsNaN(ms) || ms < 0 || ms > 1000 {
 			t.Errorf("believes %v ms", ms)
 		}
@@ -70,12 +70,12 @@
 // Cause: forgetting without bound.
 func TestOneRequestDoesNotSetTheSpeed(t *testing.T) {
 	e, rng := engine{40, 1.0 / 100, 1}, rand.New(rand.NewPCG(7, 8))
-	s := newEngineSpeed(DefaultFeedParams)
+	s := newEngineSpeed(DefaultPickerParams)
 	e.teach(s, 1000, rng)
 	for range 10_000 {
-		s.began(Load{Reading: 10}, 40)
+		s.began(Load{PrefillTokens: 10}, 40)
 	}
-	s.began(Load{Reading: 6000}, 400)
+	s.began(Load{PrefillTokens: 6000}, 400)
 	if got := s.reading(6000); got > 150 {
 		t.Errorf("60 ms of reading are expected to take %.0f after one request of 400", got)
 	}
--- a/internal/route/feed.go
+++ b/internal/route/feed.go
@@ -9,10 +9,10 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// Feed picks replicas for an entry that hands requests to them itself. It knows
+// Picker picks replicas for an entry that hands requests to them itself. It knows
 // its own work there and where it has sent which prefixes. It is pure.
-type Feed struct {
-	params FeedParams
+type Picker struct {
+	params PickerParams
 	rng    *rand.Rand
 	loads  map[string]*feedLoad
 	peers  *Peers
@@ -37,13 +37,13 @@
 	tokenMs float64
 }
 
-// NewFeed returns a feed that knows of no load.
-func NewFeed(p FeedParams, rng *rand.Rand) *Feed {
+// NewPicker returns a feed that knows of no load.
+func NewPicker(p PickerParams, rng *rand.Rand) *Picker {
 	kept, err := lru.New[uint64, time.Duration](p.Known)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
-	return &Feed{
+	return &Picker{
 		params: p, rng: rng, peers: NewPeers(p.PeerFresh), loads: map[string]*feedLoad{}, domainTaken: map[uint64]float64{}, engines: map[string]*engineSpeed{},
 		stores:   storeDelays{known: map[string]*storeDelay{}},
 		resident: newResidents(p.Known, p.KnownFor), kept: kept, tokenMs: p.OutputTokenMs,
@@ -65,12 +65,12 @@
 // Pick returns the candidate with the lowest cost: what the engine has to read
 // before, what it has to read anew, and what speaks against the replica. It
 // returns false if all candidates are excluded.
-func (f *Feed) Pick(now time.Duration, q *FeedQuery, candidates []FeedCandidate) (FeedChoice, bool) {
+func (f *Picker) Pick(now time.Duration, q *PickQuery, candidates []PickCandidate) (PickResult, bool) {
 	f.look(now, q, candidates)
 	home := f.home(q, candidates)
-	best, at := FeedChoice{Of: len(candidates)}, -1
+	best, at := PickResult{CandidateCount: len(candidates)}, -1
 	sampled := f.sample(q.Sample, len(candidates))
-	bounded := q.MaxLoad > 0 && f.Informed(now)
+	bounded := q.MaxWaitMs > 0 && f.PeerLoadsKnown(now)
 	for i := range candidates {
 		c := &candidates[i]
 		if excluded(q.Exclude, c.ID) {
@@ -80,25 +80,25 @@
 			continue
 		}
 		choice := f.cost(now, q, c, &f.views[i], i == home)
-		if bounded && choice.Load > q.MaxLoad {
+		if bounded && choice.WaitMs > q.MaxWaitMs {
 			continue
 		}
 		if at < 0 || choice.Score < best.Score {
-			choice.Of = len(candidates)
+			choice.CandidateCount = len(candidates)
 			best, at = choice, i
 		}
 	}
 	if at >= 0 && len(q.Levels) > 0 {
-		best.Source, best.SourceTokens = f.source(q, at, candidates)
+		best.Donor, best.DonorTokens = f.source(q, at, candidates)
 	}
 	return best, at >= 0
 }
 
 // look fills the views of all candidates.
-func (f *Feed) look(now time.Duration, q *FeedQuery, candidates []FeedCandidate) {
+func (f *Picker) look(now time.Duration, q *PickQuery, candidates []PickCandidate) {
 	f.views = f.views[:0]
 	holders := f.resident.holders(q.Levels)
-	informed := f.Informed(now)
+	informed := f.PeerLoadsKnown(now)
 	for i := range candidates {
 		c := &candidates[i]
 		v := feedView{key: ReplicaKey(c.ID)}
@@ -114,7 +114,7 @@
 // sample draws n of the candidates, nil for all. What peers tell is some tens of
 // milliseconds old: were all entries to look at all replicas, those that choose
 // meanwhile would all send to the one that was idle.
-func (f *Feed) sample(n, of int) []bool {
+func (f *Picker) sample(n, of int) []bool {
 	if n <= 0 || n >= of {
 		return nil
 	}
@@ -134,22 +134,22 @@
 	return false
 }
 
-func (f *Feed) cost(now time.Duration, q *FeedQuery, c *FeedCandidate, v *feedView, home bool) FeedChoice {
-	out := FeedChoice{ID: c.ID, Ahead: v.load, Reason: feedLeast}
-	out.Load = f.load(now, q, c, v)
-	out.Score = out.Load
+func (f *Picker) cost(now time.Duration, q *PickQuery, c *PickCandidate, v *feedView, home bool) PickResult {
+	out := PickResult{ID: c.ID, LoadAtPick: v.load, Reason: feedLeast}
+	out.WaitMs = f.load(now, q, c, v)
+	out.Score = out.WaitMs
 	if len(q.Levels) > 0 {
-		out.Missed, out.Reason = f.missing(q, v.held, home)
-		out.Score += f.params.MissWeight * f.engineOf(q).reading(float64(out.Missed))
+		out.MissingTokens, out.Reason = f.missing(q, v.held, home)
+		out.Score += f.params.MissWeight * f.engineOf(q).reading(float64(out.MissingTokens))
 	}
-	if q.Wanted != 0 && c.Version < q.Wanted {
+	if q.WantedVersion != 0 && c.Version < q.WantedVersion {
 		out.Score += f.params.OldWeights
 	}
-	if c.Planned {
-		over := f.StreamTime(q) - c.Turn
+	if c.RolloutPlanned {
+		over := f.ExpectedStreamTime(q) - c.RolloutIn
 		out.Score += f.params.Outlasts * max(0, float64(over.Milliseconds()))
 	}
-	if c.Doubtful {
+	if c.RecentFaults {
 		out.Score += f.params.Doubtful
 	}
 	if c.FailureDomain != q.FailureDomain {
@@ -159,7 +159,7 @@
 }
 
 // load is the expected wait at a replica, in milliseconds.
-func (f *Feed) load(now time.Duration, q *FeedQuery, c *FeedCandidate, v *feedView) float64 {
+func (f *Picker) load(now time.Duration, q *PickQuery, c *PickCandidate, v *feedView) float64 {
 	if !c.Engine {
 		return float64(v.load.Running) * f.params.PlainMs / float64(max(1, c.Slots))
 	}
--- a/internal/route/feed_test.go
+++ b/internal/route/feed_test.go
@@ -11,30 +11,30 @@
 	"skylarklead/internal/route"
 )
 
-func newFeed() *route.Feed {
-	return route.NewFeed(route.DefaultFeedParams, rand.New(rand.NewPCG(1, 2)))
+func newFeed() *route.Picker {
+	return route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(1, 2)))
 }
 
-func engines(n int, version uint64) []route.FeedCandidate {
-	list := make([]route.FeedCandidate, n)
+func engines(n int, version uint64) []route.PickCandidate {
+	list := make([]route.PickCandidate, n)
 	for i := range list {
-		list[i] = route.FeedCandidate{ID: fmt.Sprintf("r%02d", i), Version: version, Slots: 64, Engine: true}
+		list[i] = route.PickCandidate{ID: fmt.Sprintf("r%02d", i), Version: version, Slots: 64, Engine: true}
 	}
 	return list
 }
 
-func prompt(prefix string) *route.FeedQuery {
-	return &route.FeedQuery{Levels: levelsOf(prefix), SharedTokens: 6300, PromptTokens: 9200, OutputTokens: 50}
+func prompt(prefix string) *route.PickQuery {
+	return &route.PickQuery{Levels: levelsOf(prefix), SharedTokens: 6300, PromptTokens: 9200, OutputTokens: 50}
 }
 
 // levelsOf is a prompt of a common part and one of its own.
-func levelsOf(prefix string) []route.FeedLevel {
-	return route.FeedLevels("m/", []string{"common", prefix}, []int{2500, 3800})
+func levelsOf(prefix string) []route.PrefixLevel {
+	return route.PrefixLevels("m/", []string{"common", prefix}, []int{2500, 3800})
 }
 
 // placement tells of all levels of a prompt.
 func placement(prefix, replica string, read bool) route.Placement {
-	p := route.Placement{Replica: route.ReplicaKey(replica), Read: read}
+	p := route.Placement{Replica: route.ReplicaKey(replica), Prefilled: read}
 	for _, level := range levelsOf(prefix) {
 		p.Levels = append(p.Levels, level.Key)
 	}
@@ -50,7 +50,7 @@
 	return out
 }
 
-func pick(t testing.TB, f *route.Feed, now time.Duration, q *route.FeedQuery, c []route.FeedCandidate) route.FeedChoice {
+func pick(t testing.TB, f *route.Picker, now time.Duration, q *route.PickQuery, c []route.PickCandidate) route.PickResult {
 	t.Helper()
 	choice, ok := f.Pick(now, q, c)
 	if !ok {
@@ -74,8 +74,8 @@
 func TestPrefixGoesWhereItIsHeld(t *testing.T) {
 	f := newFeed()
 	q := prompt("p")
-	f.HeardPlacements([]route.Placement{placement("p", "r07", true)}, 0)
-	if got := pick(t, f, 0, q, engines(18, 1)); got.ID != "r07" || got.Missed != 0 {
+	f.ApplyPlacements([]route.Placement{placement("p", "r07", true)}, 0)
+	if got := pick(t, f, 0, q, engines(18, 1)); got.ID != "r07" || got.MissingTokens != 0 {
 		t.Fatalf("picked %+v; a peer has just sent it to r07", got)
 	}
 }
@@ -87,17 +87,17 @@
 // Cause: prompts known by their last shared part alone.
 func TestTheFirstLevelIsFetchedWhereItIsHeld(t *testing.T) {
 	f := newFeed()
-	f.HeardPlacements([]route.Placement{placement("other", "r01", true)}, 0)
+	f.ApplyPlacements([]route.Placement{placement("other", "r01", true)}, 0)
 	q := prompt("p")
 	q.Exclude = []string{"r01"}
 	got := pick(t, f, 0, q, engines(2, 1))
-	if got.ID != "r00" || got.Source != "r01" || got.SourceTokens != 2500 {
+	if got.ID != "r00" || got.Donor != "r01" || got.DonorTokens != 2500 {
 		t.Fatalf("picked %+v; r01 holds the 2500 tokens that all prompts begin with", got)
 	}
-	if use := f.Cache(0, q, &got, "m@1/", nil); use.Holder != "r01" {
+	if use := f.PlanCache(0, q, &got, "m@1/", nil); use.Donor != "r01" {
 		t.Errorf("%+v; there is no store, and r01 holds a part", use)
 	}
-	if use := f.Cache(0, q, &got, "m@1/", []string{"10.0.0.1:80"}); use.Store == "" || use.Holder != "" {
+	if use := f.PlanCache(0, q, &got, "m@1/", []string{"10.0.0.1:80"}); use.Store == "" || use.Donor != "" {
 		t.Errorf("%+v; a store may hold all", use)
 	}
 	q.Exclude = nil
@@ -117,16 +117,16 @@
 		c := engines(1, 1)
 		c[0].MemoryTokens = 100_000
 		first := pick(t, f, 0, prompt("p"), c)
-		f.Placed(0, prompt("p"), &first)
-		f.Began(0, prompt("p"), &first, time.Millisecond)
-		f.Ended(prompt("p"), &first, true)
+		f.Dispatched(0, prompt("p"), &first)
+		f.FirstEvent(0, prompt("p"), &first, time.Millisecond)
+		f.Finished(prompt("p"), &first, true)
 		for i := range others {
 			q := prompt(fmt.Sprint("other", i))
 			choice := pick(t, f, 0, q, c)
-			f.Placed(0, q, &choice)
-			f.Ended(q, &choice, false)
+			f.Dispatched(0, q, &choice)
+			f.Finished(q, &choice, false)
 		}
-		return pick(t, f, 10*time.Second, prompt("p"), c).Missed == 0
+		return pick(t, f, 10*time.Second, prompt("p"), c).MissingTokens == 0
 	}
 	if !held(3) {
 		t.Error("not believed held after three other prompts in a cache for ten")
@@ -141,12 +141,12 @@
 	f := newFeed()
 	c := engines(1, 1)
 	c[0].MemoryTokens = 100_000
-	f.HeardPlacements([]route.Placement{placement("p", "r00", true)}, 0)
+	f.ApplyPlacements([]route.Placement{placement("p", "r00", true)}, 0)
 	taken := uint16(65_000) // the count wraps around
-	f.Heard("entry-2", 1, 1, loads(map[string]route.Load{"r00": {Taken: taken}}), 0)
-	taken += 120_000 / route.TakenUnit
-	f.Heard("entry-2", 1, 2, loads(map[string]route.Load{"r00": {Taken: taken}}), 0)
-	if got := pick(t, f, time.Second, prompt("p"), c); got.Missed == 0 {
+	f.UpdatePeerLoads("entry-2", 1, 1, loads(map[string]route.Load{"r00": {AddedTokens: taken}}), 0)
+	taken += 120_000 / route.AddedTokensUnit
+	f.UpdatePeerLoads("entry-2", 1, 2, loads(map[string]route.Load{"r00": {AddedTokens: taken}}), 0)
+	if got := pick(t, f, time.Second, prompt("p"), c); got.MissingTokens == 0 {
 		t.Error("believed held after a peer sent 120,000 tokens to a cache for 100,000")
 	}
 }
@@ -154,8 +154,8 @@
 // A replica that has loaded other weights holds nothing of before.
 func TestEmptiedReplicaHoldsNothing(t *testing.T) {
 	f := newFeed()
-	f.HeardPlacements([]route.Placement{placement("p", "r00", true)}, 0)
-	f.Emptied("r00", time.Second)
+	f.ApplyPlacements([]route.Placement{placement("p", "r00", true)}, 0)
+	f.CacheCleared("r00", time.Second)
 	if got := pick(t, f, 2*time.Second, prompt("p"), engines(1, 1)); got.Reason == "prefix_held" {
 		t.Errorf("%+v", got)
 	}
@@ -168,14 +168,14 @@
 	q := prompt("p")
 	c := engines(4, 1)
 	c[0].Version = 2
-	f.HeardPlacements([]route.Placement{
+	f.ApplyPlacements([]route.Placement{
 		placement("p", "r00", true),
 		placement("p", "r01", true),
 		placement("p", "r02", false),
 	}, 0)
 	q.Exclude = []string{"r00", "r01", "r02"}
 	got := pick(t, f, 0, q, c)
-	if got.ID != "r03" || got.Source != "r01" || got.SourceTokens != 6300 {
+	if got.ID != "r03" || got.Donor != "r01" || got.DonorTokens != 6300 {
 		t.Fatalf("picked %+v; r00 has other weights and r02 is still reading", got)
 	}
 }
@@ -185,17 +185,17 @@
 // next one picks another.
 func TestPeersLoadsCount(t *testing.T) {
 	f := newFeed()
-	q := &route.FeedQuery{PromptTokens: 700}
+	q := &route.PickQuery{PromptTokens: 700}
 	c := engines(2, 1)
-	f.Heard("entry-2", 1, 1, loads(map[string]route.Load{"r00": {Reading: 15000, Running: 3}}), 0)
+	f.UpdatePeerLoads("entry-2", 1, 1, loads(map[string]route.Load{"r00": {PrefillTokens: 15000, Running: 3}}), 0)
 	if got := pick(t, f, 0, q, c); got.ID != "r01" {
 		t.Fatalf("picked %s, where a peer has 300 ms of reading", got.ID)
 	}
-	f.Heard("entry-2", 1, 0, nil, 0)
+	f.UpdatePeerLoads("entry-2", 1, 0, nil, 0)
 	if got := pick(t, f, 0, q, c); got.ID != "r01" {
 		t.Fatal("an older word of the same peer replaced its latest")
 	}
-	if f.Informed(time.Minute) {
+	if f.PeerLoadsKnown(time.Minute) {
 		t.Fatal("a peer that was silent for a minute still counts")
 	}
 }
@@ -208,11 +208,11 @@
 	got := map[string]int{}
 	c := engines(46, 1)
 	for e := range 25 {
-		f := route.NewFeed(route.DefaultFeedParams, rand.New(rand.NewPCG(uint64(e), 7)))
+		f := route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(uint64(e), 7)))
 		for i := range c {
-			f.Heard("entry-x", 1, 1, loads(map[string]route.Load{c[i].ID: {Reading: 50 * float64(i)}}), 0)
+			f.UpdatePeerLoads("entry-x", 1, 1, loads(map[string]route.Load{c[i].ID: {PrefillTokens: 50 * float64(i)}}), 0)
 		}
-		choice := pick(t, f, 0, &route.FeedQuery{PromptTokens: 700, Sample: 4}, c)
+		choice := pick(t, f, 0, &route.PickQuery{PromptTokens: 700, Sample: 4}, c)
 		got[choice.ID]++
 	}
 	for id, n := range got {
@@ -224,12 +224,12 @@
 
 func TestLoadBound(t *testing.T) {
 	f := newFeed()
-	q := &route.FeedQuery{PromptTokens: 700, MaxLoad: 200}
-	f.Heard("entry-2", 1, 1, loads(map[string]route.Load{"r00": {Reading: 15000}, "r01": {Reading: 15000}}), 0)
+	q := &route.PickQuery{PromptTokens: 700, MaxWaitMs: 200}
+	f.UpdatePeerLoads("entry-2", 1, 1, loads(map[string]route.Load{"r00": {PrefillTokens: 15000}, "r01": {PrefillTokens: 15000}}), 0)
 	if got, ok := f.Pick(0, q, engines(2, 1)); ok {
 		t.Fatalf("picked %+v beyond the bound", got)
 	}
-	q.MaxLoad = 0
+	q.MaxWaitMs = 0
 	pick(t, f, 0, q, engines(2, 1))
 }
 
@@ -239,13 +239,13 @@
 func TestLongStreamsAvoidReplicasWhoseTurnIsNear(t *testing.T) {
 	f := newFeed()
 	c := engines(2, 1)
-	c[0].Planned, c[0].Turn = true, time.Second
-	long := &route.FeedQuery{PromptTokens: 700, OutputTokens: 400}
-	f.Heard("entry-2", 1, 1, loads(map[string]route.Load{"r01": {Reading: 5000}}), 0)
+	c[0].RolloutPlanned, c[0].RolloutIn = true, time.Second
+	long := &route.PickQuery{PromptTokens: 700, OutputTokens: 400}
+	f.UpdatePeerLoads("entry-2", 1, 1, loads(map[string]route.Load{"r01": {PrefillTokens: 5000}}), 0)
 	if got := pick(t, f, 0, long, c); got.ID != "r01" {
 		t.Fatal("a stream of three seconds went where weights are loaded in one")
 	}
-	short := &route.FeedQuery{PromptTokens: 700, OutputTokens: 50}
+	short := &route.PickQuery{PromptTokens: 700, OutputTokens: 50}
 	if got := pick(t, f, 0, short, c); got.ID != "r00" {
 		t.Fatal("a short request avoids a replica that it would leave in time")
 	}
@@ -257,15 +257,15 @@
 	q := prompt("p")
 	for i := range 100 {
 		choice := pick(t, f, 0, q, engines(3, 1))
-		f.Placed(0, q, &choice)
+		f.Dispatched(0, q, &choice)
 		began := i%2 == 0
 		if began {
-			f.Began(0, q, &choice, time.Millisecond)
+			f.FirstEvent(0, q, &choice, time.Millisecond)
 		}
-		f.Ended(q, &choice, began)
+		f.Finished(q, &choice, began)
 	}
 	for replica, l := range f.Loads() {
-		if l.Reading != 0 || l.Running != 0 {
+		if l.PrefillTokens != 0 || l.Running != 0 {
 			t.Errorf("left over at %x: %+v", replica, l)
 		}
 	}
@@ -276,7 +276,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f, c := newFeed(), engines(n, 1)
 			for e := range 25 {
-				f.Heard(fmt.Sprint("entry-", e), 1, 1, loads(map[string]route.Load{"r03": {Reading: 2500, Running: 1}}), 0)
+				f.UpdatePeerLoads(fmt.Sprint("entry-", e), 1, 1, loads(map[string]route.Load{"r03": {PrefillTokens: 2500, Running: 1}}), 0)
 			}
 			q := prompt("p")
 			b.ReportAllocs()
@@ -302,9 +302,9 @@
 	moved := 0
 	for i := range prefixes {
 		name := xxhash.Sum64String(fmt.Sprintf("model//%x", i))
-		at := route.KeptAt(name, stores)
+		at := route.StoreFor(name, stores)
 		in[at]++
-		if at != stores[1] && route.KeptAt(name, []string{stores[2], stores[0]}) != at {
+		if at != stores[1] && route.StoreFor(name, []string{stores[2], stores[0]}) != at {
 			moved++
 		}
 	}
@@ -316,7 +316,7 @@
 	if moved > 0 {
 		t.Errorf("%d prefixes moved though their store is still there", moved)
 	}
-	if at := route.KeptAt(1, nil); at != "" {
+	if at := route.StoreFor(1, nil); at != "" {
 		t.Errorf("without stores: %q", at)
 	}
 }
@@ -332,23 +332,23 @@
 // 20 to 40 ms each.
 func TestShortPrefixesDontWaitForAStore(t *testing.T) {
 	stores := []string{"10.0.0.1:80", "10.0.0.2:80"}
-	levels := route.FeedLevels("m/", []string{"p"}, []int{6300})
-	kept := route.KeptAt(levels[0].Key, stores)
+	levels := route.PrefixLevels("m/", []string{"p"}, []int{6300})
+	kept := route.StoreFor(levels[0].Key, stores)
 	for _, c := range []struct {
 		name   string
 		tokens int
-		choice route.FeedChoice
-		want   route.CacheUse
+		choice route.PickResult
+		want   route.CachePlan
 	}{
-		{"tiny", 20, route.FeedChoice{Source: "r01", SourceTokens: 20}, route.CacheUse{}},
-		{"short, guessed holder", 198, route.FeedChoice{Source: "r01", Missed: 198}, route.CacheUse{Holder: "r01"}},
-		{"short, held", 198, route.FeedChoice{}, route.CacheUse{}},
-		{"long, guessed holder", 6300, route.FeedChoice{Source: "r01"}, route.CacheUse{Store: kept, KeepIn: kept}},
-		{"long, known holder", 6300, route.FeedChoice{Source: "r01", SourceTokens: 6300}, route.CacheUse{Holder: "r01", KeepIn: kept}},
-		{"long, held", 6300, route.FeedChoice{}, route.CacheUse{Store: kept, KeepIn: kept}},
+		{"tiny", 20, route.PickResult{Donor: "r01", DonorTokens: 20}, route.CachePlan{}},
+		{"short, guessed holder", 198, route.PickResult{Donor: "r01", MissingTokens: 198}, route.CachePlan{Donor: "r01"}},
+		{"short, held", 198, route.PickResult{}, route.CachePlan{}},
+		{"long, guessed holder", 6300, route.PickResult{Donor: "r01"}, route.CachePlan{Store: kept, SaveTo: kept}},
+		{"long, known holder", 6300, route.PickResult{Donor: "r01", DonorTokens: 6300}, route.CachePlan{Donor: "r01", SaveTo: kept}},
+		{"long, held", 6300, route.PickResult{}, route.CachePlan{Store: kept, SaveTo: kept}},
 	} {
-		q := &route.FeedQuery{Levels: levels, SharedTokens: c.tokens, PromptTokens: c.tokens + 600}
-		if got := newFeed().Cache(0, q, &c.choice, "m@1/", stores); got != c.want {
+		q := &route.PickQuery{Levels: levels, SharedTokens: c.tokens, PromptTokens: c.tokens + 600}
+		if got := newFeed().PlanCache(0, q, &c.choice, "m@1/", stores); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -360,14 +360,14 @@
 	a, b := newFeed(), newFeed()
 	q := prompt("p")
 	stores := []string{"10.0.0.1:80"}
-	if a.Cache(0, q, &route.FeedChoice{}, "m@1/", stores).KeepIn == "" {
+	if a.PlanCache(0, q, &route.PickResult{}, "m@1/", stores).SaveTo == "" {
 		t.Fatal("not kept at first")
 	}
-	b.HeardPlacements(a.Placements(0, 1, 8), 0)
-	if b.Cache(0, q, &route.FeedChoice{}, "m@1/", stores).KeepIn != "" {
+	b.ApplyPlacements(a.PlacementsToSend(0, 1, 8), 0)
+	if b.PlanCache(0, q, &route.PickResult{}, "m@1/", stores).SaveTo != "" {
 		t.Fatal("kept again by a peer that was told")
 	}
-	if b.Cache(0, q, &route.FeedChoice{}, "m@2/", stores).KeepIn == "" {
+	if b.PlanCache(0, q, &route.PickResult{}, "m@2/", stores).SaveTo == "" {
 		t.Fatal("not kept under other weights")
 	}
 }
@@ -390,12 +390,12 @@
 			if !ok {
 				t.Fatal("no replica")
 			}
-			f.Placed(now, q, &choice)
-			f.Began(now, q, &choice, 100*time.Millisecond)
-			f.Ended(q, &choice, true)
+			f.Dispatched(now, q, &choice)
+			f.FirstEvent(now, q, &choice, 100*time.Millisecond)
+			f.Finished(q, &choice, true)
 			placed++
 		}
-		for _, p := range f.Placements(now-2*pause, 2, room) {
+		for _, p := range f.PlacementsToSend(now-2*pause, 2, room) {
 			heard[p.Levels[len(p.Levels)-1]] = true
 		}
 	}
@@ -408,11 +408,11 @@
 func TestPeersLoadsCountUntilTheirNextWord(t *testing.T) {
 	const pause = 510 * time.Millisecond
 	f := newFeed()
-	f.PeersSpeakEvery(pause)
-	f.Heard("entry-2", 1, 1, loads(map[string]route.Load{"r00": {Reading: 50_000, Running: 5}}), 0)
+	f.SetPeerInterval(pause)
+	f.UpdatePeerLoads("entry-2", 1, 1, loads(map[string]route.Load{"r00": {PrefillTokens: 50_000, Running: 5}}), 0)
 	for now := time.Duration(0); now < 2*pause; now += 50 * time.Millisecond {
 		// The second word is lost.
-		if choice, ok := f.Pick(now, &route.FeedQuery{PromptTokens: 700}, engines(2, 1)); !ok || choice.ID == "r00" {
+		if choice, ok := f.Pick(now, &route.PickQuery{PromptTokens: 700}, engines(2, 1)); !ok || choice.ID == "r00" {
 			t.Fatalf("%v after the peer's word its load isn't known", now)
 		}
 	}
--- a/internal/route/feedload.go
+++ b/internal/route/feedload.go
@@ -18,26 +18,26 @@
 	lagAt time.Duration
 }
 
-// Informed reports whether the others' loads are known.
-func (f *Feed) Informed(now time.Duration) bool { return f.peers.Heard(now) > 0 }
+// PeerLoadsKnown reports whether the others' loads are known.
+func (f *Picker) PeerLoadsKnown(now time.Duration) bool { return f.peers.Heard(now) > 0 }
 
 // total is what this entry and its peers have at a replica. Where none is heard the
 // others are taken to have as much there as this one, each.
-func (f *Feed) total(now time.Duration, id string, key uint64, informed bool) Load {
+func (f *Picker) total(now time.Duration, id string, key uint64, informed bool) Load {
 	var own Load
 	if l := f.loads[id]; l != nil {
-		own = Load{Reading: l.reading, Running: l.running}
+		own = Load{PrefillTokens: l.reading, Running: l.running}
 	}
 	if !informed {
 		others := 1 + f.params.Others
-		return Load{Reading: own.Reading * others, Running: int(float64(own.Running) * others)}
+		return Load{PrefillTokens: own.PrefillTokens * others, Running: int(float64(own.Running) * others)}
 	}
 	sum := f.peers.Load(key, now)
-	return Load{Reading: own.Reading + sum.Reading, Running: own.Running + sum.Running}
+	return Load{PrefillTokens: own.PrefillTokens + sum.PrefillTokens, Running: own.Running + sum.Running}
 }
 
 // engineOf is what is known of the speed of a request's engines.
-func (f *Feed) engineOf(q *FeedQuery) *engineSpeed {
+func (f *Picker) engineOf(q *PickQuery) *engineSpeed {
 	e := f.engines[q.Service]
 	if e == nil {
 		e = newEngineSpeed(f.params)
@@ -47,10 +47,10 @@
 }
 
 // Loads is what this entry has at each replica, for its peers, by ReplicaKey.
-func (f *Feed) Loads() map[uint64]Load {
+func (f *Picker) Loads() map[uint64]Load {
 	loads := make(map[uint64]Load, len(f.loads))
 	for id, l := range f.loads {
-		loads[ReplicaKey(id)] = Load{Reading: l.reading, Running: l.running, Taken: uint16(uint64(l.taken) / TakenUnit)}
+		loads[ReplicaKey(id)] = Load{PrefillTokens: l.reading, Running: l.running, AddedTokens: uint16(uint64(l.taken) / AddedTokensUnit)}
 	}
 	return loads
 }
@@ -59,41 +59,41 @@
 // counts no more.
 const freshWords = 3
 
-// PeersSpeakEvery says how long the pause between a peer's words is. A word counts for
+// SetPeerInterval says how long the pause between a peer's words is. A word counts for
 // longer than that: where it doesn't, what most of a hundred peers have at the replicas is
 // missing in the sums at any moment.
-func (f *Feed) PeersSpeakEvery(pause time.Duration) {
+func (f *Picker) SetPeerInterval(pause time.Duration) {
 	f.peers.fresh = max(f.params.PeerFresh, freshWords*pause)
 }
 
-// Heard takes another entry's word on its loads, by ReplicaKey.
-func (f *Feed) Heard(peer string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
+// UpdatePeerLoads takes another entry's word on its loads, by ReplicaKey.
+func (f *Picker) UpdatePeerLoads(peer string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
 	f.peers.Take(peer, epoch, seq, loads, now, func(replica uint64, tokens float64) {
 		f.resident.took(replica, tokens)
 		f.domainTaken[replica] += tokens
 	})
 }
 
-// HeardDomain takes what a part of another failure domain's entries have together, as Heard; each
+// UpdateDomainLoads takes what a part of another failure domain's entries have together, as Heard; each
 // part has replicas of its own.
-func (f *Feed) HeardDomain(part string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
+func (f *Picker) UpdateDomainLoads(part string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
 	f.peers.TakeDomain(part, epoch, seq, loads, now, f.resident.took)
 }
 
 // DomainLoads is what this entry and those that it hears directly have at each replica, by
 // ReplicaKey.
-func (f *Feed) DomainLoads(now time.Duration) map[uint64]Load {
+func (f *Picker) DomainLoads(now time.Duration) map[uint64]Load {
 	sums := f.peers.direct(now)
 	taken := maps.Clone(f.domainTaken)
 	for id, l := range f.loads {
 		key := ReplicaKey(id)
 		sum := sums[key]
-		sums[key] = Load{Reading: sum.Reading + l.reading, Running: sum.Running + l.running}
+		sums[key] = Load{PrefillTokens: sum.PrefillTokens + l.reading, Running: sum.Running + l.running}
 		taken[key] += l.taken
 	}
 	for key, tokens := range taken {
 		sum := sums[key]
-		sum.Taken = uint16(uint64(tokens) / TakenUnit)
+		sum.AddedTokens = uint16(uint64(tokens) / AddedTokensUnit)
 		sums[key] = sum
 	}
 	return sums
@@ -101,16 +101,16 @@
 
 // lag is the wait that the others' load explains: this entry hears nothing of it
 // but how long its own requests wait.
-func (f *Feed) lag(l *feedLoad, now time.Duration) float64 {
+func (f *Picker) lag(l *feedLoad, now time.Duration) float64 {
 	if l.lag == 0 {
 		return 0
 	}
 	return l.lag * math.Exp2(-float64(now-l.lagAt)/float64(f.params.LagHalfLife))
 }
 
-// Placed notes that a request goes to a replica. Its end is told by Began and
+// Dispatched notes that a request goes to a replica. Its end is told by Began and
 // Ended, with the same query and ID.
-func (f *Feed) Placed(now time.Duration, q *FeedQuery, choice *FeedChoice) {
+func (f *Picker) Dispatched(now time.Duration, q *PickQuery, choice *PickResult) {
 	l := f.loads[choice.ID]
 	if l == nil {
 		l = &feedLoad{}
@@ -123,11 +123,11 @@
 }
 
 // take counts the tokens that a request adds to a replica's memory.
-func (f *Feed) take(l *feedLoad, q *FeedQuery, choice *FeedChoice) {
+func (f *Picker) take(l *feedLoad, q *PickQuery, choice *PickResult) {
 	if q.PromptTokens == 0 {
 		return
 	}
-	fresh := float64(max(0, q.PromptTokens-q.SharedTokens+choice.Missed) + q.OutputTokens)
+	fresh := float64(max(0, q.PromptTokens-q.SharedTokens+choice.MissingTokens) + q.OutputTokens)
 	l.taken += fresh
 	f.resident.took(ReplicaKey(choice.ID), fresh)
 	whole := float64(q.PromptTokens + q.OutputTokens)
@@ -135,34 +135,34 @@
 }
 
 // unread is how many tokens of a request's prompt a replica is expected to read.
-func (f *Feed) unread(q *FeedQuery, choice *FeedChoice) float64 {
-	return float64(max(0, q.PromptTokens-q.SharedTokens+choice.Missed))
+func (f *Picker) unread(q *PickQuery, choice *PickResult) float64 {
+	return float64(max(0, q.PromptTokens-q.SharedTokens+choice.MissingTokens))
 }
 
-// OwnTime is how long a replica with nothing else to do takes to read what it is
+// PrefillTime is how long a replica with nothing else to do takes to read what it is
 // expected to lack of a request's prompt.
-func (f *Feed) OwnTime(q *FeedQuery, choice *FeedChoice) time.Duration {
+func (f *Picker) PrefillTime(q *PickQuery, choice *PickResult) time.Duration {
 	return milliseconds(f.engineOf(q).reading(f.unread(q, choice)))
 }
 
-// ReadTime is how long an engine takes to read tokens, in milliseconds, Overhead the
+// PrefillMs is how long an engine takes to read tokens, in milliseconds, Overhead the
 // time to a first event beside reading.
-func (f *Feed) ReadTime(q *FeedQuery, tokens int) float64 {
+func (f *Picker) PrefillMs(q *PickQuery, tokens int) float64 {
 	return f.engineOf(q).reading(float64(tokens))
 }
 
-// Overhead is told in ReadTime.
-func (f *Feed) Overhead(q *FeedQuery) float64 { return f.engineOf(q).overhead() }
+// OverheadMs is told in ReadTime.
+func (f *Picker) OverheadMs(q *PickQuery) float64 { return f.engineOf(q).overhead() }
 
 // learn takes how long a request took to begin, in milliseconds, as word of its engine's
 // speed or, where most of its prefix came from a store, of the store's delay.
-func (f *Feed) learn(now time.Duration, q *FeedQuery, choice *FeedChoice, took float64) {
+func (f *Picker) learn(now time.Duration, q *PickQuery, choice *PickResult, took float64) {
 	e := f.engineOf(q)
-	if choice.Store == "" || 2*choice.Missed < q.SharedTokens {
-		e.began(Load{Reading: choice.Ahead.Reading + f.unread(q, choice), Running: choice.Ahead.Running}, took)
+	if choice.Store == "" || 2*choice.MissingTokens < q.SharedTokens {
+		e.began(Load{PrefillTokens: choice.LoadAtPick.PrefillTokens + f.unread(q, choice), Running: choice.LoadAtPick.Running}, took)
 		return
 	}
-	own := Load{Reading: choice.Ahead.Reading + float64(q.PromptTokens-q.SharedTokens), Running: choice.Ahead.Running}
+	own := Load{PrefillTokens: choice.LoadAtPick.PrefillTokens + float64(q.PromptTokens-q.SharedTokens), Running: choice.LoadAtPick.Running}
 	f.stores.fetched(choice.Store, took-e.overhead()-e.wait(own), now)
 }
 
@@ -173,8 +173,8 @@
 	TokensPerMs, RunningMs, OverheadMs float64
 }
 
-// Speeds is what was learnt of the engines of each service that was asked for.
-func (f *Feed) Speeds() map[string]EngineSpeed {
+// EngineSpeeds is what was learnt of the engines of each service that was asked for.
+func (f *Picker) EngineSpeeds() map[string]EngineSpeed {
 	speeds := make(map[string]EngineSpeed, len(f.engines))
 	for service, e := range f.engines {
 		speeds[service] = EngineSpeed{
@@ -186,9 +186,9 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Began notes that a request's prompt has been read, in the time that it took since
+// FirstEvent notes that a request's prompt has been read, in the time that it took since
 // it was placed.
-func (f *Feed) Began(now time.Duration, q *FeedQuery, choice *FeedChoice, took time.Duration) {
+func (f *Picker) FirstEvent(now time.Duration, q *PickQuery, choice *PickResult, took time.Duration) {
 	l := f.loads[choice.ID]
 	if l == nil {
 		return
@@ -196,21 +196,21 @@
 	f.read(q, choice)
 	f.holdOwn(q, choice.ID, true, now)
 	f.learn(now, q, choice, ms(took))
-	waited := ms(took - f.OwnTime(q, choice))
+	waited := ms(took - f.PrefillTime(q, choice))
 	before := f.lag(l, now)
 	l.lag = before + f.params.LagLearning*(max(0, waited)-before)
 	l.lagAt = now
 }
 
-func (f *Feed) read(q *FeedQuery, choice *FeedChoice) {
+func (f *Picker) read(q *PickQuery, choice *PickResult) {
 	if l := f.loads[choice.ID]; l != nil {
 		l.reading = max(0, l.reading-f.unread(q, choice))
 	}
 }
 
-// Ended notes that a request is no longer at a replica; began tells whether Began
+// Finished notes that a request is no longer at a replica; began tells whether Began
 // was called for it.
-func (f *Feed) Ended(q *FeedQuery, choice *FeedChoice, began bool) {
+func (f *Picker) Finished(q *PickQuery, choice *PickResult, began bool) {
 	l := f.loads[choice.ID]
 	if l == nil {
 		return
@@ -221,13 +221,13 @@
 	l.running--
 }
 
-// StreamTime is how long a request's output is expected to take.
-func (f *Feed) StreamTime(q *FeedQuery) time.Duration {
+// ExpectedStreamTime is how long a request's output is expected to take.
+func (f *Picker) ExpectedStreamTime(q *PickQuery) time.Duration {
 	return time.Duration(float64(q.OutputTokens) * f.tokenMs * float64(time.Millisecond))
 }
 
-// Streamed learns from a stream that took d from its first event to its end.
-func (f *Feed) Streamed(q *FeedQuery, d time.Duration) {
+// ObserveStream learns from a stream that took d from its first event to its end.
+func (f *Picker) ObserveStream(q *PickQuery, d time.Duration) {
 	if q.OutputTokens <= 0 {
 		return
 	}
@@ -236,17 +236,17 @@
 }
 
 // ForgetPeers drops the words of peers that were last heard before a time.
-func (f *Feed) ForgetPeers(before time.Duration) { f.peers.Forget(before) }
+func (f *Picker) ForgetPeers(before time.Duration) { f.peers.Forget(before) }
 
-// Gone forgets a replica.
-func (f *Feed) Gone(id string) {
+// RemoveReplica forgets a replica.
+func (f *Picker) RemoveReplica(id string) {
 	delete(f.loads, id)
 	delete(f.domainTaken, ReplicaKey(id))
 	f.resident.gone(ReplicaKey(id))
 }
 
 // Running is how many requests of this entry are at a replica.
-func (f *Feed) Running(id string) int {
+func (f *Picker) Running(id string) int {
 	if l := f.loads[id]; l != nil {
 		return l.running
 	}
--- a/internal/route/feedprefix.go
+++ b/internal/route/feedprefix.go
@@ -11,8 +11,8 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// FeedLevel is one of the nested prefixes of a prompt.
-type FeedLevel struct {
+// PrefixLevel is one of the nested prefixes of a prompt.
+type PrefixLevel struct {
 	// Key stands for all parts up to the level's end and for whom they may be shared
 	// with: model and isolation. The weights' version isn't in it: a replica that loads
 	// others holds nothing any more.
@@ -21,25 +21,25 @@
 	Tokens int
 }
 
-// FeedLevels chains the parts of a prompt to levels. scope is what they may be shared in.
-func FeedLevels(scope string, ids []string, tokens []int) []FeedLevel {
+// PrefixLevels chains the parts of a prompt to levels. scope is what they may be shared in.
+func PrefixLevels(scope string, ids []string, tokens []int) []PrefixLevel {
 	if len(ids) == 0 {
 		return nil
 	}
-	levels := make([]FeedLevel, len(ids))
+	levels := make([]PrefixLevel, len(ids))
 	d := xxhash.New()
 	_, _ = d.WriteString(scope) // a digest takes all
 	total := 0
 	for i, id := range ids {
 		_, _ = d.WriteString("\x00" + id)
 		total += tokens[i]
-		levels[i] = FeedLevel{Key: d.Sum64(), Tokens: total}
+		levels[i] = PrefixLevel{Key: d.Sum64(), Tokens: total}
 	}
 	return levels
 }
 
 // prefixKey is the key of the longest level.
-func (q *FeedQuery) prefixKey() uint64 { return q.Levels[len(q.Levels)-1].Key }
+func (q *PickQuery) prefixKey() uint64 { return q.Levels[len(q.Levels)-1].Key }
 
 // source is another replica to fetch shared parts from: the one on the same weights
 // that is known to have read the longest level. Where none is known it is the one that comes first in the order in which all
@@ -48,7 +48,7 @@
 //
 // It is named for a replica that is believed to hold the prefix, too: a cache may have
 // dropped it, which nobody hears of in time.
-func (f *Feed) source(q *FeedQuery, chosen int, candidates []FeedCandidate) (source string, tokens int) {
+func (f *Picker) source(q *PickQuery, chosen int, candidates []PickCandidate) (source string, tokens int) {
 	best, first := -1, -1
 	for i := range candidates {
 		v := &f.views[i]
@@ -78,7 +78,7 @@
 
 // held is how many shared tokens a replica is believed to hold, and how many of them it
 // has read already and can send: a level counts only with all those before it.
-func (f *Feed) held(now time.Duration, q *FeedQuery, holders []levelHolders, key uint64, room float64) (held, read int) {
+func (f *Picker) held(now time.Duration, q *PickQuery, holders []levelHolders, key uint64, room float64) (held, read int) {
 	allRead := true
 	for i, at := range holders {
 		h, ok := at[key]
@@ -96,7 +96,7 @@
 
 // room is how much of a replica's memory running requests leave to cached parts, in
 // tokens. Unknown memory is taken for unbounded: then time alone decides.
-func (f *Feed) room(c *FeedCandidate, load Load) float64 {
+func (f *Picker) room(c *PickCandidate, load Load) float64 {
 	if c.MemoryTokens == 0 {
 		return math.MaxFloat64
 	}
@@ -105,7 +105,7 @@
 
 // home is the index of the replica that all entries send a prefix to when nothing else
 // is known, -1 for none.
-func (f *Feed) home(q *FeedQuery, candidates []FeedCandidate) int {
+func (f *Picker) home(q *PickQuery, candidates []PickCandidate) int {
 	if len(q.Levels) == 0 {
 		return -1
 	}
@@ -120,7 +120,7 @@
 
 // missing is how many tokens of the shared prefix a replica is expected to read
 // anew.
-func (f *Feed) missing(q *FeedQuery, held int, home bool) (int, string) {
+func (f *Picker) missing(q *PickQuery, held int, home bool) (int, string) {
 	missed := q.SharedTokens - held
 	switch {
 	case missed <= 0:
@@ -134,18 +134,18 @@
 // keep reports whether a prefix, under a salt, is to be sent to the store of kept
 // cache, and notes that it is. With it goes the request's own part, which nobody
 // asks for again: sent each time, those would push all shared parts out.
-func (f *Feed) keep(now time.Duration, prefix uint64, salt string) bool {
+func (f *Picker) keep(now time.Duration, prefix uint64, salt string) bool {
 	key := f.keptKey(prefix, salt)
 	if at, ok := f.kept.Get(key); ok && now-at < f.params.KeptFor {
 		return false
 	}
 	f.kept.Add(key, now)
-	f.tell(now, Placement{Kept: key})
+	f.tell(now, Placement{Saved: key})
 	return true
 }
 
 // keptKey stands for a prefix under a salt.
-func (f *Feed) keptKey(prefix uint64, salt string) uint64 {
+func (f *Picker) keptKey(prefix uint64, salt string) uint64 {
 	return prefix ^ xxhash.Sum64String(salt)
 }
 
@@ -160,35 +160,35 @@
 	keptTokens = 512
 )
 
-// CacheUse is what a replica is told about the shared parts of a prompt.
-type CacheUse struct {
-	// Holder is the replica to fetch from what is missing, Store the store of kept
+// CachePlan is what a replica is told about the shared parts of a prompt.
+type CachePlan struct {
+	// Donor is the replica to fetch from what is missing, Store the store of kept
 	// cache; at most one of them is set.
-	Holder, Store string
-	// KeepIn is the store to send the parts to once they are read, "" for none.
-	KeepIn string
+	Donor, Store string
+	// SaveTo is the store to send the parts to once they are read, "" for none.
+	SaveTo string
 }
 
-// Cache decides where a replica that was picked fetches shared parts that it turns
+// PlanCache decides where a replica that was picked fetches shared parts that it turns
 // out to lack, and whether they are kept. salt sets them apart by weights and walls.
-func (f *Feed) Cache(now time.Duration, q *FeedQuery, choice *FeedChoice, salt string, stores []string) CacheUse {
-	var use CacheUse
+func (f *Picker) PlanCache(now time.Duration, q *PickQuery, choice *PickResult, salt string, stores []string) CachePlan {
+	var use CachePlan
 	if q.SharedTokens < fetchedTokens {
 		return use
 	}
 	if q.SharedTokens >= keptTokens {
-		use.Store = KeptAt(q.prefixKey(), stores)
+		use.Store = StoreFor(q.prefixKey(), stores)
 	}
 	if use.Store != "" && f.keep(now, q.prefixKey(), salt) {
-		use.KeepIn = use.Store
+		use.SaveTo = use.Store
 	}
 	if f.fetchesFromReplica(q, choice, use.Store) {
-		use.Holder, use.Store = choice.Source, ""
+		use.Donor, use.Store = choice.Donor, ""
 	}
-	if use.Store != "" && !f.stores.bears(use.Store, q.MaxLoad, now, f.rng) {
+	if use.Store != "" && !f.stores.bears(use.Store, q.MaxWaitMs, now, f.rng) {
 		use.Store = ""
-		if choice.SourceTokens > 0 {
-			use.Holder = choice.Source
+		if choice.DonorTokens > 0 {
+			use.Donor = choice.Donor
 		}
 	}
 	choice.Store = use.Store
@@ -199,31 +199,31 @@
 // that has read all is: it sends at once, where a store sends one prefix after the
 // other. One that has read only a part is not, even where nobody is known to have sent the
 // prefix to the store.
-func (f *Feed) fetchesFromReplica(q *FeedQuery, choice *FeedChoice, store string) bool {
+func (f *Picker) fetchesFromReplica(q *PickQuery, choice *PickResult, store string) bool {
 	switch {
-	case choice.Source == "":
+	case choice.Donor == "":
 		return false
-	case choice.SourceTokens >= q.SharedTokens:
+	case choice.DonorTokens >= q.SharedTokens:
 		return true
 	case store != "":
 		return false
 	}
-	return choice.SourceTokens > 0 || choice.Missed > 0
+	return choice.DonorTokens > 0 || choice.MissingTokens > 0
 }
 
-// KeptAt is which of the stores of kept cache has a prefix, "" if there is none. Each
+// StoreFor is which of the stores of kept cache has a prefix, "" if there is none. Each
 // prefix is in one of them, the same one for all entries: together they hold as many
 // as they have room for, where copies in each would push others out.
-func KeptAt(prefix uint64, stores []string) string { return rendezvous.First(prefix, stores) }
+func StoreFor(prefix uint64, stores []string) string { return rendezvous.First(prefix, stores) }
 
 // Placement is what an entry tells its peers of a request: which levels went where, or
 // that a prefix was sent to the store of kept cache. Keys stand for names.
 type Placement struct {
 	Levels  []uint64
 	Replica uint64
-	// Read is set once the replica has read them.
-	Read bool
-	Kept uint64
+	// Prefilled is set once the replica has read them.
+	Prefilled bool
+	Saved     uint64
 }
 
 // toldPlacement is a placement and how often it was told.
@@ -233,11 +233,11 @@
 	Placement
 }
 
-// Placements returns at most so many of this entry's placements for its peers: those that
+// PlacementsToSend returns at most so many of this entry's placements for its peers: those that
 // were told least, the latest first. Each is told so often, unless it is from before a time.
 // With a hundred peers a word comes twice a second: one that has room for a part of what was
 // placed since the last one must have what the peers don't know.
-func (f *Feed) Placements(since time.Duration, times, most int) []Placement {
+func (f *Picker) PlacementsToSend(since time.Duration, times, most int) []Placement {
 	f.told = slices.DeleteFunc(f.told, func(t toldPlacement) bool { return t.at < since || t.times >= times })
 	slices.SortStableFunc(f.told, func(a, b toldPlacement) int {
 		return cmp.Or(cmp.Compare(a.times, b.times), cmp.Compare(b.at, a.at))
@@ -251,33 +251,33 @@
 }
 
 // tell has a placement told. That a request was sent isn't told any more once it was read.
-func (f *Feed) tell(at time.Duration, p Placement) {
-	if p.Read {
+func (f *Picker) tell(at time.Duration, p Placement) {
+	if p.Prefilled {
 		f.told = slices.DeleteFunc(f.told, func(t toldPlacement) bool {
-			return !t.Read && t.Replica == p.Replica && slices.Equal(t.Levels, p.Levels)
+			return !t.Prefilled && t.Replica == p.Replica && slices.Equal(t.Levels, p.Levels)
 		})
 	}
 	f.told = append(f.told, toldPlacement{at: at, Placement: p})
 }
 
-// HeardPlacements takes a peer's placements.
-func (f *Feed) HeardPlacements(list []Placement, now time.Duration) {
+// ApplyPlacements takes a peer's placements.
+func (f *Picker) ApplyPlacements(list []Placement, now time.Duration) {
 	for _, p := range list {
-		if p.Kept != 0 {
-			f.kept.Add(p.Kept, now)
+		if p.Saved != 0 {
+			f.kept.Add(p.Saved, now)
 		}
 		for _, level := range p.Levels {
-			f.resident.hold(level, p.Replica, p.Read, now)
+			f.resident.hold(level, p.Replica, p.Prefilled, now)
 		}
 	}
 }
 
 // holdOwn notes what this entry sent, and tells its peers.
-func (f *Feed) holdOwn(q *FeedQuery, replica string, read bool, now time.Duration) {
+func (f *Picker) holdOwn(q *PickQuery, replica string, read bool, now time.Duration) {
 	if len(q.Levels) == 0 {
 		return
 	}
-	p := Placement{Levels: make([]uint64, len(q.Levels)), Replica: ReplicaKey(replica), Read: read}
+	p := Placement{Levels: make([]uint64, len(q.Levels)), Replica: ReplicaKey(replica), Prefilled: read}
 	for i, level := range q.Levels {
 		p.Levels[i] = level.Key
 		f.resident.hold(level.Key, p.Replica, read, now)
@@ -285,6 +285,6 @@
 	f.tell(now, p)
 }
 
-// Emptied forgets which levels a replica held: it was restarted or has loaded other
+// CacheCleared forgets which levels a replica held: it was restarted or has loaded other
 // weights.
-func (f *Feed) Emptied(id string, now time.Duration) { f.resident.empty(ReplicaKey(id), now) }
+func (f *Picker) CacheCleared(id string, now time.Duration) { f.resident.empty(ReplicaKey(id), now) }
--- a/internal/route/feedtypes.go
+++ b/internal/route/feedtypes.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// FeedParams weigh what a direct entry knows of the replicas that it feeds. Times
+// PickerParams weigh what a direct entry knows of the replicas that it feeds. Times
 // are engine time in milliseconds.
-type FeedParams struct {
+type PickerParams struct {
 	// PrefillTokensPerMs is how fast an engine reads prompts, TokenMs how much one running
 	// request slows its others, OverheadMs the time to a first event beside: until they are
 	// learnt from requests.
@@ -47,32 +47,32 @@
 	KeptFor time.Duration
 }
 
-// DefaultFeedParams come from the engines' sheets: some 56 prompt tokens a
+// DefaultPickerParams come from the engines' sheets: some 56 prompt tokens a
 // millisecond and a step of 4 ms that grows by a tenth with each running request.
-var DefaultFeedParams = FeedParams{
+var DefaultPickerParams = PickerParams{
 	PrefillTokensPerMs: 50, MissWeight: 4.5, TokenMs: 2, OverheadMs: 40, Others: 2, HomeDoubt: 0.3,
 	PeerFresh: 500 * time.Millisecond, LagHalfLife: 400 * time.Millisecond, LagLearning: 0.4,
 	Outlasts: 0.2, OutputTokenMs: 8, Learning: 0.05, OldWeights: 150, Doubtful: 1000, Crossing: 3, PlainMs: 60,
 	Known: 8192, KnownFor: 30 * time.Second, KeptFor: 10 * time.Second,
 }
 
-// FeedQuery is a request as far as its place matters.
-type FeedQuery struct {
+// PickQuery is a request as far as its place matters.
+type PickQuery struct {
 	// Service names the engines that may run it.
 	Service string
 	// Levels are the nested prefixes that other prompts may share, the shortest first.
-	Levels       []FeedLevel
+	Levels       []PrefixLevel
 	SharedTokens int
 	PromptTokens int
 	// OutputTokens is the expected output.
 	OutputTokens int
 	// FailureDomain is the entry's own.
 	FailureDomain string
-	// Wanted is the version of the weights to use if there is a choice, 0 for any.
-	Wanted uint64
-	// MaxLoad is the wait, in milliseconds, beyond which a replica isn't picked while
+	// WantedVersion is the version of the weights to use if there is a choice, 0 for any.
+	WantedVersion uint64
+	// MaxWaitMs is the wait, in milliseconds, beyond which a replica isn't picked while
 	// the others' loads are known; 0 is no bound.
-	MaxLoad float64
+	MaxWaitMs float64
 	// Sample is how many replicas are looked at beside the prefix's holders and its
 	// home, 0 for all.
 	Sample int
@@ -80,8 +80,8 @@
 	Exclude []string
 }
 
-// FeedCandidate is a replica that may be picked.
-type FeedCandidate struct {
+// PickCandidate is a replica that may be picked.
+type PickCandidate struct {
 	ID            string
 	FailureDomain string
 	Version       uint64
@@ -90,30 +90,30 @@
 	// isn't known.
 	MemoryTokens int
 	Engine       bool
-	Doubtful     bool
-	// Turn is the time until the replica takes no more work to load other weights,
+	RecentFaults bool
+	// RolloutIn is the time until the replica takes no more work to load other weights,
 	// if Planned.
-	Turn    time.Duration
-	Planned bool
+	RolloutIn      time.Duration
+	RolloutPlanned bool
 }
 
-// FeedChoice is a pick with what decided it.
-type FeedChoice struct {
-	ID    string
-	Score float64
-	Load  float64
-	// Missed is how many shared tokens the replica is expected to lack, Source another
+// PickResult is a pick with what decided it.
+type PickResult struct {
+	ID     string
+	Score  float64
+	WaitMs float64
+	// MissingTokens is how many shared tokens the replica is expected to lack, Source another
 	// replica on the same weights that may hold them, "" if none.
-	Missed int
-	Source string
-	// SourceTokens is how many shared tokens Source is known to have read, 0 for a guess.
-	SourceTokens int
+	MissingTokens int
+	Donor         string
+	// DonorTokens is how many shared tokens Source is known to have read, 0 for a guess.
+	DonorTokens int
 	// Store is the store that the replica was told to fetch from, "" for none.
 	Store string
-	// Ahead is what all entries had there when it was picked.
-	Ahead  Load
-	Reason string
-	Of     int
+	// LoadAtPick is what all entries had there when it was picked.
+	LoadAtPick     Load
+	Reason         string
+	CandidateCount int
 }
 
 // Reasons of a feed's pick.
--- a/internal/route/heat_test.go
+++ b/internal/route/heat_test.go
@@ -196,16 +196,16 @@
 		r, rng, endpoints := NewRouter(Params{}), newRand(), group(8)
 		q := query(1)
 		first := r.Decide(10*time.Second, rng, q, endpoints)
-		report := Advertised{Endpoint: first.Executor, Epoch: first.Epoch, Incarnation: "i1", Full: full}
+		report := Advertisement{Endpoint: first.Executor, Epoch: first.Epoch, Incarnation: "i1", Full: full}
 		if !full {
 			report.Residents = []protocol.Resident{{Hash: q.Levels[0].Hash}, {Hash: q.Levels[1].Hash}}
 		}
-		r.Advertised(10*time.Second+200*time.Millisecond, report)
+		r.ApplyAdvertisement(10*time.Second+200*time.Millisecond, report)
 		got := r.Decide(10*time.Second+300*time.Millisecond, rng, q, endpoints)
 		if got.Executor != first.Executor {
 			t.Errorf("full %v: the second went to %s, the first to %s", full, got.Executor, first.Executor)
 		}
-		r.Advertised(20*time.Second, report)
+		r.ApplyAdvertisement(20*time.Second, report)
 		if held := r.Table().Holds(20*time.Second, first.Executor, q.Levels[1].Hash); held != 0 {
 			t.Errorf("full %v: still holds %d tokens after a later report", full, held)
 		}
@@ -279,14 +279,14 @@
 func TestAdvertisementsTeachARestartedOwner(t *testing.T) {
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(4)
 	q := query(1)
-	r.Advertised(0, Advertised{
+	r.ApplyAdvertisement(0, Advertisement{
 		Endpoint: endpoints[2].ID, Epoch: endpoints[2].Epoch, Incarnation: "i1", Version: "v1", Full: true,
 		Residents: []protocol.Resident{{Hash: q.Levels[0].Hash, Tokens: 2000}, {Hash: q.Levels[1].Hash, Tokens: 4000}},
 	})
 	if got := r.Decide(time.Second, rng, q, endpoints); got.Executor != endpoints[2].ID || got.PredictedCached != 4000 {
 		t.Fatalf("%s with %d cached", got.Executor, got.PredictedCached)
 	}
-	r.Advertised(time.Minute, Advertised{Endpoint: endpoints[2].ID, Epoch: endpoints[2].Epoch, Full: true})
+	r.ApplyAdvertisement(time.Minute, Advertisement{Endpoint: endpoints[2].ID, Epoch: endpoints[2].Epoch, Full: true})
 	if held := r.Table().Holds(time.Minute, endpoints[2].ID, prefix.Hash(101)); held != 0 {
 		t.Errorf("still holds %d tokens after a full report without it", held)
 	}
@@ -296,7 +296,7 @@
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(4)
 	q := query(1)
 	got := r.Decide(0, rng, q, endpoints)
-	r.Finished(time.Second, Finished{Endpoint: got.Executor, Epoch: got.Epoch, Organisation: q.Organisation,
+	r.RequestFinished(time.Second, Outcome{Endpoint: got.Executor, Epoch: got.Epoch, Organisation: q.Organisation,
 		Levels: q.Levels[:1], Ran: true})
 	later := time.Second + DefaultPredictionLife + time.Millisecond
 	if held := r.Table().Holds(later, got.Executor, q.Levels[1].Hash); held != 0 {
--- a/internal/route/peers.go
+++ b/internal/route/peers.go
@@ -8,18 +8,18 @@
 
 // Load is what an entry has at a replica.
 type Load struct {
-	// Reading is how many tokens of prompts are not yet read.
-	Reading float64
+	// PrefillTokens is how many tokens of prompts are not yet read.
+	PrefillTokens float64
 	// Running is how many requests are there.
 	Running int
-	// Taken counts the tokens that the entry has sent there to be read and kept, in
+	// AddedTokens counts the tokens that the entry has sent there to be read and kept, in
 	// TakenUnit; it wraps around.
-	Taken uint16
+	AddedTokens uint16
 }
 
-// TakenUnit is the unit of Load.Taken, in tokens: small against a prompt, and large
+// AddedTokensUnit is the unit of Load.Taken, in tokens: small against a prompt, and large
 // enough that a replica takes minutes to wrap the count around.
-const TakenUnit = 64
+const AddedTokensUnit = 64
 
 // ReplicaKey stands for a replica's ID where entries tell each other of it.
 func ReplicaKey(id string) uint64 { return xxhash.Sum64String(id) }
@@ -85,7 +85,7 @@
 		}
 		for replica, l := range w.loads {
 			sum := sums[replica]
-			sums[replica] = Load{Reading: sum.Reading + l.Reading, Running: sum.Running + l.Running}
+			sums[replica] = Load{PrefillTokens: sum.PrefillTokens + l.PrefillTokens, Running: sum.Running + l.Running}
 		}
 	}
 	return sums
@@ -105,9 +105,9 @@
 	}
 	for replica, l := range loads {
 		if before, known := taken[replica]; known {
-			took(replica, float64(l.Taken-before)*TakenUnit)
+			took(replica, float64(l.AddedTokens-before)*AddedTokensUnit)
 		}
-		taken[replica] = l.Taken
+		taken[replica] = l.AddedTokens
 	}
 	if w != nil {
 		p.discount(w)
@@ -122,7 +122,7 @@
 func (p *Peers) count(w *peerWord) {
 	for replica, l := range w.loads {
 		sum := p.sums[replica]
-		p.sums[replica] = Load{Reading: sum.Reading + l.Reading, Running: sum.Running + l.Running}
+		p.sums[replica] = Load{PrefillTokens: sum.PrefillTokens + l.PrefillTokens, Running: sum.Running + l.Running}
 	}
 	w.counted = true
 	p.heard++
@@ -137,7 +137,7 @@
 	for replica, l := range w.loads {
 		sum := p.sums[replica]
 		sum.Running -= l.Running
-		sum.Reading = max(0, sum.Reading-l.Reading)
+		sum.PrefillTokens = max(0, sum.PrefillTokens-l.PrefillTokens)
 		if sum.Running <= 0 {
 			delete(p.sums, replica) // nothing runs there; what is left is rounding
 			continue
--- a/internal/route/peers_test.go
+++ b/internal/route/peers_test.go
@@ -13,14 +13,14 @@
 	var tokens float64
 	took := func(_ uint64, n float64) { tokens += n }
 	words := []map[uint64]route.Load{
-		{1: {Running: 1, Taken: 10}},
-		{2: {Running: 1, Taken: 3}},
-		{1: {Running: 1, Taken: 17}},
+		{1: {Running: 1, AddedTokens: 10}},
+		{2: {Running: 1, AddedTokens: 3}},
+		{1: {Running: 1, AddedTokens: 17}},
 	}
 	for i, loads := range words {
 		p.Take("entry-2", 1, uint64(i+1), loads, time.Duration(i)*time.Millisecond, took)
 	}
-	if want := 7.0 * route.TakenUnit; tokens != want {
+	if want := 7.0 * route.AddedTokensUnit; tokens != want {
 		t.Errorf("%v tokens were counted; the replica took %v", tokens, want)
 	}
 }
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -103,7 +103,7 @@
 				}
 				epoch := f.endpoints[slices.IndexFunc(f.endpoints, func(e Endpoint) bool { return e.ID == executor })].Epoch
 				epoch += protocol.Epoch(rapid.IntRange(0, 1).Draw(t, "stale"))
-				f.router.Finished(f.now, Finished{Endpoint: executor, Epoch: epoch, Organisation: last.Organisation,
+				f.router.RequestFinished(f.now, Outcome{Endpoint: executor, Epoch: epoch, Organisation: last.Organisation,
 					Levels: last.Levels, PromptTokens: last.PromptTokens, Ran: true})
 				executor = ""
 			},
@@ -122,7 +122,7 @@
 			},
 			"gone": func(t *rapid.T) {
 				i := index.Draw(t, "endpoint")
-				f.router.EndpointGone(f.endpoints[i].ID)
+				f.router.RemoveEndpoint(f.endpoints[i].ID)
 				f.forget(i)
 				executor = ""
 			},
@@ -180,7 +180,7 @@
 
 func (f *fleet) advertise(t *rapid.T, i int) {
 	e := &f.endpoints[i]
-	a := Advertised{Endpoint: e.ID, Epoch: e.Epoch, Incarnation: e.Load.Incarnation, Version: e.Load.Version,
+	a := Advertisement{Endpoint: e.ID, Epoch: e.Epoch, Incarnation: e.Load.Incarnation, Version: e.Load.Version,
 		Full: rapid.Bool().Draw(t, "full")}
 	for range rapid.IntRange(0, 4).Draw(t, "residents") {
 		hash := prefix.Hash(rapid.IntRange(1, 3).Draw(t, "level")*100 + rapid.IntRange(0, 5).Draw(t, "charter"))
@@ -190,5 +190,5 @@
 			f.held[e.ID][hash] = true
 		}
 	}
-	f.router.Advertised(f.now, a)
+	f.router.ApplyAdvertisement(f.now, a)
 }
--- a/internal/route/recovery_test.go
+++ b/internal/route/recovery_test.go
@@ -66,7 +66,7 @@
 	incarnation int
 	downUntil   float64
 	news        map[prefix.Hash]bool
-	backlog     Backlog
+	backlog     BacklogTrigger
 }
 
 func (e *simEngine) queued() int {
@@ -208,7 +208,7 @@
 	}
 	clear(e.news)
 	for _, o := range s.owners {
-		o.Advertised(simTime(now), Advertised{Endpoint: s.told[i].ID, Epoch: s.told[i].Epoch,
+		o.ApplyAdvertisement(simTime(now), Advertisement{Endpoint: s.told[i].ID, Epoch: s.told[i].Epoch,
 			Incarnation: s.told[i].Load.Incarnation, Version: "v1", Residents: residents})
 	}
 }
@@ -231,7 +231,7 @@
 		}
 		q.engine, q.left = i, q.query.PromptTokens-q.cached(e)
 		e.queue = append(e.queue, q)
-		if e.backlog.Rises(simTime(now), e.queued()) {
+		if e.backlog.ShouldReport(simTime(now), e.queued()) {
 			s.tell(i, now)
 		}
 		return
--- a/internal/route/residency.go
+++ b/internal/route/residency.go
@@ -85,7 +85,7 @@
 
 // advertised takes an endpoint's word on levels that the table knows. Unknown
 // ones are added too, so that a restarted owner learns what its group holds.
-func (t *Table) advertised(now time.Duration, s uint16, a Advertised) {
+func (t *Table) advertised(now time.Duration, s uint16, a Advertisement) {
 	if a.Full {
 		for n := t.newest; n != none; n = t.nodes[n].next {
 			t.withdraw(now, n, s)
--- a/internal/route/residents.go
+++ b/internal/route/residents.go
@@ -41,7 +41,7 @@
 }
 
 // holders returns the replicas that each level was sent to.
-func (r *residents) holders(levels []FeedLevel) []levelHolders {
+func (r *residents) holders(levels []PrefixLevel) []levelHolders {
 	if len(levels) == 0 {
 		return nil
 	}
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -32,9 +32,9 @@
 // Table returns the router's table, for explanations and tests.
 func (r *Router) Table() *Table { return r.table }
 
-// Finished takes the engine's own account of a request: what it had cached, and
+// RequestFinished takes the engine's own account of a request: what it had cached, and
 // that it now holds the whole prompt.
-func (r *Router) Finished(now time.Duration, f Finished) {
+func (r *Router) RequestFinished(now time.Duration, f Outcome) {
 	s, ok := r.table.bySlot[f.Endpoint]
 	if !ok || r.table.slots[s].epoch != f.Epoch || !f.Ran {
 		return
@@ -42,15 +42,15 @@
 	r.table.finished(now, OrganisationHash(f.Organisation), f.Levels, s)
 }
 
-// Advertised takes an endpoint's word on what its engine holds.
-func (r *Router) Advertised(now time.Duration, a Advertised) {
+// ApplyAdvertisement takes an endpoint's word on what its engine holds.
+func (r *Router) ApplyAdvertisement(now time.Duration, a Advertisement) {
 	s := r.table.slotOf(a.Endpoint)
 	r.table.identify(s, a.Epoch, a.Incarnation, a.Version)
 	r.table.advertised(now, s, a)
 }
 
-// EndpointGone forgets an endpoint.
-func (r *Router) EndpointGone(endpoint string) {
+// RemoveEndpoint forgets an endpoint.
+func (r *Router) RemoveEndpoint(endpoint string) {
 	if s, ok := r.table.bySlot[endpoint]; ok {
 		r.flights.dropSlot(s)
 	}
--- a/internal/route/score_test.go
+++ b/internal/route/score_test.go
@@ -76,7 +76,7 @@
 	q := query(1)
 	r.Decide(0, rng, q, endpoints)
 	for _, e := range endpoints[:4] {
-		r.Finished(time.Second, Finished{Endpoint: e.ID, Epoch: e.Epoch, Organisation: q.Organisation, Levels: q.Levels, Ran: true})
+		r.RequestFinished(time.Second, Outcome{Endpoint: e.ID, Epoch: e.Epoch, Organisation: q.Organisation, Levels: q.Levels, Ran: true})
 	}
 	used := map[string]bool{}
 	for i := range 20 {
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -17,8 +17,8 @@
 	// Suspect marks a request that was running when an engine crashed: it is
 	// placed where the least work would be lost with it.
 	Suspect bool
-	// GivenUp marks a request that has crashed too many engines; it is refused.
-	GivenUp bool
+	// Poison marks a request that has crashed too many engines; it is refused.
+	Poison bool
 }
 
 // Endpoint is one endpoint as the owner's membership view has it.
@@ -50,8 +50,8 @@
 	Refusal    *protocol.Refusal
 }
 
-// Finished tells what became of a decided request at its executor.
-type Finished struct {
+// Outcome tells what became of a decided request at its executor.
+type Outcome struct {
 	Endpoint     string
 	Epoch        protocol.Epoch
 	Organisation string
@@ -64,9 +64,9 @@
 	Ran bool
 }
 
-// Advertised is an endpoint's own word on what its engine holds, out of a
+// Advertisement is an endpoint's own word on what its engine holds, out of a
 // heartbeat that the membership view has accepted.
-type Advertised struct {
+type Advertisement struct {
 	Endpoint    string
 	Epoch       protocol.Epoch
 	Incarnation string
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -21,7 +21,7 @@
 	if text != want {
 		t.Errorf("answer %q, want %q", text, want)
 	}
-	if usage == nil || usage.PromptTokens != prefix.Tokens(messages) || usage.CompletionTokens != 20 || usage.PromptTokensDetails.CachedTokens != 0 {
+	if usage == nil || usage.PromptTokens != prefix.EstimateTokens(messages) || usage.CompletionTokens != 20 || usage.PromptTokensDetails.CachedTokens != 0 {
 		t.Errorf("usage %+v", usage)
 	}
 
--- a/internal/standin/engine/limits_test.go
+++ b/internal/standin/engine/limits_test.go
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	whole := prefix.Tokens(prompt("charter", "q"))
+	whole := prefix.EstimateTokens(prompt("charter", "q"))
 	if n := r.account().Totals.ComputedTokens; n > 2*whole {
 		t.Errorf("computed %d tokens for 4 prompts of %d", n, whole)
 	}
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -83,7 +83,7 @@
 		priority:     body.Priority,
 		origin:       from,
 		root:         prefix.Salt{Organisation: from.Salt, Model: body.Model, Weights: from.Weights}.Root(),
-		promptTokens: prefix.Tokens(body.Messages),
+		promptTokens: prefix.EstimateTokens(body.Messages),
 		maxTokens:    body.MaxTokens,
 		parameters:   body.parameters,
 		changed:      make(chan struct{}),
--- a/test/promise1_import_test.go
+++ b/test/promise1_import_test.go
@@ -55,7 +55,7 @@
 	}
 	end := i.c.Dial(n).Run(&protocol.Run{
 		Attempt: id, Request: id.String(), Organisation: x.organisation, Group: harness.Group, Model: harness.Model,
-		Version: x.version, Messages: x.prompt(), Levels: x.levels(), PromptTokens: prefix.Tokens(x.prompt()),
+		Version: x.version, Messages: x.prompt(), Levels: x.levels(), PromptTokens: prefix.EstimateTokens(x.prompt()),
 		MaxTokens: 2, Window: 100, Donor: donor,
 	})
 	if end == nil || end.Outcome != protocol.Done {
@@ -193,7 +193,7 @@
 	i.t.Helper()
 	reply, err := i.c.Dial(i.executor).Call(i.t.Context(), &protocol.Ask{
 		Request: "seen", Organisation: x.organisation, Group: harness.Group, Model: harness.Model,
-		Version: x.version, Levels: x.levels(), PromptTokens: prefix.Tokens(x.prompt()),
+		Version: x.version, Levels: x.levels(), PromptTokens: prefix.EstimateTokens(x.prompt()),
 		Exclude: []string{i.donor.ID, i.executor.ID}, Explain: true,
 	})
 	decision, ok := reply.(*protocol.Decision)
