--- a/internal/admit/core.go
+++ b/internal/admit/core.go
@@ -118,9 +118,9 @@
 // Drain refuses all that arrives from now on. What waits still runs.
 func (c *Core) Drain() { c.draining = true }
 
-// HandBack refuses all that waits, for a drain whose time is short: the callers'
+// RefuseWaiting refuses all that waits, for a drain whose time is short: the callers'
 // entries place it elsewhere.
-func (c *Core) HandBack() []Action {
+func (c *Core) RefuseWaiting() []Action {
 	var actions []Action
 	for len(c.queue.waiting) > 0 {
 		e := c.queue.waiting[0].queue[0]
--- a/internal/admit/core_test.go
+++ b/internal/admit/core_test.go
@@ -177,7 +177,7 @@
 	if ids := started(c.Finish(1, item(1, "").ID, Actual{Ran: true})); len(ids) != 1 {
 		t.Fatal("what waited did not run")
 	}
-	if list := refused(c.HandBack()); len(list) != 0 {
+	if list := refused(c.RefuseWaiting()); len(list) != 0 {
 		t.Fatalf("handed back %v, nothing waits", list)
 	}
 }
--- a/internal/admit/line.go
+++ b/internal/admit/line.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Ticket is a request that waits at an entry for a place at any replica.
-type Ticket struct {
+// QueuedRequest is a request that waits at an entry for a place at any replica.
+type QueuedRequest struct {
 	Organisation string
 	// Priority ranks requests, 0 first.
 	Priority int
 	// Work is what it asks of an engine, in milliseconds.
 	Work float64
-	// Arrived is when its caller sent it. OnTime is the latest start with which it
-	// still meets its objective, GiveUp the time from which waiting is pointless.
-	Arrived, OnTime, GiveUp time.Duration
+	// Arrived is when its caller sent it. LatestStart is the latest start with which it
+	// still meets its objective, ExpiresAt the time from which waiting is pointless.
+	Arrived, LatestStart, ExpiresAt time.Duration
 	// Value is the caller's own.
 	Value any
 
@@ -31,18 +31,18 @@
 const lateShare = 0.1
 
 // Late reports whether a request can't meet its objective any more.
-func (t *Ticket) Late(now time.Duration) bool { return now > t.OnTime }
+func (t *QueuedRequest) Late(now time.Duration) bool { return now > t.LatestStart }
 
 // LoadBound is the load behind which a request may be placed now, of the bound for those that
 // can be in time.
-func (t *Ticket) LoadBound(now time.Duration, bound float64) float64 {
+func (t *QueuedRequest) LoadBound(now time.Duration, bound float64) float64 {
 	if t.Late(now) {
 		return lateShare * bound
 	}
 	return bound
 }
 
-// Line orders the requests that wait at an entry.
+// WaitQueue orders the requests that wait at an entry.
 //
 // Under a load that exceeds what replicas can do, first come first served has every
 // request wait until it is late: the queue grows to the callers' deadlines, and
@@ -50,8 +50,8 @@
 // that can still be in time go first, by priority; those that can't any more get
 // what is left over. Within a rank the organisation that was given least goes
 // first, so that a large one's backlog is behind a small one's only request.
-type Line struct {
-	tickets []*Ticket
+type WaitQueue struct {
+	tickets []*QueuedRequest
 	seq     uint64
 	given   map[string]*usage
 	forget  time.Duration
@@ -71,14 +71,16 @@
 // been given nothing.
 const maxUsages = 4096
 
-// NewLine returns an empty line.
-func NewLine() *Line { return &Line{given: make(map[string]*usage), forget: usageHalfLife} }
+// NewWaitQueue returns an empty line.
+func NewWaitQueue() *WaitQueue {
+	return &WaitQueue{given: make(map[string]*usage), forget: usageHalfLife}
+}
 
 // Len is the number of waiting tickets.
-func (l *Line) Len() int { return len(l.tickets) }
+func (l *WaitQueue) Len() int { return len(l.tickets) }
 
 // Work is what all that waits asks of the engines, in milliseconds.
-func (l *Line) Work() float64 {
+func (l *WaitQueue) Work() float64 {
 	total := 0.0
 	for _, t := range l.tickets {
 		total += t.Work
@@ -87,14 +89,14 @@
 }
 
 // Add puts a ticket in the line.
-func (l *Line) Add(t *Ticket) {
+func (l *WaitQueue) Add(t *QueuedRequest) {
 	l.seq++
 	t.seq, t.waiting = l.seq, true
 	l.tickets = append(l.tickets, t)
 }
 
 // Remove takes a ticket out of the line, if it is in it.
-func (l *Line) Remove(t *Ticket) {
+func (l *WaitQueue) Remove(t *QueuedRequest) {
 	if !t.waiting {
 		return
 	}
@@ -104,8 +106,8 @@
 }
 
 // Next returns the ticket whose turn it is, nil if none waits. It stays in the line.
-func (l *Line) Next(now time.Duration) *Ticket {
-	var best *Ticket
+func (l *WaitQueue) Next(now time.Duration) *QueuedRequest {
+	var best *QueuedRequest
 	for _, t := range l.tickets {
 		if best == nil || l.before(now, t, best) {
 			best = t
@@ -114,7 +116,7 @@
 	return best
 }
 
-func (l *Line) before(now time.Duration, a, b *Ticket) bool {
+func (l *WaitQueue) before(now time.Duration, a, b *QueuedRequest) bool {
 	lateA, lateB := a.Late(now), b.Late(now)
 	switch {
 	case lateA != lateB:
@@ -128,8 +130,8 @@
 }
 
 // Trim takes out of the line and returns the tickets beyond the first n, the last one first.
-func (l *Line) Trim(n int, now time.Duration) []*Ticket {
-	var gone []*Ticket
+func (l *WaitQueue) Trim(n int, now time.Duration) []*QueuedRequest {
+	var gone []*QueuedRequest
 	for len(l.tickets) > max(n, 0) {
 		last := l.tickets[0]
 		for _, t := range l.tickets[1:] {
@@ -143,8 +145,8 @@
 	return gone
 }
 
-// Given notes that an organisation's work goes to a replica.
-func (l *Line) Given(organisation string, work float64, now time.Duration) {
+// RecordDispatch notes that an organisation's work goes to a replica.
+func (l *WaitQueue) RecordDispatch(organisation string, work float64, now time.Duration) {
 	u := l.given[organisation]
 	if u == nil {
 		if len(l.given) >= maxUsages {
@@ -157,7 +159,7 @@
 	u.at = now
 }
 
-func (l *Line) used(organisation string, now time.Duration) float64 {
+func (l *WaitQueue) used(organisation string, now time.Duration) float64 {
 	if u := l.given[organisation]; u != nil {
 		return u.decayed(now, l.forget)
 	}
@@ -168,15 +170,15 @@
 	return u.work * halves(now-u.at, halfLife)
 }
 
-// Expired takes out of the line and returns the tickets for which waiting is
+// RemoveExpired takes out of the line and returns the tickets for which waiting is
 // pointless.
-func (l *Line) Expired(now time.Duration) []*Ticket {
-	return l.Take(func(t *Ticket) bool { return now >= t.GiveUp })
+func (l *WaitQueue) RemoveExpired(now time.Duration) []*QueuedRequest {
+	return l.RemoveMatching(func(t *QueuedRequest) bool { return now >= t.ExpiresAt })
 }
 
-// Take takes out of the line and returns the tickets that match.
-func (l *Line) Take(match func(*Ticket) bool) []*Ticket {
-	var taken []*Ticket
+// RemoveMatching takes out of the line and returns the tickets that match.
+func (l *WaitQueue) RemoveMatching(match func(*QueuedRequest) bool) []*QueuedRequest {
+	var taken []*QueuedRequest
 	for _, t := range l.tickets {
 		if match(t) {
 			taken = append(taken, t)
--- a/internal/admit/line_test.go
+++ b/internal/admit/line_test.go
@@ -8,17 +8,17 @@
 	"skylarklead/internal/admit"
 )
 
-func ticket(org string, priority int, onTime time.Duration) *admit.Ticket {
-	return &admit.Ticket{Organisation: org, Priority: priority, Work: 100, OnTime: onTime, GiveUp: time.Hour}
+func ticket(org string, priority int, onTime time.Duration) *admit.QueuedRequest {
+	return &admit.QueuedRequest{Organisation: org, Priority: priority, Work: 100, LatestStart: onTime, ExpiresAt: time.Hour}
 }
 
 // order empties a line as places get free at the times given.
-func order(l *admit.Line, every time.Duration) []*admit.Ticket {
-	var got []*admit.Ticket
+func order(l *admit.WaitQueue, every time.Duration) []*admit.QueuedRequest {
+	var got []*admit.QueuedRequest
 	for now := time.Duration(0); l.Len() > 0; now += every {
 		t := l.Next(now)
 		l.Remove(t)
-		l.Given(t.Organisation, t.Work, now)
+		l.RecordDispatch(t.Organisation, t.Work, now)
 		got = append(got, t)
 	}
 	return got
@@ -30,7 +30,7 @@
 // place makes one answer that is.
 func TestOverloadServesThoseInTime(t *testing.T) {
 	const every, objective = 100 * time.Millisecond, 500 * time.Millisecond
-	l := admit.NewLine()
+	l := admit.NewWaitQueue()
 	inTime, now := 0, time.Duration(0)
 	for i := range 60 {
 		// Two arrive for each place.
@@ -39,7 +39,7 @@
 		}
 		next := l.Next(now)
 		l.Remove(next)
-		if now <= next.OnTime {
+		if now <= next.LatestStart {
 			inTime++
 		}
 		now += every
@@ -53,13 +53,13 @@
 // Pattern: a large organisation's burst of fifty, then one request of a small one.
 // Grounds: a place every 100 ms; in arrival order the small one waits five seconds.
 func TestSmallOneDoesNotFeelTheLargeOnesBurst(t *testing.T) {
-	l := admit.NewLine()
+	l := admit.NewWaitQueue()
 	for range 50 {
 		l.Add(ticket("large", 0, time.Hour))
 	}
 	first := l.Next(0)
 	l.Remove(first)
-	l.Given("large", first.Work, 0)
+	l.RecordDispatch("large", first.Work, 0)
 	small := ticket("small", 0, time.Hour)
 	l.Add(small)
 	if l.Next(0) != small {
@@ -68,7 +68,7 @@
 }
 
 func TestUrgentFirst(t *testing.T) {
-	l := admit.NewLine()
+	l := admit.NewWaitQueue()
 	l.Add(ticket("a", 1, time.Hour))
 	urgent := ticket("b", 0, time.Hour)
 	l.Add(urgent)
@@ -78,12 +78,12 @@
 }
 
 func TestExpiredLeaveTheLine(t *testing.T) {
-	l := admit.NewLine()
+	l := admit.NewWaitQueue()
 	a, b := ticket("a", 0, 0), ticket("b", 0, 0)
-	a.GiveUp, b.GiveUp = time.Second, 2*time.Second
+	a.ExpiresAt, b.ExpiresAt = time.Second, 2*time.Second
 	l.Add(a)
 	l.Add(b)
-	if got := l.Expired(time.Second); len(got) != 1 || got[0] != a || l.Len() != 1 {
+	if got := l.RemoveExpired(time.Second); len(got) != 1 || got[0] != a || l.Len() != 1 {
 		t.Fatalf("expired %v, %d left", got, l.Len())
 	}
 	l.Remove(a) // again
@@ -96,23 +96,23 @@
 // sees only how long its own requests take to begin; at twice the objective the
 // window has to come down to what is read in time, and to grow again after.
 func TestWindowFollowsTimesToBegin(t *testing.T) {
-	w := admit.NewWindow(admit.DefaultWindowParams)
+	w := admit.NewCongestionWindow(admit.DefaultWindowParams)
 	start := w.Size()
 	now := time.Duration(0)
 	for range 40 {
 		now += 200 * time.Millisecond
-		w.Began(100, time.Second, 500*time.Millisecond, now)
+		w.ObserveStart(100, time.Second, 500*time.Millisecond, now)
 	}
 	low := w.Size()
 	if low > start/4 {
 		t.Fatalf("after eight seconds of lateness the window is %.0f of %.0f ms", low, start)
 	}
 	for range 100 {
-		for w.Open(100) {
+		for w.Fits(100) {
 			w.Sent(100)
 		}
 		w.Done(100)
-		w.Began(100, 50*time.Millisecond, 500*time.Millisecond, now)
+		w.ObserveStart(100, 50*time.Millisecond, 500*time.Millisecond, now)
 	}
 	if w.Size() < 2*low {
 		t.Fatalf("with all in time it stays at %.0f ms", w.Size())
@@ -121,7 +121,7 @@
 
 // lateSim is an overload at replicas that read one request after the other.
 type lateSim struct {
-	line *admit.Line
+	line *admit.WaitQueue
 	// ends are, of each replica, when the requests that were sent there begin to be answered.
 	ends   [simReplicas][]time.Duration
 	inTime int
@@ -144,7 +144,7 @@
 }
 
 // place sends what waits to the least loaded replicas, as far as the bound lets it.
-func (s *lateSim) place(now time.Duration, bound func(*admit.Ticket, time.Duration) float64) {
+func (s *lateSim) place(now time.Duration, bound func(*admit.QueuedRequest, time.Duration) float64) {
 	for t := s.line.Next(now); t != nil; t = s.line.Next(now) {
 		best := 0
 		for i := range s.ends {
@@ -169,9 +169,9 @@
 
 // run has twice what the replicas can read arrive for a second, and then four fifths of it,
 // and returns how many of all requests were in time.
-func (s *lateSim) run(bound func(*admit.Ticket, time.Duration) float64) (inTime, of int) {
+func (s *lateSim) run(bound func(*admit.QueuedRequest, time.Duration) float64) (inTime, of int) {
 	const between = simTakes / simReplicas
-	s.line = admit.NewLine()
+	s.line = admit.NewWaitQueue()
 	next, every := time.Duration(0), between/2
 	for now := time.Duration(0); now < 8*time.Second; now += time.Millisecond {
 		if now > time.Second {
@@ -194,8 +194,8 @@
 // behind them until the last late one is gone. Held back to idle replicas, they leave
 // two, 200 ms of the objective's 250.
 func TestLateOnesLeaveRoomForThoseInTime(t *testing.T) {
-	without, of := new(lateSim).run(func(*admit.Ticket, time.Duration) float64 { return simBound })
-	with, _ := new(lateSim).run(func(t *admit.Ticket, now time.Duration) float64 { return t.LoadBound(now, simBound) })
+	without, of := new(lateSim).run(func(*admit.QueuedRequest, time.Duration) float64 { return simBound })
+	with, _ := new(lateSim).run(func(t *admit.QueuedRequest, now time.Duration) float64 { return t.LoadBound(now, simBound) })
 	if with < without+of/10 {
 		t.Errorf("%d of %d in time with late ones held back, %d without", with, of, without)
 	}
--- a/internal/admit/property_test.go
+++ b/internal/admit/property_test.go
@@ -324,7 +324,7 @@
 		for range 100 {
 			for _, name := range []string{"a", "b"} {
 				i := drawItem(t, name)
-				i.Weight, i.Elsewhere = weights[name], elsewhere[name]
+				i.Weight, i.BacklogsElsewhere = weights[name], elsewhere[name]
 				i.ExpectedTokens = i.MaxTokens
 				most[name] = max(most[name], b.params.cost(i.UncachedTokens, i.MaxTokens)/here[name])
 				b.arrive(i)
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -121,7 +121,7 @@
 	if !(w > 0) || math.IsInf(w, 0) {
 		w = 1
 	}
-	return w / float64(1+max(0, i.Elsewhere))
+	return w / float64(1+max(0, i.BacklogsElsewhere))
 }
 
 // forgetIdle drops organisations that have nothing here and owe nothing.
--- a/internal/admit/supply.go
+++ b/internal/admit/supply.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Opening is a replica that takes nothing now and is known to do so again.
-type Opening struct {
+// Reopening is a replica that takes nothing now and is known to do so again.
+type Reopening struct {
 	// At is from when on it takes requests: one, and Rate a second beside. Unlimited is the Rate of
 	// one that then takes as many as come.
 	At   time.Duration
@@ -17,14 +17,14 @@
 // Unlimited is told in Opening.
 var Unlimited = math.Inf(1)
 
-// Supply are the openings of all replicas that could take a request.
-type Supply []Opening
+// UpcomingCapacity are the openings of all replicas that could take a request.
+type UpcomingCapacity []Reopening
 
 // longestWait bounds what a caller is told to wait.
 const longestWait = time.Minute
 
-// Places is how many requests will have been taken until a time.
-func (s Supply) Places(until time.Duration) int {
+// AcceptedBy is how many requests will have been taken until a time.
+func (s UpcomingCapacity) AcceptedBy(until time.Duration) int {
 	n := 0.0
 	for _, o := range s {
 		switch {
@@ -38,9 +38,9 @@
 	return int(min(n, math.MaxInt32))
 }
 
-// Wait is the time from now until so many requests will have been taken.
-func (s Supply) Wait(n int, now time.Duration) time.Duration {
+// TimeUntil is the time from now until so many requests will have been taken.
+func (s UpcomingCapacity) TimeUntil(n int, now time.Duration) time.Duration {
 	const steps = int(longestWait / (10 * time.Millisecond))
-	at := sort.Search(steps, func(i int) bool { return s.Places(now+longestWait/time.Duration(steps)*time.Duration(i)) >= n })
+	at := sort.Search(steps, func(i int) bool { return s.AcceptedBy(now+longestWait/time.Duration(steps)*time.Duration(i)) >= n })
 	return longestWait / time.Duration(steps) * time.Duration(at)
 }
--- a/internal/admit/trial_test.go
+++ b/internal/admit/trial_test.go
@@ -193,7 +193,7 @@
 	}
 	for _, n := range t.nodes {
 		if n != chosen && slices.Contains(n.heavy, h.item.Organisation) {
-			h.item.Elsewhere++
+			h.item.BacklogsElsewhere++
 		}
 	}
 	return chosen
--- a/internal/admit/types.go
+++ b/internal/admit/types.go
@@ -17,9 +17,9 @@
 	Organisation string
 	// Weight is the organisation's share in the fair queue, 1 if 0.
 	Weight float64
-	// Elsewhere is how many other endpoints of the group have a backlog of the
+	// BacklogsElsewhere is how many other endpoints of the group have a backlog of the
 	// organisation. Its weight is shared out among all of them.
-	Elsewhere int
+	BacklogsElsewhere int
 	// MaxInFlight bounds the organisation's items here, waiting and running; 0
 	// is no bound.
 	MaxInFlight int
@@ -109,8 +109,8 @@
 	DefaultMaxWait                = 30 * time.Second
 )
 
-// ParamsOf takes an endpoint's settings.
-func ParamsOf(s *settings.Endpoint) Params {
+// ParamsFromSettings takes an endpoint's settings.
+func ParamsFromSettings(s *settings.Endpoint) Params {
 	return Params{
 		MaxRunning:             s.MaxRunning,
 		MaxQueue:               s.MaxQueue,
--- a/internal/admit/window.go
+++ b/internal/admit/window.go
@@ -27,12 +27,12 @@
 	Start: 2000, Min: 100, Max: 20000, Target: 0.7, Grow: 0.5, Shrink: 0.85, ShrinkEvery: 150 * time.Millisecond,
 }
 
-// Window bounds the work that one entry has at the replicas of a service before its
+// CongestionWindow bounds the work that one entry has at the replicas of a service before its
 // first answer. No entry hears what the others send, but each sees how long its
 // own requests take to begin: when that comes near the objective all of them
 // narrow their windows, as senders that share a link do. What doesn't fit waits at
 // its entry, where the urgent goes first and the replica is chosen last.
-type Window struct {
+type CongestionWindow struct {
 	params  WindowParams
 	size    float64
 	work    float64
@@ -40,11 +40,13 @@
 	limited bool
 }
 
-// NewWindow returns a window at its start.
-func NewWindow(p WindowParams) *Window { return &Window{params: p, size: p.Start} }
+// NewCongestionWindow returns a window at its start.
+func NewCongestionWindow(p WindowParams) *CongestionWindow {
+	return &CongestionWindow{params: p, size: p.Start}
+}
 
-// Open reports whether more work fits. An empty window takes any.
-func (w *Window) Open(work float64) bool {
+// Fits reports whether more work fits. An empty window takes any.
+func (w *CongestionWindow) Fits(work float64) bool {
 	if w.work <= 0 || w.work+work <= w.size {
 		return true
 	}
@@ -53,14 +55,14 @@
 }
 
 // Sent counts work that goes to a replica; Done is called for it once.
-func (w *Window) Sent(work float64) { w.work += work }
+func (w *CongestionWindow) Sent(work float64) { w.work += work }
 
 // Done takes work off that began to be answered or won't be.
-func (w *Window) Done(work float64) { w.work = math.Max(0, w.work-work) }
+func (w *CongestionWindow) Done(work float64) { w.work = math.Max(0, w.work-work) }
 
-// Began learns from a request that took the time given to begin at a replica, of an
+// ObserveStart learns from a request that took the time given to begin at a replica, of an
 // objective.
-func (w *Window) Began(work float64, took, objective, now time.Duration) {
+func (w *CongestionWindow) ObserveStart(work float64, took, objective, now time.Duration) {
 	switch {
 	case objective <= 0:
 	case float64(took) > w.params.Target*float64(objective):
@@ -76,10 +78,10 @@
 }
 
 // Size is the window's size, Work what is in it.
-func (w *Window) Size() float64 { return w.size }
+func (w *CongestionWindow) Size() float64 { return w.size }
 
 // Work is told in Size.
-func (w *Window) Work() float64 { return w.work }
+func (w *CongestionWindow) Work() float64 { return w.work }
 
 // halves is the factor by which something halves in each halfLife shrinks in d.
 func halves(d, halfLife time.Duration) float64 {
--- a/internal/attempt/bench_test.go
+++ b/internal/attempt/bench_test.go
@@ -47,13 +47,13 @@
 // the next batch, so many to a batch.
 func benchRecords(b *testing.B, keys, batch int) [][]byte {
 	var records [][]byte
-	var settles []Settle
+	var settles []Settlement
 	for i := 0; i < keys; i += batch {
-		record := &ClaimBatch{Endpoint: "client-portal-2", Epoch: 7, Settles: settles}
+		record := &ClaimBatch{Endpoint: "client-portal-2", Epoch: 7, Settlements: settles}
 		settles = nil
 		for k := i; k < i+batch; k++ {
 			record.Claims = append(record.Claims, Claim{Key: benchKey(k), Fingerprint: uint64(k) << 40, AgeMs: 40})
-			settles = append(settles, Settle{Key: benchKey(k), Claim: uint64(len(records) + 1), Outcome: protocol.Done})
+			settles = append(settles, Settlement{Key: benchKey(k), Claim: uint64(len(records) + 1), Outcome: protocol.Done})
 		}
 		data, err := EncodeClaims(record)
 		if err != nil {
@@ -77,7 +77,7 @@
 		before := benchHeap()
 		o := NewOnce("client-portal-1", 3, DefaultOnceParams)
 		for i, r := range records {
-			o.Record(uint64(i+1), r, 0)
+			o.ApplyRecord(uint64(i+1), r, 0)
 		}
 		heap = benchHeap() - before
 		runtime.KeepAlive(o)
--- a/internal/attempt/budget_test.go
+++ b/internal/attempt/budget_test.go
@@ -20,25 +20,25 @@
 		for range 500 {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				b.Request(now)
+				b.RecordRequest(now)
 				requests++
 			case 1:
 				now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond
 			case 2:
-				kind := Extra(rapid.IntRange(0, int(extraKinds)-1).Draw(t, "kind"))
+				kind := ExtraKind(rapid.IntRange(0, int(extraKinds)-1).Draw(t, "kind"))
 				if b.Allow(kind, organisations.Draw(t, "organisation"), now) {
 					extra++
 				}
 			case 3:
 				if rapid.IntRange(0, 9).Draw(t, "saturated") == 0 {
 					refused := organisations.Draw(t, "refused")
-					b.Saturated(refused, now)
+					b.RecordSaturation(refused, now)
 					if b.Allow(ExtraRetry, refused, now+p.SaturationHold-1) {
 						t.Fatalf("extra work while saturated")
 					}
 				}
 			}
-			bound := p.Burst + p.Share*float64(requests) + p.Floor*(now+p.SaturationHold).Seconds()
+			bound := p.Burst + p.Share*float64(requests) + p.MinPerSecond*(now+p.SaturationHold).Seconds()
 			if float64(extra) > bound+1e-6 {
 				t.Fatalf("%d extra for %d requests in %v", extra, requests, now)
 			}
@@ -52,7 +52,7 @@
 // Cause: the budget is off for everybody, so the request isn't run again.
 func TestRefusalsOfOneOrganisationLeaveOthersTheirRetries(t *testing.T) {
 	b := NewBudget(DefaultBudgetParams)
-	b.Saturated("large", 0)
+	b.RecordSaturation("large", 0)
 	if b.Allow(ExtraRetry, "large", time.Second) {
 		t.Error("the large one's refused work is sent again")
 	}
--- a/internal/attempt/claims.go
+++ b/internal/attempt/claims.go
@@ -20,11 +20,11 @@
 //
 // A claim is known by the offset of its record, so a batch has each key once.
 type ClaimBatch struct {
-	Endpoint string         `cbor:"1,keyasint"`
-	Epoch    protocol.Epoch `cbor:"2,keyasint"`
-	Settles  []Settle       `cbor:"3,keyasint,omitempty"`
-	Carries  []Carry        `cbor:"4,keyasint,omitempty"`
-	Claims   []Claim        `cbor:"5,keyasint,omitempty"`
+	Endpoint      string         `cbor:"1,keyasint"`
+	Epoch         protocol.Epoch `cbor:"2,keyasint"`
+	Settlements   []Settlement   `cbor:"3,keyasint,omitempty"`
+	CarriedClaims []CarriedClaim `cbor:"4,keyasint,omitempty"`
+	Claims        []Claim        `cbor:"5,keyasint,omitempty"`
 }
 
 // Claim says that the batch's process wants to run a key. The lowest offset
@@ -36,18 +36,18 @@
 	AgeMs int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Settle is the winner's word on the claim at offset Claim. Done keeps it for
+// Settlement is the winner's word on the claim at offset Claim. Done keeps it for
 // good; NotRun releases the key: the winner has not run it under this claim and
 // never will.
-type Settle struct {
+type Settlement struct {
 	Key     KeyDigest        `cbor:"1,keyasint"`
 	Claim   uint64           `cbor:"2,keyasint"`
 	Outcome protocol.Outcome `cbor:"3,keyasint"`
 }
 
-// Carry repeats what the log says of an undated key before retention takes the
+// CarriedClaim repeats what the log says of an undated key before retention takes the
 // records that say it.
-type Carry struct {
+type CarriedClaim struct {
 	Key         KeyDigest      `cbor:"1,keyasint"`
 	Fingerprint uint64         `cbor:"2,keyasint"`
 	Endpoint    string         `cbor:"3,keyasint"`
@@ -96,10 +96,10 @@
 	Fingerprint uint64
 	// Age is the key's age, 0 where it isn't known.
 	Age time.Duration
-	// Patience is how long its caller still waits for the answer, 0 where it isn't
+	// CallerTimeout is how long its caller still waits for the answer, 0 where it isn't
 	// known.
-	Patience   time.Duration
-	Redirected bool
+	CallerTimeout time.Duration
+	Redirected    bool
 }
 
 // Result is the answer of a finished key, kept for its next sender.
--- a/internal/attempt/events.go
+++ b/internal/attempt/events.go
@@ -9,9 +9,9 @@
 // Event is what happens to a request at its entry.
 type Event interface{ event() }
 
-// Asked brings an owner's decision, or one that the entry made by itself with no
+// DecisionReceived brings an owner's decision, or one that the entry made by itself with no
 // owner to ask.
-type Asked struct{ Decision *protocol.Decision }
+type DecisionReceived struct{ Decision *protocol.Decision }
 
 // AskFailed: no owner answered.
 type AskFailed struct{}
@@ -67,27 +67,27 @@
 // CallerBack is told in CallerGone.
 type CallerBack struct{}
 
-// GraceOver is told in CallerGone.
-type GraceOver struct{}
+// GraceExpired is told in CallerGone.
+type GraceExpired struct{}
 
 // DeadlinePassed: the caller waits no longer.
 type DeadlinePassed struct{}
 
-func (Asked) event()          {}
-func (AskFailed) event()      {}
-func (NotSent) event()        {}
-func (Sent) event()           {}
-func (Started) event()        {}
-func (ChunkDelivered) event() {}
-func (Ended) event()          {}
-func (SessionLost) event()    {}
-func (Resolved) event()       {}
-func (ResumeOpened) event()   {}
-func (ResumeFailed) event()   {}
-func (CallerGone) event()     {}
-func (CallerBack) event()     {}
-func (GraceOver) event()      {}
-func (DeadlinePassed) event() {}
+func (DecisionReceived) event() {}
+func (AskFailed) event()        {}
+func (NotSent) event()          {}
+func (Sent) event()             {}
+func (Started) event()          {}
+func (ChunkDelivered) event()   {}
+func (Ended) event()            {}
+func (SessionLost) event()      {}
+func (Resolved) event()         {}
+func (ResumeOpened) event()     {}
+func (ResumeFailed) event()     {}
+func (CallerGone) event()       {}
+func (CallerBack) event()       {}
+func (GraceExpired) event()     {}
+func (DeadlinePassed) event()   {}
 
 // Action is what a Plan asks its entry to do, in order.
 type Action interface{ action() }
--- a/internal/attempt/forward_test.go
+++ b/internal/attempt/forward_test.go
@@ -17,10 +17,10 @@
 // breaks before the answer, the entry hands it to another replica. Cause: an unknown
 // outcome taken for one that has not run.
 func TestForwardMutatingRunsOnce(t *testing.T) {
-	f := attempt.NewForward(attempt.ForwardSpec{Runs: 3, Placements: 4}, roomyBudget())
-	f.Placed()
-	next := f.Lost(attempt.LossUnknown, 0)
-	if next.Again || next.NotRun {
+	f := attempt.NewDispatchPlan(attempt.DispatchSpec{MaxRuns: 3, MaxDispatches: 4}, roomyBudget())
+	f.RecordDispatch()
+	next := f.RecordFailure(attempt.FailureUnknown, 0)
+	if next.Retry || next.NotRun {
 		t.Fatalf("after an unknown outcome: %+v; want neither another try nor a promise that it didn't run", next)
 	}
 }
@@ -29,10 +29,10 @@
 // loads weights and says that it didn't run the request. Cause: its refusal taken
 // for the request's end.
 func TestForwardGoesOnAfterRefusal(t *testing.T) {
-	for _, loss := range []attempt.Loss{attempt.LossNotRun, attempt.LossNotSent} {
-		f := attempt.NewForward(attempt.ForwardSpec{Runs: 1, Placements: 4}, roomyBudget())
-		f.Placed()
-		if next := f.Lost(loss, 0); !next.Again {
+	for _, loss := range []attempt.DispatchFailure{attempt.FailureNotRun, attempt.FailureNotSent} {
+		f := attempt.NewDispatchPlan(attempt.DispatchSpec{MaxRuns: 1, MaxDispatches: 4}, roomyBudget())
+		f.RecordDispatch()
+		if next := f.RecordFailure(loss, 0); !next.Retry {
 			t.Errorf("after %v: %+v; want another replica", loss, next)
 		}
 	}
@@ -40,27 +40,27 @@
 
 func TestForwardBounds(t *testing.T) {
 	t.Run("runs", func(t *testing.T) {
-		f := attempt.NewForward(attempt.ForwardSpec{Repeatable: true, Runs: 2, Placements: 9}, roomyBudget())
-		f.Placed()
-		if !f.Lost(attempt.LossFailed, 0).Again {
+		f := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9}, roomyBudget())
+		f.RecordDispatch()
+		if !f.RecordFailure(attempt.FailureErrorResponse, 0).Retry {
 			t.Fatal("no second run of two")
 		}
-		f.Placed()
-		if next := f.Lost(attempt.LossFailed, 0); next.Again || next.NotRun {
+		f.RecordDispatch()
+		if next := f.RecordFailure(attempt.FailureErrorResponse, 0); next.Retry || next.NotRun {
 			t.Fatalf("after two runs of two: %+v", next)
 		}
 	})
 	t.Run("deadline", func(t *testing.T) {
-		f := attempt.NewForward(attempt.ForwardSpec{Repeatable: true, Runs: 2, Placements: 9, Deadline: time.Second}, roomyBudget())
-		f.Placed()
-		if next := f.Lost(attempt.LossNotRun, time.Second); next.Again || !next.NotRun {
+		f := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9, Deadline: time.Second}, roomyBudget())
+		f.RecordDispatch()
+		if next := f.RecordFailure(attempt.FailureNotRun, time.Second); next.Retry || !next.NotRun {
 			t.Fatalf("at the deadline: %+v", next)
 		}
 	})
 	t.Run("budget", func(t *testing.T) {
-		f := attempt.NewForward(attempt.ForwardSpec{Repeatable: true, Runs: 2, Placements: 9}, attempt.NewBudget(attempt.BudgetParams{}))
-		f.Placed()
-		if next := f.Lost(attempt.LossNotRun, 0); next.Again || !next.NotRun {
+		f := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9}, attempt.NewBudget(attempt.BudgetParams{}))
+		f.RecordDispatch()
+		if next := f.RecordFailure(attempt.FailureNotRun, 0); next.Retry || !next.NotRun {
 			t.Fatalf("with nothing in the budget: %+v", next)
 		}
 	})
@@ -71,35 +71,35 @@
 // request runs more often than allowed.
 func TestForwardKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		spec := attempt.ForwardSpec{
-			Repeatable: rapid.Bool().Draw(t, "repeatable"),
-			Runs:       rapid.IntRange(1, 4).Draw(t, "runs"),
-			Placements: rapid.IntRange(1, 6).Draw(t, "placements"),
+		spec := attempt.DispatchSpec{
+			Repeatable:    rapid.Bool().Draw(t, "repeatable"),
+			MaxRuns:       rapid.IntRange(1, 4).Draw(t, "runs"),
+			MaxDispatches: rapid.IntRange(1, 6).Draw(t, "placements"),
 		}
-		f := attempt.NewForward(spec, roomyBudget())
+		f := attempt.NewDispatchPlan(spec, roomyBudget())
 		mayHaveRun, runs := false, 0
 		for {
 			if mayHaveRun && !spec.Repeatable {
 				t.Fatal("handed on though it may have run and may not be repeated")
 			}
-			f.Placed()
-			loss := rapid.SampledFrom([]attempt.Loss{
-				attempt.LossNotSent, attempt.LossNotRun, attempt.LossUnknown, attempt.LossFailed,
+			f.RecordDispatch()
+			loss := rapid.SampledFrom([]attempt.DispatchFailure{
+				attempt.FailureNotSent, attempt.FailureNotRun, attempt.FailureUnknown, attempt.FailureErrorResponse,
 			}).Draw(t, "loss")
-			if loss == attempt.LossUnknown || loss == attempt.LossFailed {
+			if loss == attempt.FailureUnknown || loss == attempt.FailureErrorResponse {
 				mayHaveRun = true
 				runs++
 			}
-			next := f.Lost(loss, 0)
+			next := f.RecordFailure(loss, 0)
 			if next.NotRun && mayHaveRun {
 				t.Fatal("said not to have run though it may have")
 			}
-			if !next.Again {
+			if !next.Retry {
 				break
 			}
 		}
-		if runs > spec.Runs {
-			t.Fatalf("ran %d times of %d", runs, spec.Runs)
+		if runs > spec.MaxRuns {
+			t.Fatalf("ran %d times of %d", runs, spec.MaxRuns)
 		}
 	})
 }
--- a/internal/attempt/once.go
+++ b/internal/attempt/once.go
@@ -11,41 +11,41 @@
 	// Retention is how long the log keeps a record. Keys that tell an age of half
 	// of it are refused.
 	Retention time.Duration
-	// ClaimBound is how long a sending waits for its claim to be decided at most,
+	// ClaimTimeout is how long a sending waits for its claim to be decided at most,
 	// if its caller has the patience for it.
-	ClaimBound time.Duration
+	ClaimTimeout time.Duration
 	// OutageGrace is how long from the first failed append on nobody is refused
 	// for it, OutageWait how long a sending waits in an outage that goes on.
 	OutageGrace, OutageWait time.Duration
-	// FreshFor is for how long after the last complete read of the log a sending
+	// MaxLogStaleness is for how long after the last complete read of the log a sending
 	// that comes, and is refused, hears not_run. Later the process can't exclude
 	// that an earlier sending of the key ran elsewhere, and says unknown.
-	FreshFor time.Duration
-	// HoldFor is how long a claim won for nobody is kept before it is released.
-	HoldFor time.Duration
-	// Interval is the least time between two appends, which share what the log
+	MaxLogStaleness time.Duration
+	// IdleClaimTTL is how long a claim won for nobody is kept before it is released.
+	IdleClaimTTL time.Duration
+	// AppendInterval is the least time between two appends, which share what the log
 	// takes among all processes. SettleDelay lets settles ride on claims.
-	Interval    time.Duration
-	SettleDelay time.Duration
+	AppendInterval  time.Duration
+	SettlementDelay time.Duration
 	// MaxBackoff bounds the wait after failed appends. It stays below OutageWait,
 	// or sendings made when the log is back are refused for the last failure.
 	MaxBackoff time.Duration
 	// RetryAfter is when a caller may come back after a passing refusal.
 	RetryAfter time.Duration
-	// Horizon is how long an undated key is remembered, MaxUndated how many.
-	Horizon    time.Duration
+	// UndatedTTL is how long an undated key is remembered, MaxUndated how many.
+	UndatedTTL time.Duration
 	MaxUndated int
-	// ResultBytes bounds the answers kept.
-	ResultBytes int
+	// MaxResultBytes bounds the answers kept.
+	MaxResultBytes int
 }
 
 // DefaultOnceParams are for a log that keeps records for an hour.
 var DefaultOnceParams = OnceParams{
-	Retention: time.Hour, ClaimBound: 8 * time.Second, FreshFor: 9 * time.Second,
+	Retention: time.Hour, ClaimTimeout: 8 * time.Second, MaxLogStaleness: 9 * time.Second,
 	OutageGrace: 5 * time.Second, OutageWait: time.Second,
-	HoldFor: 5 * time.Second, Interval: 25 * time.Millisecond, SettleDelay: 250 * time.Millisecond,
+	IdleClaimTTL: 5 * time.Second, AppendInterval: 25 * time.Millisecond, SettlementDelay: 250 * time.Millisecond,
 	MaxBackoff: 500 * time.Millisecond, RetryAfter: 2 * time.Second,
-	Horizon: 24 * time.Hour, MaxUndated: 1 << 16, ResultBytes: 16 << 20,
+	UndatedTTL: 24 * time.Hour, MaxUndated: 1 << 16, MaxResultBytes: 16 << 20,
 }
 
 // mine is what this process did with a key that it has claimed.
@@ -210,9 +210,9 @@
 	return o.take(now)
 }
 
-// PeerEpoch says which epoch of an endpoint lives now; what its earlier ones
+// SetPeerEpoch says which epoch of an endpoint lives now; what its earlier ones
 // claimed and did not settle has an unknown outcome for good.
-func (o *Once) PeerEpoch(endpoint string, epoch protocol.Epoch) {
+func (o *Once) SetPeerEpoch(endpoint string, epoch protocol.Epoch) {
 	p := o.peer(endpoint)
 	p.down = false
 	if p.epoch != epoch && p.epoch != 0 {
@@ -221,23 +221,23 @@
 	p.epoch = epoch
 }
 
-// PeerDown says that an endpoint isn't reachable.
-func (o *Once) PeerDown(endpoint string) { o.peer(endpoint).down = true }
+// SetPeerDown says that an endpoint isn't reachable.
+func (o *Once) SetPeerDown(endpoint string) { o.peer(endpoint).down = true }
 
-// SetCarrier makes this process the one of its group that carries undated keys
+// SetCarryForward makes this process the one of its group that carries undated keys
 // forward. Two at once do no harm; none for half of the retention would.
-func (o *Once) SetCarrier(carrier bool) { o.carrier = carrier }
+func (o *Once) SetCarryForward(carrier bool) { o.carrier = carrier }
 
-// Leave takes no new keys and releases those that were claimed and not run, so
+// Drain takes no new keys and releases those that were claimed and not run, so
 // that other endpoints may run them. Held counts what is still to be released.
-func (o *Once) Leave(now time.Duration) []OnceAction {
+func (o *Once) Drain(now time.Duration) []OnceAction {
 	o.leaving = true
 	o.releaseIdle(now)
 	return o.take(now)
 }
 
-// Held is the number of claims won and neither run nor released.
-func (o *Once) Held() int {
+// HeldClaims is the number of claims won and neither run nor released.
+func (o *Once) HeldClaims() int {
 	n := 0
 	for _, k := range o.keys {
 		if o.isMine(k) && (k.mine == mineNotRun || k.mine == mineReleasing) {
@@ -259,13 +259,13 @@
 
 // keep stores a result and forgets the oldest ones beyond the bound.
 func (o *Once) keep(k *keyState, result *Result) {
-	if result == nil || result.size() > o.params.ResultBytes {
+	if result == nil || result.size() > o.params.MaxResultBytes {
 		return
 	}
 	k.result = result
 	o.kept += result.size()
 	o.results = append(o.results, k)
-	for o.kept > o.params.ResultBytes {
+	for o.kept > o.params.MaxResultBytes {
 		oldest := o.results[0]
 		o.results = o.results[1:]
 		o.kept -= oldest.result.size()
--- a/internal/attempt/once_bench_test.go
+++ b/internal/attempt/once_bench_test.go
@@ -57,7 +57,7 @@
 	l.after(appendTime, func() []OnceAction {
 		l.offset++
 		offset := l.offset
-		l.after(readTime, func() []OnceAction { return l.once.Record(offset, a.Data, l.now) })
+		l.after(readTime, func() []OnceAction { return l.once.ApplyRecord(offset, a.Data, l.now) })
 		return l.once.Appended(a.Batch, l.now)
 	})
 }
@@ -79,7 +79,7 @@
 			l.started[protocol.AttemptID(key)] = l.now
 			l.do(l.once.Run(KeyedRun{Attempt: protocol.AttemptID(key), Key: key, Age: time.Millisecond}, l.now))
 		}
-		if l.once.Wake(l.now) <= l.now {
+		if l.once.NextTick(l.now) <= l.now {
 			l.do(l.once.Tick(l.now))
 		}
 	}
@@ -87,7 +87,7 @@
 
 func newTimedLog(interval time.Duration, down func(time.Duration) bool) *timedLog {
 	params := DefaultOnceParams
-	params.Interval = interval
+	params.AppendInterval = interval
 	return &timedLog{
 		once: NewOnce("endpoint-0", 1, params), down: down,
 		due: map[time.Duration][]func() []OnceAction{}, started: map[protocol.AttemptID]time.Duration{},
@@ -121,7 +121,7 @@
 	const from, to = 20 * time.Second, 30 * time.Second
 	var l *timedLog
 	for b.Loop() {
-		l = newTimedLog(DefaultOnceParams.Interval, func(now time.Duration) bool { return now >= from && now < to })
+		l = newTimedLog(DefaultOnceParams.AppendInterval, func(now time.Duration) bool { return now >= from && now < to })
 		l.run(20, time.Minute)
 	}
 	if len(l.refused) == 0 {
--- a/internal/attempt/once_log.go
+++ b/internal/attempt/once_log.go
@@ -6,9 +6,9 @@
 	"skylarklead/internal/protocol"
 )
 
-// Record takes the next record of the stream. Records come in order of offset,
+// ApplyRecord takes the next record of the stream. Records come in order of offset,
 // from the oldest one that the log has; one taken before changes nothing.
-func (o *Once) Record(offset uint64, data []byte, now time.Duration) []OnceAction {
+func (o *Once) ApplyRecord(offset uint64, data []byte, now time.Duration) []OnceAction {
 	if offset <= o.position {
 		return o.take(now)
 	}
@@ -18,10 +18,10 @@
 		o.malformed++
 		return o.take(now)
 	}
-	for _, s := range batch.Settles {
+	for _, s := range batch.Settlements {
 		o.applySettle(batch, s, offset, now)
 	}
-	for _, c := range batch.Carries {
+	for _, c := range batch.CarriedClaims {
 		o.applyCarry(c, now)
 	}
 	for _, c := range batch.Claims {
@@ -56,7 +56,7 @@
 
 // applySettle takes the winner's word. It names the claim by its offset: a
 // release that was appended twice must not free a later claim of the same key.
-func (o *Once) applySettle(b *ClaimBatch, s Settle, offset uint64, now time.Duration) {
+func (o *Once) applySettle(b *ClaimBatch, s Settlement, offset uint64, now time.Duration) {
 	k, ok := o.keys[s.Key]
 	if !ok || k.winner.offset != s.Claim || k.winner.endpoint != b.Endpoint || k.winner.epoch != b.Epoch {
 		return
@@ -76,7 +76,7 @@
 
 // applyCarry takes an undated key's claim from before the records that are left.
 // What this process has run itself it knows better.
-func (o *Once) applyCarry(c Carry, now time.Duration) {
+func (o *Once) applyCarry(c CarriedClaim, now time.Duration) {
 	k := o.key(c.Key, now)
 	if c.Claim < k.releasedAt {
 		return
@@ -154,9 +154,9 @@
 	}
 }
 
-// Gap says that the log no longer has the record after Position; reading goes on
+// Truncated says that the log no longer has the record after Position; reading goes on
 // from oldest. Nothing is run until the end is reached again.
-func (o *Once) Gap(oldest uint64, now time.Duration) []OnceAction {
+func (o *Once) Truncated(oldest uint64, now time.Duration) []OnceAction {
 	o.position = max(o.position, oldest-1)
 	o.caughtUp = false
 	return o.take(now)
@@ -165,7 +165,7 @@
 // Appended says that a batch is on the log. Who has won is read from there.
 func (o *Once) Appended(batch uint64, now time.Duration) []OnceAction {
 	if b := o.outbox.answered(batch); b != nil {
-		o.outbox.pace(now + o.params.Interval)
+		o.outbox.pace(now + o.params.AppendInterval)
 		o.failingSince = 0
 		o.doubt(b, now)
 	}
@@ -238,7 +238,7 @@
 	for _, k := range o.idle {
 		switch {
 		case !o.isMine(k) || k.mine != mineNotRun:
-		case o.leaving || now-k.idleSince >= o.params.HoldFor:
+		case o.leaving || now-k.idleSince >= o.params.IdleClaimTTL:
 			k.mine = mineReleasing
 			o.outbox.release(k)
 		default:
@@ -249,14 +249,14 @@
 	o.idle = kept
 }
 
-// Wake returns when Tick has something to do at the latest.
-func (o *Once) Wake(now time.Duration) time.Duration {
+// NextTick returns when Tick has something to do at the latest.
+func (o *Once) NextTick(now time.Duration) time.Duration {
 	at := o.sweepAt
 	if len(o.deadlines) > 0 {
 		at = min(at, o.deadlines[0].at)
 	}
 	for _, k := range o.idle {
-		at = min(at, k.idleSince+o.params.HoldFor)
+		at = min(at, k.idleSince+o.params.IdleClaimTTL)
 	}
 	if due, ok := o.outbox.due(o.params); ok {
 		at = min(at, due)
--- a/internal/attempt/once_model_test.go
+++ b/internal/attempt/once_model_test.go
@@ -11,11 +11,11 @@
 )
 
 var testOnceParams = OnceParams{
-	Retention: 2 * time.Minute, ClaimBound: 2 * time.Second, FreshFor: 5 * time.Second,
+	Retention: 2 * time.Minute, ClaimTimeout: 2 * time.Second, MaxLogStaleness: 5 * time.Second,
 	OutageGrace: 1500 * time.Millisecond, OutageWait: 500 * time.Millisecond,
-	HoldFor: 3 * time.Second, Interval: 20 * time.Millisecond, SettleDelay: 100 * time.Millisecond,
+	IdleClaimTTL: 3 * time.Second, AppendInterval: 20 * time.Millisecond, SettlementDelay: 100 * time.Millisecond,
 	MaxBackoff: time.Second, RetryAfter: time.Second,
-	Horizon: 10 * time.Minute, MaxUndated: 100, ResultBytes: 1 << 10,
+	UndatedTTL: 10 * time.Minute, MaxUndated: 100, MaxResultBytes: 1 << 10,
 }
 
 // worldSteps is how many things happen in one run of a model.
@@ -111,7 +111,7 @@
 		w.limbo = append(w.limbo, a.Data) // a dead process's append may still land
 	}
 	*p = modelProc{epoch: w.epochs, once: NewOnce(procName(i), w.epochs, testOnceParams), readStarted: w.now}
-	p.once.SetCarrier(true)
+	p.once.SetCarryForward(true)
 }
 
 func (w *onceWorld) send(proc, key int, redirected bool) {
@@ -122,12 +122,12 @@
 	a := protocol.AttemptID{w.attempts, w.more, 1}
 	// Without one, at an even attempt, a sending waits for ClaimBound.
 	patience := time.Duration(w.attempts%2) * time.Duration(w.attempts) * 20 * time.Millisecond
-	s := &sending{key: key, proc: proc, until: w.now + testOnceParams.ClaimBound}
+	s := &sending{key: key, proc: proc, until: w.now + testOnceParams.ClaimTimeout}
 	if patience > 0 {
 		s.until = min(s.until, w.now+patience/2)
 	}
 	w.sendings[a] = s
-	r := KeyedRun{Attempt: a, Key: KeyDigest{byte(key), 1}, Fingerprint: uint64(key), Patience: patience, Redirected: redirected}
+	r := KeyedRun{Attempt: a, Key: KeyDigest{byte(key), 1}, Fingerprint: uint64(key), CallerTimeout: patience, Redirected: redirected}
 	if w.dated {
 		if w.born[key] == 0 {
 			w.born[key] = w.now
@@ -269,7 +269,7 @@
 	started := p.readStarted
 	p.readStarted = w.now
 	if p.once.Position()+1 < w.log.oldest {
-		w.do(i, p.once.Gap(w.log.oldest, w.now))
+		w.do(i, p.once.Truncated(w.log.oldest, w.now))
 	}
 	for range limit {
 		next := p.once.Position() + 1
@@ -277,7 +277,7 @@
 			w.do(i, p.once.CaughtUp(started, w.now))
 			return
 		}
-		w.do(i, p.once.Record(next, w.log.records[next-w.log.oldest], w.now))
+		w.do(i, p.once.ApplyRecord(next, w.log.records[next-w.log.oldest], w.now))
 	}
 }
 
@@ -297,7 +297,7 @@
 
 func (w *onceWorld) tell(i, j int) {
 	if i != j {
-		w.procs[i].once.PeerEpoch(procName(j), w.procs[j].epoch)
+		w.procs[i].once.SetPeerEpoch(procName(j), w.procs[j].epoch)
 	}
 }
 
@@ -328,11 +328,11 @@
 		"crash":  func(t *rapid.T) { w.start(proc(t)) },
 		"leave": func(t *rapid.T) {
 			if i := proc(t); rapid.IntRange(0, 4).Draw(t, "really") == 0 {
-				w.do(i, w.procs[i].once.Leave(w.now))
+				w.do(i, w.procs[i].once.Drain(w.now))
 			}
 		},
 		"hear":      func(t *rapid.T) { w.tell(proc(t), proc(t)) },
-		"lose peer": func(t *rapid.T) { w.procs[proc(t)].once.PeerDown(procName(proc(t))) },
+		"lose peer": func(t *rapid.T) { w.procs[proc(t)].once.SetPeerDown(procName(proc(t))) },
 		"time": func(t *rapid.T) {
 			w.advance(time.Duration(rapid.SampledFrom([]int{1, 20, 100, 500, 1200, 3500}).Draw(t, "ms")) * time.Millisecond)
 		},
--- a/internal/attempt/once_outbox.go
+++ b/internal/attempt/once_outbox.go
@@ -22,7 +22,7 @@
 }
 
 type pendingSettle struct {
-	Settle
+	Settlement
 	at time.Duration
 }
 
@@ -35,7 +35,7 @@
 }
 
 func (b *outbox) settle(k *keyState, ran protocol.Outcome, now time.Duration) {
-	b.settles = append(b.settles, pendingSettle{Settle{Key: k.key, Claim: k.winner.offset, Outcome: ran}, now})
+	b.settles = append(b.settles, pendingSettle{Settlement{Key: k.key, Claim: k.winner.offset, Outcome: ran}, now})
 }
 
 func (b *outbox) release(k *keyState) { b.releases = append(b.releases, k) }
@@ -52,7 +52,7 @@
 func (b *outbox) pace(next time.Duration) { b.next, b.backoff = next, 0 }
 
 func (b *outbox) backOff(p OnceParams, retryAfter, now time.Duration) {
-	b.backoff = min(max(2*b.backoff, p.Interval), p.MaxBackoff)
+	b.backoff = min(max(2*b.backoff, p.AppendInterval), p.MaxBackoff)
 	b.next = now + max(b.backoff, retryAfter)
 }
 
@@ -65,7 +65,7 @@
 		return b.next, true
 	}
 	if len(b.settles) > 0 {
-		return max(b.next, b.settles[0].at+p.SettleDelay), true
+		return max(b.next, b.settles[0].at+p.SettlementDelay), true
 	}
 	return 0, false
 }
@@ -88,7 +88,7 @@
 	o.sendSettles(batch, flight)
 	o.sendCarries(batch, now)
 	o.sendClaims(batch, flight, inBatch, now)
-	if len(batch.Settles) == 0 && len(batch.Carries) == 0 && len(batch.Claims) == 0 {
+	if len(batch.Settlements) == 0 && len(batch.CarriedClaims) == 0 && len(batch.Claims) == 0 {
 		return
 	}
 	data, err := EncodeClaims(batch)
@@ -108,16 +108,16 @@
 			continue
 		}
 		inBatch[k.key] = true
-		batch.Settles = append(batch.Settles, Settle{Key: k.key, Claim: k.winner.offset, Outcome: protocol.NotRun})
+		batch.Settlements = append(batch.Settlements, Settlement{Key: k.key, Claim: k.winner.offset, Outcome: protocol.NotRun})
 		flight.releases = append(flight.releases, k)
 	}
 	o.outbox.releases = o.outbox.releases[n:]
 }
 
 func (o *Once) sendSettles(batch *ClaimBatch, flight *outgoing) {
-	n := min(len(o.outbox.settles), maxBatch-len(batch.Settles))
+	n := min(len(o.outbox.settles), maxBatch-len(batch.Settlements))
 	for _, s := range o.outbox.settles[:n] {
-		batch.Settles = append(batch.Settles, s.Settle)
+		batch.Settlements = append(batch.Settlements, s.Settlement)
 		flight.settles = append(flight.settles, s)
 	}
 	o.outbox.settles = o.outbox.settles[n:]
@@ -129,7 +129,7 @@
 		if k.winner.offset == 0 {
 			continue
 		}
-		batch.Carries = append(batch.Carries, Carry{
+		batch.CarriedClaims = append(batch.CarriedClaims, CarriedClaim{
 			Key: k.key, Fingerprint: k.fingerprint, Endpoint: k.winner.endpoint, Epoch: k.winner.epoch,
 			Claim: k.winner.offset, Done: k.winner.done, AgeMs: (now - k.born).Milliseconds(),
 		})
@@ -203,7 +203,7 @@
 	if k.winner.offset == 0 || k.dated {
 		return o.params.Retention
 	}
-	return o.params.Horizon
+	return o.params.UndatedTTL
 }
 
 func (o *Once) forget(d KeyDigest, k *keyState) {
--- a/internal/attempt/once_test.go
+++ b/internal/attempt/once_test.go
@@ -93,7 +93,7 @@
 		w.procs[0].once.Withdraw(KeyDigest{0, 1}, protocol.AttemptID{1, 0, 1})
 		w.settleAppend(0, "ok")
 		w.read(0, 1)
-		w.advance(testOnceParams.HoldFor)
+		w.advance(testOnceParams.IdleClaimTTL)
 		w.settleAppend(0, "late")
 		w.read(0, 1)
 		w.advance(time.Second)
@@ -122,7 +122,7 @@
 	if got := other[0].(Answer).End; got.Code != protocol.CodeKeyConflict || got.Outcome != protocol.NotRun {
 		t.Errorf("a key with another body: got %+v", got)
 	}
-	late := o.Tick(testOnceParams.ClaimBound)
+	late := o.Tick(testOnceParams.ClaimTimeout)
 	if got := late[0].(Answer).End; got.Code != protocol.CodeLogUnavailable || got.Outcome != protocol.NotRun || got.RetryAfterMs == 0 {
 		t.Errorf("no answer from the log: got %+v", got)
 	}
@@ -138,7 +138,7 @@
 		fails, came      time.Duration
 		patience, refuse time.Duration
 	}{
-		{"slow log", 0, 10 * s, 0, 10*s + testOnceParams.ClaimBound},
+		{"slow log", 0, 10 * s, 0, 10*s + testOnceParams.ClaimTimeout},
 		{"slow log, impatient caller", 0, 10 * s, 600 * ms, 10*s + 300*ms},
 		{"outage begins while it waits", 10*s + 100*ms, 10 * s, 0, 11*s + 600*ms},
 		{"came early in an outage", 10 * s, 10*s + 100*ms, 0, 11*s + 500*ms},
@@ -151,7 +151,7 @@
 			batch := o.Run(KeyedRun{Attempt: protocol.AttemptID{9}, Key: KeyDigest{9}}, now)[0].(AppendClaims).Batch
 			o.AppendFailed(batch, time.Hour, now)
 		}
-		r := KeyedRun{Attempt: protocol.AttemptID{1}, Key: KeyDigest{1}, Patience: c.patience}
+		r := KeyedRun{Attempt: protocol.AttemptID{1}, Key: KeyDigest{1}, CallerTimeout: c.patience}
 		if c.fails != 0 && c.fails <= c.came {
 			fail(c.fails)
 			o.Run(r, c.came)
@@ -174,7 +174,7 @@
 
 func TestMalformedClaimsAreSkipped(t *testing.T) {
 	o := NewOnce("endpoint-0", 1, testOnceParams)
-	o.Record(1, []byte("not a record"), 0)
+	o.ApplyRecord(1, []byte("not a record"), 0)
 	if o.Malformed() != 1 || o.Position() != 1 {
 		t.Errorf("malformed %d, position %d", o.Malformed(), o.Position())
 	}
--- a/internal/attempt/once_wait.go
+++ b/internal/attempt/once_wait.go
@@ -20,9 +20,9 @@
 // patience: a slow log decides in time what a fixed second refuses, a refusal
 // still reaches the caller, and a claim that is won leaves time for the run.
 func (o *Once) bound(r KeyedRun, now time.Duration) {
-	wait := o.params.ClaimBound
-	if r.Patience > 0 {
-		wait = min(wait, r.Patience/2)
+	wait := o.params.ClaimTimeout
+	if r.CallerTimeout > 0 {
+		wait = min(wait, r.CallerTimeout/2)
 	}
 	d := o.inOutage(deadline{at: now + wait, since: now, key: r.Key, attempt: r.Attempt})
 	i, _ := slices.BinarySearchFunc(o.deadlines, d.at+1, func(d deadline, at time.Duration) int { return cmp.Compare(d.at, at) })
@@ -68,7 +68,7 @@
 // its end shortly before this one came.
 func (o *Once) refuseOutage(d deadline) {
 	ran := protocol.NotRun
-	if !o.caughtUp || d.since-o.freshAt > o.params.FreshFor {
+	if !o.caughtUp || d.since-o.freshAt > o.params.MaxLogStaleness {
 		ran = protocol.Unknown
 	}
 	o.answer(d.attempt, ran, protocol.CodeLogUnavailable, "the log is not available; send the same key again", o.params.RetryAfter)
--- a/internal/attempt/plan.go
+++ b/internal/attempt/plan.go
@@ -9,8 +9,8 @@
 	"skylarklead/internal/protocol"
 )
 
-// Spec is what a plan has to know of its request.
-type Spec struct {
+// PlanSpec is what a plan has to know of its request.
+type PlanSpec struct {
 	// Organisation is whose request it is.
 	Organisation string
 	// Repeatable requests may run more than once.
@@ -26,13 +26,13 @@
 
 // PlanParams bound a plan's efforts.
 type PlanParams struct {
-	// Asks bounds how often owners are asked in a row without an answer.
-	Asks int
-	// Runs bounds the attempts of one request.
-	Runs int
-	// Crashes is how many engines one request may crash before it is given up,
+	// MaxAsks bounds how often owners are asked in a row without an answer.
+	MaxAsks int
+	// MaxRuns bounds the attempts of one request.
+	MaxRuns int
+	// MaxCrashes is how many engines one request may crash before it is given up,
 	// as in PoisonParams.Limit.
-	Crashes int
+	MaxCrashes int
 	// ResumeTries bounds tries in a row to reach the executor of a repeatable
 	// request before it is run elsewhere; ResolveTries those of one that isn't.
 	ResumeTries  int
@@ -43,16 +43,16 @@
 	MaxBackoff time.Duration
 	// RetryAfter is what callers are told when nothing better is known.
 	RetryAfter time.Duration
-	// GivenUpFor is when a caller may come back with a request given up here.
-	GivenUpFor time.Duration
+	// GivenUpRetryAfter is when a caller may come back with a request given up here.
+	GivenUpRetryAfter time.Duration
 }
 
 // DefaultPlanParams resolve for about 13 s, longer than a peer's freeze takes
 // to be noticed.
 var DefaultPlanParams = PlanParams{
-	Asks: 4, Runs: 4, Crashes: DefaultPoisonParams.Limit, ResumeTries: 2, ResolveTries: 10,
+	MaxAsks: 4, MaxRuns: 4, MaxCrashes: DefaultPoisonParams.MaxCrashes, ResumeTries: 2, ResolveTries: 10,
 	Backoff: 50 * time.Millisecond, MaxBackoff: 2 * time.Second,
-	RetryAfter: time.Second, GivenUpFor: time.Hour,
+	RetryAfter: time.Second, GivenUpRetryAfter: time.Hour,
 }
 
 type phase uint8
@@ -72,7 +72,7 @@
 // attempt may have run, and then no answer says not_run; a request that isn't
 // repeatable has no second attempt unless the first is known not to have run.
 type Plan struct {
-	spec    Spec
+	spec    PlanSpec
 	params  PlanParams
 	budget  *Budget
 	rng     *rand.Rand
@@ -98,13 +98,13 @@
 
 // NewPlan returns the plan of one request. rng also draws the attempt IDs, so
 // its seed has to be unpredictable and unique in the fleet.
-func NewPlan(spec Spec, params PlanParams, budget *Budget, rng *rand.Rand) *Plan {
+func NewPlan(spec PlanSpec, params PlanParams, budget *Budget, rng *rand.Rand) *Plan {
 	return &Plan{spec: spec, params: params, budget: budget, rng: rng}
 }
 
 // Begin counts the request and asks for its executor.
 func (p *Plan) Begin(now time.Duration) []Action {
-	p.budget.Request(now)
+	p.budget.RecordRequest(now)
 	return p.ask(0)
 }
 
@@ -121,7 +121,7 @@
 		return nil
 	}
 	switch e := ev.(type) {
-	case Asked:
+	case DecisionReceived:
 		return p.asked(e.Decision, now)
 	case AskFailed:
 		return p.askFailed()
@@ -147,7 +147,7 @@
 		p.away = true
 	case CallerBack:
 		p.away = false
-	case GraceOver:
+	case GraceExpired:
 		return p.graceOver()
 	case DeadlinePassed:
 		return p.abandon(protocol.CodeDeadline, "the deadline has passed")
@@ -169,7 +169,7 @@
 	}
 	if d.Refusal != nil {
 		p.noteSaturation(d.Refusal.Code, now)
-		if d.Refusal.Code == protocol.CodeNoEndpoint && p.asks < p.params.Asks {
+		if d.Refusal.Code == protocol.CodeNoEndpoint && p.asks < p.params.MaxAsks {
 			// In a rolling restart a request can meet each endpoint while that one
 			// is away: one left, the next one leaves, the last has no engine yet.
 			// Its caller would be refused though the first is back. Asking has no
@@ -188,7 +188,7 @@
 	if p.phase != phaseAsking {
 		return nil
 	}
-	if p.asks >= p.params.Asks {
+	if p.asks >= p.params.MaxAsks {
 		return p.refuse(protocol.CodeNoEndpoint, "no owner answered", p.params.RetryAfter)
 	}
 	return p.ask(p.wait(p.asks))
@@ -229,12 +229,12 @@
 // elsewhere runs the request at another endpoint if the budget, the bound on
 // attempts and what the caller already has allow it. The live attempt is known
 // not to run, or the request is repeatable.
-func (p *Plan) elsewhere(code protocol.Code, message string, retryAfter time.Duration, kind Extra, now time.Duration) []Action {
+func (p *Plan) elsewhere(code protocol.Code, message string, retryAfter time.Duration, kind ExtraKind, now time.Duration) []Action {
 	if p.target.Endpoint != "" && !slices.Contains(p.exclude, p.target.Endpoint) {
 		p.exclude = append(p.exclude, p.target.Endpoint)
 	}
 	canContinue := p.next == 0 || p.spec.Continuable && p.spec.Repeatable
-	if !canContinue || p.runs >= p.params.Runs || !p.budget.Allow(kind, p.spec.Organisation, now) {
+	if !canContinue || p.runs >= p.params.MaxRuns || !p.budget.Allow(kind, p.spec.Organisation, now) {
 		return p.refuse(code, message, max(retryAfter, p.params.RetryAfter))
 	}
 	p.asks = 0
@@ -287,7 +287,7 @@
 
 func (p *Plan) noteSaturation(code protocol.Code, now time.Duration) {
 	if code == protocol.CodeOverloaded {
-		p.budget.Saturated(p.spec.Organisation, now)
+		p.budget.RecordSaturation(p.spec.Organisation, now)
 	}
 }
 
--- a/internal/attempt/plan_model_test.go
+++ b/internal/attempt/plan_model_test.go
@@ -34,7 +34,7 @@
 	epochs    protocol.Epoch
 }
 
-func newPlanWorld(t *rapid.T, spec Spec) *planWorld {
+func newPlanWorld(t *rapid.T, spec PlanSpec) *planWorld {
 	w := &planWorld{t: t, now: time.Second, handed: map[protocol.AttemptID]bool{}}
 	for range 3 {
 		w.executors = append(w.executors, &modelExecutor{})
@@ -105,10 +105,10 @@
 	case 0:
 		w.event(AskFailed{})
 	case 1:
-		w.event(Asked{Decision: &protocol.Decision{Refusal: &protocol.Refusal{Code: protocol.CodeOverloaded, Ran: protocol.NotRun}}})
+		w.event(DecisionReceived{Decision: &protocol.Decision{Refusal: &protocol.Refusal{Code: protocol.CodeOverloaded, Ran: protocol.NotRun}}})
 	default:
 		i := rapid.IntRange(0, len(w.executors)-1).Draw(w.t, "executor")
-		w.event(Asked{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: fmt.Sprint(i)}}})
+		w.event(DecisionReceived{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: fmt.Sprint(i)}}})
 	}
 }
 
@@ -238,13 +238,13 @@
 	case "hang up":
 		if luck == 0 {
 			w.event(CallerGone{})
-			w.event(GraceOver{})
+			w.event(GraceExpired{})
 		}
 	}
 	w.now += 10 * time.Millisecond
 }
 
-func (w *planWorld) check(spec Spec) {
+func (w *planWorld) check(spec PlanSpec) {
 	if !spec.Repeatable && w.runs > 1 {
 		w.t.Fatalf("a request that may not be repeated ran %d times", w.runs)
 	}
@@ -263,7 +263,7 @@
 }
 
 // settle lets all that is under way arrive, with good luck from here on.
-func (w *planWorld) settle(spec Spec) {
+func (w *planWorld) settle(spec PlanSpec) {
 	for range 300 {
 		w.act(9)
 		w.step("news", 9)
--- a/internal/attempt/plan_outcome.go
+++ b/internal/attempt/plan_outcome.go
@@ -71,9 +71,9 @@
 	if end.EngineCrashed {
 		p.crashed = append(p.crashed, p.target.Endpoint)
 	}
-	if len(p.crashed) >= p.params.Crashes {
+	if len(p.crashed) >= p.params.MaxCrashes {
 		p.tainted = true
-		return p.refuse(protocol.CodeGivenUp, "the request crashed the engines that ran it", p.params.GivenUpFor)
+		return p.refuse(protocol.CodeGivenUp, "the request crashed the engines that ran it", p.params.GivenUpRetryAfter)
 	}
 	claimsSay := p.spec.Keyed && end.Code == protocol.CodeUnknownOutcome
 	if end.Code != protocol.CodeNone && final(end.Code) && (end.Code != protocol.CodeUnknownOutcome || claimsSay) {
--- a/internal/attempt/plan_test.go
+++ b/internal/attempt/plan_test.go
@@ -22,14 +22,14 @@
 		"complete", "complete", "restart", "cut", "down", "deadline", "hang up",
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		spec := rapid.SampledFrom([]Spec{{Continuable: true}, {Repeatable: true, Continuable: true}, {Keyed: true}}).Draw(t, "spec")
+		spec := rapid.SampledFrom([]PlanSpec{{Continuable: true}, {Repeatable: true, Continuable: true}, {Keyed: true}}).Draw(t, "spec")
 		w := newPlanWorld(t, spec)
 		for range 60 {
 			w.step(rapid.SampledFrom(kinds).Draw(t, "step"), rapid.IntRange(0, 9).Draw(t, "luck"))
 			w.check(spec)
 		}
 		w.settle(spec)
-		if limit := DefaultPlanParams.Runs + 1; w.runs > limit { // the last one may be redirected
+		if limit := DefaultPlanParams.MaxRuns + 1; w.runs > limit { // the last one may be redirected
 			t.Fatalf("%d runs", w.runs)
 		}
 	})
@@ -37,17 +37,17 @@
 
 func TestPlanGivesUpAtOnceWithWhenToComeBack(t *testing.T) {
 	budget := NewBudget(DefaultBudgetParams)
-	p := NewPlan(Spec{Repeatable: true, Continuable: true}, DefaultPlanParams, budget, rand.New(rand.NewPCG(1, 1)))
+	p := NewPlan(PlanSpec{Repeatable: true, Continuable: true}, DefaultPlanParams, budget, rand.New(rand.NewPCG(1, 1)))
 	p.Begin(0)
 	var last []Action
-	for i := range DefaultPlanParams.Crashes {
-		run := p.Step(Asked{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: fmt.Sprint(i)}}}, 0)[0].(Run)
+	for i := range DefaultPlanParams.MaxCrashes {
+		run := p.Step(DecisionReceived{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: fmt.Sprint(i)}}}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		last = p.Step(Ended{Epoch: 1, End: &protocol.End{Attempt: run.Attempt, Outcome: protocol.Unknown, EngineCrashed: true}}, 0)
 	}
 	finish, ok := last[0].(Finish)
 	if !ok || finish.Refusal.Code != protocol.CodeGivenUp || finish.Refusal.RetryAfterMs == 0 || finish.Refusal.Ran != protocol.Unknown {
-		t.Fatalf("after %d crashes: %+v", DefaultPlanParams.Crashes, last)
+		t.Fatalf("after %d crashes: %+v", DefaultPlanParams.MaxCrashes, last)
 	}
 }
 
@@ -56,15 +56,15 @@
 // Sequence: the executor is killed; the entry learns that its epoch is gone.
 // Cause: a keyed request given up at the first loss, with the claims not asked.
 func TestPlanSendsAKeyedRequestAgainAfterALoss(t *testing.T) {
-	p := NewPlan(Spec{Keyed: true}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
+	p := NewPlan(PlanSpec{Keyed: true}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 	p.Begin(0)
-	run := p.Step(Asked{Decision: &protocol.Decision{}}, 0)[0].(Run)
+	run := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 	p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 	p.Step(SessionLost{Attempt: run.Attempt}, 0)
 	if _, ok := p.Step(ResumeFailed{Attempt: run.Attempt, EpochGone: true}, 0)[0].(Ask); !ok {
 		t.Fatal("not sent again")
 	}
-	again := p.Step(Asked{Decision: &protocol.Decision{}}, 0)[0].(Run)
+	again := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 	p.Step(Sent{Attempt: again.Attempt, Epoch: 1}, 0)
 	refused := &protocol.End{Attempt: again.Attempt, Outcome: protocol.NotRun, Code: protocol.CodeLogUnavailable}
 	if f := p.Step(Ended{Epoch: 1, End: refused}, 0)[0].(Finish); f.Refusal.Ran != protocol.Unknown {
@@ -80,9 +80,9 @@
 		{protocol.Resolved{Outcome: protocol.Done}, protocol.Done},
 		{protocol.Resolved{Outcome: protocol.Unknown, Running: true}, protocol.Unknown},
 	} {
-		p := NewPlan(Spec{}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
+		p := NewPlan(PlanSpec{}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 		p.Begin(0)
-		run := p.Step(Asked{Decision: &protocol.Decision{}}, 0)[0].(Run)
+		run := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		p.Step(SessionLost{Attempt: run.Attempt}, 0)
 		test.answer.Attempt = run.Attempt
@@ -107,9 +107,9 @@
 			return Resolved{Epoch: 2, Answer: &protocol.Resolved{Attempt: a, Outcome: protocol.NotRun}}
 		},
 	} {
-		p := NewPlan(Spec{}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
+		p := NewPlan(PlanSpec{}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 		p.Begin(0)
-		run := p.Step(Asked{Decision: &protocol.Decision{}}, 0)[0].(Run)
+		run := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		p.Step(SessionLost{Attempt: run.Attempt}, 0)
 		out := p.Step(word(run.Attempt), 0)
@@ -131,9 +131,9 @@
 		{true, DefaultPlanParams.ResumeTries, "[attempt.Cancel attempt.Ask]"},
 		{false, DefaultPlanParams.ResolveTries, "[attempt.Finish]"},
 	} {
-		p := NewPlan(Spec{Repeatable: test.repeatable}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
+		p := NewPlan(PlanSpec{Repeatable: test.repeatable}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 		p.Begin(0)
-		run := p.Step(Asked{Decision: &protocol.Decision{}}, 0)[0].(Run)
+		run := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		out := p.Step(SessionLost{Attempt: run.Attempt}, 0)
 		for range test.tries {
@@ -152,19 +152,19 @@
 // Symptom: one request goes round all endpoints of a group that drain or fail.
 // Cause: a budget that has saved up, and no bound for the one request.
 func TestPlanBoundsTheRunsOfOneRequest(t *testing.T) {
-	p := NewPlan(Spec{Repeatable: true}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
+	p := NewPlan(PlanSpec{Repeatable: true}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 	out := p.Begin(0)
 	runs := 0
 	for !p.Final() {
 		if _, ok := out[0].(Ask); !ok {
 			t.Fatalf("got %+v", out)
 		}
-		run := p.Step(Asked{Decision: &protocol.Decision{}}, 0)[0].(Run)
+		run := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 		runs++
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		out = p.Step(Ended{Epoch: 1, End: &protocol.End{Attempt: run.Attempt, Outcome: protocol.NotRun, Code: protocol.CodeDraining}}, 0)
 	}
-	if runs != DefaultPlanParams.Runs || out[0].(Finish).Refusal.Ran != protocol.NotRun {
+	if runs != DefaultPlanParams.MaxRuns || out[0].(Finish).Refusal.Ran != protocol.NotRun {
 		t.Errorf("%d runs, then %+v", runs, out[0])
 	}
 }
@@ -172,16 +172,16 @@
 func TestPlanGoesOnFromWhatTheCallerHas(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		spec Spec
+		spec PlanSpec
 		want string
 	}{
-		{"a completion is continued", Spec{Repeatable: true, Continuable: true}, "attempt.Ask"},
-		{"a service's answer that was begun isn't", Spec{Repeatable: true}, "attempt.Finish"},
-		{"nor is a call that may not be repeated", Spec{Continuable: true}, "attempt.Finish"},
+		{"a completion is continued", PlanSpec{Repeatable: true, Continuable: true}, "attempt.Ask"},
+		{"a service's answer that was begun isn't", PlanSpec{Repeatable: true}, "attempt.Finish"},
+		{"nor is a call that may not be repeated", PlanSpec{Continuable: true}, "attempt.Finish"},
 	} {
 		p := NewPlan(test.spec, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 		p.Begin(0)
-		run := p.Step(Asked{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: "a"}}}, 0)[0].(Run)
+		run := p.Step(DecisionReceived{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: "a"}}}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		p.Step(Started{Attempt: run.Attempt}, 0)
 		p.Step(ChunkDelivered{Next: 7}, 0)
@@ -196,7 +196,7 @@
 		if ask, ok := out[0].(Ask); ok && (len(ask.Exclude) != 1 || ask.Exclude[0] != "a") {
 			t.Errorf("%s: excluded %v", test.name, ask.Exclude)
 		}
-		if again := p.Step(Asked{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: "b"}}}, 0); len(again) > 0 && again[0].(Run).FirstSeq != 7 {
+		if again := p.Step(DecisionReceived{Decision: &protocol.Decision{Executor: protocol.Target{Endpoint: "b"}}}, 0); len(again) > 0 && again[0].(Run).FirstSeq != 7 {
 			t.Errorf("%s: %+v", test.name, again)
 		}
 	}
--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -10,9 +10,9 @@
 
 // PoisonParams bound what one request may do to the engines.
 type PoisonParams struct {
-	// Limit is the strikes at which a request is given up, 2 or more. It runs
+	// MaxCrashes is the strikes at which a request is given up, 2 or more. It runs
 	// alone from one strike less on, so that the last crash is conclusive.
-	Limit int
+	MaxCrashes int
 	// Pardons is how often a completion clears a request's strikes. Without a
 	// bound, a request that crashes every other engine would go on for ever.
 	Pardons uint32
@@ -32,28 +32,28 @@
 
 // DefaultPoisonParams remember for an hour.
 var DefaultPoisonParams = PoisonParams{
-	Limit: 3, Pardons: 2, Memory: time.Hour,
+	MaxCrashes: 3, Pardons: 2, Memory: time.Hour,
 	AloneWait: 30 * time.Second, AloneGap: 5 * time.Second, Max: 4096, Beat: 32,
 }
 
-// AloneFrom is the strikes from which on a request runs alone. With Limit at 2,
+// ExclusiveFrom is the strikes from which on a request runs alone. With Limit at 2,
 // every request that a crash cut off would take an engine for itself, though
 // nearly all crashes have another cause: a restart of half a group then holds up
 // everybody for seconds. One strike more costs a deadly request one more crash.
-func (p PoisonParams) AloneFrom() int { return p.Limit - 1 }
+func (p PoisonParams) ExclusiveFrom() int { return p.MaxCrashes - 1 }
 
 // VerdictKind is how a request may run.
 type VerdictKind uint8
 
 // The verdicts.
 const (
-	// Clear: it runs beside others.
-	Clear VerdictKind = iota
-	// Alone: it has been running when engines crashed; nothing may run beside it,
+	// VerdictClear: it runs beside others.
+	VerdictClear VerdictKind = iota
+	// VerdictExclusive: it has been running when engines crashed; nothing may run beside it,
 	// so that one more crash is conclusive.
-	Alone
-	// GivenUp: it is not run again for RetryAfter.
-	GivenUp
+	VerdictExclusive
+	// VerdictGivenUp: it is not run again for RetryAfter.
+	VerdictGivenUp
 )
 
 var verdictNames = [...]string{"clear", "alone", "given_up"}
@@ -87,7 +87,7 @@
 	changed    time.Duration
 }
 
-// Poison remembers which requests were running when engines crashed. Every
+// PoisonTracker remembers which requests were running when engines crashed. Every
 // endpoint process of a group has one: it judges as an owner, guards its own
 // engine as an executor, and merges what its peers' heartbeats tell.
 //
@@ -97,7 +97,7 @@
 // one of the shared crashes happened, and owners that have not heard of it yet,
 // add at most one crash each, for each of the Limit-1. A request that sometimes completes crashes at most
 // Pardons more.
-type Poison struct {
+type PoisonTracker struct {
 	params  PoisonParams
 	known   map[uint64]*suspicion
 	running map[uint64]int
@@ -112,68 +112,68 @@
 	cursor    uint64
 }
 
-// NewPoison returns an empty memory.
-func NewPoison(p PoisonParams) *Poison {
-	return &Poison{params: p, known: map[uint64]*suspicion{}, running: map[uint64]int{}, lost: map[uint64]int{}, waiting: map[uint64]time.Duration{}}
+// NewPoisonTracker returns an empty memory.
+func NewPoisonTracker(p PoisonParams) *PoisonTracker {
+	return &PoisonTracker{params: p, known: map[uint64]*suspicion{}, running: map[uint64]int{}, lost: map[uint64]int{}, waiting: map[uint64]time.Duration{}}
 }
 
 // Judge tells how a request may run.
-func (p *Poison) Judge(fingerprint uint64, now time.Duration) Verdict {
+func (p *PoisonTracker) Judge(fingerprint uint64, now time.Duration) Verdict {
 	s := p.live(fingerprint, now)
 	switch {
 	case s != nil && s.givenUp:
-		return Verdict{Kind: GivenUp, RetryAfter: s.struck + p.params.Memory - now}
-	case s != nil && s.count >= p.params.AloneFrom():
-		return Verdict{Kind: Alone}
+		return Verdict{Kind: VerdictGivenUp, RetryAfter: s.struck + p.params.Memory - now}
+	case s != nil && s.count >= p.params.ExclusiveFrom():
+		return Verdict{Kind: VerdictExclusive}
 	default:
-		return Verdict{Kind: Clear}
+		return Verdict{Kind: VerdictClear}
 	}
 }
 
-// Gate is whether an executor may hand a request to its engine now.
-type Gate uint8
+// StartDecision is whether an executor may hand a request to its engine now.
+type StartDecision uint8
 
 // The gate's answers.
 const (
-	// GateOpen: it is counted as running; call Ended when it no longer is.
-	GateOpen Gate = iota
-	// GateWait: ask again when something has ended.
-	GateWait
-	// GateShut: it was given up.
-	GateShut
+	// StartNow: it is counted as running; call Ended when it no longer is.
+	StartNow StartDecision = iota
+	// StartWait: ask again when something has ended.
+	StartWait
+	// StartRefused: it was given up.
+	StartRefused
 )
 
 // Start asks to hand a request to this process's engine. A suspect waits until
 // nothing runs, and holds back everything else until it has ended, was withdrawn
 // or has waited for AloneWait. Two copies of one request count as two.
-func (p *Poison) Start(fingerprint uint64, now time.Duration) Gate {
+func (p *PoisonTracker) Start(fingerprint uint64, now time.Duration) StartDecision {
 	switch p.Judge(fingerprint, now).Kind {
-	case GivenUp:
+	case VerdictGivenUp:
 		delete(p.waiting, fingerprint)
-		return GateShut
-	case Alone:
+		return StartRefused
+	case VerdictExclusive:
 		if p.total > 0 {
 			if _, ok := p.waiting[fingerprint]; !ok {
 				p.waiting[fingerprint] = now
 			}
-			return GateWait
+			return StartWait
 		}
 		delete(p.waiting, fingerprint)
 	default:
 		delete(p.waiting, fingerprint)
 		if p.heldBack(now) || p.aloneRuns(now) {
-			return GateWait
+			return StartWait
 		}
 	}
 	p.running[fingerprint]++
 	p.total++
-	return GateOpen
+	return StartNow
 }
 
 // Withdraw says that a request that had to wait waits no longer.
-func (p *Poison) Withdraw(fingerprint uint64) { delete(p.waiting, fingerprint) }
+func (p *PoisonTracker) Withdraw(fingerprint uint64) { delete(p.waiting, fingerprint) }
 
-func (p *Poison) heldBack(now time.Duration) bool {
+func (p *PoisonTracker) heldBack(now time.Duration) bool {
 	if now < p.freeUntil {
 		return false
 	}
@@ -186,19 +186,19 @@
 	return false
 }
 
-func (p *Poison) aloneRuns(now time.Duration) bool {
+func (p *PoisonTracker) aloneRuns(now time.Duration) bool {
 	if p.total != 1 {
 		return false
 	}
 	for f := range p.running {
-		return p.Judge(f, now).Kind != Clear
+		return p.Judge(f, now).Kind != VerdictClear
 	}
 	return false
 }
 
-// Ended says that a request is no longer at the engine; it is called once for
+// RecordEnd says that a request is no longer at the engine; it is called once for
 // each GateOpen, also for what a crash took. completed clears the strikes.
-func (p *Poison) Ended(fingerprint uint64, completed bool, now time.Duration) {
+func (p *PoisonTracker) RecordEnd(fingerprint uint64, completed bool, now time.Duration) {
 	if p.lost[fingerprint] > 0 {
 		// The end of a run before the crash. Taken for that of a copy started
 		// since, it would let others start beside a suspect.
@@ -226,10 +226,10 @@
 	s.changed = now
 }
 
-// Crashed says that this process's engine was lost with all that it ran. Only a
+// RecordCrash says that this process's engine was lost with all that it ran. Only a
 // request that ran alone gets the last strike: one that happened to run beside
 // different culprits must not be given up in their place.
-func (p *Poison) Crashed(now time.Duration) []protocol.Strike {
+func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.Strike {
 	alone := p.total == 1
 	strikes := make([]protocol.Strike, 0, len(p.running))
 	for f, n := range p.running {
@@ -238,10 +238,10 @@
 		if s == nil {
 			s = p.remember(f, now)
 		}
-		if s.count < p.params.AloneFrom() || alone {
+		if s.count < p.params.ExclusiveFrom() || alone {
 			s.count++
 		}
-		s.givenUp = s.givenUp || s.count >= p.params.Limit
+		s.givenUp = s.givenUp || s.count >= p.params.MaxCrashes
 		s.struck, s.changed = now, now
 		strikes = append(strikes, s.strike(f, now))
 	}
--- a/internal/attempt/poison_strikes.go
+++ b/internal/attempt/poison_strikes.go
@@ -8,8 +8,8 @@
 	"skylarklead/internal/protocol"
 )
 
-// Heard merges a peer's strikes. Merging is idempotent and in any order.
-func (p *Poison) Heard(strikes []protocol.Strike, now time.Duration) {
+// Merge merges a peer's strikes. Merging is idempotent and in any order.
+func (p *PoisonTracker) Merge(strikes []protocol.Strike, now time.Duration) {
 	for _, h := range strikes {
 		struck := now - millis(max(h.AgeMs, 0))
 		if now-struck >= p.params.Memory {
@@ -36,9 +36,9 @@
 	s.givenUp = s.givenUp || h.GivenUp
 }
 
-// Strikes returns what to put into the next heartbeat: the latest changes first,
+// HeartbeatStrikes returns what to put into the next heartbeat: the latest changes first,
 // then the others in turn, so that a peer that missed some gets them again.
-func (p *Poison) Strikes(now time.Duration) []protocol.Strike {
+func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.Strike {
 	p.sweep(now)
 	if len(p.known) == 0 {
 		return nil
@@ -73,7 +73,7 @@
 }
 
 // live returns a suspicion that is not too old.
-func (p *Poison) live(fingerprint uint64, now time.Duration) *suspicion {
+func (p *PoisonTracker) live(fingerprint uint64, now time.Duration) *suspicion {
 	s, ok := p.known[fingerprint]
 	if !ok || now-s.struck >= p.params.Memory {
 		return nil
@@ -81,7 +81,7 @@
 	return s
 }
 
-func (p *Poison) remember(fingerprint uint64, now time.Duration) *suspicion {
+func (p *PoisonTracker) remember(fingerprint uint64, now time.Duration) *suspicion {
 	if len(p.known) >= p.params.Max {
 		p.sweep(now)
 		p.evict()
@@ -91,7 +91,7 @@
 	return s
 }
 
-func (p *Poison) sweep(now time.Duration) {
+func (p *PoisonTracker) sweep(now time.Duration) {
 	for f, s := range p.known {
 		if now-s.struck >= p.params.Memory {
 			delete(p.known, f)
@@ -100,7 +100,7 @@
 }
 
 // evict makes room by forgetting the oldest suspicion, given-up ones last.
-func (p *Poison) evict() {
+func (p *PoisonTracker) evict() {
 	if len(p.known) < p.params.Max {
 		return
 	}
--- a/internal/attempt/poison_test.go
+++ b/internal/attempt/poison_test.go
@@ -24,7 +24,7 @@
 type poisonWorld struct {
 	t       *rapid.T
 	now     time.Duration
-	group   []*Poison
+	group   []*PoisonTracker
 	engines []map[uint64]int
 	news    []modelNews
 	crashes map[uint64]int
@@ -47,7 +47,7 @@
 func newPoisonWorld(t *rapid.T, n int) *poisonWorld {
 	w := &poisonWorld{t: t, now: time.Second, crashes: map[uint64]int{}}
 	for range n {
-		w.group = append(w.group, NewPoison(DefaultPoisonParams))
+		w.group = append(w.group, NewPoisonTracker(DefaultPoisonParams))
 		w.engines = append(w.engines, map[uint64]int{})
 		w.local = append(w.local, map[uint64]int{})
 	}
@@ -56,13 +56,13 @@
 
 func (w *poisonWorld) start(i int, f uint64) {
 	before, suspect := w.running(i), w.suspectAlone(i)
-	if w.group[i].Start(f, w.now) != GateOpen {
+	if w.group[i].Start(f, w.now) != StartNow {
 		return
 	}
 	if suspect {
 		w.t.Fatalf("a request was started beside a suspect that ran alone")
 	}
-	if w.group[i].Judge(f, w.now).Kind == Alone && before > 0 {
+	if w.group[i].Judge(f, w.now).Kind == VerdictExclusive && before > 0 {
 		w.t.Fatalf("a suspect was started beside %d others", before)
 	}
 	w.engines[i][f]++
@@ -82,7 +82,7 @@
 func (w *poisonWorld) suspectAlone(i int) bool {
 	p := w.group[i]
 	for f := range p.running {
-		return p.total == 1 && p.Judge(f, w.now).Kind != Clear
+		return p.total == 1 && p.Judge(f, w.now).Kind != VerdictClear
 	}
 	return false
 }
@@ -100,13 +100,13 @@
 		return
 	}
 	w.engines[i][f]--
-	w.group[i].Ended(f, true, w.now)
+	w.group[i].RecordEnd(f, true, w.now)
 }
 
 func (w *poisonWorld) crash(i int, culprit uint64) {
 	w.crashes[culprit]++
 	w.local[i][culprit]++
-	strikes := w.group[i].Crashed(w.now)
+	strikes := w.group[i].RecordCrash(w.now)
 	for f := range uint64(modelPrints) {
 		for range w.engines[i][f] {
 			w.late = append(w.late, lateEnd{i, f})
@@ -122,23 +122,23 @@
 
 func (w *poisonWorld) endLate() {
 	if len(w.late) > 0 {
-		w.group[w.late[0].endpoint].Ended(w.late[0].fingerprint, false, w.now)
+		w.group[w.late[0].endpoint].RecordEnd(w.late[0].fingerprint, false, w.now)
 		w.late = w.late[1:]
 	}
 }
 
 func (w *poisonWorld) hear(n int) {
 	if n < len(w.news) {
-		w.group[w.news[n].to].Heard(w.news[n].strikes, w.now)
+		w.group[w.news[n].to].Merge(w.news[n].strikes, w.now)
 		w.news = append(w.news[:n:n], w.news[n+1:]...)
 	}
 }
 
 func (w *poisonWorld) beat(from int) {
-	strikes := w.group[from].Strikes(w.now)
+	strikes := w.group[from].HeartbeatStrikes(w.now)
 	for to := range w.group {
 		if to != from {
-			w.group[to].Heard(strikes, w.now)
+			w.group[to].Merge(strikes, w.now)
 		}
 	}
 }
@@ -180,14 +180,14 @@
 		}
 		for i := range w.group {
 			for f := uint64(innocents); f < modelPrints; f++ {
-				if w.group[i].Judge(f, w.now).Kind == GivenUp {
+				if w.group[i].Judge(f, w.now).Kind == VerdictGivenUp {
 					t.Fatalf("innocent request %d is given up at endpoint %d", f, i)
 				}
 			}
-			if n := w.local[i][deadly]; n > p.Limit {
+			if n := w.local[i][deadly]; n > p.MaxCrashes {
 				t.Fatalf("%d crashes by one request at one endpoint, even unheard", n)
 			}
-			if n := w.local[i][flaky]; n > p.Limit+int(p.Pardons) {
+			if n := w.local[i][flaky]; n > p.MaxCrashes+int(p.Pardons) {
 				t.Fatalf("%d crashes at one endpoint by a request that sometimes completes", n)
 			}
 		}
@@ -217,7 +217,7 @@
 				w.hear(0)
 			}
 		}
-		if limit := copies + DefaultPoisonParams.Limit - 1; w.crashes[deadly] > limit {
+		if limit := copies + DefaultPoisonParams.MaxCrashes - 1; w.crashes[deadly] > limit {
 			t.Fatalf("%d crashes with %d copies at first", w.crashes[deadly], copies)
 		}
 	})
@@ -228,7 +228,7 @@
 // Cause: news that don't age.
 func TestStrikesPassedToAndFroExpire(t *testing.T) {
 	w := newPoisonWorld(nil, 3)
-	for range DefaultPoisonParams.Limit {
+	for range DefaultPoisonParams.MaxCrashes {
 		w.start(0, deadly)
 		w.crash(0, deadly)
 		w.endLate()
@@ -236,7 +236,7 @@
 	w.now += 30 * time.Second
 	w.beat(0)
 	v := w.group[1].Judge(deadly, w.now)
-	if v.Kind != GivenUp || v.RetryAfter <= 0 || v.RetryAfter > DefaultPoisonParams.Memory {
+	if v.Kind != VerdictGivenUp || v.RetryAfter <= 0 || v.RetryAfter > DefaultPoisonParams.Memory {
 		t.Fatalf("given up by a peer: %+v", v)
 	}
 	for range int(DefaultPoisonParams.Memory/time.Second) + 1 {
@@ -246,7 +246,7 @@
 		}
 	}
 	for i, p := range w.group {
-		if got := p.Judge(deadly, w.now); got.Kind != Clear {
+		if got := p.Judge(deadly, w.now); got.Kind != VerdictClear {
 			t.Errorf("endpoint %d after its time: %+v", i, got)
 		}
 	}
@@ -261,7 +261,7 @@
 		w.end(0, flaky)
 		w.endLate()
 	}
-	if limit := DefaultPoisonParams.Limit + int(DefaultPoisonParams.Pardons); w.crashes[flaky] != limit {
+	if limit := DefaultPoisonParams.MaxCrashes + int(DefaultPoisonParams.Pardons); w.crashes[flaky] != limit {
 		t.Errorf("%d crashes, want %d", w.crashes[flaky], limit)
 	}
 }
@@ -271,17 +271,17 @@
 // still tells of its strike.
 // Cause: merging by the larger count alone.
 func TestAClearedStrikeOutdoesOlderNews(t *testing.T) {
-	a, b := NewPoison(DefaultPoisonParams), NewPoison(DefaultPoisonParams)
+	a, b := NewPoisonTracker(DefaultPoisonParams), NewPoisonTracker(DefaultPoisonParams)
 	a.Start(innocents, 0)
-	old := a.Crashed(0)
-	a.Ended(innocents, false, 0)
-	b.Heard(old, 0)
+	old := a.RecordCrash(0)
+	a.RecordEnd(innocents, false, 0)
+	b.Merge(old, 0)
 	a.Start(innocents, 0)
-	a.Ended(innocents, true, 0)
-	b.Heard(a.Strikes(0), 0)
-	b.Heard(old, 0)
-	a.Heard(old, 0)
-	if a.Judge(innocents, 0).Kind != Clear || b.Judge(innocents, 0).Kind != Clear {
+	a.RecordEnd(innocents, true, 0)
+	b.Merge(a.HeartbeatStrikes(0), 0)
+	b.Merge(old, 0)
+	a.Merge(old, 0)
+	if a.Judge(innocents, 0).Kind != VerdictClear || b.Judge(innocents, 0).Kind != VerdictClear {
 		t.Errorf("after completion: %v and %v", a.Judge(innocents, 0).Kind, b.Judge(innocents, 0).Kind)
 	}
 }
@@ -289,42 +289,42 @@
 // Symptom: an engine stands idle although requests wait for it.
 // Sequence: a suspect waited to run alone; its caller hung up unnoticed.
 func TestASuspectHoldsBackOthersForAWhileOnly(t *testing.T) {
-	p := NewPoison(DefaultPoisonParams)
-	for range DefaultPoisonParams.AloneFrom() {
+	p := NewPoisonTracker(DefaultPoisonParams)
+	for range DefaultPoisonParams.ExclusiveFrom() {
 		p.Start(innocents, 0)
-		p.Crashed(0)
-		p.Ended(innocents, false, 0)
+		p.RecordCrash(0)
+		p.RecordEnd(innocents, false, 0)
 	}
 	p.Start(innocents+1, 0)
-	if p.Start(innocents, 0) != GateWait || p.Start(innocents+2, 0) != GateWait {
+	if p.Start(innocents, 0) != StartWait || p.Start(innocents+2, 0) != StartWait {
 		t.Error("a suspect doesn't hold back others")
 	}
-	if p.Start(innocents+2, DefaultPoisonParams.AloneWait) != GateOpen {
+	if p.Start(innocents+2, DefaultPoisonParams.AloneWait) != StartNow {
 		t.Error("a suspect that nobody asks for holds back others for good")
 	}
-	p.Ended(innocents+1, true, 0)
-	p.Ended(innocents+2, true, 0)
+	p.RecordEnd(innocents+1, true, 0)
+	p.RecordEnd(innocents+2, true, 0)
 	now := DefaultPoisonParams.AloneWait
-	if p.Start(innocents, now) != GateOpen || p.Start(innocents+1, now) != GateWait {
+	if p.Start(innocents, now) != StartNow || p.Start(innocents+1, now) != StartWait {
 		t.Error("a suspect doesn't run alone")
 	}
-	p.Ended(innocents, false, now)
+	p.RecordEnd(innocents, false, now)
 	p.Start(innocents+3, now)
 	p.Start(innocents, now)
-	if p.Start(innocents+1, now) != GateOpen {
+	if p.Start(innocents+1, now) != StartNow {
 		t.Error("suspects leave no gap for others")
 	}
 }
 
 func TestHeartbeatsCarryAllStrikesInTurn(t *testing.T) {
-	p := NewPoison(DefaultPoisonParams)
+	p := NewPoisonTracker(DefaultPoisonParams)
 	for f := range uint64(100) {
 		p.Start(f, 0)
 	}
-	p.Crashed(0)
+	p.RecordCrash(0)
 	told := map[uint64]bool{}
 	for range 10 {
-		beat := p.Strikes(time.Second)
+		beat := p.HeartbeatStrikes(time.Second)
 		if len(beat) > DefaultPoisonParams.Beat {
 			t.Fatalf("%d strikes in one heartbeat", len(beat))
 		}
--- a/internal/attempt/receiver.go
+++ b/internal/attempt/receiver.go
@@ -6,28 +6,28 @@
 	"skylarklead/internal/protocol"
 )
 
-// Drop is why a message was not taken.
-type Drop uint8
+// DropReason is why a message was not taken.
+type DropReason uint8
 
 // The reasons.
 const (
-	Taken Drop = iota
-	// DropCrossed: the message belongs to no live attempt.
-	DropCrossed
-	// DropDoubled: the piece was already delivered or is already buffered.
-	DropDoubled
+	Accepted DropReason = iota
+	// DropOtherAttempt: the message belongs to no live attempt.
+	DropOtherAttempt
+	// DropDuplicate: the piece was already delivered or is already buffered.
+	DropDuplicate
 	// DropBeyondWindow: the piece is further ahead than any credit given.
 	DropBeyondWindow
-	// DropContradicting: an end that claims fewer pieces than were delivered, a
+	// DropInconsistent: an end that claims fewer pieces than were delivered, a
 	// piece behind the end, or a second end.
-	DropContradicting
+	DropInconsistent
 	dropReasons
 )
 
 var dropNames = [dropReasons]string{"taken", "crossed", "doubled", "beyond_window", "contradicting"}
 
 // String names the reason as logs and metrics have it.
-func (d Drop) String() string { return dropNames[d] }
+func (d DropReason) String() string { return dropNames[d] }
 
 // gapPatience is how long a piece may be missing while later ones are here. A
 // session delivers in order, so a gap means a lost message or one that took
@@ -95,26 +95,26 @@
 func (r *Receiver) Live() protocol.AttemptID { return r.live }
 
 // Start takes the start of the live attempt's answer.
-func (r *Receiver) Start(m *protocol.Start) Drop {
+func (r *Receiver) Start(m *protocol.Start) DropReason {
 	if m.Attempt != r.live {
-		return r.drop(DropCrossed)
+		return r.drop(DropOtherAttempt)
 	}
 	if r.start != nil {
-		return r.drop(DropDoubled)
+		return r.drop(DropDuplicate)
 	}
 	r.start = m
-	return Taken
+	return Accepted
 }
 
 // Chunk takes one piece and returns those that are now due, in order.
-func (r *Receiver) Chunk(m *protocol.Chunk, now time.Duration) ([][]byte, Drop) {
-	if d := r.judge(m); d != Taken {
+func (r *Receiver) Chunk(m *protocol.Chunk, now time.Duration) ([][]byte, DropReason) {
+	if d := r.judge(m); d != Accepted {
 		return nil, r.drop(d)
 	}
 	if m.Seq != r.next {
 		r.pending[m.Seq] = m.Data
 		r.noteGap(now)
-		return nil, Taken
+		return nil, Accepted
 	}
 	due := [][]byte{m.Data}
 	r.next++
@@ -131,50 +131,50 @@
 	if r.missing() {
 		r.noteGap(now)
 	}
-	return due, Taken
+	return due, Accepted
 }
 
-func (r *Receiver) judge(m *protocol.Chunk) Drop {
+func (r *Receiver) judge(m *protocol.Chunk) DropReason {
 	if m.Attempt != r.live {
-		return DropCrossed
+		return DropOtherAttempt
 	}
 	if _, ok := r.pending[m.Seq]; ok || m.Seq < r.next {
-		return DropDoubled
+		return DropDuplicate
 	}
 	if r.end != nil && m.Seq >= r.end.Seq {
-		return DropContradicting
+		return DropInconsistent
 	}
 	if m.Seq >= max(r.credit, r.next+r.window) {
 		return DropBeyondWindow
 	}
-	return Taken
+	return Accepted
 }
 
 // End takes the end of the live attempt. complete is set when every piece before
 // it was delivered, or when the attempt failed, so that waiting for its missing
 // pieces is in vain.
-func (r *Receiver) End(m *protocol.End, now time.Duration) (complete bool, d Drop) {
+func (r *Receiver) End(m *protocol.End, now time.Duration) (complete bool, d DropReason) {
 	if m.Attempt != r.live {
-		return false, r.drop(DropCrossed)
+		return false, r.drop(DropOtherAttempt)
 	}
 	if r.end != nil {
-		return r.Complete(), r.drop(DropDoubled)
+		return r.Complete(), r.drop(DropDuplicate)
 	}
 	if failed := m.Outcome != protocol.Done; failed {
 		r.end = m
-		return true, Taken
+		return true, Accepted
 	}
 	if m.Seq < r.next {
 		// An end with fewer pieces than the caller already has can't belong to
 		// this answer. Taking it would call a wrong answer whole.
 		r.broken = true
-		return false, r.drop(DropContradicting)
+		return false, r.drop(DropInconsistent)
 	}
 	r.end = m
 	if r.missing() {
 		r.noteGap(now)
 	}
-	return r.Complete(), Taken
+	return r.Complete(), Accepted
 }
 
 // Complete reports whether the live attempt has ended and all of it is delivered.
@@ -201,9 +201,9 @@
 	}
 }
 
-// Took says that the caller has taken n more pieces. It returns the credit to
+// Consumed says that the caller has taken n more pieces. It returns the credit to
 // send when half of the window has been used up since the last one.
-func (r *Receiver) Took(n int) (protocol.Credit, bool) {
+func (r *Receiver) Consumed(n int) (protocol.Credit, bool) {
 	r.taken += uint64(n)
 	due := r.taken + r.window
 	if r.end != nil || due < r.credit+(r.window+1)/2 {
@@ -214,9 +214,9 @@
 }
 
 // Dropped returns how many messages were dropped for a reason.
-func (r *Receiver) Dropped(d Drop) uint64 { return r.drops[d] }
+func (r *Receiver) Dropped(d DropReason) uint64 { return r.drops[d] }
 
-func (r *Receiver) drop(d Drop) Drop {
+func (r *Receiver) drop(d DropReason) DropReason {
 	r.drops[d]++
 	return d
 }
--- a/internal/attempt/registry.go
+++ b/internal/attempt/registry.go
@@ -13,8 +13,8 @@
 const (
 	// ArrivalNew: run it.
 	ArrivalNew Arrival = iota
-	// ArrivalDoubled: it was taken before; drop the message.
-	ArrivalDoubled
+	// ArrivalDuplicate: it was taken before; drop the message.
+	ArrivalDuplicate
 	// ArrivalFenced: its sender was told that it has not run; drop the message.
 	ArrivalFenced
 )
@@ -61,7 +61,7 @@
 		if known.state == attemptFenced {
 			return ArrivalFenced
 		}
-		return ArrivalDoubled
+		return ArrivalDuplicate
 	}
 	r.attempts[a] = registered{state: attemptRunning, outcome: protocol.Unknown}
 	return ArrivalNew
--- a/internal/attempt/sender.go
+++ b/internal/attempt/sender.go
@@ -6,41 +6,41 @@
 	"skylarklead/internal/protocol"
 )
 
-// Cut is why an attempt's sender gives up its stream.
-type Cut string
+// AbortReason is why an attempt's sender gives up its stream.
+type AbortReason string
 
 // The reasons.
 const (
-	CutNone Cut = ""
-	// CutBuffer: the receiver has left more unread than the bound allows.
-	CutBuffer Cut = "buffer_full"
-	// CutStalled: pieces have waited too long for credit.
-	CutStalled Cut = "stalled"
-	// CutAbandoned: nobody has resumed the stream in time.
-	CutAbandoned Cut = "abandoned"
+	AbortNone AbortReason = ""
+	// AbortBufferFull: the receiver has left more unread than the bound allows.
+	AbortBufferFull AbortReason = "buffer_full"
+	// AbortStalled: pieces have waited too long for credit.
+	AbortStalled AbortReason = "stalled"
+	// AbortAbandoned: nobody has resumed the stream in time.
+	AbortAbandoned AbortReason = "abandoned"
 )
 
 // SenderLimits bound what one stream may hold at its executor.
 type SenderLimits struct {
-	// Bytes bounds the pieces kept, read or not.
-	Bytes int
-	// Stall is how long pieces may wait for credit.
-	Stall time.Duration
-	// Grace is how long a stream is kept without a session, while running and
+	// MaxBytes bounds the pieces kept, read or not.
+	MaxBytes int
+	// StallTimeout is how long pieces may wait for credit.
+	StallTimeout time.Duration
+	// ResumeGrace is how long a stream is kept without a session, while running and
 	// after its end.
-	Grace time.Duration
+	ResumeGrace time.Duration
 }
 
 // DefaultSenderLimits fit an answer of 415 tokens several times over; 22 streams
 // a replica then hold at most 6 MB.
-var DefaultSenderLimits = SenderLimits{Bytes: 256 << 10, Stall: 30 * time.Second, Grace: 15 * time.Second}
+var DefaultSenderLimits = SenderLimits{MaxBytes: 256 << 10, StallTimeout: 30 * time.Second, ResumeGrace: 15 * time.Second}
 
 // Output is what a step of a Sender asks for: messages to send on the attached
 // session, in order, and whether to cut the stream off (cancel the back end's
 // work and forget the attempt).
 type Output struct {
-	Send []protocol.Message
-	Cut  Cut
+	Send  []protocol.Message
+	Abort AbortReason
 }
 
 // Sender is the executor's side of one attempt's stream: it sends within the
@@ -95,7 +95,7 @@
 	s.chunks = append(s.chunks, data)
 	s.bytes += len(data)
 	out := s.flush(now)
-	out.Cut = s.bound()
+	out.Abort = s.bound()
 	return out
 }
 
@@ -135,14 +135,14 @@
 }
 
 // Tick reports a stream that nobody reads or comes back for.
-func (s *Sender) Tick(now time.Duration) Cut {
-	if s.blocked && now-s.blockedAt >= s.limits.Stall {
-		return CutStalled
+func (s *Sender) Tick(now time.Duration) AbortReason {
+	if s.blocked && now-s.blockedAt >= s.limits.StallTimeout {
+		return AbortStalled
 	}
-	if !s.attached && now-s.detachedAt >= s.limits.Grace {
-		return CutAbandoned
+	if !s.attached && now-s.detachedAt >= s.limits.ResumeGrace {
+		return AbortAbandoned
 	}
-	return CutNone
+	return AbortNone
 }
 
 // Bytes is the size of the pieces kept.
@@ -183,20 +183,20 @@
 // fits, and cuts the stream when that isn't enough. Without it a caller that
 // stops reading would fill the executor's memory, seen as growth with idle
 // streams.
-func (s *Sender) bound() Cut {
+func (s *Sender) bound() AbortReason {
 	// Credit is what the receiver has taken and its window, so that the rest of a
 	// shorter window after Resume only makes this an underestimate.
 	acked := s.credit - min(s.credit, s.window)
 	n := 0
-	for s.bytes > s.limits.Bytes && s.base+uint64(n) < min(acked, s.sent) {
+	for s.bytes > s.limits.MaxBytes && s.base+uint64(n) < min(acked, s.sent) {
 		s.bytes -= len(s.chunks[n])
 		s.chunks[n] = nil // the array may live on until the next append grows it
 		n++
 	}
 	s.chunks = s.chunks[n:]
 	s.base += uint64(n)
-	if s.bytes > s.limits.Bytes {
-		return CutBuffer
+	if s.bytes > s.limits.MaxBytes {
+		return AbortBufferFull
 	}
-	return CutNone
+	return AbortNone
 }
--- a/internal/attempt/step_bench_test.go
+++ b/internal/attempt/step_bench_test.go
@@ -15,7 +15,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Chunk(m, 0)
-		r.Took(1)
+		r.Consumed(1)
 		m.Seq++
 	}
 }
@@ -38,9 +38,9 @@
 	decision := &protocol.Decision{Executor: protocol.Target{Endpoint: "endpoint-007", Epoch: 1}}
 	b.ReportAllocs()
 	for b.Loop() {
-		p := NewPlan(Spec{Repeatable: true, Continuable: true}, DefaultPlanParams, budget, rng)
+		p := NewPlan(PlanSpec{Repeatable: true, Continuable: true}, DefaultPlanParams, budget, rng)
 		p.Begin(0)
-		run := p.Step(Asked{Decision: decision}, 0)[0].(Run)
+		run := p.Step(DecisionReceived{Decision: decision}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		p.Step(Started{Attempt: run.Attempt}, 0)
 		p.Step(Ended{Epoch: 1, End: &protocol.End{Attempt: run.Attempt, Outcome: protocol.Done}}, 0)
@@ -51,7 +51,7 @@
 // with the append answered at once.
 func BenchmarkOnceWholeKey(b *testing.B) {
 	params := DefaultOnceParams
-	params.Interval = 0
+	params.AppendInterval = 0
 	o := NewOnce("endpoint-0", 1, params)
 	o.CaughtUp(0, 0)
 	var offset uint64
@@ -65,7 +65,7 @@
 			if a, ok := a.(AppendClaims); ok {
 				offset++
 				o.Appended(a.Batch, now)
-				o.Record(offset, a.Data, now)
+				o.ApplyRecord(offset, a.Data, now)
 			}
 		}
 		o.Finished(key, protocol.Done, nil, now)
@@ -75,26 +75,26 @@
 }
 
 func BenchmarkPoisonStartEnd(b *testing.B) {
-	p := NewPoison(DefaultPoisonParams)
+	p := NewPoisonTracker(DefaultPoisonParams)
 	for f := range uint64(22) {
 		p.Start(f, 0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Start(99, 0)
-		p.Ended(99, true, 0)
+		p.RecordEnd(99, true, 0)
 	}
 }
 
 func BenchmarkPoisonHeartbeat(b *testing.B) {
-	p := NewPoison(DefaultPoisonParams)
+	p := NewPoisonTracker(DefaultPoisonParams)
 	for f := range uint64(200) {
 		p.Start(f, 0)
 	}
-	p.Crashed(0)
+	p.RecordCrash(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Strikes(time.Second)
+		p.HeartbeatStrikes(time.Second)
 	}
 }
 
@@ -104,7 +104,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now += time.Millisecond
-		budget.Request(now)
+		budget.RecordRequest(now)
 		budget.Allow(ExtraRetry, "", now)
 	}
 }
--- a/internal/attempt/stream_test.go
+++ b/internal/attempt/stream_test.go
@@ -33,13 +33,13 @@
 	a := protocol.AttemptID{1}
 	s := &stream{t: t, receiver: NewReceiver(window), produced: int(first)}
 	s.receiver.BeginAt(a, first)
-	s.sender = NewSender(a, first, window, SenderLimits{Bytes: 3 * int(window+4), Stall: time.Hour, Grace: time.Hour})
+	s.sender = NewSender(a, first, window, SenderLimits{MaxBytes: 3 * int(window+4), StallTimeout: time.Hour, ResumeGrace: time.Hour})
 	return s
 }
 
 func (s *stream) send(out Output) {
-	if out.Cut != CutNone {
-		s.t.Fatalf("cut: %s", out.Cut)
+	if out.Abort != AbortNone {
+		s.t.Fatalf("cut: %s", out.Abort)
 	}
 	s.link = append(s.link, out.Send...)
 }
@@ -81,7 +81,7 @@
 }
 
 func (s *stream) take() {
-	credit, ok := s.receiver.Took(s.untaken)
+	credit, ok := s.receiver.Consumed(s.untaken)
 	s.untaken = 0
 	if ok {
 		s.send(s.sender.Credit(credit.Seq, s.now))
@@ -194,7 +194,7 @@
 	if r.MustResume(time.Hour) {
 		t.Error("resumes without a gap")
 	}
-	if _, d := r.End(&protocol.End{Attempt: protocol.AttemptID{1}, Seq: 1, Outcome: protocol.Done}, 0); d != DropContradicting || !r.MustResume(0) {
+	if _, d := r.End(&protocol.End{Attempt: protocol.AttemptID{1}, Seq: 1, Outcome: protocol.Done}, 0); d != DropInconsistent || !r.MustResume(0) {
 		t.Errorf("an end before pieces that were delivered: %v", d)
 	}
 }
@@ -204,13 +204,13 @@
 // Sequence: the caller's entry sends no more credit, or goes away for good.
 // Cause: a replay buffer without a bound.
 func TestSenderCutsOffWhoDoesNotRead(t *testing.T) {
-	limits := SenderLimits{Bytes: 100, Stall: time.Second, Grace: time.Second}
+	limits := SenderLimits{MaxBytes: 100, StallTimeout: time.Second, ResumeGrace: time.Second}
 	full := NewSender(protocol.AttemptID{1}, 0, 2, limits)
-	cut := CutNone
-	for i := 0; i < 20 && cut == CutNone; i++ {
-		cut = full.Produce(make([]byte, 10), 0).Cut
+	cut := AbortNone
+	for i := 0; i < 20 && cut == AbortNone; i++ {
+		cut = full.Produce(make([]byte, 10), 0).Abort
 	}
-	if cut != CutBuffer || full.Bytes() > limits.Bytes+10 {
+	if cut != AbortBufferFull || full.Bytes() > limits.MaxBytes+10 {
 		t.Errorf("cut %q with %d bytes", cut, full.Bytes())
 	}
 	if _, ok := full.Resume(0, 2, 0); !ok {
@@ -219,21 +219,21 @@
 	stalled := NewSender(protocol.AttemptID{1}, 0, 1, limits)
 	stalled.Produce([]byte("a"), 0)
 	stalled.Produce([]byte("b"), 0)
-	if got := stalled.Tick(limits.Stall); got != CutStalled {
+	if got := stalled.Tick(limits.StallTimeout); got != AbortStalled {
 		t.Errorf("stalled: %q", got)
 	}
-	stalled.Credit(2, limits.Stall)
-	if got := stalled.Tick(limits.Stall); got != CutNone {
+	stalled.Credit(2, limits.StallTimeout)
+	if got := stalled.Tick(limits.StallTimeout); got != AbortNone {
 		t.Errorf("after credit: %q", got)
 	}
-	stalled.Detach(limits.Stall)
-	if got := stalled.Tick(2 * limits.Stall); got != CutAbandoned {
+	stalled.Detach(limits.StallTimeout)
+	if got := stalled.Tick(2 * limits.StallTimeout); got != AbortAbandoned {
 		t.Errorf("abandoned: %q", got)
 	}
 	long := NewSender(protocol.AttemptID{1}, 0, 2, limits)
 	for i := range 100 {
 		long.Credit(uint64(i+2), 0)
-		if cut := long.Produce(make([]byte, 10), 0).Cut; cut != CutNone {
+		if cut := long.Produce(make([]byte, 10), 0).Abort; cut != AbortNone {
 			t.Fatalf("a reader that keeps up is cut off: %q", cut)
 		}
 	}
--- a/internal/attempt/strikes.go
+++ b/internal/attempt/strikes.go
@@ -7,11 +7,11 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// StrikeParams bound what one request may do to replicas that entries feed
+// CrashTrackerParams bound what one request may do to replicas that entries feed
 // directly.
-type StrikeParams struct {
-	// Limit is the crashes after which a request is given up.
-	Limit int
+type CrashTrackerParams struct {
+	// MaxCrashes is the crashes after which a request is given up.
+	MaxCrashes int
 	// Memory is how long that is remembered after the last crash.
 	Memory time.Duration
 	// Apart is how far apart the end of a run and the loss of its replica may be
@@ -21,12 +21,12 @@
 	Max int
 }
 
-// DefaultStrikeParams allow three crashes. A crash resets connections at once; a
+// DefaultCrashTrackerParams allow three crashes. A crash resets connections at once; a
 // machine that goes dark is noticed within a second.
-var DefaultStrikeParams = StrikeParams{Limit: 3, Memory: time.Hour, Apart: 2 * time.Second, Max: 4096}
+var DefaultCrashTrackerParams = CrashTrackerParams{MaxCrashes: 3, Memory: time.Hour, Apart: 2 * time.Second, Max: 4096}
 
-// Strike says that a replica was lost with a request on it.
-type Strike struct {
+// CrashReport says that a replica was lost with a request on it.
+type CrashReport struct {
 	// Fingerprint stands for the request, whichever way and how often it comes.
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	// Replica is the incarnation that was lost.
@@ -34,9 +34,9 @@
 }
 
 // Valid reports whether a strike that was read makes sense.
-func (s *Strike) Valid() bool { return s.Replica != "" }
+func (s *CrashReport) Valid() bool { return s.Replica != "" }
 
-// Strikes remembers which requests were running at replicas that were lost, and
+// CrashTracker remembers which requests were running at replicas that were lost, and
 // gives up those that were at too many: a request that crashes whatever runs it
 // comes again with its caller's retries, at any entry, and would take one replica
 // after the other. It is seen as replicas that restart in turn with no other cause.
@@ -46,8 +46,8 @@
 // strike before, and a good answer takes all of them back. It is pure.
 //
 // Invariant: a replica counts once for a request, whoever tells of it and how often.
-type Strikes struct {
-	params StrikeParams
+type CrashTracker struct {
+	params CrashTrackerParams
 	struck *lru.Cache[uint64, *struckRequest]
 	// broken has the runs that broke off lately, lost when a replica was lost, both
 	// by replica.
@@ -65,9 +65,9 @@
 	began, at   time.Duration
 }
 
-// NewStrikes returns an empty memory.
-func NewStrikes(p StrikeParams) *Strikes {
-	s := &Strikes{params: p}
+// NewCrashTracker returns an empty memory.
+func NewCrashTracker(p CrashTrackerParams) *CrashTracker {
+	s := &CrashTracker{params: p}
 	var errs [3]error
 	s.struck, errs[0] = lru.New[uint64, *struckRequest](p.Max)
 	s.broken, errs[1] = lru.New[string, []brokenRun](p.Max)
@@ -80,9 +80,9 @@
 	return s
 }
 
-// Broken says that a run that began at a time broke off at a replica. It returns
+// RecordBrokenRun says that a run that began at a time broke off at a replica. It returns
 // the strike if the replica is known to be lost.
-func (s *Strikes) Broken(fingerprint uint64, replica string, began, now time.Duration) []Strike {
+func (s *CrashTracker) RecordBrokenRun(fingerprint uint64, replica string, began, now time.Duration) []CrashReport {
 	run := brokenRun{fingerprint, began, now}
 	if at, lost := s.lost.Peek(replica); lost && now-at <= s.params.Apart {
 		return s.strike(nil, run, replica, now)
@@ -94,13 +94,13 @@
 	return nil
 }
 
-// Lost says that a replica was lost. It returns the strikes that follow, for the
+// RecordLostReplica says that a replica was lost. It returns the strikes that follow, for the
 // other entries to be told.
-func (s *Strikes) Lost(replica string, now time.Duration) []Strike {
+func (s *CrashTracker) RecordLostReplica(replica string, now time.Duration) []CrashReport {
 	s.lost.Add(replica, now)
 	runs, _ := s.broken.Peek(replica)
 	s.broken.Remove(replica)
-	var strikes []Strike
+	var strikes []CrashReport
 	for _, run := range runs {
 		if now-run.at <= s.params.Apart {
 			strikes = s.strike(strikes, run, replica, now)
@@ -111,18 +111,18 @@
 
 // strike counts a run that was lost with its replica, unless it began before what
 // is already counted, and appends it to list.
-func (s *Strikes) strike(list []Strike, run brokenRun, replica string, now time.Duration) []Strike {
+func (s *CrashTracker) strike(list []CrashReport, run brokenRun, replica string, now time.Duration) []CrashReport {
 	if r := s.live(run.fingerprint, now); r != nil && (run.began <= r.at || r.replicas[replica]) {
 		return list
 	}
-	strike := Strike{Fingerprint: run.fingerprint, Replica: replica}
+	strike := CrashReport{Fingerprint: run.fingerprint, Replica: replica}
 	// What began between the break and its being noticed came after this strike.
-	s.Heard(strike, run.at)
+	s.Merge(strike, run.at)
 	return append(list, strike)
 }
 
-// Heard takes a strike, of this entry or another.
-func (s *Strikes) Heard(strike Strike, now time.Duration) {
+// Merge takes a strike, of this entry or another.
+func (s *CrashTracker) Merge(strike CrashReport, now time.Duration) {
 	r := s.live(strike.Fingerprint, now)
 	if r == nil {
 		r = &struckRequest{replicas: make(map[string]bool)}
@@ -133,15 +133,15 @@
 	}
 }
 
-// Worked says that a replica gave a good answer to a request: it isn't lost, and the
+// RecordSuccess says that a replica gave a good answer to a request: it isn't lost, and the
 // request isn't to blame.
-func (s *Strikes) Worked(fingerprint uint64, replica string) {
+func (s *CrashTracker) RecordSuccess(fingerprint uint64, replica string) {
 	s.struck.Remove(fingerprint)
 	s.broken.Remove(replica)
 }
 
-// Count is how many strikes a request has.
-func (s *Strikes) Count(fingerprint uint64, now time.Duration) int {
+// CrashCount is how many strikes a request has.
+func (s *CrashTracker) CrashCount(fingerprint uint64, now time.Duration) int {
 	if r := s.live(fingerprint, now); r != nil {
 		return len(r.replicas)
 	}
@@ -150,20 +150,20 @@
 
 // Suspect reports whether one more crash has a request given up. After a run of it
 // has broken off it isn't run again until it is known whether that was one.
-func (s *Strikes) Suspect(fingerprint uint64, now time.Duration) bool {
-	return s.Count(fingerprint, now) >= s.params.Limit-1
+func (s *CrashTracker) Suspect(fingerprint uint64, now time.Duration) bool {
+	return s.CrashCount(fingerprint, now) >= s.params.MaxCrashes-1
 }
 
 // GivenUp reports whether a request isn't run any more, and for how long.
-func (s *Strikes) GivenUp(fingerprint uint64, now time.Duration) (time.Duration, bool) {
+func (s *CrashTracker) GivenUp(fingerprint uint64, now time.Duration) (time.Duration, bool) {
 	r := s.live(fingerprint, now)
-	if r == nil || len(r.replicas) < s.params.Limit {
+	if r == nil || len(r.replicas) < s.params.MaxCrashes {
 		return 0, false
 	}
 	return r.at + s.params.Memory - now, true
 }
 
-func (s *Strikes) live(fingerprint uint64, now time.Duration) *struckRequest {
+func (s *CrashTracker) live(fingerprint uint64, now time.Duration) *struckRequest {
 	r, ok := s.struck.Get(fingerprint)
 	if !ok || now-r.at > s.params.Memory {
 		return nil
--- a/internal/attempt/strikes_test.go
+++ b/internal/attempt/strikes_test.go
@@ -11,15 +11,15 @@
 const culprit = uint64(7)
 
 // crash has a run break off and its replica lost a little later.
-func crash(s *Strikes, replica string, began, at time.Duration) []Strike {
-	s.Broken(culprit, replica, began, at)
-	return s.Lost(replica, at+100*time.Millisecond)
+func crash(s *CrashTracker, replica string, began, at time.Duration) []CrashReport {
+	s.RecordBrokenRun(culprit, replica, began, at)
+	return s.RecordLostReplica(replica, at+100*time.Millisecond)
 }
 
 // Symptom: replicas restart in turn. Sequence: one request, sent again each time,
 // crashes whatever runs it. Cause: nobody counts.
 func TestThirdCrashGivesARequestUp(t *testing.T) {
-	s := NewStrikes(DefaultStrikeParams)
+	s := NewCrashTracker(DefaultCrashTrackerParams)
 	for i := range 3 {
 		if _, given := s.GivenUp(culprit, time.Duration(i)*time.Second); given {
 			t.Fatalf("given up after %d crashes", i)
@@ -30,7 +30,7 @@
 		}
 	}
 	wait, given := s.GivenUp(culprit, 3*time.Second)
-	if !given || wait <= 0 || wait > DefaultStrikeParams.Memory {
+	if !given || wait <= 0 || wait > DefaultCrashTrackerParams.Memory {
 		t.Fatalf("given up %v for %v", given, wait)
 	}
 	if _, given := s.GivenUp(culprit, 2*time.Hour); given {
@@ -42,32 +42,32 @@
 // machines. Sequence: the request runs at three replicas that are lost together.
 // Cause: three losses of one moment taken for three crashes in turn.
 func TestReplicasLostTogetherAreOneStrike(t *testing.T) {
-	s := NewStrikes(DefaultStrikeParams)
+	s := NewCrashTracker(DefaultCrashTrackerParams)
 	for i := range 3 {
 		crash(s, fmt.Sprint("r", i), 0, time.Second)
 	}
-	if n := s.Count(culprit, 2*time.Second); n != 1 {
+	if n := s.CrashCount(culprit, 2*time.Second); n != 1 {
 		t.Fatalf("%d strikes", n)
 	}
 }
 
 func TestStrikesNeedALostReplica(t *testing.T) {
-	s := NewStrikes(DefaultStrikeParams)
-	s.Broken(culprit, "r1", 0, time.Second)
-	s.Worked(8, "r1") // it answers another request: it is alive
-	if got := s.Lost("r1", 2*time.Second); len(got) != 0 {
+	s := NewCrashTracker(DefaultCrashTrackerParams)
+	s.RecordBrokenRun(culprit, "r1", 0, time.Second)
+	s.RecordSuccess(8, "r1") // it answers another request: it is alive
+	if got := s.RecordLostReplica("r1", 2*time.Second); len(got) != 0 {
 		t.Errorf("a replica that went on after the break: %v", got)
 	}
-	s.Broken(culprit, "r2", 0, time.Second)
-	if got := s.Lost("r2", 10*time.Second); len(got) != 0 {
+	s.RecordBrokenRun(culprit, "r2", 0, time.Second)
+	if got := s.RecordLostReplica("r2", 10*time.Second); len(got) != 0 {
 		t.Errorf("a replica lost nine seconds later: %v", got)
 	}
-	s.Lost("r3", 11*time.Second)
-	if got := s.Broken(culprit, "r3", 10*time.Second, 12*time.Second); len(got) != 1 {
+	s.RecordLostReplica("r3", 11*time.Second)
+	if got := s.RecordBrokenRun(culprit, "r3", 10*time.Second, 12*time.Second); len(got) != 1 {
 		t.Errorf("a break noticed after the loss: %v", got)
 	}
-	s.Worked(culprit, "r4")
-	if n := s.Count(culprit, 13*time.Second); n != 0 {
+	s.RecordSuccess(culprit, "r4")
+	if n := s.CrashCount(culprit, 13*time.Second); n != 0 {
 		t.Errorf("%d strikes after a good answer", n)
 	}
 }
@@ -76,18 +76,18 @@
 // that heard the same strikes agree.
 func TestEntriesThatHeardTheSameAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		strikes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Strike {
-			return Strike{Fingerprint: rapid.Uint64Range(1, 3).Draw(t, "fingerprint"), Replica: rapid.StringMatching("r[0-4]").Draw(t, "replica")}
+		strikes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) CrashReport {
+			return CrashReport{Fingerprint: rapid.Uint64Range(1, 3).Draw(t, "fingerprint"), Replica: rapid.StringMatching("r[0-4]").Draw(t, "replica")}
 		}), 0, 20).Draw(t, "strikes")
-		a, b := NewStrikes(DefaultStrikeParams), NewStrikes(DefaultStrikeParams)
-		distinct := map[Strike]bool{}
+		a, b := NewCrashTracker(DefaultCrashTrackerParams), NewCrashTracker(DefaultCrashTrackerParams)
+		distinct := map[CrashReport]bool{}
 		for _, s := range strikes {
-			a.Heard(s, time.Second)
+			a.Merge(s, time.Second)
 			distinct[s] = true
 		}
 		for _, s := range rapid.Permutation(strikes).Draw(t, "order") {
-			b.Heard(s, time.Second)
-			b.Heard(s, time.Second)
+			b.Merge(s, time.Second)
+			b.Merge(s, time.Second)
 		}
 		for f := uint64(1); f <= 3; f++ {
 			want := 0
@@ -96,7 +96,7 @@
 					want++
 				}
 			}
-			if x, y := a.Count(f, time.Second), b.Count(f, time.Second); x != want || y != want {
+			if x, y := a.CrashCount(f, time.Second), b.CrashCount(f, time.Second); x != want || y != want {
 				t.Fatalf("request %d: %d and %d strikes, want %d", f, x, y, want)
 			}
 		}
@@ -107,9 +107,9 @@
 // Sequence: the replica is reachable all the while, and answers nothing. Cause: breaks
 // kept for a loss that doesn't come.
 func TestBrokenRunsAreForgotten(t *testing.T) {
-	s := NewStrikes(DefaultStrikeParams)
+	s := NewCrashTracker(DefaultCrashTrackerParams)
 	for i := range 10_000 {
-		s.Broken(uint64(i), "r", 0, time.Duration(i)*100*time.Millisecond)
+		s.RecordBrokenRun(uint64(i), "r", 0, time.Duration(i)*100*time.Millisecond)
 	}
 	if runs, _ := s.broken.Peek("r"); len(runs) > 25 {
 		t.Fatalf("%d breaks kept; 21 are within two seconds of the last", len(runs))
--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -27,13 +27,13 @@
 }
 
 // answer passes a replica's answer on, or tells why it can't be.
-func (j *job) answer(p *placed, x *upstream.Exchange) (loss attempt.Loss, done bool) {
+func (j *job) answer(p *placed, x *upstream.Exchange) (loss attempt.DispatchFailure, done bool) {
 	head := j.entry.platform.Headers.Answer(x.Status, x.Header)
 	j.noteVersion(p, &head)
 	j.noteNotice(p, &head)
 	if head.NotRun {
 		j.noteRefusal(p, &head)
-		return attempt.LossNotRun, false
+		return attempt.FailureNotRun, false
 	}
 	success := x.Status/100 == 2
 	if success && !head.Sealed {
@@ -51,7 +51,7 @@
 		if head.Sealed && !promisesNotRun(x.Status) {
 			j.failure = whole
 		}
-		return attempt.LossFailed, false
+		return attempt.FailureErrorResponse, false
 	}
 	j.worked(p)
 	j.pass(whole)
@@ -111,7 +111,7 @@
 	s := j.entry.state
 	s.mu.Lock()
 	s.replicas.Worked(p.replica.ID, j.entry.clock.now())
-	s.strikes.Worked(j.print, p.replica.ID)
+	s.strikes.RecordSuccess(j.print, p.replica.ID)
 	s.mu.Unlock()
 }
 
@@ -123,19 +123,19 @@
 }
 
 // garbled takes an answer that nobody vouches for.
-func (j *job) garbled(p *placed) attempt.Loss {
+func (j *job) garbled(p *placed) attempt.DispatchFailure {
 	j.fault(p, member.FaultGarbled)
-	return attempt.LossUnknown
+	return attempt.FailureUnknown
 }
 
 // broken takes an answer that broke off.
-func (j *job) broken(p *placed, err error) attempt.Loss {
+func (j *job) broken(p *placed, err error) attempt.DispatchFailure {
 	j.hands[len(j.hands)-1].err = err
 	if j.ctx.Err() == nil {
 		j.fault(p, member.FaultBroken)
 		j.broke(p)
 	}
-	return attempt.LossUnknown
+	return attempt.FailureUnknown
 }
 
 // noteVersion takes the weights that an answer was begun on.
--- a/internal/direct/charge.go
+++ b/internal/direct/charge.go
@@ -142,7 +142,7 @@
 		j.cut("organisation's limit")
 	case j.failure != nil:
 		j.pass(j.failure)
-	case j.forward.Tainted():
+	case j.forward.MayHaveRun():
 		j.fail(http.StatusBadGateway, "organisation's limit", 0)
 	case j.charging.unheard:
 		j.entry.tel.Metrics.Count("quota_unheard", 1)
--- a/internal/direct/drain.go
+++ b/internal/direct/drain.go
@@ -118,7 +118,7 @@
 	}
 	left := time.Until(ends)
 	for _, g := range e.state.gates {
-		late := g.line.Take(func(t *admit.Ticket) bool { return left <= t.Value.(*job).expected() })
+		late := g.line.RemoveMatching(func(t *admit.QueuedRequest) bool { return left <= t.Value.(*job).expected() })
 		for _, t := range late {
 			t.Value.(*job).turn <- nil
 		}
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -22,19 +22,19 @@
 
 // gate is where requests for one service wait for a place at one of its replicas.
 type gate struct {
-	line *admit.Line
+	line *admit.WaitQueue
 	// window is nil for plain services: their replicas answer at once or refuse.
-	window *admit.Window
+	window *admit.CongestionWindow
 }
 
 // gateOf returns a service's gate. The caller holds mu.
 func (s *state) gateOf(service *fleet.Service) *gate {
 	g := s.gates[service.Name]
 	if g == nil {
-		g = &gate{line: admit.NewLine()}
+		g = &gate{line: admit.NewWaitQueue()}
 		if service.Engine != nil {
 			s.learns(service.Name)
-			g.window = admit.NewWindow(admit.DefaultWindowParams)
+			g.window = admit.NewCongestionWindow(admit.DefaultWindowParams)
 		}
 		s.gates[service.Name] = g
 	}
@@ -45,7 +45,7 @@
 func (s *state) dispatch(g *gate, now time.Duration) {
 	for {
 		t := g.line.Next(now)
-		if t == nil || g.window != nil && !s.feed.Informed(now) && !g.window.Open(t.Work) {
+		if t == nil || g.window != nil && !s.feed.Informed(now) && !g.window.Fits(t.Work) {
 			return
 		}
 		j := t.Value.(*job)
@@ -55,7 +55,7 @@
 			return
 		}
 		g.line.Remove(t)
-		g.line.Given(t.Organisation, t.Work, now)
+		g.line.RecordDispatch(t.Organisation, t.Work, now)
 		if g.window != nil {
 			p.window, p.work = g.window, t.Work
 			g.window.Sent(t.Work)
@@ -67,7 +67,7 @@
 // dispatchAll looks at all gates. The caller holds mu.
 func (s *state) dispatchAll(now time.Duration) {
 	for _, g := range s.gates {
-		for _, t := range g.line.Expired(now) {
+		for _, t := range g.line.RemoveExpired(now) {
 			t.Value.(*job).turn <- nil
 		}
 		s.dispatch(g, now)
@@ -139,28 +139,28 @@
 }
 
 // ticket is the request's place in the line. The caller holds the state's lock.
-func (j *job) ticket(now time.Duration) *admit.Ticket {
+func (j *job) ticket(now time.Duration) *admit.QueuedRequest {
 	feed := j.entry.state.feed
 	work := feed.ReadTime(&j.query, j.query.PromptTokens-j.query.SharedTokens)
-	t := &admit.Ticket{
-		Priority: j.priority(),
-		Work:     work,
-		Arrived:  j.began,
-		OnTime:   j.ends,
-		GiveUp:   now + time.Duration(float64(j.left())/waitShare),
-		Value:    j,
+	t := &admit.QueuedRequest{
+		Priority:    j.priority(),
+		Work:        work,
+		Arrived:     j.began,
+		LatestStart: j.ends,
+		ExpiresAt:   now + time.Duration(float64(j.left())/waitShare),
+		Value:       j,
 	}
 	if began, _ := j.entry.drain.state(); !began.IsZero() && time.Since(began) > anyRequest {
-		t.GiveUp = min(t.GiveUp, now+drainWait)
+		t.ExpiresAt = min(t.ExpiresAt, now+drainWait)
 	}
 	if j.organisation != nil {
 		t.Organisation = j.organisation.Name
 	}
 	if j.route.Objective > 0 {
-		t.OnTime = j.began + j.route.Objective - time.Duration((work+feed.Overhead(&j.query))*float64(time.Millisecond))
+		t.LatestStart = j.began + j.route.Objective - time.Duration((work+feed.Overhead(&j.query))*float64(time.Millisecond))
 	}
 	if j.first > 0 {
-		t.Priority, t.OnTime = goesOn, j.ends
+		t.Priority, t.LatestStart = goesOn, j.ends
 	}
 	return t
 }
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -34,7 +34,7 @@
 	source, keep string
 	watched      *exchange
 	// window holds work of the request until it begins to be answered.
-	window *admit.Window
+	window *admit.CongestionWindow
 	work   float64
 }
 
@@ -62,7 +62,7 @@
 		if done {
 			return
 		}
-		if loss == attempt.LossNotRun || loss == attempt.LossNotSent {
+		if loss == attempt.FailureNotRun || loss == attempt.FailureNotSent {
 			j.unspend()
 		}
 		if j.ctx.Err() != nil {
@@ -77,15 +77,15 @@
 
 // again takes a loss; it reports whether to place the request once more, and
 // answers it if not.
-func (j *job) again(p *placed, loss attempt.Loss) bool {
+func (j *job) again(p *placed, loss attempt.DispatchFailure) bool {
 	e := j.entry
 	e.state.mu.Lock()
-	next := j.forward.Lost(loss, e.clock.now())
-	if loss == attempt.LossUnknown && e.state.strikes.Suspect(j.print, e.clock.now()) {
-		next = attempt.Next{Reason: "suspected of crashing replicas"}
+	next := j.forward.RecordFailure(loss, e.clock.now())
+	if loss == attempt.FailureUnknown && e.state.strikes.Suspect(j.print, e.clock.now()) {
+		next = attempt.RetryDecision{Reason: "suspected of crashing replicas"}
 	}
 	e.state.mu.Unlock()
-	if next.Again {
+	if next.Retry {
 		e.tel.Metrics.Retries.Inc(1)
 		j.query.Exclude = append(j.query.Exclude, p.replica.ID)
 		return true
@@ -114,7 +114,7 @@
 		j.cut("no replica to go on")
 	case j.failure != nil:
 		j.pass(j.failure)
-	case j.forward.Tainted():
+	case j.forward.MayHaveRun():
 		j.fail(http.StatusBadGateway, "no replica to try again", 0)
 	case !j.endsInTime():
 		j.refuse(shuttingDown, comeBack)
@@ -188,7 +188,7 @@
 
 // handOver sends the request to a replica and passes its answer on. If there is
 // none to pass on it tells why.
-func (j *job) handOver(p *placed) (loss attempt.Loss, done bool) {
+func (j *job) handOver(p *placed) (loss attempt.DispatchFailure, done bool) {
 	e := j.entry
 	h := &j.hands[len(j.hands)-1]
 	began := e.clock.now()
@@ -200,7 +200,7 @@
 		p.done()
 		e.state.mu.Unlock()
 	}()
-	j.forward.Placed()
+	j.forward.RecordDispatch()
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
 	p.watched = e.watch.begin(p.replica, j.route.Repeatable(), cancel)
@@ -259,18 +259,18 @@
 }
 
 // sendFailed takes a hand-over without an answer.
-func (j *job) sendFailed(p *placed, h *hand, err error) attempt.Loss {
+func (j *job) sendFailed(p *placed, h *hand, err error) attempt.DispatchFailure {
 	e := j.entry
 	var send *upstream.SendError
-	loss := attempt.LossUnknown
+	loss := attempt.FailureUnknown
 	if errors.As(err, &send) && !send.Sent {
-		loss = attempt.LossNotSent
+		loss = attempt.FailureNotSent
 	}
 	h.outcome, h.err = loss.String(), err
 	if j.ctx.Err() != nil || errors.Is(err, upstream.ErrFull) {
 		return loss
 	}
-	if loss == attempt.LossNotSent {
+	if loss == attempt.FailureNotSent {
 		e.unreachable(p.replica, "request "+j.asked.ID, err)
 		return loss
 	}
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -60,7 +60,7 @@
 	began        time.Duration
 	// ends is when the request must have its final answer.
 	ends    time.Duration
-	forward *attempt.Forward
+	forward *attempt.DispatchPlan
 	query   route.FeedQuery
 	// print is the request's fingerprint.
 	print uint64
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -69,7 +69,7 @@
 	Served uint32 `cbor:"8,keyasint,omitempty"`
 	// Strikes are of requests at replicas that were lost; a word with them has nothing
 	// else, nor has one of those that follow.
-	Strikes []attempt.Strike `cbor:"7,keyasint,omitempty"`
+	Strikes []attempt.CrashReport `cbor:"7,keyasint,omitempty"`
 	// Ask and Answer pass on what the store says. Hint says that the store answers the
 	// sender, though it doesn't answer the receiver.
 	Ask    *wordAsk    `cbor:"9,keyasint,omitempty"`
@@ -161,7 +161,7 @@
 }
 
 // tellStrikes sends strikes to the others at once.
-func (p *peers) tellStrikes(strikes []attempt.Strike) {
+func (p *peers) tellStrikes(strikes []attempt.CrashReport) {
 	for part := range slices.Chunk(strikes, maxWordStrikes) {
 		p.send(&word{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Strikes: part})
 	}
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -192,13 +192,13 @@
 	repeatable := j.route.Repeatable()
 	e.state.mu.Lock()
 	budget := e.state.budgetOf(j.service.Name)
-	budget.Request(e.clock.now())
+	budget.RecordRequest(e.clock.now())
 	e.state.mu.Unlock()
-	j.forward = attempt.NewForward(attempt.ForwardSpec{
-		Repeatable: repeatable,
-		Runs:       j.route.Attempts,
-		Placements: attempt.DefaultPlacements,
-		Deadline:   j.ends,
+	j.forward = attempt.NewDispatchPlan(attempt.DispatchSpec{
+		Repeatable:    repeatable,
+		MaxRuns:       j.route.Attempts,
+		MaxDispatches: attempt.DefaultMaxDispatches,
+		Deadline:      j.ends,
 	}, budget)
 	j.query = j.newQuery()
 	j.print = j.fingerprint()
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -49,7 +49,7 @@
 	feed    *route.Feed
 	demands map[string]*rollout.Demand // of each model
 	budgets map[string]*attempt.Budget
-	strikes *attempt.Strikes
+	strikes *attempt.CrashTracker
 	gates   map[string]*gate
 	limits  *ratelimit.Limits
 	// leavingNews are replicas that have said here that they leave, and how often the other
@@ -91,7 +91,7 @@
 		feed:     route.NewFeed(route.DefaultFeedParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		demands:  make(map[string]*rollout.Demand),
 		budgets:  make(map[string]*attempt.Budget),
-		strikes:  attempt.NewStrikes(attempt.DefaultStrikeParams),
+		strikes:  attempt.NewCrashTracker(attempt.DefaultCrashTrackerParams),
 		gates:    make(map[string]*gate),
 		limits:   ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
 		changed:  make(chan struct{}),
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -85,7 +85,7 @@
 // stream passes a replica's events on as they come. Its head goes out with the
 // first event: before it the request can still be handed to another replica, or
 // be answered with a failure.
-func (j *job) stream(p *placed, x *upstream.Exchange) (attempt.Loss, bool) {
+func (j *job) stream(p *placed, x *upstream.Exchange) (attempt.DispatchFailure, bool) {
 	control := http.NewResponseController(j.w)
 	in := newEvents(x.Body)
 	for {
@@ -130,14 +130,14 @@
 	s.feed.Began(now, &j.query, &p.choice, now-p.at)
 	if p.window != nil {
 		own := s.feed.OwnTime(&j.query, &p.choice)
-		p.window.Began(p.work, now-p.at-own, j.route.Objective-own, now)
+		p.window.ObserveStart(p.work, now-p.at-own, j.route.Objective-own, now)
 	}
 	p.done()
 	s.dispatch(s.gateOf(j.service), now)
 	s.mu.Unlock()
 }
 
-func (j *job) streamEnded(p *placed, x *upstream.Exchange) (attempt.Loss, bool) {
+func (j *job) streamEnded(p *placed, x *upstream.Exchange) (attempt.DispatchFailure, bool) {
 	if j.first == 0 {
 		// An answer without an event is complete as it is.
 		j.first = max(1, j.entry.clock.now()-j.began)
@@ -155,7 +155,7 @@
 }
 
 // callerLost ends a stream whose caller takes no more.
-func (j *job) callerLost(err error) (attempt.Loss, bool) {
+func (j *job) callerLost(err error) (attempt.DispatchFailure, bool) {
 	j.outcome, j.reason = outcomeLeft, err.Error()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/direct/strikes.go
+++ b/internal/direct/strikes.go
@@ -50,7 +50,7 @@
 	switch {
 	case j.first > 0:
 		j.cut(reason)
-	case j.forward.Tainted():
+	case j.forward.MayHaveRun():
 		j.fail(http.StatusBadGateway, reason, wait)
 	default:
 		j.refuse(reason, wait)
@@ -65,7 +65,7 @@
 	s := j.entry.state
 	s.mu.Lock()
 	now := j.entry.clock.now()
-	strikes := s.strikes.Broken(j.print, p.replica.ID, p.at, now)
+	strikes := s.strikes.RecordBrokenRun(j.print, p.replica.ID, p.at, now)
 	check := s.replicas.Silent(p.replica.ID, now)
 	s.mu.Unlock()
 	j.entry.struck(strikes)
@@ -77,13 +77,13 @@
 // replicaLost says that a replica is gone, or can't be reached.
 func (e *Entry) replicaLost(id string) {
 	e.state.mu.Lock()
-	strikes := e.state.strikes.Lost(id, e.clock.now())
+	strikes := e.state.strikes.RecordLostReplica(id, e.clock.now())
 	e.state.mu.Unlock()
 	e.struck(strikes)
 }
 
 // struck tells the other entries of strikes.
-func (e *Entry) struck(strikes []attempt.Strike) {
+func (e *Entry) struck(strikes []attempt.CrashReport) {
 	if len(strikes) == 0 {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // heardStrikes takes strikes that a peer sent directly.
-func (e *Entry) heardStrikes(strikes []attempt.Strike, from string) {
+func (e *Entry) heardStrikes(strikes []attempt.CrashReport, from string) {
 	for i := range strikes {
 		if strikes[i].Valid() {
 			e.heardStrike(&strikes[i], from)
@@ -119,18 +119,18 @@
 }
 
 // heardStrike takes another entry's strike.
-func (e *Entry) heardStrike(strike *attempt.Strike, from string) {
+func (e *Entry) heardStrike(strike *attempt.CrashReport, from string) {
 	e.state.mu.Lock()
-	e.state.strikes.Heard(*strike, e.clock.now())
+	e.state.strikes.Merge(*strike, e.clock.now())
 	e.state.mu.Unlock()
 	e.logStrike(strike, from)
 }
 
 // logStrike writes a strike's line and returns how many the request has.
-func (e *Entry) logStrike(strike *attempt.Strike, from string) int {
+func (e *Entry) logStrike(strike *attempt.CrashReport, from string) int {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	count := e.state.strikes.Count(strike.Fingerprint, now)
+	count := e.state.strikes.CrashCount(strike.Fingerprint, now)
 	_, given := e.state.strikes.GivenUp(strike.Fingerprint, now)
 	e.state.mu.Unlock()
 	e.tel.Metrics.Count("requests_struck", 1)
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -10,8 +10,8 @@
 
 // closed returns when the replicas of a service that could take a request for a model take
 // something again, if none of them does now and of each it is known why. The caller holds mu.
-func (s *state) closed(service *fleet.Service, model string, now time.Duration) (admit.Supply, bool) {
-	var supply admit.Supply
+func (s *state) closed(service *fleet.Service, model string, now time.Duration) (admit.UpcomingCapacity, bool) {
+	var supply admit.UpcomingCapacity
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
 		if r.Service != service.Name || s.replicas.Health(id, now) == member.Left {
@@ -30,8 +30,8 @@
 
 // opening returns when a replica takes something again, false if it isn't known to take nothing
 // now. The caller holds mu.
-func (s *state) opening(id string, now time.Duration) (admit.Opening, bool) {
-	opening := admit.Opening{At: max(s.replicas.RestsUntil(id), s.limits.Next(id, now)), Rate: admit.Unlimited}
+func (s *state) opening(id string, now time.Duration) (admit.Reopening, bool) {
+	opening := admit.Reopening{At: max(s.replicas.RestsUntil(id), s.limits.Next(id, now)), Rate: admit.Unlimited}
 	if limit, limited := s.limits.State(id, now); limited {
 		opening.Rate = limit.Part
 	}
@@ -50,9 +50,9 @@
 	if !closed {
 		return
 	}
-	for _, t := range g.line.Trim(supply.Places(t.GiveUp), now) {
+	for _, t := range g.line.Trim(supply.AcceptedBy(t.ExpiresAt), now) {
 		j := t.Value.(*job)
-		j.openIn = max(comeBack, supply.Wait(g.line.Len()+1, now))
+		j.openIn = max(comeBack, supply.TimeUntil(g.line.Len()+1, now))
 		j.turn <- nil
 	}
 }
--- a/internal/endpoint/admission.go
+++ b/internal/endpoint/admission.go
@@ -18,10 +18,10 @@
 func (e *Endpoint) arrive(a *execution) {
 	now := e.now()
 	if a.run.Suspect {
-		e.struck(a.run.Fingerprint, attempt.DefaultPoisonParams.AloneFrom())
+		e.struck(a.run.Fingerprint, attempt.DefaultPoisonParams.ExclusiveFrom())
 	}
 	verdict := e.poison.Judge(a.run.Fingerprint, now)
-	if verdict.Kind == attempt.GivenUp && a.run.Call == nil {
+	if verdict.Kind == attempt.VerdictGivenUp && a.run.Call == nil {
 		e.end(a, endOf(verdict.Refusal()))
 		return
 	}
@@ -31,7 +31,7 @@
 		Priority:       a.run.Priority,
 		MaxTokens:      max(a.run.MaxTokens, callCost),
 		UncachedTokens: e.predict(a),
-		Exclusive:      a.run.Call == nil && (a.run.Suspect || verdict.Kind == attempt.Alone),
+		Exclusive:      a.run.Call == nil && (a.run.Suspect || verdict.Kind == attempt.VerdictExclusive),
 	}
 	if a.run.Call != nil {
 		item.ExpectedTokens = callCost
@@ -40,7 +40,7 @@
 		item.Weight = o.Weight
 		item.MaxInFlight = o.MaxInFlight
 	}
-	item.Elsewhere = e.backlogsElsewhere(a.run.Organisation)
+	item.BacklogsElsewhere = e.backlogsElsewhere(a.run.Organisation)
 	if a.run.DeadlineMs > 0 {
 		item.Deadline = now + time.Duration(a.run.DeadlineMs)*time.Millisecond
 	}
@@ -117,11 +117,11 @@
 			continue
 		}
 		switch e.guard(a) {
-		case attempt.GateOpen:
+		case attempt.StartNow:
 			e.start(a)
-		case attempt.GateWait:
+		case attempt.StartWait:
 			e.held = append(e.held, a)
-		case attempt.GateShut:
+		case attempt.StartRefused:
 			e.dismiss(a, endOf(e.poison.Judge(a.run.Fingerprint, e.now()).Refusal()))
 		}
 	}
@@ -153,9 +153,9 @@
 	return a.run.Call == nil && a.run.Version != "" && e.watch.version != "" && a.run.Version != e.watch.version
 }
 
-func (e *Endpoint) guard(a *execution) attempt.Gate {
+func (e *Endpoint) guard(a *execution) attempt.StartDecision {
 	if a.run.Call != nil {
-		return attempt.GateOpen
+		return attempt.StartNow
 	}
 	return e.poison.Start(a.run.Fingerprint, e.now())
 }
@@ -164,7 +164,7 @@
 func (e *Endpoint) finished(a *execution, end protocol.End) {
 	now := e.now()
 	if a.run.Call == nil {
-		if verdict := e.poison.Judge(a.run.Fingerprint, now); end.EngineCrashed && verdict.Kind == attempt.GivenUp {
+		if verdict := e.poison.Judge(a.run.Fingerprint, now); end.EngineCrashed && verdict.Kind == attempt.VerdictGivenUp {
 			refusal := verdict.Refusal()
 			end.Code, end.Message, end.RetryAfterMs = refusal.Code, refusal.Message, refusal.RetryAfterMs
 		}
--- a/internal/endpoint/ask.go
+++ b/internal/endpoint/ask.go
@@ -42,8 +42,8 @@
 	verdict := e.poison.Judge(ask.Fingerprint, now)
 	query := &route.Query{
 		Ask:     *ask,
-		Suspect: verdict.Kind == attempt.Alone,
-		GivenUp: verdict.Kind == attempt.GivenUp || len(ask.Crashed) >= attempt.DefaultPoisonParams.Limit,
+		Suspect: verdict.Kind == attempt.VerdictExclusive,
+		GivenUp: verdict.Kind == attempt.VerdictGivenUp || len(ask.Crashed) >= attempt.DefaultPoisonParams.MaxCrashes,
 	}
 	result := e.router.Decide(now, e.rng, query, endpoints)
 	decision := &protocol.Decision{
@@ -58,7 +58,7 @@
 		ConfigOffset:    e.state().Offset,
 	}
 	switch {
-	case verdict.Kind == attempt.GivenUp:
+	case verdict.Kind == attempt.VerdictGivenUp:
 		decision.Refusal = verdict.Refusal() // it tells when to come back
 	case result.Refusal == nil:
 		decision.Executor = e.target(result.Executor)
--- a/internal/endpoint/drain.go
+++ b/internal/endpoint/drain.go
@@ -39,7 +39,7 @@
 	e.drain.leaving = true
 	e.drain.since = e.now()
 	e.admission.Drain()
-	e.performOnce(e.claims.once.Leave(e.now()))
+	e.performOnce(e.claims.once.Drain(e.now()))
 	e.beatAll()
 	e.log.Info("leaving", "reason", reason, "in_flight", e.executions.inFlight())
 }
@@ -65,7 +65,7 @@
 	if e.now()-e.drain.lastEnd < exitLinger {
 		return
 	}
-	if e.claims.once.Held() > 0 && e.now()-e.drain.since < releaseTimeout {
+	if e.claims.once.HeldClaims() > 0 && e.now()-e.drain.since < releaseTimeout {
 		// A claim that dies with this process unreleased blocks its key for good.
 		return
 	}
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -53,7 +53,7 @@
 	rng       *rand.Rand
 	router    *route.Router
 	admission *admit.Core
-	poison    *attempt.Poison
+	poison    *attempt.PoisonTracker
 	registry  *attempt.Registry
 	picture   *cachemap.Picture
 	group     group
@@ -107,8 +107,8 @@
 		openings:   wire.NewOpenings(),
 		rng:        rng,
 		router:     route.NewRouter(route.ParamsOf(s.Endpoint)),
-		admission:  admit.NewCore(admit.ParamsOf(s.Endpoint)),
-		poison:     attempt.NewPoison(attempt.DefaultPoisonParams),
+		admission:  admit.NewCore(admit.ParamsFromSettings(s.Endpoint)),
+		poison:     attempt.NewPoisonTracker(attempt.DefaultPoisonParams),
 		registry:   attempt.NewRegistry(outcomeTime),
 		picture:    cachemap.New(cachemap.Params{}),
 		group:      newGroup(s.ID, s.Endpoint.Heartbeat.D(), s.Endpoint.SuspectAfter.D(), rng),
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -163,7 +163,7 @@
 func (e *Endpoint) strike(incarnation string) {
 	e.watch.crashed = incarnation
 	e.watch.crashes++
-	strikes := e.poison.Crashed(e.now())
+	strikes := e.poison.RecordCrash(e.now())
 	e.tel.Metrics.Count("engine_crashes", 1)
 	e.log.Warn("engine crashed", "incarnation", incarnation, "struck", len(strikes))
 	for _, s := range strikes {
--- a/internal/endpoint/executions.go
+++ b/internal/endpoint/executions.go
@@ -111,7 +111,7 @@
 	for _, a := range e.executions {
 		cut := a.stream.cut()
 		switch {
-		case cut != attempt.CutNone:
+		case cut != attempt.AbortNone:
 			e.abandon(a, cut)
 		case a.phase == phaseEnded && now-a.endedAt > replayTime:
 			e.free(a)
@@ -148,11 +148,11 @@
 // abandon gives a stream up. A call to a plain service that nobody reads is left
 // to end by itself: cutting it would undo nothing, and its outcome can still be
 // asked for.
-func (e *Endpoint) abandon(a *execution, cut attempt.Cut) {
+func (e *Endpoint) abandon(a *execution, cut attempt.AbortReason) {
 	switch {
 	case a.phase == phaseEnded:
 		e.free(a)
-	case a.run.Call != nil && a.phase == phaseRunning && cut == attempt.CutAbandoned:
+	case a.run.Call != nil && a.phase == phaseRunning && cut == attempt.AbortAbandoned:
 	default:
 		e.cancelExecution(a, string(cut))
 	}
--- a/internal/endpoint/freeze.go
+++ b/internal/endpoint/freeze.go
@@ -77,7 +77,7 @@
 		f.left = append(f.left, leftRun{name: streamName(a.run), fingerprint: a.run.Fingerprint})
 		return
 	}
-	e.poison.Ended(a.run.Fingerprint, end.Outcome == protocol.Done, e.now())
+	e.poison.RecordEnd(a.run.Fingerprint, end.Outcome == protocol.Done, e.now())
 }
 
 // thawed takes the engine's first answer after a freeze. A crash meanwhile is
@@ -86,7 +86,7 @@
 func (e *Endpoint) thawed() {
 	f := &e.watch.freeze
 	for _, run := range f.left {
-		e.poison.Ended(run.fingerprint, false, e.now())
+		e.poison.RecordEnd(run.fingerprint, false, e.now())
 		go e.cancelLeft(run.name)
 	}
 	e.watch.freeze = freeze{}
--- a/internal/endpoint/heartbeat.go
+++ b/internal/endpoint/heartbeat.go
@@ -72,7 +72,7 @@
 
 func (e *Endpoint) sendBeats(beats []member.Beat) {
 	e.collectResidents()
-	strikes := e.poison.Strikes(e.now())
+	strikes := e.poison.HeartbeatStrikes(e.now())
 	load := e.load()
 	for _, b := range beats {
 		p := e.group.peer(b.ID)
@@ -220,7 +220,7 @@
 	now := e.now()
 	for _, s := range strikes {
 		before := e.poison.Judge(s.Fingerprint, now).Kind
-		e.poison.Heard([]protocol.Strike{s}, now)
+		e.poison.Merge([]protocol.Strike{s}, now)
 		if kind := e.poison.Judge(s.Fingerprint, now).Kind; kind > before {
 			e.log.Warn("strike heard of", "peer", from, "fingerprint", fmt.Sprintf("%016x", s.Fingerprint), "verdict", kind.String())
 		}
@@ -230,8 +230,8 @@
 // struck notes strikes that a sender knows of. The peer's own word may come
 // later: without it, a later crash would pass for an earlier one.
 func (e *Endpoint) struck(fingerprint uint64, crashes int) {
-	count := min(crashes, attempt.DefaultPoisonParams.AloneFrom())
-	e.poison.Heard([]protocol.Strike{{Fingerprint: fingerprint, Count: count}}, e.now())
+	count := min(crashes, attempt.DefaultPoisonParams.ExclusiveFrom())
+	e.poison.Merge([]protocol.Strike{{Fingerprint: fingerprint, Count: count}}, e.now())
 }
 
 func (e *Endpoint) advertised(id string, epoch protocol.Epoch, incarnation, version string, residents []protocol.Resident, full bool) {
--- a/internal/endpoint/once.go
+++ b/internal/endpoint/once.go
@@ -43,13 +43,13 @@
 		now:    e.now,
 		poke:   make(chan struct{}, 1),
 		record: func(offset uint64, data []byte) {
-			e.performOnce(e.claims.once.Record(offset, data, e.now()))
+			e.performOnce(e.claims.once.ApplyRecord(offset, data, e.now()))
 		},
 		caughtUp: func(started time.Duration) {
 			e.performOnce(e.claims.once.CaughtUp(started, e.now()))
 		},
 		gap: func(oldest uint64) {
-			e.performOnce(e.claims.once.Gap(oldest, e.now()))
+			e.performOnce(e.claims.once.Truncated(oldest, e.now()))
 		},
 		oldest: func(uint64) {},
 	}
@@ -64,12 +64,12 @@
 		return
 	}
 	e.performOnce(e.claims.once.Run(attempt.KeyedRun{
-		Attempt:     a.id,
-		Key:         key,
-		Fingerprint: a.run.Fingerprint,
-		Age:         time.Duration(a.run.KeyAgeMs) * time.Millisecond,
-		Patience:    time.Duration(a.run.DeadlineMs) * time.Millisecond,
-		Redirected:  a.run.Redirected,
+		Attempt:       a.id,
+		Key:           key,
+		Fingerprint:   a.run.Fingerprint,
+		Age:           time.Duration(a.run.KeyAgeMs) * time.Millisecond,
+		CallerTimeout: time.Duration(a.run.DeadlineMs) * time.Millisecond,
+		Redirected:    a.run.Redirected,
 	}, e.now()))
 }
 
@@ -93,7 +93,7 @@
 			e.answer(action)
 		}
 	}
-	e.claims.timer.Reset(e.claims.once.Wake(e.now()) - e.now())
+	e.claims.timer.Reset(e.claims.once.NextTick(e.now()) - e.now())
 }
 
 func (e *Endpoint) appendClaims(action attempt.AppendClaims) {
@@ -202,11 +202,11 @@
 		switch m.State {
 		case member.Alive, member.Leaving:
 			if m.Epoch != 0 {
-				once.PeerEpoch(m.ID, m.Epoch)
+				once.SetPeerEpoch(m.ID, m.Epoch)
 			}
 		case member.Suspect, member.Dead:
-			once.PeerDown(m.ID)
+			once.SetPeerDown(m.ID)
 		}
 	}
-	once.SetCarrier(!e.drain.leaving && e.usableIDs()[0] == e.settings.ID)
+	once.SetCarryForward(!e.drain.leaving && e.usableIDs()[0] == e.settings.ID)
 }
--- a/internal/endpoint/run.go
+++ b/internal/endpoint/run.go
@@ -20,7 +20,7 @@
 // onRun takes a request that this process is to execute.
 func (e *Endpoint) onRun(s *wire.Session, run *protocol.Run) {
 	switch e.registry.Arrive(run.Attempt, e.now()) {
-	case attempt.ArrivalDoubled:
+	case attempt.ArrivalDuplicate:
 		e.dropped("doubled run", s, "attempt", run.Attempt.String())
 		return
 	case attempt.ArrivalFenced:
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -47,7 +47,7 @@
 func newStream(run *protocol.Run, s *wire.Session, now func() time.Duration) *stream {
 	limits := attempt.DefaultSenderLimits
 	if run.Call != nil {
-		limits.Bytes = callBytes
+		limits.MaxBytes = callBytes
 	}
 	return &stream{
 		now:        now,
@@ -98,7 +98,7 @@
 	st.addedAt = st.now()
 	out := st.sender.Produce(data, st.addedAt)
 	st.queue(out)
-	if out.Cut != attempt.CutNone {
+	if out.Abort != attempt.AbortNone {
 		return errCut
 	}
 	return nil
@@ -179,7 +179,7 @@
 }
 
 // cut reports whether and why the stream has to be given up.
-func (st *stream) cut() attempt.Cut {
+func (st *stream) cut() attempt.AbortReason {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.sender.Tick(st.now())
--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -31,7 +31,7 @@
 		return d.step(attempt.AskFailed{})
 	}
 	d.job.decision = *decision
-	return d.step(attempt.Asked{Decision: decision})
+	return d.step(attempt.DecisionReceived{Decision: decision})
 }
 
 // placeReachable asks until it is told an executor that this entry can reach. An
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -25,12 +25,12 @@
 // take delivers a message's part of the answer. An error is the caller's.
 func (a *answer) take(l *link, in arrival) (taken, error) {
 	var got taken
-	var dropped attempt.Drop
+	var dropped attempt.DropReason
 	var err error
 	receiver := a.job.receiver
 	switch m := in.message.(type) {
 	case *protocol.Start:
-		if dropped = receiver.Start(m); dropped == attempt.Taken {
+		if dropped = receiver.Start(m); dropped == attempt.Accepted {
 			got.started = true
 			err = a.out.start(l.peer.ID, m)
 		}
@@ -39,7 +39,7 @@
 	case *protocol.End:
 		_, dropped = receiver.End(m, a.e.now())
 	}
-	if dropped != attempt.Taken {
+	if dropped != attempt.Accepted {
 		a.e.tel.Metrics.Dropped.Inc(1)
 		a.e.tel.Log.Debug("message dropped", "request", a.job.id, "attempt", l.id.String(), "why", dropped.String())
 	}
@@ -50,7 +50,7 @@
 }
 
 // deliver writes the chunks that are now due to the caller, in order.
-func (a *answer) deliver(l *link, c *protocol.Chunk) (int, attempt.Drop, error) {
+func (a *answer) deliver(l *link, c *protocol.Chunk) (int, attempt.DropReason, error) {
 	receiver := a.job.receiver
 	first := receiver.Next()
 	due, dropped := receiver.Chunk(c, a.e.now())
@@ -61,7 +61,7 @@
 		}
 		a.note(data)
 	}
-	if credit, ok := receiver.Took(len(due)); ok {
+	if credit, ok := receiver.Consumed(len(due)); ok {
 		// A failed write closes the session, which its attempt sees.
 		_ = l.session.Send(&credit)
 	}
--- a/internal/entry/await.go
+++ b/internal/entry/await.go
@@ -107,7 +107,7 @@
 	d.e.tel.Log.Info("caller can't be written to", "request", d.job.id, "error", err)
 	if !d.job.streamed {
 		d.step(attempt.CallerGone{})
-		return d.step(attempt.GraceOver{})
+		return d.step(attempt.GraceExpired{})
 	}
 	grace := time.AfterFunc(d.life.grace, func() { d.life.cancel(errCaller) })
 	defer grace.Stop()
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -37,7 +37,7 @@
 	d.life = e.newLife(caller, j.deadline, grace)
 	defer d.life.cancel(nil)
 	e.tel.Metrics.Requests.Mark(1)
-	spec := attempt.Spec{
+	spec := attempt.PlanSpec{
 		Organisation: j.organisation.ID,
 		Repeatable:   j.repeatable,
 		Keyed:        j.key != nil,
@@ -109,7 +109,7 @@
 		return nil
 	}
 	d.step(attempt.CallerGone{})
-	return d.step(attempt.GraceOver{})
+	return d.step(attempt.GraceExpired{})
 }
 
 func (d *drive) finish(f attempt.Finish) {
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -18,7 +18,7 @@
 	for round, want := range []uint32{window - 10, window - 20, window - 30} {
 		for range 10 {
 			m := &protocol.Chunk{Attempt: id, Seq: j.receiver.Next(), Data: []byte("w")}
-			if _, dropped := j.receiver.Chunk(m, 0); dropped != attempt.Taken {
+			if _, dropped := j.receiver.Chunk(m, 0); dropped != attempt.Accepted {
 				t.Fatalf("chunk %d dropped: %v", m.Seq, dropped)
 			}
 		}
@@ -27,7 +27,7 @@
 			t.Errorf("resume %d asks by %+v, want a window of %d", round, m, want)
 		}
 	}
-	j.receiver.Took(30)
+	j.receiver.Consumed(30)
 	if m := j.resume(id, 7); m.Window != window {
 		t.Errorf("a caller that has read all is given a window of %d", m.Window)
 	}
--- a/internal/measure/slopes_claims.go
+++ b/internal/measure/slopes_claims.go
@@ -128,7 +128,7 @@
 			p.Records++
 			p.Bytes += len(r.Data)
 			p.Claims += len(batch.Claims)
-			p.Settles += len(batch.Settles)
+			p.Settles += len(batch.Settlements)
 		}
 		from = page.Next
 	}
--- a/internal/rollout/note.go
+++ b/internal/rollout/note.go
@@ -55,7 +55,7 @@
 	Lease []byte `cbor:"1,keyasint,omitempty"`
 	Note  *Note  `cbor:"2,keyasint,omitempty"`
 	// Strike is of a request that was running at a replica that was lost.
-	Strike *attempt.Strike `cbor:"3,keyasint,omitempty"`
+	Strike *attempt.CrashReport `cbor:"3,keyasint,omitempty"`
 	// Named says when a version of weights was named.
 	Named *Naming `cbor:"4,keyasint,omitempty"`
 }
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -149,8 +149,8 @@
 			checkRefused(t, fmt.Sprintf("sent again, time %d, by %s", i+1, entry.ID), a)
 			t.Logf("sent again, time %d: refused after %v", i+1, time.Since(began).Round(time.Millisecond))
 		}
-		if n := crashes(c); n < 1 || n > attempt.DefaultPoisonParams.Limit {
-			t.Errorf("%d crashes; want 1 to %d", n, attempt.DefaultPoisonParams.Limit)
+		if n := crashes(c); n < 1 || n > attempt.DefaultPoisonParams.MaxCrashes {
+			t.Errorf("%d crashes; want 1 to %d", n, attempt.DefaultPoisonParams.MaxCrashes)
 		}
 	})
 }
@@ -197,7 +197,7 @@
 		}
 		// By internal/attempt: the limit, one for each other engine on which a
 		// copy ran already, and one for each whose process hadn't heard.
-		bound := attempt.DefaultPoisonParams.Limit + 2*(len(c.Endpoints)-1)
+		bound := attempt.DefaultPoisonParams.MaxCrashes + 2*(len(c.Endpoints)-1)
 		atOnce := crashes(c)
 		t.Logf("%d crashes for twice %d copies at once", atOnce, copies)
 		if atOnce < 1 || atOnce > bound {
@@ -297,7 +297,7 @@
 	}
 	copies.Wait()
 	checkRefused(t, "a later sending", caller.Chat(t.Context(), harness.Ask(fatal, 10)))
-	if n := crashes(c); n != attempt.DefaultPoisonParams.Limit {
-		t.Errorf("%d crashes; want %d", n, attempt.DefaultPoisonParams.Limit)
+	if n := crashes(c); n != attempt.DefaultPoisonParams.MaxCrashes {
+		t.Errorf("%d crashes; want %d", n, attempt.DefaultPoisonParams.MaxCrashes)
 	}
 }
