--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -27,7 +27,7 @@
 }
 
 // answer passes a replica's answer on, or tells why it can't be.
-func (j *job) answer(p *placed, x *upstream.Exchange) (loss attempt.Loss, done bool) {
+func (j *request) answer(p *placement, x *upstream.Exchange) (loss attempt.Loss, done bool) {
 	head := j.entry.platform.Headers.Answer(x.Status, x.Header)
 	j.noteVersion(p, &head)
 	j.noteNotice(p, &head)
@@ -82,7 +82,7 @@
 }
 
 // pass gives the caller a complete answer.
-func (j *job) pass(a *wholeAnswer) {
+func (j *request) pass(a *wholeAnswer) {
 	j.outcome = outcomeServed
 	if a.status/100 != 2 {
 		j.outcome, j.reason = outcomeFailed, "the replica's own answer"
@@ -96,26 +96,26 @@
 }
 
 // head copies a replica's headers to the caller's answer.
-func (j *job) head(h http.Header) {
+func (j *request) head(h http.Header) {
 	out := j.w.Header()
 	for name, values := range j.entry.platform.Headers.Return(h) {
 		out[name] = values
 	}
-	if j.entry.leaving() {
+	if j.entry.draining() {
 		out.Set("Connection", "close")
 	}
 }
 
 // worked notes a good answer.
-func (j *job) worked(p *placed) {
+func (j *request) worked(p *placement) {
 	s := j.entry.state
 	s.mu.Lock()
 	s.replicas.Worked(p.replica.ID, j.entry.clock.now())
-	s.strikes.Worked(j.print, p.replica.ID)
+	s.crashes.Worked(j.print, p.replica.ID)
 	s.mu.Unlock()
 }
 
-func (j *job) fault(p *placed, f member.Fault) {
+func (j *request) fault(p *placement, f member.Fault) {
 	s := j.entry.state
 	s.mu.Lock()
 	s.replicas.Faulty(p.replica.ID, f, j.entry.clock.now())
@@ -123,13 +123,13 @@
 }
 
 // garbled takes an answer that nobody vouches for.
-func (j *job) garbled(p *placed) attempt.Loss {
+func (j *request) garbled(p *placement) attempt.Loss {
 	j.fault(p, member.FaultGarbled)
 	return attempt.LossUnknown
 }
 
 // broken takes an answer that broke off.
-func (j *job) broken(p *placed, err error) attempt.Loss {
+func (j *request) broken(p *placement, err error) attempt.Loss {
 	j.hands[len(j.hands)-1].err = err
 	if j.ctx.Err() == nil {
 		j.fault(p, member.FaultBroken)
@@ -139,14 +139,14 @@
 }
 
 // noteVersion takes the weights that an answer was begun on.
-func (j *job) noteVersion(p *placed, head *fleet.Answer) {
-	if j.asked.Model == "" || head.Version == 0 {
+func (j *request) noteVersion(p *placement, head *fleet.Answer) {
+	if j.params.Model == "" || head.Version == 0 {
 		return
 	}
 	s := j.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.board.Saw(p.replica.ID, j.asked.Model, head.Version, 0) {
+	if s.board.Saw(p.replica.ID, j.params.Model, head.Version, 0) {
 		s.feed.Emptied(p.replica.ID, j.entry.clock.now())
 	}
 }
@@ -156,7 +156,7 @@
 // still says that the request was for another, its weights are newer than believed:
 // versions only grow. An entry that is cut off from the store, and so hears no
 // notes, finds the version out in this way instead of being refused at each try.
-func (j *job) noteRefusal(p *placed, head *fleet.Answer) {
+func (j *request) noteRefusal(p *placement, head *fleet.Answer) {
 	e := j.entry
 	s := e.state
 	now := e.clock.now()
@@ -167,8 +167,8 @@
 		s.replicas.Busy(p.replica.ID, now)
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.replaced(p.replica, head.Instance, 0)
-	case j.asked.Model != "":
-		s.board.Saw(p.replica.ID, j.asked.Model, p.version+1, 0)
+	case j.params.Model != "":
+		s.board.Saw(p.replica.ID, j.params.Model, p.version+1, 0)
 		s.feed.Emptied(p.replica.ID, now)
 	}
 }
--- a/internal/direct/charge.go
+++ b/internal/direct/charge.go
@@ -46,27 +46,27 @@
 }
 
 // limited reports whether the request counts towards a limit.
-func (j *job) limited() bool {
+func (j *request) limited() bool {
 	return j.organisation != nil && j.organisation.Quota.Limited()
 }
 
 // reserve withdraws the request's units unless it has them and they may still be spent. It
 // reports false if the organisation's limit has no room now.
-func (j *job) reserve() bool {
+func (j *request) reserve() bool {
 	if !j.limited() {
 		return true
 	}
 	q := j.entry.quotas
-	if c := j.charge; c != nil && !c.spent && j.entry.boot()-c.at <= keptFor {
+	if c := j.charge; c != nil && !c.spent && j.entry.bootClock()-c.at <= keptFor {
 		return true
 	}
 	j.release()
-	began := j.entry.boot()
-	c := &charge{units: j.organisation.Quota.Units(&j.asked), at: began}
+	began := j.entry.bootClock()
+	c := &charge{units: j.organisation.Quota.Units(&j.params), at: began}
 	ok := j.withdraw(c)
 	j.charging.units = c.units
 	j.charging.attempts++
-	j.charging.took += j.entry.boot() - began
+	j.charging.took += j.entry.bootClock() - began
 	if !ok {
 		q.giveBack(j.organisation.Name, c)
 		return false
@@ -76,7 +76,7 @@
 }
 
 // withdraw takes units of this entry's part, or else of others'.
-func (j *job) withdraw(c *charge) bool {
+func (j *request) withdraw(c *charge) bool {
 	q, name := j.entry.quotas, j.organisation.Name
 	if q.take(name, c.units) {
 		c.own = c.units
@@ -112,7 +112,7 @@
 }
 
 // release gives back what the request has withdrawn and not spent.
-func (j *job) release() {
+func (j *request) release() {
 	if c := j.charge; c != nil && !c.spent {
 		j.entry.quotas.giveBack(j.organisation.Name, c)
 	}
@@ -120,21 +120,21 @@
 }
 
 // spend says that the request goes to a replica.
-func (j *job) spend() {
+func (j *request) spend() {
 	if j.charge != nil {
 		j.charge.spent = true
 	}
 }
 
 // unspend says that the replica has not run it.
-func (j *job) unspend() {
+func (j *request) unspend() {
 	if j.charge != nil {
 		j.charge.spent = false
 	}
 }
 
 // overLimit answers a request that its organisation's limit has no room for.
-func (j *job) overLimit() {
+func (j *request) overLimit() {
 	switch {
 	case j.ctx.Err() != nil:
 		j.ended()
@@ -146,7 +146,7 @@
 		j.fail(http.StatusBadGateway, "organisation's limit", 0)
 	case j.charging.unheard:
 		j.entry.tel.Metrics.Count("quota_unheard", 1)
-		j.refuse("no entry that has units of the organisation's limit answers", comeBack)
+		j.refuse("no entry that has units of the organisation's limit answers", defaultRetryAfter)
 	default:
 		j.entry.tel.Metrics.Count("quota_refused", 1)
 		j.charging.wait = j.entry.quotas.refused(j.organisation.Name, j.charging.units)
@@ -156,7 +156,7 @@
 }
 
 // quotaAttr renders what the request took of its organisation's limit.
-func (j *job) quotaAttr() slog.Attr {
+func (j *request) quotaAttr() slog.Attr {
 	c := &j.charging
 	fields := []any{slog.Float64("units", c.units)}
 	if s, ok := j.entry.quotas.state(j.organisation.Name); ok {
@@ -180,7 +180,7 @@
 func (q *quotas) take(organisation string, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return !q.ledger.Limited(organisation) || q.ledger.Take(organisation, units, q.entry.boot())
+	return !q.ledger.Limited(organisation) || q.ledger.Take(organisation, units, q.entry.bootClock())
 }
 
 // lenders lists the entries to ask for units. reached is false if all that might have some are
@@ -188,7 +188,7 @@
 func (q *quotas) lenders(organisation string, units float64) (list []string, reached bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	now := q.entry.boot()
+	now := q.entry.bootClock()
 	answers := func(id string) bool { return now >= q.silent[id] }
 	return q.ledger.Lenders(organisation, units, answers, now), q.ledger.Reached(organisation, answers, now)
 }
@@ -197,12 +197,12 @@
 func (q *quotas) giveBack(organisation string, c *charge) {
 	if c.own > 0 {
 		q.mu.Lock()
-		q.ledger.Give(organisation, c.own, c.at, q.entry.boot())
+		q.ledger.Give(organisation, c.own, c.at, q.entry.bootClock())
 		q.mu.Unlock()
 	}
 	for _, b := range c.borrowed {
 		if to, ok := q.entry.peers.address(b.lender); ok {
-			q.send(&wordQuota{Kind: quotaReturn, Seq: b.seq, Organisation: organisation, Units: b.units}, to)
+			q.send(&quotaMessage{Kind: quotaReturn, Seq: b.seq, Organisation: organisation, Units: b.units}, to)
 		}
 	}
 	c.own, c.borrowed = 0, nil
@@ -212,11 +212,11 @@
 func (q *quotas) refused(organisation string, units float64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Refused(organisation, units, q.entry.boot())
+	return q.ledger.Refused(organisation, units, q.entry.bootClock())
 }
 
 func (q *quotas) state(organisation string) (quota.State, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.State(organisation, q.entry.boot())
+	return q.ledger.State(organisation, q.entry.bootClock())
 }
--- a/internal/direct/drain.go
+++ b/internal/direct/drain.go
@@ -79,15 +79,15 @@
 	return !ends.IsZero() && time.Until(ends) < t
 }
 
-// leaving reports whether the entry is draining.
-func (e *Entry) leaving() bool {
+// draining reports whether the entry is draining.
+func (e *Entry) draining() bool {
 	began, _ := e.drain.state()
 	return !began.IsZero()
 }
 
 // endsInTime reports whether a request may be begun: always, but in the last seconds
 // of a draining entry only if it is expected to end before. Others would be cut.
-func (j *job) endsInTime() bool {
+func (j *request) endsInTime() bool {
 	began, ends := j.entry.drain.state()
 	if began.IsZero() || time.Since(began) < anyRequest {
 		return true
@@ -100,27 +100,27 @@
 
 // expected is how long a request takes that is begun now, at the most as a rule. The
 // caller holds the state's lock.
-func (j *job) expected() time.Duration {
-	if j.asked.OutputTokens <= 0 {
+func (j *request) expected() time.Duration {
+	if j.params.OutputTokens <= 0 {
 		return plainTime
 	}
 	q := j.newQuery()
 	return streamTime + streamSpread*j.entry.state.feed.StreamTime(&q)
 }
 
-// refuseWaiting turns away those that wait for a place at an entry that ends before
+// refuseLateQueued turns away those that wait for a place at an entry that ends before
 // they could be served: their connections would be closed without an answer. The
 // caller holds the state's lock.
-func (e *Entry) refuseWaiting() {
+func (e *Entry) refuseLateQueued() {
 	began, ends := e.drain.state()
 	if began.IsZero() || time.Since(began) < anyRequest {
 		return
 	}
 	left := time.Until(ends)
-	for _, g := range e.state.gates {
-		late := g.line.Take(func(t *admit.Ticket) bool { return left <= t.Value.(*job).expected() })
+	for _, g := range e.state.queues {
+		late := g.waiting.Take(func(t *admit.Ticket) bool { return left <= t.Value.(*request).expected() })
 		for _, t := range late {
-			t.Value.(*job).turn <- nil
+			t.Value.(*request).placed <- nil
 		}
 	}
 }
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -30,9 +30,9 @@
 	// bodyShare is the part of the memory, as its divisor, that callers' bodies may
 	// take.
 	bodyShare = 4
-	// budgetMargin keeps a part of the allowed share free: requests that are counted
+	// retryBudgetMargin keeps a part of the allowed share free: requests that are counted
 	// here at their arrival are counted by replicas a little later.
-	budgetMargin = 0.75
+	retryBudgetMargin = 0.75
 )
 
 // defaultLimits hold until the first configuration is known.
@@ -46,21 +46,21 @@
 // Entry is a direct entry.
 type Entry struct {
 	settings *settings.Settings
-	// tunable are the settings that may change while it runs, source rereads them.
-	tunable  atomic.Pointer[settings.Direct]
-	source   Source
-	tel      *telemetry.Telemetry
-	platform Platform
-	clock    clock
-	// boot is bootTime, which counts the time for which the machine was suspended too, or what
+	// reloadable are the settings that may change while it runs, source rereads them.
+	reloadable atomic.Pointer[settings.Direct]
+	source     Source
+	tel        *telemetry.Telemetry
+	platform   Platform
+	clock      clock
+	// bootClock is bootTime, which counts the time for which the machine was suspended too, or what
 	// stands for it in tests.
-	boot     func() time.Duration
-	state    *state
-	pool     *upstream.Pool
-	rollouts *rollouts
-	watch    *watch
-	peers    *peers
-	quotas   *quotas
+	bootClock func() time.Duration
+	state     *state
+	pool      *upstream.Pool
+	rollouts  *rollouts
+	watch     *watch
+	peers     *peers
+	quotas    *quotas
 	// hub is nil where each entry reads the store for itself.
 	hub      *hub
 	bodies   *semaphore.Weighted
@@ -125,7 +125,7 @@
 		tel:       tel,
 		platform:  p,
 		clock:     clock{time.Now()},
-		boot:      bootTime,
+		bootClock: bootTime,
 		state:     newState(s.ID, budgetOf(d)),
 		pool:      upstream.NewPool(),
 		bodies:    semaphore.NewWeighted(room),
@@ -133,7 +133,7 @@
 		drain:     newDrain(),
 		malformed: newMalformed(tel),
 	}
-	e.tunable.Store(d)
+	e.reloadable.Store(d)
 	e.state.learns = e.showSpeeds
 	e.rollouts = newRollouts(e)
 	e.watch = newWatch(e)
@@ -229,7 +229,7 @@
 }
 
 func (e *Entry) ready() bool {
-	return !e.leaving() && e.state.ready()
+	return !e.draining() && e.state.ready()
 }
 
 // showSpeeds has the metrics page show what was learnt of a service's engines, in
@@ -263,7 +263,7 @@
 		e.state.mu.Lock()
 		removed := e.state.replicas.Tick(now)
 		for _, id := range removed {
-			e.state.forget(id)
+			e.state.forgetReplica(id)
 		}
 		e.state.feed.ForgetPeers(now - peerForgotten)
 		e.state.outage.Forget(now - peerForgotten)
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -55,8 +55,8 @@
 		p.counted()
 	}
 	f.reached = func(r spread.Reading) {
-		p.entry.quotas.confirmed(r.Made)
-		p.entry.limitsConfirmed(p.entry.clock.sinceBoot(r.Made, f.boot()))
+		p.entry.quotas.entriesConfirmed(r.Made)
+		p.entry.rateLimitEntriesConfirmed(p.entry.clock.sinceBoot(r.Made, f.boot()))
 	}
 	f.run(ctx)
 }
@@ -66,10 +66,10 @@
 func (p *peers) counted() {
 	select {
 	case <-p.read:
-		p.entry.state.counted(p.count())
+		p.entry.state.setEntryCount(p.count())
 		names, self := p.names()
-		p.entry.quotas.listed(names, self, p.writtenBefore)
-		p.entry.limitsListed(names, self, p.writtenBefore)
+		p.entry.quotas.setEntries(names, self, p.writtenBefore)
+		p.entry.setRateLimitEntries(names, self, p.writtenBefore)
 	default:
 	}
 	pause := p.pause()
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -100,7 +100,7 @@
 
 func (e *Entry) newFollower(topic string) *follower {
 	f := newFollower(e.platform.Store, topic, e.tel.Log)
-	f.hub, f.boot = e.hub, e.boot
+	f.hub, f.boot = e.hub, e.bootClock
 	return f
 }
 
@@ -385,7 +385,7 @@
 	f.mu.Lock()
 	f.reread = true
 	f.mu.Unlock()
-	nudge(f.wake)
+	trySignal(f.wake)
 }
 
 // restart goes on where records are gone: with all keys, or from the oldest record.
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -20,55 +20,55 @@
 	goesOn = -1
 )
 
-// gate is where requests for one service wait for a place at one of its replicas.
-type gate struct {
-	line *admit.Line
+// serviceQueue is where requests for one service wait for a place at one of its replicas.
+type serviceQueue struct {
+	waiting *admit.Line
 	// window is nil for plain services: their replicas answer at once or refuse.
 	window *admit.Window
 }
 
 // gateOf returns a service's gate. The caller holds mu.
-func (s *state) gateOf(service *fleet.Service) *gate {
-	g := s.gates[service.Name]
+func (s *state) gateOf(service *fleet.Service) *serviceQueue {
+	g := s.queues[service.Name]
 	if g == nil {
-		g = &gate{line: admit.NewLine()}
+		g = &serviceQueue{waiting: admit.NewLine()}
 		if service.Engine != nil {
 			s.learns(service.Name)
 			g.window = admit.NewWindow(admit.DefaultWindowParams)
 		}
-		s.gates[service.Name] = g
+		s.queues[service.Name] = g
 	}
 	return g
 }
 
 // dispatch hands places to those whose turn it is. The caller holds mu.
-func (s *state) dispatch(g *gate, now time.Duration) {
+func (s *state) dispatch(g *serviceQueue, now time.Duration) {
 	for {
-		t := g.line.Next(now)
+		t := g.waiting.Next(now)
 		if t == nil || g.window != nil && !s.feed.Informed(now) && !g.window.Open(t.Work) {
 			return
 		}
-		j := t.Value.(*job)
+		j := t.Value.(*request)
 		j.query.MaxLoad = t.LoadBound(now, j.loadBound())
 		p := j.pick(now)
 		if p == nil {
 			return
 		}
-		g.line.Remove(t)
-		g.line.Given(t.Organisation, t.Work, now)
+		g.waiting.Remove(t)
+		g.waiting.Given(t.Organisation, t.Work, now)
 		if g.window != nil {
 			p.window, p.work = g.window, t.Work
 			g.window.Sent(t.Work)
 		}
-		j.turn <- p
+		j.placed <- p
 	}
 }
 
-// dispatchAll looks at all gates. The caller holds mu.
-func (s *state) dispatchAll(now time.Duration) {
-	for _, g := range s.gates {
-		for _, t := range g.line.Expired(now) {
-			t.Value.(*job).turn <- nil
+// placeAllQueued looks at all gates. The caller holds mu.
+func (s *state) placeAllQueued(now time.Duration) {
+	for _, g := range s.queues {
+		for _, t := range g.waiting.Expired(now) {
+			t.Value.(*request).placed <- nil
 		}
 		s.dispatch(g, now)
 		s.refuseBeyond(g, now)
@@ -76,40 +76,40 @@
 }
 
 // place waits for a replica's place. It returns nil when there is none in time.
-func (j *job) place() *placed {
+func (j *request) place() *placement {
 	e := j.entry
 	s := e.state
 	began := e.clock.now()
-	j.turn = make(chan *placed, 1)
+	j.placed = make(chan *placement, 1)
 	s.mu.Lock()
 	ticket := j.ticket(began)
 	g := s.gateOf(j.service)
-	if g.line.Len() >= maxWaiting {
+	if g.waiting.Len() >= maxWaiting {
 		s.mu.Unlock()
 		return nil
 	}
-	g.line.Add(ticket)
+	g.waiting.Add(ticket)
 	s.dispatch(g, began)
 	s.refuseBeyond(g, began)
 	s.mu.Unlock()
 	defer func() { j.waited += e.clock.now() - began }()
 	select {
-	case p := <-j.turn:
+	case p := <-j.placed:
 		return p
 	default:
 		// Units of a limit that are kept while it waits would lapse.
 		j.release()
 	}
 	select {
-	case p := <-j.turn:
+	case p := <-j.placed:
 		return p
 	case <-j.ctx.Done():
 	}
 	s.mu.Lock()
-	g.line.Remove(ticket)
+	g.waiting.Remove(ticket)
 	s.mu.Unlock()
 	select {
-	case p := <-j.turn:
+	case p := <-j.placed:
 		// Its turn came as its time ended.
 		j.unplace(p)
 	default:
@@ -118,7 +118,7 @@
 }
 
 // unplace gives back a place that isn't used.
-func (j *job) unplace(p *placed) {
+func (j *request) unplace(p *placement) {
 	if p == nil {
 		return
 	}
@@ -131,7 +131,7 @@
 
 // done takes the request's work out of the window, once. The caller holds the
 // state's lock.
-func (p *placed) done() {
+func (p *placement) done() {
 	if p.window != nil {
 		p.window.Done(p.work)
 		p.window = nil
@@ -139,7 +139,7 @@
 }
 
 // ticket is the request's place in the line. The caller holds the state's lock.
-func (j *job) ticket(now time.Duration) *admit.Ticket {
+func (j *request) ticket(now time.Duration) *admit.Ticket {
 	feed := j.entry.state.feed
 	work := feed.ReadTime(&j.query, j.query.PromptTokens-j.query.SharedTokens)
 	t := &admit.Ticket{
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -22,8 +22,8 @@
 	minConnections = 4
 )
 
-// placed is a replica that was picked for the request.
-type placed struct {
+// placement is a replica that was picked for the request.
+type placement struct {
 	replica *fleet.Replica
 	choice  route.FeedChoice
 	version uint64
@@ -39,7 +39,7 @@
 }
 
 // handOn places the request until it has its answer.
-func (j *job) handOn() {
+func (j *request) handOn() {
 	defer j.release()
 	for !j.givenUp() {
 		if !j.reserve() {
@@ -77,11 +77,11 @@
 
 // again takes a loss; it reports whether to place the request once more, and
 // answers it if not.
-func (j *job) again(p *placed, loss attempt.Loss) bool {
+func (j *request) again(p *placement, loss attempt.Loss) bool {
 	e := j.entry
 	e.state.mu.Lock()
 	next := j.forward.Lost(loss, e.clock.now())
-	if loss == attempt.LossUnknown && e.state.strikes.Suspect(j.print, e.clock.now()) {
+	if loss == attempt.LossUnknown && e.state.crashes.Suspect(j.print, e.clock.now()) {
 		next = attempt.Next{Reason: "suspected of crashing replicas"}
 	}
 	e.state.mu.Unlock()
@@ -96,7 +96,7 @@
 		// is missing.
 		j.cut(next.Reason)
 	case next.NotRun:
-		j.refuse(next.Reason, comeBack)
+		j.refuse(next.Reason, defaultRetryAfter)
 	case j.failure != nil:
 		j.pass(j.failure)
 	default:
@@ -106,7 +106,7 @@
 }
 
 // unplaced answers a request that no replica may take.
-func (j *job) unplaced() {
+func (j *request) unplaced() {
 	switch {
 	case j.ctx.Err() != nil:
 		j.ended()
@@ -117,17 +117,17 @@
 	case j.forward.Tainted():
 		j.fail(http.StatusBadGateway, "no replica to try again", 0)
 	case !j.endsInTime():
-		j.refuse(shuttingDown, comeBack)
-	case j.openIn > 0:
+		j.refuse(shuttingDown, defaultRetryAfter)
+	case j.capacityIn > 0:
 		j.entry.tel.Metrics.Count("refused_replicas_closed", 1)
-		j.refuse("replicas take nothing more for now", j.openIn)
+		j.refuse("replicas take nothing more for now", j.capacityIn)
 	default:
-		j.refuse("no replica can take it", comeBack)
+		j.refuse("no replica can take it", defaultRetryAfter)
 	}
 }
 
 // ended answers a request whose time is over or whose caller has left.
-func (j *job) ended() {
+func (j *request) ended() {
 	switch {
 	case j.gone():
 		j.outcome, j.reason = outcomeLeft, "caller closed the connection"
@@ -140,17 +140,17 @@
 }
 
 // cut breaks the answer off: it must not look complete.
-func (j *job) cut(reason string) {
+func (j *request) cut(reason string) {
 	j.outcome, j.reason = outcomeCut, reason
 	panic(http.ErrAbortHandler)
 }
 
 // pick picks a replica now, nil if there is none. The caller holds the state's lock.
-func (j *job) pick(now time.Duration) *placed {
+func (j *request) pick(now time.Duration) *placement {
 	s := j.entry.state
-	j.query.Wanted = s.wanted(j.asked.Model)
+	j.query.Wanted = s.wanted(j.params.Model)
 	var candidates []route.FeedCandidate
-	candidates, j.excluded = s.candidates(j.service, j.asked.Model, now)
+	candidates, j.excluded = s.candidates(j.service, j.params.Model, now)
 	j.query.Sample = s.sample(len(candidates))
 	choice, ok := s.feed.Pick(now, &j.query, candidates)
 	if !ok {
@@ -159,11 +159,11 @@
 		return nil
 	}
 	s.feed.Placed(now, &j.query, &choice)
-	limit, _ := s.limits.State(choice.ID, now)
-	s.limits.Take(choice.ID, now)
-	p := &placed{replica: s.replicas.Get(choice.ID), choice: choice, at: now}
-	if j.asked.Model != "" {
-		p.version = s.board.Version(choice.ID, j.asked.Model)
+	limit, _ := s.rateLimits.State(choice.ID, now)
+	s.rateLimits.Take(choice.ID, now)
+	p := &placement{replica: s.replicas.Get(choice.ID), choice: choice, at: now}
+	if j.params.Model != "" {
+		p.version = s.board.Version(choice.ID, j.params.Model)
 	}
 	j.cacheSource(p)
 	j.hands = append(j.hands, hand{
@@ -177,7 +177,7 @@
 
 // cacheSource sets where the replica can fetch what it lacks of the prefix, and where
 // it is kept. The caller holds the state's lock.
-func (j *job) cacheSource(p *placed) {
+func (j *request) cacheSource(p *placement) {
 	s := j.entry.state
 	use := s.feed.Cache(j.entry.clock.now(), &j.query, &p.choice, j.salt(p.version), j.config.KeptCaches())
 	p.source, p.keep = use.Store, use.KeepIn
@@ -188,7 +188,7 @@
 
 // handOver sends the request to a replica and passes its answer on. If there is
 // none to pass on it tells why.
-func (j *job) handOver(p *placed) (loss attempt.Loss, done bool) {
+func (j *request) handOver(p *placement) (loss attempt.Loss, done bool) {
 	e := j.entry
 	h := &j.hands[len(j.hands)-1]
 	began := e.clock.now()
@@ -206,7 +206,7 @@
 	p.watched = e.watch.begin(p.replica, j.route.Repeatable(), cancel)
 	defer e.watch.end(p.watched)
 	x, err := e.pool.Do(ctx, upstream.Replica{ID: p.replica.ID, Address: p.replica.Address},
-		j.connections(), j.request(p), j.belongs)
+		j.connections(), j.upstreamRequest(p), j.belongs)
 	if err != nil {
 		return j.sendFailed(p, h, err), false
 	}
@@ -221,14 +221,14 @@
 }
 
 // connections is this entry's share of a replica's connections.
-func (j *job) connections() int {
+func (j *request) connections() int {
 	s := j.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(minConnections, j.service.MaxConnections/(s.entries+spareEntries))
 }
 
-func (j *job) request(p *placed) *upstream.Request {
+func (j *request) upstreamRequest(p *placement) *upstream.Request {
 	last := j.lastEvent()
 	over := &fleet.HandOver{
 		Replica:   p.replica.Name,
@@ -253,13 +253,13 @@
 }
 
 // belongs reports whether an answer is to this request.
-func (j *job) belongs(h http.Header) bool {
+func (j *request) belongs(h http.Header) bool {
 	id := j.entry.platform.Headers.Answer(http.StatusOK, h).RequestID
-	return id == "" || id == j.asked.ID
+	return id == "" || id == j.params.ID
 }
 
 // sendFailed takes a hand-over without an answer.
-func (j *job) sendFailed(p *placed, h *hand, err error) attempt.Loss {
+func (j *request) sendFailed(p *placement, h *hand, err error) attempt.Loss {
 	e := j.entry
 	var send *upstream.SendError
 	loss := attempt.LossUnknown
@@ -271,7 +271,7 @@
 		return loss
 	}
 	if loss == attempt.LossNotSent {
-		e.unreachable(p.replica, "request "+j.asked.ID, err)
+		e.unreachable(p.replica, "request "+j.params.ID, err)
 		return loss
 	}
 	j.fault(p, member.FaultBroken)
--- a/internal/direct/hub.go
+++ b/internal/direct/hub.go
@@ -93,7 +93,7 @@
 func newHub(e *Entry) *hub {
 	self := spread.Peer{ID: e.settings.ID, FailureDomain: e.settings.FailureDomain}
 	return &hub{
-		entry: e, tel: e.tel, boot: e.boot, self: self,
+		entry: e, tel: e.tel, boot: e.bootClock, self: self,
 		sources:   spread.NewSources(self, spread.DefaultParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		addresses: make(map[string]netip.AddrPort),
 		askers:    make(map[netip.AddrPort]time.Duration),
@@ -250,7 +250,7 @@
 	}
 	for _, f := range followers {
 		if f != nil && (is.mode != spread.Listening || f.tooOld(f.age())) {
-			nudge(f.wake)
+			trySignal(f.wake)
 		}
 	}
 }
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -101,18 +101,18 @@
 			Memory: 16, LeavingWithin: settings.Duration(4 * time.Second), ConfigurationWithin: settings.Duration(4 * time.Second),
 		}}
 		e := newEntry(s, tel, Platform{Records: listRecords{}})
-		e.boot = e.clock.now
+		e.bootClock = e.clock.now
 		e.hub = newHub(e)
-		l := &lister{Entry: e}
+		l := &listEntry{Entry: e}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { e.sweep(ctx); close(done) }()
 		time.Sleep(time.Second)
 		passedOn := func() {
-			e.listReached(spread.Reading{Made: e.clock.now(), Answered: e.clock.now(), Reader: "entry-2"}, e.clock.now())
+			e.listAnswered(spread.Reading{Made: e.clock.now(), Answered: e.clock.now(), Reader: "entry-2"}, e.clock.now())
 		}
 		passedOn()
-		e.takeReplica(fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")})
+		e.applyReplicaRecord(fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")})
 		for range 12 {
 			time.Sleep(500 * time.Millisecond)
 			e.state.mu.Lock()
@@ -120,7 +120,7 @@
 			e.state.mu.Unlock()
 		}
 		passedOn()
-		e.takeReplica(fleet.Record{Offset: 1, Key: "portal-1"})
+		e.applyReplicaRecord(fleet.Record{Offset: 1, Key: "portal-1"})
 		if l.usable() == 0 {
 			t.Error("a replica whose record lapsed in an outage that all met is out of use at once")
 		}
--- a/internal/direct/hubtalk_test.go
+++ b/internal/direct/hubtalk_test.go
@@ -34,7 +34,7 @@
 		s.ID, l.peer = l.peer, s.ID
 	}
 	e := newEntry(s, quietTelemetry(t), Platform{Records: listRecords{}})
-	e.boot = func() time.Duration { return l.now }
+	e.bootClock = func() time.Duration { return l.now }
 	l.hub = newHub(e)
 	l.hub.send = func(w *word, _ netip.AddrPort) { l.sent = append(l.sent, w) }
 	l.hub.get = func(netip.AddrPort, int, uint64) (*wordTopic, error) { return nil, errBulk }
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -43,8 +43,8 @@
 	took    time.Duration
 }
 
-// job is one request of a caller.
-type job struct {
+// request is one request of a caller.
+type request struct {
 	entry  *Entry
 	w      http.ResponseWriter
 	r      *http.Request
@@ -55,7 +55,7 @@
 	route        *fleet.Route
 	service      *fleet.Service
 	organisation *fleet.Organisation
-	asked        fleet.Request
+	params       fleet.Request
 	body         []byte
 	began        time.Duration
 	// ends is when the request must have its final answer.
@@ -64,14 +64,14 @@
 	query   route.FeedQuery
 	// print is the request's fingerprint.
 	print uint64
-	// turn brings the place that the request waits for, nil if there is none in time.
-	turn chan *placed
+	// placed brings the place that the request waits for, nil if there is none in time.
+	placed chan *placement
 	// failure is a replica's own failure, passed on if nothing better comes.
 	failure *wholeAnswer
 
-	// openIn is the time until replicas that take nothing now have a place again, 0 if that isn't
+	// capacityIn is the time until replicas that take nothing now have a place again, 0 if that isn't
 	// why there is none.
-	openIn time.Duration
+	capacityIn time.Duration
 
 	hands []hand
 	// excluded is of the latest try to place the request.
@@ -91,21 +91,21 @@
 }
 
 // left is the time until the final answer is due.
-func (j *job) left() time.Duration { return j.ends - j.entry.clock.now() }
+func (j *request) left() time.Duration { return j.ends - j.entry.clock.now() }
 
 // late reports whether the request's time is over, gone whether its caller left.
-func (j *job) late() bool { return errors.Is(context.Cause(j.ctx), errTimeout) }
+func (j *request) late() bool { return errors.Is(context.Cause(j.ctx), errTimeout) }
 
-func (j *job) gone() bool { return j.ctx.Err() != nil && !j.late() }
+func (j *request) gone() bool { return j.ctx.Err() != nil && !j.late() }
 
 // log writes the request's line.
-func (j *job) log() {
+func (j *request) log() {
 	e := j.entry
 	took := e.clock.now() - j.began
 	e.tel.Metrics.Requests.Mark(1)
 	e.tel.Metrics.Count("status_"+j.outcome, 1)
 	attrs := []slog.Attr{
-		slog.String("request", j.asked.ID),
+		slog.String("request", j.params.ID),
 		slog.String("outcome", j.outcome),
 		slog.Int("status", j.status),
 		slog.Float64("took_ms", ms(took)),
@@ -114,7 +114,7 @@
 		attrs = append(attrs, slog.String("reason", j.reason))
 	}
 	if j.config != nil {
-		attrs = append(attrs, slog.Uint64("config", j.config.Version), slog.Int64("config_age_ms", (j.began-j.config.at).Milliseconds()))
+		attrs = append(attrs, slog.Uint64("config", j.config.Version), slog.Int64("config_age_ms", (j.began-j.config.appliedAt).Milliseconds()))
 	}
 	if j.route != nil {
 		attrs = append(attrs, slog.String("route", j.route.Name), slog.String("kind", j.route.Kind.String()))
--- a/internal/direct/leaving_test.go
+++ b/internal/direct/leaving_test.go
@@ -33,12 +33,12 @@
 	fleet.Store
 	// topic is the one that is written, listTopic where it isn't set.
 	topic    string
-	writes   []write
+	writes   []listWrite
 	from, to time.Time
 	hangs    bool
 }
 
-type write struct {
+type listWrite struct {
 	at     time.Time
 	record fleet.Record
 }
@@ -116,32 +116,32 @@
 	return &fleet.Replica{ID: key, Name: key, Service: "portal", Address: "10.0.0.1:80", Slots: 8}, nil
 }
 
-// lister is an entry of which only the reader of the list runs.
-type lister struct {
+// listEntry is an entry of which only the reader of the list runs.
+type listEntry struct {
 	*Entry
 	store  *listStore
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
 }
 
-func startLister(t *testing.T, tel *telemetry.Telemetry, store *listStore) *lister {
+func startLister(t *testing.T, tel *telemetry.Telemetry, store *listStore) *listEntry {
 	t.Helper()
 	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{Memory: 16}}
 	e := newEntry(s, tel, Platform{Store: store, Records: listRecords{}})
-	e.boot = e.clock.now
+	e.bootClock = e.clock.now
 	ctx, cancel := context.WithCancel(t.Context())
-	l := &lister{Entry: e, store: store, cancel: cancel}
+	l := &listEntry{Entry: e, store: store, cancel: cancel}
 	l.loops.Go(func() { e.followReplicas(ctx) })
 	l.loops.Go(func() { e.sweep(ctx) })
 	return l
 }
 
-func (l *lister) stop() {
+func (l *listEntry) stop() {
 	l.cancel()
 	l.loops.Wait()
 }
 
-func (l *lister) usable() int {
+func (l *listEntry) usable() int {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	candidates, _ := l.state.candidates(&fleet.Service{Name: "portal"}, "", l.clock.now())
@@ -149,7 +149,7 @@
 }
 
 // lastUse is the last time at which the replica could get a request.
-func (l *lister) lastUse(until time.Time) time.Time {
+func (l *listEntry) lastUse(until time.Time) time.Time {
 	const look = 5 * time.Millisecond
 	var last time.Time
 	for ; time.Now().Before(until); time.Sleep(look) {
@@ -201,7 +201,7 @@
 	back := began.Add(7*time.Second + phase)
 	left := back.Add(leaves)
 	l := startLister(t, tel, &listStore{
-		writes: []write{
+		writes: []listWrite{
 			{at: began, record: fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")}},
 			{at: left, record: fleet.Record{Offset: 1, Key: "portal-1"}},
 		},
@@ -234,7 +234,7 @@
 			began := time.Now()
 			back := began.Add(7*time.Second + phase)
 			l := startLister(t, tel, &listStore{
-				writes: []write{
+				writes: []listWrite{
 					{at: began, record: fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")}},
 					{at: back.Add(-time.Second), record: fleet.Record{Offset: 1, Key: "portal-1"}},
 					{at: back.Add(1400 * time.Millisecond), record: fleet.Record{Offset: 2, Key: "portal-1", Value: []byte("ready")}},
@@ -255,13 +255,13 @@
 
 // lapse is the list in a time without answers that ends at back: the replica's record is
 // removed a second before, and in again 1.9 s after, if it is.
-func lapse(began, back time.Time, again bool) []write {
-	writes := []write{
+func lapse(began, back time.Time, again bool) []listWrite {
+	writes := []listWrite{
 		{at: began, record: fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")}},
 		{at: back.Add(-time.Second), record: fleet.Record{Offset: 1, Key: "portal-1"}},
 	}
 	if again {
-		writes = append(writes, write{at: back.Add(1900 * time.Millisecond), record: fleet.Record{Offset: 2, Key: "portal-1", Value: []byte("ready")}})
+		writes = append(writes, listWrite{at: back.Add(1900 * time.Millisecond), record: fleet.Record{Offset: 2, Key: "portal-1", Value: []byte("ready")}})
 	}
 	return writes
 }
@@ -321,7 +321,7 @@
 		began := time.Now()
 		from := began.Add(time.Second)
 		back := from.Add(lasts)
-		both := make([]*lister, 2)
+		both := make([]*listEntry, 2)
 		for i := range both {
 			both[i] = startLister(t, tel, &listStore{writes: lapse(began, back, true), from: from, to: back, hangs: hangs})
 		}
@@ -339,7 +339,7 @@
 
 // startTalk has entries tell each other what their words say of the store, until the function
 // that it returns is called, which ends the entries too.
-func startTalk(t *testing.T, entries ...*lister) (stop func()) {
+func startTalk(t *testing.T, entries ...*listEntry) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var words sync.WaitGroup
@@ -360,7 +360,7 @@
 }
 
 // tellService tells the others for how long the store has answered this entry.
-func (l *lister) tellService(id string, others []*lister) {
+func (l *listEntry) tellService(id string, others []*listEntry) {
 	l.state.mu.Lock()
 	served := l.state.outage.Served(l.clock.now())
 	l.state.mu.Unlock()
--- a/internal/direct/naming.go
+++ b/internal/direct/naming.go
@@ -30,7 +30,7 @@
 func (e *Entry) tellNaming(n rollout.Naming, relayed bool) {
 	pause := rand.N(namingSpread)
 	if relayed {
-		pause = namingHeard + rand.N(namingEach*time.Duration(e.state.count()))
+		pause = namingHeard + rand.N(namingEach*time.Duration(e.state.entryCount()))
 	}
 	if wait.For(context.Background(), pause) != nil || e.namingKnown(&n) {
 		return
@@ -43,21 +43,21 @@
 func (e *Entry) rewriteNamings() {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
-	clear(e.state.namingsRead)
+	clear(e.state.announcementsRead)
 	for model, d := range e.state.demands {
-		if n := e.state.namings[namedVersion{model, d.Newest()}]; n != nil {
+		if n := e.state.announcements[namedVersion{model, d.Newest()}]; n != nil {
 			go e.rewriteNaming(*n)
 		}
 	}
 }
 
 func (e *Entry) rewriteNaming(n rollout.Naming) {
-	pause := namingHeard + rand.N(namingEach*time.Duration(e.state.count()))
+	pause := namingHeard + rand.N(namingEach*time.Duration(e.state.entryCount()))
 	if wait.For(context.Background(), pause) != nil {
 		return
 	}
 	e.state.mu.Lock()
-	read := e.state.namingsRead[namedVersion{n.Model, n.Version}]
+	read := e.state.announcementsRead[namedVersion{n.Model, n.Version}]
 	e.state.mu.Unlock()
 	if !read {
 		e.writeNaming(&n)
@@ -72,13 +72,13 @@
 		e.tel.Log.Warn("time of a version's naming not written", "model", n.Model, "version", n.Version, "error", err)
 		return
 	}
-	nudge(e.rollouts.reread)
+	trySignal(e.rollouts.reread)
 }
 
 func (e *Entry) namingKnown(n *rollout.Naming) bool {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
-	return e.state.namings[namedVersion{n.Model, n.Version}] != nil
+	return e.state.announcements[namedVersion{n.Model, n.Version}] != nil
 }
 
 // heardNamed takes an entry's word when a version was named. Of several the earliest
@@ -87,11 +87,11 @@
 	s := e.state
 	s.mu.Lock()
 	key := namedVersion{n.Model, n.Version}
-	s.namingsRead[key] = true
-	known := s.namings[key]
+	s.announcementsRead[key] = true
+	known := s.announcements[key]
 	news := known == nil || n.AtMs < known.AtMs
 	if news {
-		s.namings[key] = n
+		s.announcements[key] = n
 		e.applyNamings(n.Model)
 	}
 	s.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 	overdue := e.namedAt(true)
 	for version := d.Newest(); version != 0; {
-		n := e.state.namings[namedVersion{model, version}]
+		n := e.state.announcements[namedVersion{model, version}]
 		if n == nil {
 			return
 		}
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -50,7 +50,7 @@
 					back := began.Add(9*time.Second + phase)
 					e := newEntry(s, tel, Platform{Records: wantedRecords{}, Store: &listStore{
 						topic:  "operator",
-						writes: []write{{at: named, record: fleet.Record{Key: "version", Value: []byte("2")}}},
+						writes: []listWrite{{at: named, record: fleet.Record{Key: "version", Value: []byte("2")}}},
 						from:   began.Add(time.Second), to: back, hangs: hangs,
 					}})
 					word := &rollout.Naming{Model: wantedModel, Version: 2, Before: 1, AtMs: named.UnixMilli()}
--- a/internal/direct/notes.go
+++ b/internal/direct/notes.go
@@ -13,7 +13,7 @@
 	for i := range notes {
 		envelope := rollout.Envelope{Note: &notes[i]}
 		records[i] = envelope.Encode()
-		r.takeNote(&notes[i])
+		r.applyRecord(&notes[i])
 	}
 	r.entry.peers.tell(notes)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
@@ -27,5 +27,5 @@
 	for i := range notes {
 		r.cores[model].Announced(notes[i].Replica, r.entry.clock.now())
 	}
-	r.poke()
+	r.trigger()
 }
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -15,9 +15,9 @@
 	leavingTold = 2
 )
 
-// wordNotice is what a replica has said of itself to another entry: that it leaves, or else a
+// noticeMessage is what a replica has said of itself to another entry: that it leaves, or else a
 // ratelimit.Word.
-type wordNotice struct {
+type noticeMessage struct {
 	Replica string  `cbor:"1,keyasint"`
 	Rate    float64 `cbor:"2,keyasint,omitempty"`
 	Lifted  bool    `cbor:"3,keyasint,omitempty"`
@@ -25,18 +25,18 @@
 }
 
 // noteNotice takes what a replica says of itself in the head of an answer.
-func (j *job) noteNotice(p *placed, head *fleet.Answer) {
+func (j *request) noteNotice(p *placement, head *fleet.Answer) {
 	j.hands[len(j.hands)-1].notice = head.Notice
 	if head.Instance != "" && head.Instance != p.replica.Name {
 		return // another replica has the address
 	}
-	j.entry.noticed(p.replica.ID, &head.Notice, p.at, head.Sealed || head.NotRun && !head.Misdirected)
+	j.entry.applyNotice(p.replica.ID, &head.Notice, p.at, head.Sealed || head.NotRun && !head.Misdirected)
 }
 
-// noticed takes what a replica says of itself in an answer to what was sent at a time. whole says
+// applyNotice takes what a replica says of itself in an answer to what was sent at a time. whole says
 // that the answer is to a caller's request: only from those does it follow that what they don't
 // say doesn't hold.
-func (e *Entry) noticed(replica string, n *fleet.Notice, sent time.Duration, whole bool) {
+func (e *Entry) applyNotice(replica string, n *fleet.Notice, sent time.Duration, whole bool) {
 	if n.Malformed {
 		e.tel.Metrics.Count("replica_notices_malformed", 1)
 	}
@@ -54,17 +54,17 @@
 	}
 	switch {
 	case n.Limited:
-		if s.replicas.Get(replica) != nil && s.limits.Named(replica, n.Rate, now) {
+		if s.replicas.Get(replica) != nil && s.rateLimits.Named(replica, n.Rate, now) {
 			e.limitNamed(replica, "its answer", now)
 		}
-	case whole && !n.Malformed && s.limits.Unnamed(replica, sent):
+	case whole && !n.Malformed && s.rateLimits.Unnamed(replica, sent):
 		e.limitLifted(replica, "its answer")
 	}
 }
 
 // limitNamed logs a replica's rate limit. The caller holds the state's lock.
 func (e *Entry) limitNamed(replica, by string, now time.Duration) {
-	limit, _ := e.state.limits.State(replica, now)
+	limit, _ := e.state.rateLimits.State(replica, now)
 	e.tel.Metrics.Count("replica_rate_limits_named", 1)
 	e.tel.Log.Info("replica's rate limit", "replica", replica, "rate_limit", limit.Rate, "rate_part", limit.Part,
 		"among", limit.Among, "by", by)
@@ -73,20 +73,20 @@
 // limitLifted logs the end of a rate limit. The caller holds the state's lock.
 func (e *Entry) limitLifted(replica, by string) {
 	e.tel.Log.Info("replica's rate limit is over", "replica", replica, "by", by)
-	e.state.signal()
+	e.state.notifyChanged()
 }
 
-// tellNotices tells the others what replicas have said of themselves: an entry that sends nothing
+// sendNotices tells the others what replicas have said of themselves: an entry that sends nothing
 // to a replica gets no answer of it.
-func (e *Entry) tellNotices() {
+func (e *Entry) sendNotices() {
 	s := e.state
 	s.mu.Lock()
-	var notices []wordNotice
-	for _, l := range s.limits.Words(e.clock.now()) {
-		notices = append(notices, wordNotice{Replica: l.Replica, Rate: l.Rate, Lifted: l.Lifted})
+	var notices []noticeMessage
+	for _, l := range s.rateLimits.Words(e.clock.now()) {
+		notices = append(notices, noticeMessage{Replica: l.Replica, Rate: l.Rate, Lifted: l.Lifted})
 	}
 	for replica, times := range s.leavingNews {
-		notices = append(notices, wordNotice{Replica: replica, Leaving: true})
+		notices = append(notices, noticeMessage{Replica: replica, Leaving: true})
 		if s.leavingNews[replica] = times - 1; times <= 1 {
 			delete(s.leavingNews, replica)
 		}
@@ -97,8 +97,8 @@
 	}
 }
 
-// heardNotices takes what replicas have said of themselves to another entry.
-func (e *Entry) heardNotices(notices []wordNotice, from string) {
+// receiveNotices takes what replicas have said of themselves to another entry.
+func (e *Entry) receiveNotices(notices []noticeMessage, from string) {
 	now := e.clock.now()
 	s := e.state
 	s.mu.Lock()
@@ -112,7 +112,7 @@
 			if s.replicas.Leaving(n.Replica) {
 				e.tel.Log.Info("replica is leaving", "replica", n.Replica, "by", from)
 			}
-		case !s.limits.Heard(ratelimit.Word{Replica: n.Replica, Rate: n.Rate, Lifted: n.Lifted}, now):
+		case !s.rateLimits.Heard(ratelimit.Word{Replica: n.Replica, Rate: n.Rate, Lifted: n.Lifted}, now):
 		case n.Lifted:
 			e.limitLifted(n.Replica, from)
 		default:
@@ -121,23 +121,23 @@
 	}
 }
 
-// limitsListed takes the list of entries, among which replicas' rate limits are divided. self says
+// setRateLimitEntries takes the list of entries, among which replicas' rate limits are divided. self says
 // that it has this one, known that it had when it was read first.
-func (e *Entry) limitsListed(entries []string, self, known bool) {
+func (e *Entry) setRateLimitEntries(entries []string, self, known bool) {
 	now := e.clock.now()
 	s := e.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Listed(entries, now)
+	s.rateLimits.Listed(entries, now)
 	if self {
-		s.limits.Joined(known, now)
+		s.rateLimits.Joined(known, now)
 	}
 }
 
-// limitsConfirmed says as of when the list of entries is known.
-func (e *Entry) limitsConfirmed(asOf time.Duration) {
+// rateLimitEntriesConfirmed says as of when the list of entries is known.
+func (e *Entry) rateLimitEntriesConfirmed(asOf time.Duration) {
 	s := e.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Confirmed(asOf, e.clock.now())
+	s.rateLimits.Confirmed(asOf, e.clock.now())
 }
--- a/internal/direct/notices_test.go
+++ b/internal/direct/notices_test.go
@@ -12,7 +12,7 @@
 // Guards against another entry's notices that name replicas nobody knows, or rates that can't be.
 func FuzzNotices(f *testing.F) {
 	const known = "r-1"
-	for _, list := range [][]wordNotice{
+	for _, list := range [][]noticeMessage{
 		{{Replica: known, Rate: 1.5}, {Replica: known, Lifted: true}, {Replica: known, Leaving: true}},
 		{{Replica: known, Rate: -1}, {Replica: known, Rate: math.Inf(1)}, {Replica: known, Rate: math.NaN()}},
 		{{Replica: "r-2", Rate: 3}, {}},
@@ -30,13 +30,13 @@
 		}
 		e := newTalkers(t, 1, 1)[0]
 		e.state.replicas.Put(&fleet.Replica{ID: known, Name: known}, 1, 0)
-		e.heardNotices(w.Notices, w.From)
+		e.receiveNotices(w.Notices, w.From)
 		now := e.clock.now()
-		if s, limited := e.state.limits.State(known, now); limited && !(s.Rate >= 0 && s.Rate <= math.MaxFloat64) {
+		if s, limited := e.state.rateLimits.State(known, now); limited && !(s.Rate >= 0 && s.Rate <= math.MaxFloat64) {
 			t.Errorf("a rate of %v is believed", s.Rate)
 		}
 		for _, n := range w.Notices {
-			if _, limited := e.state.limits.State(n.Replica, now); limited && n.Replica != known {
+			if _, limited := e.state.rateLimits.State(n.Replica, now); limited && n.Replica != known {
 				t.Errorf("a limit of %q is believed, which isn't known", n.Replica)
 			}
 		}
@@ -48,14 +48,14 @@
 	e := newTalkers(t, 1, 1)[0]
 	r := &fleet.Replica{ID: "r-1", Name: "r-1"}
 	e.state.replicas.Put(r, 1, 0)
-	j := &job{entry: e.Entry, hands: make([]hand, 1)}
+	j := &request{entry: e.Entry, hands: make([]hand, 1)}
 	notice := fleet.Notice{Leaving: true, Limited: true, Rate: 1}
-	j.noteNotice(&placed{replica: r}, &fleet.Answer{Instance: "r-2", NotRun: true, Misdirected: true, Notice: notice})
-	if _, limited := e.state.limits.State(r.ID, e.clock.now()); limited || e.state.replicas.Draining(r.ID) {
+	j.noteNotice(&placement{replica: r}, &fleet.Answer{Instance: "r-2", NotRun: true, Misdirected: true, Notice: notice})
+	if _, limited := e.state.rateLimits.State(r.ID, e.clock.now()); limited || e.state.replicas.Draining(r.ID) {
 		t.Error("another replica's notice is taken")
 	}
-	j.noteNotice(&placed{replica: r}, &fleet.Answer{Instance: r.Name, NotRun: true, Misdirected: true, Notice: notice})
-	if _, limited := e.state.limits.State(r.ID, e.clock.now()); !limited || !e.state.replicas.Draining(r.ID) {
+	j.noteNotice(&placement{replica: r}, &fleet.Answer{Instance: r.Name, NotRun: true, Misdirected: true, Notice: notice})
+	if _, limited := e.state.rateLimits.State(r.ID, e.clock.now()); !limited || !e.state.replicas.Draining(r.ID) {
 		t.Error("the replica's own notice isn't taken")
 	}
 }
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -112,10 +112,10 @@
 	if old != nil && c.Version <= old.Version {
 		return
 	}
-	e.quotas.limits(c)
-	e.state.config.Store(&configuration{Configuration: c, at: e.clock.now()})
+	e.quotas.setLimits(c)
+	e.state.config.Store(&configuration{Configuration: c, appliedAt: e.clock.now()})
 	e.state.mu.Lock()
-	e.state.signal()
+	e.state.notifyChanged()
 	e.state.mu.Unlock()
 	var before uint64
 	if old != nil {
@@ -149,7 +149,7 @@
 // after an outage: the entry is held to the naming only once the store has answered it for a while.
 func (e *Entry) namedEarliest(gap operatorGap) time.Duration {
 	inForce := e.direct().WeightsWithin.D() - weightsMargin
-	return max(gap.since, gap.lastMissed+heeds-placing-inForce)
+	return max(gap.since, gap.lastMissed+storeBindsAfter-dispatchTime-inForce)
 }
 
 func (e *Entry) takeWanted(w *fleet.Wanted, offset uint64, when namedWhen) {
@@ -173,5 +173,5 @@
 		go e.tellNaming(rollout.Naming{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
 	}
 	e.tel.Log.Info("weights wanted", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
-	e.rollouts.poke()
+	e.rollouts.trigger()
 }
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -84,9 +84,9 @@
 	// Reports are what replicas have said of themselves while the store is away.
 	Reports []wordReport `cbor:"12,keyasint,omitempty"`
 	// Quota is about units of an organisation's limit.
-	Quota *wordQuota `cbor:"16,keyasint,omitempty"`
+	Quota *quotaMessage `cbor:"16,keyasint,omitempty"`
 	// Notices are what replicas have said of themselves; a word with them has nothing else.
-	Notices []wordNotice `cbor:"17,keyasint,omitempty"`
+	Notices []noticeMessage `cbor:"17,keyasint,omitempty"`
 }
 
 // wordLoad is a route.Load; Replica is its route.ReplicaKey.
@@ -297,17 +297,17 @@
 	p.heardOf(w.From, from)
 	switch {
 	case len(w.Notes) > 0:
-		e.rollouts.heardNotes(w.Notes)
+		e.rollouts.receiveRecords(w.Notes)
 	case len(w.Strikes) > 0:
-		e.heardStrikes(w.Strikes, w.From)
+		e.receiveCrashes(w.Strikes, w.From)
 	case len(w.Reports) > 0:
 		e.heardReports(w.Reports)
 	case w.Ask != nil || w.Answer != nil || w.Hint:
 		e.hub.heard(&w, from)
 	case len(w.Notices) > 0:
-		e.heardNotices(w.Notices, w.From)
+		e.receiveNotices(w.Notices, w.From)
 	case w.Quota != nil:
-		e.quotas.heard(&w, from)
+		e.quotas.receive(&w, from)
 	case w.Passed != "":
 		p.digests.passed(w.Passed)
 	default:
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -40,7 +40,7 @@
 func TestTheLongestNoticesFitADatagram(t *testing.T) {
 	w := &word{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
 	for range maxWordNotices {
-		w.Notices = append(w.Notices, wordNotice{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
+		w.Notices = append(w.Notices, noticeMessage{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
 	}
 	checkLength(t, w)
 }
@@ -104,12 +104,12 @@
 	for i := range 2 {
 		p.heardOf(fmt.Sprint("peer-", i), somePeer)
 	}
-	if n := e.state.count(); n < unknownEntries {
+	if n := e.state.entryCount(); n < assumedEntries {
 		t.Errorf("the budget is shared among %d entries before the list of them was read", n)
 	}
 	close(p.read)
 	p.counted()
-	if n := e.state.count(); n != 3 {
+	if n := e.state.entryCount(); n != 3 {
 		t.Errorf("%d entries are counted once the list was read; there are 3", n)
 	}
 }
--- a/internal/direct/quotas.go
+++ b/internal/direct/quotas.go
@@ -43,9 +43,9 @@
 	answer               chan float64
 }
 
-// wordQuota is about units of an organisation's limit: a question, its answer, or units that
+// quotaMessage is about units of an organisation's limit: a question, its answer, or units that
 // are given back.
-type wordQuota struct {
+type quotaMessage struct {
 	Kind         uint8   `cbor:"1,keyasint"`
 	Seq          uint64  `cbor:"2,keyasint"`
 	Organisation string  `cbor:"3,keyasint"`
@@ -78,15 +78,15 @@
 	}
 }
 
-// resize takes other settings.
-func (q *quotas) resize(d *settings.Direct) {
+// setParams takes other settings.
+func (q *quotas) setParams(d *settings.Direct) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Resize(quotaParams(d), q.entry.boot())
+	q.ledger.Resize(quotaParams(d), q.entry.bootClock())
 }
 
-// limits takes the limits of a configuration.
-func (q *quotas) limits(c *fleet.Configuration) {
+// setLimits takes the setLimits of a configuration.
+func (q *quotas) setLimits(c *fleet.Configuration) {
 	limits := make(map[string]fleet.Quota)
 	for _, o := range c.Organisations {
 		if o.Quota.Limited() {
@@ -95,13 +95,13 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Limits(limits, q.entry.boot())
+	q.ledger.Limits(limits, q.entry.bootClock())
 }
 
-// listed takes the list of entries. self says that it has this one, known that it had
+// setEntries takes the list of entries. self says that it has this one, known that it had
 // when it was read first.
-func (q *quotas) listed(entries []string, self, known bool) {
-	now := q.entry.boot()
+func (q *quotas) setEntries(entries []string, self, known bool) {
+	now := q.entry.bootClock()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Listed(entries, now)
@@ -110,15 +110,15 @@
 	}
 }
 
-// confirmed says as of when the list of entries is known, by the boot clock.
-func (q *quotas) confirmed(asOf time.Duration) {
+// entriesConfirmed says as of when the list of entries is known, by the boot clock.
+func (q *quotas) entriesConfirmed(asOf time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Confirmed(asOf, q.entry.boot())
+	q.ledger.Confirmed(asOf, q.entry.bootClock())
 }
 
-// heard takes a peer's message.
-func (q *quotas) heard(w *word, from netip.AddrPort) {
+// receive takes a peer's message.
+func (q *quotas) receive(w *word, from netip.AddrPort) {
 	m := w.Quota
 	if !(m.Units >= 0 && m.Units <= maxUnits && m.Left >= 0 && m.Left <= maxUnits) {
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
@@ -128,17 +128,17 @@
 	switch m.Kind {
 	case quotaAsk:
 		q.mu.Lock()
-		lent := q.ledger.Lend(m.Organisation, m.Units, by, q.entry.boot())
+		lent := q.ledger.Lend(m.Organisation, m.Units, by, q.entry.bootClock())
 		q.mu.Unlock()
 		if lent.Units > 0 {
 			q.entry.tel.Metrics.Count("quota_lent", 1)
 		}
-		q.send(&wordQuota{Kind: quotaAnswer, Seq: m.Seq, Organisation: m.Organisation, Units: lent.Units, Left: max(0, lent.Left)}, from)
+		q.send(&quotaMessage{Kind: quotaAnswer, Seq: m.Seq, Organisation: m.Organisation, Units: lent.Units, Left: max(0, lent.Left)}, from)
 	case quotaAnswer:
 		q.answered(m, w.From, from)
 	case quotaReturn:
 		q.mu.Lock()
-		q.ledger.Returned(m.Organisation, m.Units, by, q.entry.boot())
+		q.ledger.Returned(m.Organisation, m.Units, by, q.entry.bootClock())
 		q.mu.Unlock()
 	default:
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
@@ -146,24 +146,24 @@
 }
 
 // answered takes a lender's answer. One that nobody waits for any more is given back.
-func (q *quotas) answered(m *wordQuota, peer string, from netip.AddrPort) {
+func (q *quotas) answered(m *quotaMessage, peer string, from netip.AddrPort) {
 	q.mu.Lock()
 	asked := q.asked[m.Seq]
 	mine := asked != nil && asked.lender == peer && asked.organisation == m.Organisation
 	if mine {
 		delete(q.asked, m.Seq)
 		delete(q.silent, peer)
-		q.ledger.Heard(m.Organisation, peer, m.Left, q.entry.boot())
+		q.ledger.Heard(m.Organisation, peer, m.Left, q.entry.bootClock())
 	}
 	q.mu.Unlock()
 	if mine {
 		asked.answer <- m.Units
 	} else if m.Units > 0 {
-		q.send(&wordQuota{Kind: quotaReturn, Seq: m.Seq, Organisation: m.Organisation, Units: m.Units}, from)
+		q.send(&quotaMessage{Kind: quotaReturn, Seq: m.Seq, Organisation: m.Organisation, Units: m.Units}, from)
 	}
 }
 
-func (q *quotas) send(m *wordQuota, to netip.AddrPort) {
+func (q *quotas) send(m *quotaMessage, to netip.AddrPort) {
 	q.entry.peers.sendTo(&word{From: q.entry.settings.ID, Epoch: uint64(q.entry.tel.Epoch), Quota: m}, to)
 }
 
@@ -179,7 +179,7 @@
 	seq = q.seq
 	q.asked[seq] = l
 	q.mu.Unlock()
-	q.send(&wordQuota{Kind: quotaAsk, Seq: seq, Organisation: organisation, Units: units}, to)
+	q.send(&quotaMessage{Kind: quotaAsk, Seq: seq, Organisation: organisation, Units: units}, to)
 	timeout := time.NewTimer(lendTimeout)
 	defer timeout.Stop()
 	select {
@@ -191,7 +191,7 @@
 	q.mu.Lock()
 	delete(q.asked, seq)
 	if ctx.Err() == nil {
-		q.silent[lender] = q.entry.boot() + silentFor
+		q.silent[lender] = q.entry.bootClock() + silentFor
 	}
 	q.mu.Unlock()
 	select {
--- a/internal/direct/quotas_test.go
+++ b/internal/direct/quotas_test.go
@@ -22,9 +22,9 @@
 	}
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 60_000, Burst: 60_000, Tokens: true, Uncounted: each}}
 	for _, e := range all {
-		e.quotas.limits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
-		e.quotas.listed(names, true, true)
-		e.quotas.confirmed(e.boot())
+		e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
+		e.quotas.setEntries(names, true, true)
+		e.quotas.entriesConfirmed(e.bootClock())
 	}
 	held := func() (units float64) {
 		for _, e := range all {
@@ -39,7 +39,7 @@
 	}
 	refused := 0
 	for _, e := range all {
-		j := &job{entry: e.Entry, ctx: t.Context(), organisation: organisation}
+		j := &request{entry: e.Entry, ctx: t.Context(), organisation: organisation}
 		if !j.reserve() {
 			refused++
 		}
@@ -54,11 +54,11 @@
 	all := newTalkers(t, 3, 1) // nobody listens
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 1000, Burst: 1000}}
 	e := all[0]
-	e.quotas.limits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
-	e.quotas.listed([]string{"entry-1", "entry-2"}, false, false)
+	e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
+	e.quotas.setEntries([]string{"entry-1", "entry-2"}, false, false)
 	for try := range 2 {
 		began := time.Now()
-		j := &job{entry: e.Entry, ctx: context.Background(), organisation: organisation}
+		j := &request{entry: e.Entry, ctx: context.Background(), organisation: organisation}
 		if j.reserve() || !j.charging.unheard {
 			t.Errorf("try %d: units of nobody, or no word that nobody answers", try)
 		}
@@ -70,7 +70,7 @@
 
 // Whatever comes by datagram, no more is left of a part than may be saved up, and nothing panics.
 func FuzzQuotaMessage(f *testing.F) {
-	for _, m := range []*wordQuota{
+	for _, m := range []*quotaMessage{
 		{Kind: quotaAsk, Seq: 1, Organisation: "derwent", Units: 500},
 		{Kind: quotaAnswer, Seq: 1, Organisation: "derwent", Units: maxUnits, Left: -1},
 		{Kind: quotaReturn, Seq: 1, Organisation: "derwent", Units: math.MaxFloat64},
@@ -90,10 +90,10 @@
 			return
 		}
 		e := newTalkers(t, 1, 1)[0]
-		e.quotas.limits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
-		e.quotas.listed([]string{e.settings.ID}, true, true)
+		e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
+		e.quotas.setEntries([]string{e.settings.ID}, true, true)
 		for range 2 {
-			e.quotas.heard(&w, e.address())
+			e.quotas.receive(&w, e.address())
 		}
 		if s, ok := e.quotas.state("derwent"); !ok || !(s.Level >= 0 && s.Level <= burst) {
 			t.Errorf("%v units left, of %d at most", s.Level, burst)
--- a/internal/direct/reload.go
+++ b/internal/direct/reload.go
@@ -20,7 +20,7 @@
 type Source func() (*settings.Settings, error)
 
 // direct returns the settings in force of the role.
-func (e *Entry) direct() *settings.Direct { return e.tunable.Load() }
+func (e *Entry) direct() *settings.Direct { return e.reloadable.Load() }
 
 // reload follows the settings file: at SIGHUP, and where it has changed by itself.
 // Without a handler the signal would end the process and cut every stream.
@@ -62,9 +62,9 @@
 	next.Listen, next.Ready, next.Peers, next.Store = now.Listen, now.Ready, now.Peers, now.Store
 	changed := !reflect.DeepEqual(next, now)
 	if changed {
-		e.tunable.Store(&next)
-		e.state.rebudget(budgetOf(&next))
-		e.quotas.resize(&next)
+		e.reloadable.Store(&next)
+		e.state.setRetryBudget(budgetOf(&next))
+		e.quotas.setParams(&next)
 	}
 	if by != "" || changed || restart {
 		e.tel.Log.Info("settings reloaded", "by", by, "changed", changed, "wait_for_restart", restart)
@@ -73,5 +73,5 @@
 
 // budgetOf is what all entries together may send a second time to a service.
 func budgetOf(d *settings.Direct) attempt.BudgetParams {
-	return attempt.BudgetParams{Share: d.RetryShare * budgetMargin, Burst: d.RetryExtra * budgetMargin}
+	return attempt.BudgetParams{Share: d.RetryShare * retryBudgetMargin, Burst: d.RetryExtra * retryBudgetMargin}
 }
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -14,11 +14,11 @@
 	// afterOutage is how long a replica that fell off the list in an outage may take
 	// to come back: the platform's two seconds of the store's return.
 	afterOutage = 2 * time.Second
-	// heeds is for how long the store must have answered an entry before that is held to
+	// storeBindsAfter is for how long the store must have answered an entry before that is held to
 	// what was written, by the platform's word; placing is the time that a request needs
 	// from its decision to its replica, many times what links and a busy entry take.
-	heeds   = 3 * time.Second
-	placing = 200 * time.Millisecond
+	storeBindsAfter = 3 * time.Second
+	dispatchTime    = 200 * time.Millisecond
 	// missSeen is within which time the reader notices that the store doesn't answer: a
 	// pause, a read that waits, and the time that its answer may take.
 	missSeen = replicasMost + replicasWait + callTimeout
@@ -29,7 +29,7 @@
 	outageShown = 10 * time.Second
 )
 
-var outageParams = member.OutageParams{Back: afterOutage, Unheeded: heeds - placing, Seen: missSeen, Fresh: wordFresh}
+var outageParams = member.OutageParams{Back: afterOutage, Unheeded: storeBindsAfter - dispatchTime, Seen: missSeen, Fresh: wordFresh}
 
 // followReplicas keeps the list of replicas.
 func (e *Entry) followReplicas(ctx context.Context) {
@@ -38,11 +38,11 @@
 	f.keyed, f.wait, f.every = true, replicasWait, replicasPause
 	f.number = numberReplicas
 	if e.hub == nil {
-		f.pause = func() time.Duration { return min(replicasMost, replicasEvery*time.Duration(e.state.count())) }
+		f.pause = func() time.Duration { return min(replicasMost, replicasEvery*time.Duration(e.state.entryCount())) }
 	}
 	f.failed = e.listMissed
-	f.reached = func(r spread.Reading) { e.listReached(r, f.boot()) }
-	f.record = e.takeReplica
+	f.reached = func(r spread.Reading) { e.listAnswered(r, f.boot()) }
+	f.record = e.applyReplicaRecord
 	f.whole = e.takeReplicas
 	f.rewound = func(first uint64) {
 		e.tel.Log.Warn("store is back from an older copy", "stream", topic, "era", fleet.Era(first))
@@ -75,9 +75,9 @@
 	}
 }
 
-// listReached takes an answer to a call for the list, of this entry or of the one that the
+// listAnswered takes an answer to a call for the list, of this entry or of the one that the
 // reading names; boot is the time of the readings' clock.
-func (e *Entry) listReached(r spread.Reading, boot time.Duration) {
+func (e *Entry) listAnswered(r spread.Reading, boot time.Duration) {
 	if r.Made > 0 {
 		e.state.listReadAt.Store(int64(e.clock.sinceBoot(r.Made, boot)))
 		e.state.listReader.Store(&r.Reader)
@@ -95,7 +95,7 @@
 	listed := make(map[string]bool, len(page.Records))
 	for _, r := range page.Records {
 		listed[r.Key] = true
-		e.takeReplica(r)
+		e.applyReplicaRecord(r)
 	}
 	e.state.mu.Lock()
 	missing := e.state.replicas.Missing(listed)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (e *Entry) takeReplica(r fleet.Record) {
+func (e *Entry) applyReplicaRecord(r fleet.Record) {
 	if r.Value == nil {
 		e.removeReplica(r.Key, r.Offset, 0)
 		return
@@ -122,9 +122,9 @@
 	e.state.mu.Lock()
 	known := e.state.replicas.Get(replica.ID) != nil
 	listing := e.state.replicas.Put(replica, r.Offset, now)
-	e.listed(replica, &listing, known)
+	e.applyListing(replica, &listing, known)
 	e.state.mu.Unlock()
-	e.followed(replica, &listing)
+	e.endPredecessor(replica, &listing)
 	e.logListing(replica, &listing, known, r.Offset)
 }
 
@@ -137,7 +137,7 @@
 	e.state.mu.Lock()
 	removed := e.state.replicas.Remove(r.Key, r.Offset, now)
 	if removed != "" {
-		e.state.forget(removed)
+		e.state.forgetReplica(removed)
 	}
 	e.state.mu.Unlock()
 	if removed != "" {
@@ -145,14 +145,14 @@
 	}
 }
 
-// listed takes what a replica says of itself; known says that something was known of it
+// applyListing takes what a replica says of itself; known says that something was known of it
 // before. The caller holds the state's lock.
-func (e *Entry) listed(r *fleet.Replica, listing *member.Listing, known bool) {
+func (e *Entry) applyListing(r *fleet.Replica, listing *member.Listing, known bool) {
 	if listing.Outdated || e.state.replicas.Get(r.ID) == nil {
 		return
 	}
 	if listing.Ended != "" {
-		e.state.forget(listing.Ended)
+		e.state.forgetReplica(listing.Ended)
 	}
 	for model, version := range r.Weights {
 		if e.state.board.Saw(r.ID, model, version, 0) && known {
@@ -161,18 +161,18 @@
 		}
 	}
 	if listing.Changed {
-		e.state.signal()
+		e.state.notifyChanged()
 	}
 }
 
-// followed ends what was under way at the incarnation that a replica has followed.
-func (e *Entry) followed(r *fleet.Replica, listing *member.Listing) {
+// endPredecessor ends what was under way at the incarnation that a replica has endPredecessor.
+func (e *Entry) endPredecessor(r *fleet.Replica, listing *member.Listing) {
 	if listing.Ended == "" {
 		return
 	}
-	e.replicaLost(listing.Ended)
+	e.recordReplicaLoss(listing.Ended)
 	taken := e.watch.take(listing.Ended)
-	e.rollouts.poke()
+	e.rollouts.trigger()
 	e.tel.Log.Info("replica restarted", "replica", r.ID, "before", listing.Ended, "taken_from_it", taken)
 }
 
@@ -199,7 +199,7 @@
 	if kept {
 		e.state.replicas.Lapse(name, offset, now, until)
 	} else if removed = e.state.replicas.Remove(name, offset, now); removed != "" {
-		e.state.forget(removed)
+		e.state.forgetReplica(removed)
 	}
 	e.state.mu.Unlock()
 	outage := slog.Group("outage", "peers", excuse.Witness.String(), "began_ms_ago", (now - excuse.Began).Milliseconds(),
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -109,11 +109,11 @@
 	return r
 }
 
-// poke has the rollouts looked at now.
-func (r *rollouts) poke() { nudge(r.wake) }
+// trigger has the rollouts looked at now.
+func (r *rollouts) trigger() { trySignal(r.wake) }
 
-// nudge sends on a channel of one unless something is in it.
-func nudge(c chan struct{}) {
+// trySignal sends on a channel of one unless something is in it.
+func trySignal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -172,7 +172,7 @@
 		if grant, held := r.leases.Table().Holder(giverLease); held {
 			r.lastGiver, r.lastGiverAt = grant.Holder, r.entry.clock.now()
 		}
-		r.poke()
+		r.trigger()
 		return
 	}
 	if envelope.Named != nil {
@@ -191,11 +191,11 @@
 	if n.Phase == rollout.PhaseOrdered && n.Holder != r.entry.settings.ID {
 		r.foreignAt = r.entry.clock.now()
 	}
-	r.takeNote(n)
+	r.applyRecord(n)
 }
 
-// heardNotes takes notes that a peer sent directly.
-func (r *rollouts) heardNotes(notes []rollout.Note) {
+// receiveRecords takes notes that a peer sent directly.
+func (r *rollouts) receiveRecords(notes []rollout.Note) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range notes {
@@ -205,8 +205,8 @@
 	}
 }
 
-// takeNote applies a note to what is believed of a replica.
-func (r *rollouts) takeNote(n *rollout.Note) {
+// applyRecord applies a note to what is believed of a replica.
+func (r *rollouts) applyRecord(n *rollout.Note) {
 	e := r.entry
 	s := e.state
 	s.mu.Lock()
@@ -215,7 +215,7 @@
 		s.feed.Emptied(n.Replica, e.clock.now())
 	}
 	if n.Phase == rollout.PhaseServing || n.Phase == rollout.PhaseReleased {
-		s.signal()
+		s.notifyChanged()
 	}
 	s.mu.Unlock()
 	e.tel.Log.Info("weights note", "replica", n.Replica, "model", n.Model, "version", n.Version,
@@ -304,8 +304,8 @@
 
 // patience is how long to leave the lease to others.
 func (r *rollouts) patience(now time.Duration) time.Duration {
-	spread := rand.N(max(giverSpread, giverSpreadEach*time.Duration(r.entry.state.count())))
-	if r.entry.leaving() {
+	spread := rand.N(max(giverSpread, giverSpreadEach*time.Duration(r.entry.state.entryCount())))
+	if r.entry.draining() {
 		spread += giverLeaves
 	}
 	switch {
@@ -368,7 +368,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	_, err := r.entry.platform.Store.Append(ctx, topicEntries, at, [][]byte{envelope.Encode()})
-	nudge(r.reread)
+	trySignal(r.reread)
 	switch {
 	case err == nil:
 		return
@@ -413,7 +413,7 @@
 		reply, notice, err = e.platform.Replicas.Order(callCtx, &o)
 		cancel()
 	}
-	e.noticed(o.Replica.ID, &notice, began, false)
+	e.applyNotice(o.Replica.ID, &notice, began, false)
 	now := e.clock.now()
 	attrs := []any{"replica", o.Replica.ID, "model", model, "version", o.Version, "fence", o.Fence,
 		"expected", o.Expected, "reply", reply.String(), "took_ms", ms(now - began)}
@@ -428,7 +428,7 @@
 		r.foreignAt = now
 		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
 	}
-	r.poke()
+	r.trigger()
 }
 
 func (r *rollouts) stillHolds(fence uint64) bool {
@@ -446,7 +446,7 @@
 	report, notice, err := e.platform.Replicas.Report(callCtx, replica)
 	cancel()
 	notice.Leaving = notice.Leaving || report.Draining
-	e.noticed(replica.ID, &notice, asked, false)
+	e.applyNotice(replica.ID, &notice, asked, false)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -24,9 +24,9 @@
 	defaultDeadline = 30 * time.Second
 	// loadShare is the part of its objective that a request may wait at a replica.
 	loadShare = 0.4
-	// comeBack is when a refused caller is told to return: after a load of weights
+	// defaultRetryAfter is when a refused caller is told to return: after a load of weights
 	// or a restart has made a place free.
-	comeBack = 300 * time.Millisecond
+	defaultRetryAfter = 300 * time.Millisecond
 )
 
 // shuttingDown is why a draining entry refuses what would outlast it.
@@ -44,9 +44,9 @@
 
 // serve answers one request.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
-	j := &job{entry: e, w: w, r: r, began: e.clock.now()}
+	j := &request{entry: e, w: w, r: r, began: e.clock.now()}
 	defer j.log()
-	if e.leaving() {
+	if e.draining() {
 		w.Header().Set("Connection", "close")
 	}
 	e.drain.enter()
@@ -63,13 +63,13 @@
 }
 
 // admit decides whether the request may be served at all.
-func (j *job) admit() bool {
+func (j *request) admit() bool {
 	e := j.entry
 	asked, err := e.platform.Headers.Request(j.r.Header)
-	j.asked = asked
+	j.params = asked
 	j.config = e.state.config.Load()
 	if j.config == nil {
-		return j.refuse("no configuration is known yet", comeBack)
+		return j.refuse("no configuration is known yet", defaultRetryAfter)
 	}
 	if err != nil {
 		return j.deny(http.StatusBadRequest, err.Error())
@@ -86,7 +86,7 @@
 	}
 	j.service = j.config.Services[j.pickService()]
 	if !j.endsInTime() {
-		return j.refuse(shuttingDown, comeBack)
+		return j.refuse(shuttingDown, defaultRetryAfter)
 	}
 	j.bound()
 	return true
@@ -107,7 +107,7 @@
 }
 
 // pickService draws one of the route's services by weight.
-func (j *job) pickService() string {
+func (j *request) pickService() string {
 	targets := j.route.Targets
 	if len(targets) == 0 {
 		return ""
@@ -126,13 +126,13 @@
 }
 
 // bound sets when the request must be over, and ends its context then.
-func (j *job) bound() {
+func (j *request) bound() {
 	limit := defaultDeadline
 	if j.route.Timeout > 0 {
 		limit = j.route.Timeout
 	}
-	if j.asked.Deadline > 0 {
-		limit = min(limit, j.asked.Deadline)
+	if j.params.Deadline > 0 {
+		limit = min(limit, j.params.Deadline)
 	}
 	j.ends = j.began + limit
 	// A caller that takes nothing must not hold its answer's memory for ever. A
@@ -142,7 +142,7 @@
 }
 
 // room is what the body takes of the memory for bodies.
-func (j *job) room() int64 {
+func (j *request) room() int64 {
 	n := j.r.ContentLength
 	if n < 0 {
 		n = unknownBody
@@ -152,14 +152,14 @@
 
 // readBody takes the whole body, so that it can be handed on again and a refusal
 // after it is known to be true.
-func (j *job) readBody() bool {
+func (j *request) readBody() bool {
 	e := j.entry
 	limit := e.limits().BodyBytes
 	if j.r.ContentLength > limit {
 		return j.deny(http.StatusRequestEntityTooLarge, "body too long")
 	}
 	if !e.bodies.TryAcquire(j.room()) {
-		return j.refuse("no memory for another body", comeBack)
+		return j.refuse("no memory for another body", defaultRetryAfter)
 	}
 	if j.r.ContentLength == 0 {
 		return true
@@ -187,7 +187,7 @@
 }
 
 // run hands the request to replicas until one has answered.
-func (j *job) run() {
+func (j *request) run() {
 	e := j.entry
 	repeatable := j.route.Repeatable()
 	e.state.mu.Lock()
@@ -205,16 +205,16 @@
 	j.handOn()
 }
 
-func (j *job) newQuery() route.FeedQuery {
+func (j *request) newQuery() route.FeedQuery {
 	q := route.FeedQuery{
 		Service:       j.service.Name,
-		SharedTokens:  j.asked.SharedTokens(),
-		PromptTokens:  j.asked.PromptTokens,
-		OutputTokens:  j.asked.OutputTokens,
+		SharedTokens:  j.params.SharedTokens(),
+		PromptTokens:  j.params.PromptTokens,
+		OutputTokens:  j.params.OutputTokens,
 		FailureDomain: j.entry.settings.FailureDomain,
 	}
-	if j.asked.ExpectedOutput > 0 {
-		q.OutputTokens = min(q.OutputTokens, j.asked.ExpectedOutput)
+	if j.params.ExpectedOutput > 0 {
+		q.OutputTokens = min(q.OutputTokens, j.params.ExpectedOutput)
 	}
 	q.Levels = j.levels()
 	return q
@@ -222,7 +222,7 @@
 
 // loadBound is the load, in milliseconds, behind which the request may be placed at a
 // replica while it can be in time; 0 for any.
-func (j *job) loadBound() float64 {
+func (j *request) loadBound() float64 {
 	if j.service.Engine == nil {
 		return 0
 	}
@@ -230,18 +230,18 @@
 }
 
 // levels are the nested prefixes that the prompt may share with others.
-func (j *job) levels() []route.FeedLevel {
-	shared := j.asked.Shared()
+func (j *request) levels() []route.FeedLevel {
+	shared := j.params.Shared()
 	ids := make([]string, len(shared))
 	tokens := make([]int, len(shared))
 	for i, part := range shared {
 		ids[i], tokens[i] = part.ID, part.Tokens
 	}
-	return route.FeedLevels(j.asked.Model+"/"+j.wall(), ids, tokens)
+	return route.FeedLevels(j.params.Model+"/"+j.wall(), ids, tokens)
 }
 
 // wall names the organisation if its cached parts must not be shared.
-func (j *job) wall() string {
+func (j *request) wall() string {
 	if j.organisation != nil && j.organisation.Isolated {
 		return j.organisation.Name
 	}
@@ -250,15 +250,15 @@
 
 // salt separates cached parts by the version of the weights that made them and by
 // the walls between organisations.
-func (j *job) salt(version uint64) string {
-	if j.asked.Model == "" || version == 0 {
+func (j *request) salt(version uint64) string {
+	if j.params.Model == "" || version == 0 {
 		return ""
 	}
-	return j.asked.Model + "@" + strconv.FormatUint(version, 10) + "/" + j.wall()
+	return j.params.Model + "@" + strconv.FormatUint(version, 10) + "/" + j.wall()
 }
 
 // priority is the rank at an engine.
-func (j *job) priority() int {
+func (j *request) priority() int {
 	if j.organisation != nil && j.organisation.Priority != nil {
 		return *j.organisation.Priority
 	}
@@ -266,14 +266,14 @@
 }
 
 // deny ends a request that is not proper. It always returns false.
-func (j *job) deny(status int, reason string) bool {
+func (j *request) deny(status int, reason string) bool {
 	j.outcome = outcomeDenied
 	j.reply(status, reason, 0)
 	return false
 }
 
 // refuse ends a request that has not run and will not. It always returns false.
-func (j *job) refuse(reason string, after time.Duration) bool {
+func (j *request) refuse(reason string, after time.Duration) bool {
 	j.outcome = outcomeRefused
 	j.reply(http.StatusServiceUnavailable, reason, after)
 	return false
@@ -281,15 +281,15 @@
 
 // fail ends a request that may have run; after is when it makes sense to come back,
 // 0 for no word on that.
-func (j *job) fail(status int, reason string, after time.Duration) {
+func (j *request) fail(status int, reason string, after time.Duration) {
 	j.outcome = outcomeFailed
 	j.reply(status, reason, after)
 }
 
-func (j *job) reply(status int, reason string, after time.Duration) {
+func (j *request) reply(status int, reason string, after time.Duration) {
 	j.status, j.reason = status, reason
 	h := j.w.Header()
-	j.entry.platform.Headers.Refusal(h, j.asked.ID)
+	j.entry.platform.Headers.Refusal(h, j.params.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -18,7 +18,7 @@
 // configuration is the one in force, with when it was taken.
 type configuration struct {
 	*fleet.Configuration
-	at time.Duration
+	appliedAt time.Duration
 }
 
 // runs reports whether the operator has a service run a model. A record may name a
@@ -44,14 +44,14 @@
 	mu       sync.Mutex
 	replicas *member.Replicas
 	// outage is the reader's of the list of replicas.
-	outage  *member.Outage
-	board   *rollout.Board
-	feed    *route.Feed
-	demands map[string]*rollout.Demand // of each model
-	budgets map[string]*attempt.Budget
-	strikes *attempt.Strikes
-	gates   map[string]*gate
-	limits  *ratelimit.Limits
+	outage       *member.Outage
+	board        *rollout.Board
+	feed         *route.Feed
+	demands      map[string]*rollout.Demand // of each model
+	retryBudgets map[string]*attempt.Budget
+	crashes      *attempt.Strikes
+	queues       map[string]*serviceQueue
+	rateLimits   *ratelimit.Limits
 	// leavingNews are replicas that have said here that they leave, and how often the other
 	// entries are still to be told.
 	leavingNews map[string]int
@@ -62,45 +62,45 @@
 	listRewound time.Duration
 	// changed is closed, and replaced, when more replicas may be usable.
 	changed chan struct{}
-	// namings is entries' word when versions of weights were named: of a few a day for
+	// announcements is entries' word when versions of weights were named: of a few a day for
 	// each model, as long as this process runs.
-	namings map[namedVersion]*rollout.Naming
-	// namingsRead are those that were read in the store's present era.
-	namingsRead map[namedVersion]bool
+	announcements map[namedVersion]*rollout.Naming
+	// announcementsRead are those that were read in the store's present era.
+	announcementsRead map[namedVersion]bool
 	// learns is called once for each service of engines that requests come for.
 	learns func(service string)
-	// budget is what all entries together may send a second time to a service; each
+	// retryBudget is what all entries together may send a second time to a service; each
 	// takes its share.
-	budget attempt.BudgetParams
+	retryBudget attempt.BudgetParams
 	// entries is how many entries there are, this one included; unknownEntries until
 	// the list of them was read.
 	entries int
 }
 
-// unknownEntries is how many entries are assumed while nobody says how many there are: a few
+// assumedEntries is how many entries are assumed while nobody says how many there are: a few
 // more than the largest fleet that is built towards has, so that all together spend no more than
 // they may.
-const unknownEntries = 512
+const assumedEntries = 512
 
 func newState(self string, budget attempt.BudgetParams) *state {
 	return &state{
-		entries:  unknownEntries,
-		replicas: member.NewReplicas(member.DefaultReplicaParams),
-		outage:   member.NewOutage(outageParams),
-		board:    rollout.NewBoard(),
-		feed:     route.NewFeed(route.DefaultFeedParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		demands:  make(map[string]*rollout.Demand),
-		budgets:  make(map[string]*attempt.Budget),
-		strikes:  attempt.NewStrikes(attempt.DefaultStrikeParams),
-		gates:    make(map[string]*gate),
-		limits:   ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
-		changed:  make(chan struct{}),
-		budget:   budget,
-		namings:  make(map[namedVersion]*rollout.Naming),
+		entries:       assumedEntries,
+		replicas:      member.NewReplicas(member.DefaultReplicaParams),
+		outage:        member.NewOutage(outageParams),
+		board:         rollout.NewBoard(),
+		feed:          route.NewFeed(route.DefaultFeedParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		demands:       make(map[string]*rollout.Demand),
+		retryBudgets:  make(map[string]*attempt.Budget),
+		crashes:       attempt.NewStrikes(attempt.DefaultStrikeParams),
+		queues:        make(map[string]*serviceQueue),
+		rateLimits:    ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
+		changed:       make(chan struct{}),
+		retryBudget:   budget,
+		announcements: make(map[namedVersion]*rollout.Naming),
 
-		leavingNews: make(map[string]int),
-		namingsRead: make(map[namedVersion]bool),
-		learns:      func(string) {},
+		leavingNews:       make(map[string]int),
+		announcementsRead: make(map[namedVersion]bool),
+		learns:            func(string) {},
 	}
 }
 
@@ -122,18 +122,18 @@
 	return s.listRewound + afterOutage
 }
 
-// signal wakes the requests that wait for a replica. The caller holds mu.
-func (s *state) signal() {
+// notifyChanged wakes the requests that wait for a replica. The caller holds mu.
+func (s *state) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // budgetOf returns a service's budget of extra work. The caller holds mu.
 func (s *state) budgetOf(service string) *attempt.Budget {
-	b := s.budgets[service]
+	b := s.retryBudgets[service]
 	if b == nil {
 		b = attempt.NewBudget(s.ownBudget())
-		s.budgets[service] = b
+		s.retryBudgets[service] = b
 	}
 	return b
 }
@@ -142,30 +142,30 @@
 // traffic, one part in as many as there are entries. The share by requests counts
 // its own. The caller holds mu.
 func (s *state) ownBudget() attempt.BudgetParams {
-	p := s.budget
+	p := s.retryBudget
 	p.Burst = max(1, p.Burst/float64(s.entries))
 	return p
 }
 
-// rebudget takes another budget.
-func (s *state) rebudget(p attempt.BudgetParams) {
+// setRetryBudget takes another budget.
+func (s *state) setRetryBudget(p attempt.BudgetParams) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget = p
+	s.retryBudget = p
 	s.resize()
 }
 
-// counted takes how many entries there are. Those that are gone but still listed
+// setEntryCount takes how many entries there are. Those that are gone but still listed
 // count, which only makes the shares smaller.
-func (s *state) counted(entries int) {
+func (s *state) setEntryCount(entries int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = entries
 	s.resize()
 }
 
-// count is how many entries there are.
-func (s *state) count() int {
+// entryCount is how many entries there are.
+func (s *state) entryCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries
@@ -174,7 +174,7 @@
 // resize divides the budget anew. The caller holds mu.
 func (s *state) resize() {
 	own := s.ownBudget()
-	for _, b := range s.budgets {
+	for _, b := range s.retryBudgets {
 		b.Resize(own.Share, own.Burst)
 	}
 }
@@ -203,11 +203,11 @@
 	minSample  = 3
 )
 
-// forget drops what is known of a replica that is gone. The caller holds mu.
-func (s *state) forget(id string) {
+// forgetReplica drops what is known of a replica that is gone. The caller holds mu.
+func (s *state) forgetReplica(id string) {
 	s.board.Gone(id)
 	s.feed.Gone(id)
-	s.limits.Forget(id)
+	s.rateLimits.Forget(id)
 }
 
 // wanted is the version of a model's weights to use, 0 if none was named. The
@@ -259,7 +259,7 @@
 			}
 			continue
 		}
-		if !s.limits.Allows(id, now) {
+		if !s.rateLimits.Allows(id, now) {
 			excluded.limited++
 			continue
 		}
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -75,17 +75,17 @@
 
 // lastEvent is after which event a stream goes on: what the caller has from this
 // answer, else what it said it has.
-func (j *job) lastEvent() string {
+func (j *request) lastEvent() string {
 	if j.lastID != "" {
 		return j.lastID
 	}
-	return j.asked.LastEvent
+	return j.params.LastEvent
 }
 
 // stream passes a replica's events on as they come. Its head goes out with the
 // first event: before it the request can still be handed to another replica, or
 // be answered with a failure.
-func (j *job) stream(p *placed, x *upstream.Exchange) (attempt.Loss, bool) {
+func (j *request) stream(p *placement, x *upstream.Exchange) (attempt.Loss, bool) {
 	control := http.NewResponseController(j.w)
 	in := newEvents(x.Body)
 	for {
@@ -116,7 +116,7 @@
 
 // beginStream sends the head before the first event. A stream that goes on at
 // another replica keeps the head, and with it the seal, of the first.
-func (j *job) beginStream(p *placed, x *upstream.Exchange) {
+func (j *request) beginStream(p *placement, x *upstream.Exchange) {
 	if j.first > 0 {
 		return
 	}
@@ -137,7 +137,7 @@
 	s.mu.Unlock()
 }
 
-func (j *job) streamEnded(p *placed, x *upstream.Exchange) (attempt.Loss, bool) {
+func (j *request) streamEnded(p *placement, x *upstream.Exchange) (attempt.Loss, bool) {
 	if j.first == 0 {
 		// An answer without an event is complete as it is.
 		j.first = max(1, j.entry.clock.now()-j.began)
@@ -155,7 +155,7 @@
 }
 
 // callerLost ends a stream whose caller takes no more.
-func (j *job) callerLost(err error) (attempt.Loss, bool) {
+func (j *request) callerLost(err error) (attempt.Loss, bool) {
 	j.outcome, j.reason = outcomeLeft, err.Error()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/direct/strikes.go
+++ b/internal/direct/strikes.go
@@ -18,7 +18,7 @@
 
 // fingerprint stands for the request whenever it comes again: its organisation,
 // method, target and body.
-func (j *job) fingerprint() uint64 {
+func (j *request) fingerprint() uint64 {
 	d := xxhash.New()
 	organisation := ""
 	if j.organisation != nil {
@@ -36,11 +36,11 @@
 
 // givenUp answers a request that has crashed too many replicas. It reports whether
 // it did.
-func (j *job) givenUp() bool {
+func (j *request) givenUp() bool {
 	s := j.entry.state
 	s.mu.Lock()
 	now := j.entry.clock.now()
-	wait, given := s.strikes.GivenUp(j.print, now)
+	wait, given := s.crashes.GivenUp(j.print, now)
 	s.mu.Unlock()
 	if !given {
 		return false
@@ -61,11 +61,11 @@
 // broke says that the request's run broke off at a replica. A connection is tried,
 // once for all that broke off there together: if the replica has crashed, nothing else
 // should be sent there, and the request has a strike.
-func (j *job) broke(p *placed) {
+func (j *request) broke(p *placement) {
 	s := j.entry.state
 	s.mu.Lock()
 	now := j.entry.clock.now()
-	strikes := s.strikes.Broken(j.print, p.replica.ID, p.at, now)
+	strikes := s.crashes.Broken(j.print, p.replica.ID, p.at, now)
 	check := s.replicas.Silent(p.replica.ID, now)
 	s.mu.Unlock()
 	j.entry.struck(strikes)
@@ -74,10 +74,10 @@
 	}
 }
 
-// replicaLost says that a replica is gone, or can't be reached.
-func (e *Entry) replicaLost(id string) {
+// recordReplicaLoss says that a replica is gone, or can't be reached.
+func (e *Entry) recordReplicaLoss(id string) {
 	e.state.mu.Lock()
-	strikes := e.state.strikes.Lost(id, e.clock.now())
+	strikes := e.state.crashes.Lost(id, e.clock.now())
 	e.state.mu.Unlock()
 	e.struck(strikes)
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// heardStrikes takes strikes that a peer sent directly.
-func (e *Entry) heardStrikes(strikes []attempt.Strike, from string) {
+// receiveCrashes takes strikes that a peer sent directly.
+func (e *Entry) receiveCrashes(strikes []attempt.Strike, from string) {
 	for i := range strikes {
 		if strikes[i].Valid() {
 			e.heardStrike(&strikes[i], from)
@@ -121,7 +121,7 @@
 // heardStrike takes another entry's strike.
 func (e *Entry) heardStrike(strike *attempt.Strike, from string) {
 	e.state.mu.Lock()
-	e.state.strikes.Heard(*strike, e.clock.now())
+	e.state.crashes.Heard(*strike, e.clock.now())
 	e.state.mu.Unlock()
 	e.logStrike(strike, from)
 }
@@ -130,8 +130,8 @@
 func (e *Entry) logStrike(strike *attempt.Strike, from string) int {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	count := e.state.strikes.Count(strike.Fingerprint, now)
-	_, given := e.state.strikes.GivenUp(strike.Fingerprint, now)
+	count := e.state.crashes.Count(strike.Fingerprint, now)
+	_, given := e.state.crashes.GivenUp(strike.Fingerprint, now)
 	e.state.mu.Unlock()
 	e.tel.Metrics.Count("requests_struck", 1)
 	e.tel.Log.Info("request struck", "fingerprint", strike.Fingerprint, "replica", strike.Replica,
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -31,8 +31,8 @@
 // opening returns when a replica takes something again, false if it isn't known to take nothing
 // now. The caller holds mu.
 func (s *state) opening(id string, now time.Duration) (admit.Opening, bool) {
-	opening := admit.Opening{At: max(s.replicas.RestsUntil(id), s.limits.Next(id, now)), Rate: admit.Unlimited}
-	if limit, limited := s.limits.State(id, now); limited {
+	opening := admit.Opening{At: max(s.replicas.RestsUntil(id), s.rateLimits.Next(id, now)), Rate: admit.Unlimited}
+	if limit, limited := s.rateLimits.State(id, now); limited {
 		opening.Rate = limit.Part
 	}
 	return opening, opening.At > now
@@ -40,19 +40,19 @@
 
 // refuseBeyond ends the wait of those for whom the replicas will have no place in time, the
 // last in turn first. The caller holds mu.
-func (s *state) refuseBeyond(g *gate, now time.Duration) {
-	t := g.line.Next(now)
+func (s *state) refuseBeyond(g *serviceQueue, now time.Duration) {
+	t := g.waiting.Next(now)
 	if t == nil {
 		return
 	}
-	j := t.Value.(*job)
-	supply, closed := s.closed(j.service, j.asked.Model, now)
+	j := t.Value.(*request)
+	supply, closed := s.closed(j.service, j.params.Model, now)
 	if !closed {
 		return
 	}
-	for _, t := range g.line.Trim(supply.Places(t.GiveUp), now) {
-		j := t.Value.(*job)
-		j.openIn = max(comeBack, supply.Wait(g.line.Len()+1, now))
-		j.turn <- nil
+	for _, t := range g.waiting.Trim(supply.Places(t.GiveUp), now) {
+		j := t.Value.(*request)
+		j.capacityIn = max(defaultRetryAfter, supply.Wait(g.waiting.Len()+1, now))
+		j.placed <- nil
 	}
 }
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -67,8 +67,8 @@
 		if len(r.Weights) == 0 || now < s.replicas.RestsUntil(id) || e.hub != nil && !spread.Asks(e.settings.ID, alive, id) {
 			continue
 		}
-		if s.limits.Allows(id, now) {
-			s.limits.Take(id, now)
+		if s.rateLimits.Allows(id, now) {
+			s.rateLimits.Take(id, now)
 			replicas = append(replicas, r)
 		}
 	}
@@ -82,7 +82,7 @@
 	defer cancel()
 	asked := e.clock.now()
 	report, notice, err := e.platform.Replicas.Report(ctx, r)
-	e.noticed(r.ID, &notice, asked, false)
+	e.applyNotice(r.ID, &notice, asked, false)
 	var other *fleet.MisdirectedError
 	switch {
 	case errors.As(err, &other):
@@ -172,7 +172,7 @@
 		s.board.Take(&rollout.Note{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
 	}
 	if !report.Busy {
-		s.signal()
+		s.notifyChanged()
 	}
 }
 
@@ -190,9 +190,9 @@
 	go func() {
 		e.state.mu.Lock()
 		e.state.replicas.Replaced(r.ID, e.clock.now())
-		e.state.forget(r.ID)
+		e.state.forgetReplica(r.ID)
 		e.state.mu.Unlock()
-		e.replicaLost(r.ID)
+		e.recordReplicaLoss(r.ID)
 		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.Incarnation(name, born))
 		if name == "" || len(r.Weights) == 0 {
 			return
@@ -228,12 +228,12 @@
 		return // the list has told
 	}
 	listing := e.state.replicas.Adopt(fresh, e.clock.now())
-	e.listed(fresh, &listing, false)
+	e.applyListing(fresh, &listing, false)
 	e.state.mu.Unlock()
 	if listing.Outdated {
 		e.tel.Log.Info("replica not taken up", "replica", fresh.ID, "address", fresh.Address, "reason", "its record was removed")
 		return
 	}
-	e.followed(fresh, &listing)
+	e.endPredecessor(fresh, &listing)
 	e.logListing(fresh, &listing, false, 0)
 }
--- a/internal/direct/watch.go
+++ b/internal/direct/watch.go
@@ -84,10 +84,10 @@
 		case <-tick.C:
 		}
 		w.entry.state.mu.Lock()
-		w.entry.refuseWaiting()
-		w.entry.state.dispatchAll(w.entry.clock.now())
+		w.entry.refuseLateQueued()
+		w.entry.state.placeAllQueued(w.entry.clock.now())
 		w.entry.state.mu.Unlock()
-		w.entry.tellNotices()
+		w.entry.sendNotices()
 		for _, r := range w.due() {
 			go w.probe(ctx, r)
 		}
@@ -135,7 +135,7 @@
 	e.state.mu.Lock()
 	news := e.state.replicas.Reachable(r.ID)
 	if news {
-		e.state.signal()
+		e.state.notifyChanged()
 	}
 	e.state.mu.Unlock()
 	if !news {
@@ -156,7 +156,7 @@
 	if !news {
 		return
 	}
-	e.replicaLost(r.ID)
+	e.recordReplicaLoss(r.ID)
 	taken := e.watch.take(r.ID)
 	e.tel.Log.Warn("replica unreachable", "replica", r.ID, "by", by, "taken_from_it", taken, "error", err)
 }
