--- a/cmd/skylarkd/main.go
+++ b/cmd/skylarkd/main.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func serve(ctx context.Context, s *settings.Settings, source direct.Source) error {
+func serve(ctx context.Context, s *settings.Settings, source direct.SettingsLoader) error {
 	lines := telemetry.NewAsyncWriter(os.Stdout)
 	defer lines.Close()
 	tel, err := telemetry.New(s, lines)
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func runRole(ctx context.Context, s *settings.Settings, source direct.Source, tel *telemetry.Telemetry) error {
+func runRole(ctx context.Context, s *settings.Settings, source direct.SettingsLoader, tel *telemetry.Telemetry) error {
 	if s.Role != settings.RoleDirect {
 		ignoreHangups(ctx, tel)
 	}
--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -98,7 +98,7 @@
 // head copies a replica's headers to the caller's answer.
 func (j *job) head(h http.Header) {
 	out := j.w.Header()
-	for name, values := range j.entry.platform.Headers.Return(h) {
+	for name, values := range j.entry.platform.Headers.ToCaller(h) {
 		out[name] = values
 	}
 	if j.entry.leaving() {
@@ -166,7 +166,7 @@
 	case !head.Misdirected:
 		s.replicas.Busy(p.replica.ID, now)
 	case head.Instance != "" && head.Instance != p.replica.Name:
-		e.replaced(p.replica, head.Instance, 0)
+		e.handleReplaced(p.replica, head.Instance, 0)
 	case j.asked.Model != "":
 		s.board.Saw(p.replica.ID, j.asked.Model, p.version+1, 0)
 		s.feed.Emptied(p.replica.ID, now)
--- a/internal/direct/bulk.go
+++ b/internal/direct/bulk.go
@@ -59,7 +59,7 @@
 func (h *hub) fetch(f *follower, from netip.AddrPort) {
 	sent := h.boot()
 	began := time.Now()
-	t, err := h.get(from, f.number, f.nextOf())
+	t, err := h.fetchTopic(from, f.topicID, f.nextOf())
 	if err == nil && !t.possible() {
 		err = fmt.Errorf("%w: an age of %d ms", errBulk, max(t.MadeMs, t.AnsweredMs))
 	}
@@ -99,7 +99,7 @@
 		if asked == mostBefore {
 			return
 		}
-		t, err := h.get(address, f.number, 0)
+		t, err := h.fetchTopic(address, f.topicID, 0)
 		if err != nil || !t.Whole {
 			h.tel.Metrics.Count("records_fetches_failed", 1)
 			continue
--- a/internal/direct/clock.go
+++ b/internal/direct/clock.go
@@ -11,8 +11,8 @@
 
 func (c clock) now() time.Duration { return time.Since(c.start) }
 
-// sinceBoot turns a time of bootTime, which is boot now, into one of this clock.
-func (c clock) sinceBoot(at, boot time.Duration) time.Duration { return c.now() - (boot - at) }
+// fromBoot turns a time of bootTime, which is boot now, into one of this clock.
+func (c clock) fromBoot(at, boot time.Duration) time.Duration { return c.now() - (boot - at) }
 
 // bootTime is a steady clock that also counts the time for which the machine was
 // suspended. Leases go by it: the steady clock stands still meanwhile, and a holder
--- a/internal/direct/digest.go
+++ b/internal/direct/digest.go
@@ -187,7 +187,7 @@
 	}
 	d.seq++
 	for i, part := range split {
-		w := &word{
+		w := &peerMessage{
 			From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Seq: d.seq, PassOn: true,
 			Of:         strings.Join([]string{e.settings.FailureDomain, strconv.Itoa(int(parts)), strconv.Itoa(i)}, partsSeparator),
 			Placements: d.take(maxWordPlacements),
@@ -209,13 +209,13 @@
 
 // heard passes a digest of another domain on in this one, if it came from there, and tells its
 // sender so: one that isn't told tries another entry.
-func (d *digests) heard(w *word, from netip.AddrPort) {
+func (d *digests) heard(w *peerMessage, from netip.AddrPort) {
 	p := d.peers
 	if !w.PassOn {
 		return
 	}
 	if strings.HasSuffix(w.Of, partsSeparator+"0") {
-		p.sendTo(&word{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Passed: p.entry.settings.FailureDomain}, from)
+		p.sendTo(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Passed: p.entry.settings.FailureDomain}, from)
 	}
 	passed := *w
 	passed.From, passed.PassOn = p.entry.settings.ID, false
--- a/internal/direct/digest_test.go
+++ b/internal/direct/digest_test.go
@@ -12,23 +12,23 @@
 	"skylarklead/internal/settings"
 )
 
-// talker is an entry of which only the words between entries run, over loopback.
-type talker struct {
+// peerNode is an entry of which only the words between entries run, over loopback.
+type peerNode struct {
 	*Entry
 	domain string
 }
 
 // address is where others reach the entry.
-func (e *talker) address() netip.AddrPort {
+func (e *peerNode) address() netip.AddrPort {
 	at := e.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
 }
 
-// newTalkers returns entries of some failure domains, all of which know and have heard each
+// newPeerNodes returns entries of some failure domains, all of which know and have heard each
 // other, and ends them with the test.
-func newTalkers(t *testing.T, entries, domains int) []*talker {
+func newPeerNodes(t *testing.T, entries, domains int) []*peerNode {
 	t.Helper()
-	var all []*talker
+	var all []*peerNode
 	for i := range entries {
 		s := &settings.Settings{
 			ID: fmt.Sprintf("entry-%d", i), FailureDomain: fmt.Sprintf("domain-%d", i%domains),
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		e.peers = p
-		all = append(all, &talker{Entry: e, domain: s.FailureDomain})
+		all = append(all, &peerNode{Entry: e, domain: s.FailureDomain})
 	}
 	for _, a := range all {
 		for _, b := range all {
@@ -55,10 +55,10 @@
 	return all
 }
 
-// startTalkers is newTalkers whose entries speak.
-func startTalkers(t *testing.T, entries, domains int) []*talker {
+// startPeerNodes is newTalkers whose entries speak.
+func startPeerNodes(t *testing.T, entries, domains int) []*peerNode {
 	t.Helper()
-	all := newTalkers(t, entries, domains)
+	all := newPeerNodes(t, entries, domains)
 	for _, a := range all {
 		clear(a.peers.heardAt)
 		go a.peers.listen()
@@ -69,7 +69,7 @@
 }
 
 // place has an entry send a request to a replica.
-func (e *talker) place(replica, prefix string) {
+func (e *peerNode) place(replica, prefix string) {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	now := e.clock.now()
@@ -83,7 +83,7 @@
 
 // held is how many tokens an entry expects a replica to read anew of a prompt, and the wait
 // there.
-func (e *talker) held(replica, prefix string) (missed int, wait float64) {
+func (e *peerNode) held(replica, prefix string) (missed int, wait float64) {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	q := &route.FeedQuery{
@@ -99,13 +99,13 @@
 // Guards against a domain's loads and placements that no other domain, or one entry of it only, is told of.
 func TestOtherDomainsHearOfLoadsAndPlacements(t *testing.T) {
 	const entries, domains = 36, 3
-	all := startTalkers(t, entries, domains)
+	all := startPeerNodes(t, entries, domains)
 	all[0].place("r1", "charter")
 	awaitHeard(t, all)
 }
 
 // awaitHeard waits until all entries know that r1 is at work and holds the charter.
-func awaitHeard(t *testing.T, all []*talker) {
+func awaitHeard(t *testing.T, all []*peerNode) {
 	t.Helper()
 	limit := time.Now().Add(5 * time.Second)
 	for _, e := range all {
@@ -122,7 +122,7 @@
 
 // Guards against a load that counts twice, or comes back to its sender.
 func TestADigestIsNotCountedInItsOwnDomain(t *testing.T) {
-	all := startTalkers(t, 36, 3)
+	all := startPeerNodes(t, 36, 3)
 	all[0].place("r1", "charter")
 	awaitHeard(t, all)
 	for _, e := range all {
@@ -142,8 +142,8 @@
 
 // Guards against entries that pass digests on out of turn before anything was heard.
 func TestTheFirstDigestGoesToTheEntryWhoseTurnItIs(t *testing.T) {
-	all := newTalkers(t, 36, 3)
-	byAddress := map[netip.AddrPort]*talker{}
+	all := newPeerNodes(t, 36, 3)
+	byAddress := map[netip.AddrPort]*peerNode{}
 	for _, e := range all {
 		byAddress[e.address()] = e
 	}
@@ -160,7 +160,7 @@
 // Guards against placements that are dropped where a digest has no room for them.
 func TestPlacementsThatDoNotFitComeWithTheNextDigest(t *testing.T) {
 	const placed = 3 * maxWordPlacements
-	d := newTalkers(t, 36, 3)[0].peers.digests
+	d := newPeerNodes(t, 36, 3)[0].peers.digests
 	for i := range placed {
 		d.export([]wordPlacement{{Levels: []uint64{uint64(i)}, Replica: 1, Read: true}})
 	}
--- a/internal/direct/drain.go
+++ b/internal/direct/drain.go
@@ -136,9 +136,9 @@
 // seconds without an order while requests are refused for overdue weights. It gives the
 // lease back lastOrders before the end at the latest.
 func (e *Entry) shutDown(server *http.Server) {
-	e.drain.begin(e.direct().Grace.D())
+	e.drain.begin(e.directSettings().Grace.D())
 	began, ends := e.drain.state()
-	e.tel.Log.Info("draining", "grace_ms", e.direct().Grace.D().Milliseconds())
+	e.tel.Log.Info("draining", "grace_ms", e.directSettings().Grace.D().Milliseconds())
 	time.Sleep(min(lastConnections, time.Until(ends)))
 	for (!e.drain.idle() || e.rollouts.keeps()) && time.Now().Before(ends) {
 		time.Sleep(drainPoll)
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -48,7 +48,7 @@
 	settings *settings.Settings
 	// tunable are the settings that may change while it runs, source rereads them.
 	tunable  atomic.Pointer[settings.Direct]
-	source   Source
+	source   SettingsLoader
 	tel      *telemetry.Telemetry
 	platform Platform
 	clock    clock
@@ -58,7 +58,7 @@
 	state    *state
 	pool     *upstream.Pool
 	rollouts *rollouts
-	watch    *watch
+	watch    *replicaMonitor
 	peers    *peers
 	quotas   *quotas
 	// hub is nil where each entry reads the store for itself.
@@ -67,12 +67,12 @@
 	bodyRoom int64
 	drain    *drain
 	// malformed reports records that can't be used.
-	malformed *malformed
+	malformed *malformedRecords
 }
 
 // Run serves callers until ctx ends, then drains and returns.
 // source rereads the settings, nil for none.
-func Run(ctx context.Context, s *settings.Settings, source Source, tel *telemetry.Telemetry, p Platform) error {
+func Run(ctx context.Context, s *settings.Settings, source SettingsLoader, tel *telemetry.Telemetry, p Platform) error {
 	e := newEntry(s, tel, p)
 	e.source = source
 	front, err := net.Listen("tcp", s.Direct.Listen)
@@ -107,9 +107,9 @@
 		return fmt.Errorf("direct: peers: %w", err)
 	}
 	e.hub = newHub(e)
-	e.hub.send = func(w *word, to netip.AddrPort) { e.peers.sendTo(w, to) }
+	e.hub.send = func(w *peerMessage, to netip.AddrPort) { e.peers.sendTo(w, to) }
 	bulk, server := newBulk(), e.hub.serveBulk(l)
-	e.hub.get = bulk.get
+	e.hub.fetchTopic = bulk.get
 	e.hub.close = func() {
 		server.Close()
 		bulk.client.CloseIdleConnections()
@@ -126,17 +126,17 @@
 		platform:  p,
 		clock:     clock{time.Now()},
 		boot:      bootTime,
-		state:     newState(s.ID, budgetOf(d)),
+		state:     newState(s.ID, retryBudgetParams(d)),
 		pool:      upstream.NewPool(),
 		bodies:    semaphore.NewWeighted(room),
 		bodyRoom:  room,
 		drain:     newDrain(),
-		malformed: newMalformed(tel),
+		malformed: newMalformedRecords(tel),
 	}
 	e.tunable.Store(d)
 	e.state.learns = e.showSpeeds
 	e.rollouts = newRollouts(e)
-	e.watch = newWatch(e)
+	e.watch = newReplicaMonitor(e)
 	e.quotas = newQuotas(e)
 	return e
 }
@@ -265,8 +265,8 @@
 		for _, id := range removed {
 			e.state.forget(id)
 		}
-		e.state.feed.ForgetPeers(now - peerForgotten)
-		e.state.outage.Forget(now - peerForgotten)
+		e.state.feed.ForgetPeers(now - peerExpiry)
+		e.state.outage.Forget(now - peerExpiry)
 		known := make(map[string]bool)
 		for _, id := range e.state.replicas.IDs() {
 			known[id] = true
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -34,13 +34,13 @@
 // follow keeps the list of the other entries.
 func (p *peers) follow(ctx context.Context) {
 	f := p.entry.newFollower(topicPeers)
-	f.keyed, f.wait, f.every = true, peersWait, peersEvery
-	f.number = numberPeers
-	f.record = func(r fleet.Record) {
+	f.keyed, f.readWait, f.readPause = true, peersWait, peersEvery
+	f.topicID = peersTopicID
+	f.onRecord = func(r fleet.Record) {
 		p.take(r)
 		p.counted()
 	}
-	f.whole = func(page fleet.Page) {
+	f.onSnapshot = func(page fleet.Page) {
 		for _, r := range page.Records {
 			p.take(r)
 		}
@@ -54,9 +54,9 @@
 		}
 		p.counted()
 	}
-	f.reached = func(r spread.Reading) {
+	f.onRead = func(r spread.Reading) {
 		p.entry.quotas.confirmed(r.Made)
-		p.entry.limitsConfirmed(p.entry.clock.sinceBoot(r.Made, f.boot()))
+		p.entry.limitsConfirmed(p.entry.clock.fromBoot(r.Made, f.boot()))
 	}
 	f.run(ctx)
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -25,25 +25,25 @@
 	// must be less than the three seconds of calm after which an entry is held to what
 	// the store has acknowledged.
 	operatorWait = 1500 * time.Millisecond
-	// replicasWait is like operatorWait for the replicas' records, replicasEvery the
+	// replicasReadWait is like operatorWait for the replicas' records, replicasEvery the
 	// least pause between reads: after a crash of many their records come in a burst.
 	// It grows with the entries, as each change wakes them all, up to replicasMost, a
 	// third of the time in which a leaving replica must be left alone.
-	replicasWait  = operatorWait
-	replicasEvery = 40 * time.Millisecond
-	replicasMost  = 700 * time.Millisecond
-	// replicasPause is that pause where few entries read for all: a rollout over hundreds of
+	replicasReadWait     = operatorWait
+	replicasReadPause    = 40 * time.Millisecond
+	maxReplicasReadPause = 700 * time.Millisecond
+	// sharedReplicasReadPause is that pause where few entries read for all: a rollout over hundreds of
 	// replicas changes some thirty records a second, and what must be known sooner comes by
 	// other ways.
-	replicasPause = 150 * time.Millisecond
-	// entriesEvery is the pause between reads of the entries' own topic. Notes come
+	sharedReplicasReadPause = 150 * time.Millisecond
+	// entriesReadPause is the pause between reads of the entries' own topic. Notes come
 	// from peers at once, and are read there if a datagram was lost; what an entry
 	// appends itself it reads back at once.
-	entriesEvery = 1200 * time.Millisecond
-	// entriesWait is how long a read of that topic waits for a record while no rollout
+	entriesReadPause = 1200 * time.Millisecond
+	// entriesReadWait is how long a read of that topic waits for a record while no rollout
 	// is under way, which is most of the time: one read in 4.2 s in place of 1.2. A silent
 	// connection hides a holder's renewals for as long, which matters to none then.
-	entriesWait = 3 * time.Second
+	entriesReadWait = 3 * time.Second
 )
 
 // follower keeps up with one topic: it reads the store and, where entries pass on what
@@ -52,18 +52,18 @@
 	topic string
 	// keyed topics are read whole at the start and wherever records are missing.
 	keyed bool
-	// wait is how long a read waits for a record, every the pause after one that brought
+	// readWait is how long a read waits for a record, readPause the pause after one that brought
 	// some.
-	wait, every time.Duration
-	// whole takes all keys at once, record one change, caughtUp the end of a read
+	readWait, readPause time.Duration
+	// onSnapshot takes all keys at once, record one change, caughtUp the end of a read
 	// that reached the end, skipped the oldest offset where earlier ones are gone.
-	whole    func(fleet.Page)
-	record   func(fleet.Record)
-	caughtUp func()
-	skipped  func(first uint64)
-	// rewound is called, before anything of a new era of the store is taken, with the position
+	onSnapshot func(fleet.Page)
+	onRecord   func(fleet.Record)
+	onCaughtUp func()
+	onGap      func(first uint64)
+	// onRestore is called, before anything of a new era of the store is taken, with the position
 	// from which on it is read.
-	rewound func(first uint64)
+	onRestore func(first uint64)
 
 	store fleet.Store
 	pacer platform.Pacer
@@ -71,23 +71,23 @@
 	boot func() time.Duration
 	// hub is where the entry's topics are passed on, nil where it reads all for itself;
 	// number is the topic's there, limit how old what is known may be.
-	hub    *hub
-	number int
-	limit  time.Duration
+	hub     *hub
+	topicID int
+	limit   time.Duration
 	// wake says that a read may be due.
 	wake chan struct{}
 	// failures counts reads without an answer in a row.
 	failures int
-	// pause returns the pause between reads where it varies, waits how long they wait;
+	// readPauseFunc returns the readPauseFunc between reads where it varies, waits how long they wait;
 	// nil for every and wait.
-	pause func() time.Duration
-	waits func() time.Duration
-	// poke cuts a pause between reads short; nil for none.
-	poke <-chan struct{}
-	// reached is called with each reading that makes what is known younger, failed after
+	readPauseFunc func() time.Duration
+	readWaitFunc  func() time.Duration
+	// skipPause cuts a pause between reads short; nil for none.
+	skipPause <-chan struct{}
+	// onRead is called with each reading that makes what is known younger, failed after
 	// each call without an answer with when that was made, unless peers know meanwhile.
-	reached func(spread.Reading)
-	failed  func(made time.Time)
+	onRead       func(spread.Reading)
+	onReadFailed func(made time.Time)
 
 	// mu guards the rest and is held while records are taken.
 	mu     sync.Mutex
@@ -110,11 +110,11 @@
 		pacer: platform.Pacer{Logger: log, Stream: topic, MaxPause: maxPause},
 	}
 	nothing := func() {}
-	f.caughtUp = nothing
-	f.reached = func(spread.Reading) {}
-	f.failed = func(time.Time) {}
-	f.skipped = func(uint64) {}
-	f.rewound = func(uint64) {}
+	f.onCaughtUp = nothing
+	f.onRead = func(spread.Reading) {}
+	f.onReadFailed = func(time.Time) {}
+	f.onGap = func(uint64) {}
+	f.onRestore = func(uint64) {}
 	return f
 }
 
@@ -151,7 +151,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-f.poke:
+		case <-f.skipPause:
 			return true
 		case <-f.wake:
 		}
@@ -168,7 +168,7 @@
 			return
 		}
 	}
-	f.failed(made)
+	f.onReadFailed(made)
 }
 
 func (f *follower) age() time.Duration {
@@ -192,9 +192,9 @@
 // given long. Their time grows and begins anew, for a store that is only slow.
 func (f *follower) patience() (wait, all time.Duration) {
 	if f.failures == 0 {
-		wait = f.wait
-		if f.waits != nil {
-			wait = f.waits()
+		wait = f.readWait
+		if f.readWaitFunc != nil {
+			wait = f.readWaitFunc()
 		}
 		if f.hub != nil {
 			wait = f.hub.patience(f, wait)
@@ -217,7 +217,7 @@
 	begins := !f.begun
 	f.mu.Unlock()
 	f.takeWhole(page, f.reading(page.Next, made), ownCall)
-	if begins && f.hub != nil && promised(f.number) && fleet.Era(page.Next) > 0 {
+	if begins && f.hub != nil && promised(f.topicID) && fleet.Era(page.Next) > 0 {
 		go f.hub.askBefore(f)
 	}
 	f.pacer.Answered(ctx, len(page.Records), 0, 0)
@@ -260,9 +260,9 @@
 
 // rest pauses between reads.
 func (f *follower) rest(ctx context.Context) {
-	every := f.every
-	if f.pause != nil {
-		every = f.pause()
+	every := f.readPause
+	if f.readPauseFunc != nil {
+		every = f.readPauseFunc()
 	}
 	if every <= 0 {
 		return
@@ -272,7 +272,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-f.poke:
+	case <-f.skipPause:
 	}
 }
 
@@ -297,12 +297,12 @@
 	if f.belief.Known && page.Next < f.belief.Next {
 		return
 	}
-	f.reached(r)
+	f.onRead(r)
 	if f.belief.Known && fleet.Era(page.Next) > fleet.Era(f.belief.Next) {
-		f.rewound(page.Next)
+		f.onRestore(page.Next)
 		f.tail.Rewound(f.boot())
 	}
-	f.whole(page)
+	f.onSnapshot(page)
 	f.tail.Start(page.Records, page.Next)
 	f.belief.Took(page.Next)
 	f.belief.Confirm(r)
@@ -319,7 +319,7 @@
 	defer f.mu.Unlock()
 	for _, record := range records {
 		if fleet.Era(record.Offset) < fleet.Era(f.belief.Next) {
-			f.record(record)
+			f.onRecord(record)
 		}
 	}
 }
@@ -346,10 +346,10 @@
 	}
 	covers := next+uint64(len(fresh)) >= r.Next
 	if own || covers && r.Made > f.belief.Last().Made {
-		f.reached(r)
+		f.onRead(r)
 	}
 	for _, record := range fresh {
-		f.record(record)
+		f.onRecord(record)
 		f.tail.Add(record, f.boot())
 	}
 	f.belief.Took(next + uint64(len(fresh)))
@@ -358,7 +358,7 @@
 		f.reread = false
 	}
 	if f.belief.Confirm(r) {
-		f.caughtUp()
+		f.onCaughtUp()
 	}
 	if f.hub != nil && len(fresh) > 0 {
 		f.hub.news(f, next, fresh, by)
@@ -376,7 +376,7 @@
 	f.belief.Took(first)
 	f.tail.Start(nil, first)
 	if first > 0 {
-		f.skipped(first)
+		f.onGap(first)
 	}
 }
 
@@ -400,8 +400,8 @@
 	f.belief.Took(max(f.belief.Next, first))
 	f.tail.Start(nil, f.belief.Next)
 	if again {
-		f.rewound(f.belief.Next)
+		f.onRestore(f.belief.Next)
 	} else {
-		f.skipped(f.belief.Next)
+		f.onGap(f.belief.Next)
 	}
 }
--- a/internal/direct/follow_test.go
+++ b/internal/direct/follow_test.go
@@ -54,7 +54,7 @@
 			store := &silentStore{from: began.Add(time.Second), to: began.Add(9*time.Second + phase)}
 			ctx, cancel := context.WithCancel(t.Context())
 			f := newFollower(store, "topic", slog.New(slog.DiscardHandler))
-			f.wait = operatorWait
+			f.readWait = operatorWait
 			go f.run(ctx)
 			time.Sleep(phase + 15*time.Second)
 			cancel()
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -71,7 +71,7 @@
 			t.Value.(*job).turn <- nil
 		}
 		s.dispatch(g, now)
-		s.refuseBeyond(g, now)
+		s.rejectBeyondSupply(g, now)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	g.line.Add(ticket)
 	s.dispatch(g, began)
-	s.refuseBeyond(g, began)
+	s.rejectBeyondSupply(g, began)
 	s.mu.Unlock()
 	defer func() { j.waited += e.clock.now() - began }()
 	select {
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -32,7 +32,7 @@
 	// source is the address that a missing prefix is fetched from, keep the store
 	// that it is saved to; "" for none.
 	source, keep string
-	watched      *exchange
+	watched      *inFlightRequest
 	// window holds work of the request until it begins to be answered.
 	window *admit.Window
 	work   float64
@@ -247,7 +247,7 @@
 		Method: j.r.Method,
 		Target: j.r.RequestURI,
 		Host:   j.r.Host,
-		Header: j.entry.platform.Headers.HandOver(j.r.Header, over),
+		Header: j.entry.platform.Headers.ToReplica(j.r.Header, over),
 		Body:   j.body,
 	}
 }
@@ -271,7 +271,7 @@
 		return loss
 	}
 	if loss == attempt.LossNotSent {
-		e.unreachable(p.replica, "request "+j.asked.ID, err)
+		e.markUnreachable(p.replica, "request "+j.asked.ID, err)
 		return loss
 	}
 	j.fault(p, member.FaultBroken)
--- a/internal/direct/hub.go
+++ b/internal/direct/hub.go
@@ -15,10 +15,10 @@
 
 // The topics by their numbers in messages between entries.
 const (
-	numberOperator = iota
-	numberReplicas
-	numberEntries
-	numberPeers
+	operatorTopicID = iota
+	replicasTopicID
+	entriesTopicID
+	peersTopicID
 	topics
 )
 
@@ -41,7 +41,7 @@
 	peersLimit   = quota.DefaultJoinedWithin
 	// shortLease is how long a read of the entries' topic waits while a rollout is under
 	// way, so that a silent connection hides renewals for less than a lease lasts.
-	shortLease = entriesEvery
+	shortLease = entriesReadPause
 )
 
 // hub has an entry's topics passed on among the entries: it asks, answers and tells news. What
@@ -55,11 +55,11 @@
 	self  spread.Peer
 	// send sends a message to an address. Errors are of no interest: each question is asked
 	// again.
-	send func(*word, netip.AddrPort)
-	// get fetches from a peer what doesn't fit into a datagram: of the topic of a number what
+	send func(*peerMessage, netip.AddrPort)
+	// fetchTopic fetches from a peer what doesn't fit into a datagram: of the topic of a number what
 	// follows next less one, or all. close ends that, and what gives peers the same.
-	get   func(from netip.AddrPort, number int, next uint64) (*wordTopic, error)
-	close func()
+	fetchTopic func(from netip.AddrPort, number int, next uint64) (*wordTopic, error)
+	close      func()
 
 	mu        sync.Mutex
 	sources   *spread.Sources
@@ -102,15 +102,15 @@
 
 // promised reports whether a promise hangs on how soon a topic's records are known. A source
 // must know these: the entries' own topics are told by other ways too.
-func promised(number int) bool { return number == numberOperator || number == numberReplicas }
+func promised(number int) bool { return number == operatorTopicID || number == replicasTopicID }
 
 // limits are how old what is known of each topic may be.
 func limits(d *settings.Direct) [topics]time.Duration {
 	return [topics]time.Duration{
-		numberOperator: spread.Limit(d.ConfigurationWithin.D()),
-		numberReplicas: spread.Limit(d.LeavingWithin.D()),
-		numberEntries:  entriesLimit,
-		numberPeers:    peersLimit,
+		operatorTopicID: spread.Limit(d.ConfigurationWithin.D()),
+		replicasTopicID: spread.Limit(d.LeavingWithin.D()),
+		entriesTopicID:  entriesLimit,
+		peersTopicID:    peersLimit,
 	}
 }
 
@@ -121,11 +121,11 @@
 
 // attach takes part in a topic.
 func (h *hub) attach(f *follower) {
-	h.tel.Metrics.Gauge("known_age_ms_"+topicNames[f.number], func() int64 { return f.age().Milliseconds() })
+	h.tel.Metrics.Gauge("known_age_ms_"+topicNames[f.topicID], func() int64 { return f.age().Milliseconds() })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f.limit = limits(h.entry.direct())[f.number]
-	h.followers[f.number] = f
+	f.limit = limits(h.entry.directSettings())[f.topicID]
+	h.followers[f.topicID] = f
 }
 
 // reads counts a read of the store by why it is made.
@@ -153,7 +153,7 @@
 	f.mu.Lock()
 	part := float64(f.belief.Age(now)) / float64(f.limit)
 	// Who there is to ask is read from the store.
-	first := !f.belief.Known && f.number == numberPeers || !f.keyed && f.reread
+	first := !f.belief.Known && f.topicID == peersTopicID || !f.keyed && f.reread
 	f.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -169,10 +169,10 @@
 	if h.sources.Mode(now) != spread.Leading {
 		return 0
 	}
-	if f.number == numberEntries && h.entry.rollouts.active.Load() {
+	if f.topicID == entriesTopicID && h.entry.rollouts.active.Load() {
 		return min(longest, shortLease)
 	}
-	return h.sources.ReadWait(f.limit, f.every, longest)
+	return h.sources.ReadWait(f.limit, f.readPause, longest)
 }
 
 // served says that the store has answered a call of this entry, missed that it hasn't.
@@ -246,7 +246,7 @@
 	}
 	h.ask(questions)
 	for _, to := range hints {
-		h.send(&word{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Hint: true}, to)
+		h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Hint: true}, to)
 	}
 	for _, f := range followers {
 		if f != nil && (is.mode != spread.Listening || f.tooOld(f.age())) {
@@ -263,7 +263,7 @@
 	lacks := was.lacking
 	h.tel.Log.Info("records' source", "mode", is.mode.String(), "source", is.source,
 		"before", was.mode.String(), "source_before", was.source, "after_ms", (is.since - was.since).Milliseconds(),
-		"list_age_ms", h.ageOf(numberReplicas).Milliseconds(), "operator_age_ms", h.ageOf(numberOperator).Milliseconds(),
+		"list_age_ms", h.ageOf(replicasTopicID).Milliseconds(), "operator_age_ms", h.ageOf(operatorTopicID).Milliseconds(),
 		"old_at", lacks.peer, "old_topic", lacks.topic, "old_ms", lacks.age.Milliseconds(), "old_from", lacks.reader)
 }
 
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -22,7 +22,7 @@
 	f.boot = func() time.Duration { return *now }
 	f.belief, f.tail = spread.NewBelief(0), spread.NewTail(false)
 	taken := &[]uint64{}
-	f.record = func(r fleet.Record) { *taken = append(*taken, r.Offset) }
+	f.onRecord = func(r fleet.Record) { *taken = append(*taken, r.Offset) }
 	return f, taken
 }
 
@@ -54,7 +54,7 @@
 	}
 	taker, taken := testFollower(&now)
 	skipped := uint64(0)
-	taker.skipped = func(first uint64) { skipped = first }
+	taker.onGap = func(first uint64) { skipped = first }
 	taker.begin(given.From)
 	taker.take(given.From, given.records(), given.reading(now), somePeer)
 	if skipped != given.From || len(*taken) != len(given.Records) || taker.belief.Next != 500 {
--- a/internal/direct/hubtalk.go
+++ b/internal/direct/hubtalk.go
@@ -24,7 +24,7 @@
 			asked.Next = append(asked.Next, f.nextOf())
 		}
 		h.tel.Metrics.Count("records_asked", 1)
-		h.send(&word{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Ask: asked}, to)
+		h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Ask: asked}, to)
 	}
 }
 
@@ -64,7 +64,7 @@
 		}
 	}
 	h.tel.Metrics.Count("records_answered", 1)
-	h.send(&word{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Answer: out}, from)
+	h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Answer: out}, from)
 }
 
 // told is what an entry that knows a topic up to next less one, 0 for nothing, is told of it:
@@ -138,12 +138,12 @@
 		}
 		told[t.Number] = true
 		r := t.reading(sent)
-		if promised(f.number) && (t.Reader == h.self.ID || f.tooOld(now-r.Made)) {
+		if promised(f.topicID) && (t.Reader == h.self.ID || f.tooOld(now-r.Made)) {
 			lacks = lacking{peer: peer, topic: f.topic, reader: t.Reader, age: now - r.Made}
 		}
 		h.take(f, t, r, from)
 	}
-	if !told[numberOperator] || !told[numberReplicas] {
+	if !told[operatorTopicID] || !told[replicasTopicID] {
 		lacks = lacking{peer: peer}
 	}
 	h.mu.Lock()
@@ -191,8 +191,8 @@
 		return
 	}
 	h.mu.Lock()
-	begun := h.fetching[f.number]
-	h.fetching[f.number] = true
+	begun := h.fetching[f.topicID]
+	h.fetching[f.topicID] = true
 	h.mu.Unlock()
 	if begun {
 		return
@@ -200,13 +200,13 @@
 	go func() {
 		h.fetch(f, from)
 		h.mu.Lock()
-		h.fetching[f.number] = false
+		h.fetching[f.topicID] = false
 		h.mu.Unlock()
 	}()
 }
 
 // heard takes a message between hubs. Where this entry reads all for itself it answers none.
-func (h *hub) heard(w *word, from netip.AddrPort) {
+func (h *hub) heard(w *peerMessage, from netip.AddrPort) {
 	switch {
 	case h == nil:
 	case w.Ask != nil:
@@ -252,11 +252,11 @@
 	for first := true; first || len(records) > 0; first = false {
 		room := maxWord - wordOverhead
 		part := fitting(records, &room)
-		t := wordTopic{Number: uint8(f.number), From: from, Next: from + uint64(len(part)), Records: part}
+		t := wordTopic{Number: uint8(f.topicID), From: from, Next: from + uint64(len(part)), Records: part}
 		if len(part) == 0 {
 			t.Next = from + uint64(len(records))
 		}
-		w := &word{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Answer: &wordAnswer{Topics: []wordTopic{t}}}
+		w := &peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Answer: &wordAnswer{Topics: []wordTopic{t}}}
 		for _, address := range to {
 			h.send(w, address)
 		}
--- a/internal/direct/hubtalk_test.go
+++ b/internal/direct/hubtalk_test.go
@@ -19,7 +19,7 @@
 	*hub
 	now  time.Duration
 	peer string
-	sent []*word
+	sent []*peerMessage
 }
 
 // startListening returns an entry that knows the list of replicas up to offset 2, as of 1 s.
@@ -36,13 +36,13 @@
 	e := newEntry(s, quietTelemetry(t), Platform{Records: listRecords{}})
 	e.boot = func() time.Duration { return l.now }
 	l.hub = newHub(e)
-	l.hub.send = func(w *word, _ netip.AddrPort) { l.sent = append(l.sent, w) }
-	l.hub.get = func(netip.AddrPort, int, uint64) (*wordTopic, error) { return nil, errBulk }
+	l.hub.send = func(w *peerMessage, _ netip.AddrPort) { l.sent = append(l.sent, w) }
+	l.hub.fetchTopic = func(netip.AddrPort, int, uint64) (*wordTopic, error) { return nil, errBulk }
 	for number := range topics {
 		f := e.newFollower(topicNames[number])
-		f.hub, f.number, f.keyed = l.hub, number, true
+		f.hub, f.topicID, f.keyed = l.hub, number, true
 		f.belief, f.tail = spread.NewBelief(0), spread.NewTail(true)
-		f.whole, f.record = func(fleet.Page) {}, func(fleet.Record) {}
+		f.onSnapshot, f.onRecord = func(fleet.Page) {}, func(fleet.Record) {}
 		l.attach(f)
 		f.takeWhole(fleet.Page{Next: 2, End: 2}, spread.Reading{Next: 2, Made: l.now, Answered: l.now}, somePeer)
 	}
@@ -90,7 +90,7 @@
 	seq := l.ask(t)
 	l.now += underWay
 	l.answered(l.peer, told(seq, uint64(age.Milliseconds())), somePeer)
-	if got := l.ageOf(numberReplicas); got != underWay+age {
+	if got := l.ageOf(replicasTopicID); got != underWay+age {
 		t.Errorf("the list is %v old; want %v", got, underWay+age)
 	}
 	if l.sources.Source() != l.peer {
@@ -103,9 +103,9 @@
 	for _, age := range []uint64{math.MaxUint64, math.MaxInt64, math.MaxInt64/uint64(time.Millisecond) + 1} {
 		l := startListening(t)
 		l.now += 5 * time.Second
-		before := l.ageOf(numberReplicas)
+		before := l.ageOf(replicasTopicID)
 		l.answered(l.peer, told(l.ask(t), age), somePeer)
-		if got := l.ageOf(numberReplicas); got != before {
+		if got := l.ageOf(replicasTopicID); got != before {
 			t.Errorf("told an age of %d ms the list is %v old; it is %v", age, got, before)
 		}
 		if l.sources.Source() != "" {
@@ -117,20 +117,20 @@
 // Whatever comes by datagram, no belief gets younger than its question and nothing panics.
 func FuzzHubMessage(f *testing.F) {
 	for _, a := range []*wordAnswer{told(1, 0), told(1, math.MaxUint64), {Seq: 0, Topics: []wordTopic{{Number: 255, From: math.MaxUint64, Next: 1}}}} {
-		data, err := cbor.Marshal(&word{From: "entry-1", Answer: a})
+		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Answer: a})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
-	data, err := cbor.Marshal(&word{From: "entry-1", Ask: &wordAsk{Seq: 1, Next: []uint64{0, 1, 2, 3, math.MaxUint64}}})
+	data, err := cbor.Marshal(&peerMessage{From: "entry-1", Ask: &wordAsk{Seq: 1, Next: []uint64{0, 1, 2, 3, math.MaxUint64}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w word
-		if wordMode.Unmarshal(data, &w) != nil {
+		var w peerMessage
+		if messageDecoder.Unmarshal(data, &w) != nil {
 			return
 		}
 		l := startListening(t)
--- a/internal/direct/leaving_test.go
+++ b/internal/direct/leaving_test.go
@@ -344,7 +344,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var words sync.WaitGroup
 	words.Go(func() {
-		for ; ctx.Err() == nil; time.Sleep(wordEvery) {
+		for ; ctx.Err() == nil; time.Sleep(minMessageInterval) {
 			for i, from := range entries {
 				from.tellService(fmt.Sprint("entry-", i), entries)
 			}
--- a/internal/direct/malformed.go
+++ b/internal/direct/malformed.go
@@ -21,9 +21,9 @@
 	malformedKeyShown = 64
 )
 
-// malformed reports records of the store that can't be used: each is counted, and the
+// malformedRecords reports records of the store that can't be used: each is counted, and the
 // log says of each key what is wrong with it, again only if that changes or persists.
-type malformed struct {
+type malformedRecords struct {
 	tel  *telemetry.Telemetry
 	mu   sync.Mutex
 	last *lru.Cache[string, *problem]
@@ -37,16 +37,16 @@
 	hidden int
 }
 
-func newMalformed(tel *telemetry.Telemetry) *malformed {
+func newMalformedRecords(tel *telemetry.Telemetry) *malformedRecords {
 	last, err := lru.New[string, *problem](malformedKeys)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
-	return &malformed{tel: tel, last: last}
+	return &malformedRecords{tel: tel, last: last}
 }
 
 // report counts a record that can't be used and, where that is news, logs it.
-func (m *malformed) report(what string, r fleet.Record, err error) {
+func (m *malformedRecords) report(what string, r fleet.Record, err error) {
 	m.tel.Metrics.Count("records_malformed", 1)
 	hidden, news := m.news(r.Key, what+": "+err.Error(), time.Now())
 	if !news {
@@ -57,7 +57,7 @@
 }
 
 // news reports whether to log a problem, and how many records of the key weren't.
-func (m *malformed) news(key, text string, now time.Time) (hidden int, news bool) {
+func (m *malformedRecords) news(key, text string, now time.Time) (hidden int, news bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p, known := m.last.Get(key)
--- a/internal/direct/naming.go
+++ b/internal/direct/naming.go
@@ -38,14 +38,14 @@
 	e.writeNaming(&n)
 }
 
-// rewriteNamings writes again when the newest versions were named, after the store came back
+// rewriteAnnouncements writes again when the newest versions were named, after the store came back
 // from an older copy that may lack it; the first one to come to its turn does.
-func (e *Entry) rewriteNamings() {
+func (e *Entry) rewriteAnnouncements() {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	clear(e.state.namingsRead)
 	for model, d := range e.state.demands {
-		if n := e.state.namings[namedVersion{model, d.Newest()}]; n != nil {
+		if n := e.state.namings[modelVersion{model, d.Newest()}]; n != nil {
 			go e.rewriteNaming(*n)
 		}
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	e.state.mu.Lock()
-	read := e.state.namingsRead[namedVersion{n.Model, n.Version}]
+	read := e.state.namingsRead[modelVersion{n.Model, n.Version}]
 	e.state.mu.Unlock()
 	if !read {
 		e.writeNaming(&n)
@@ -78,15 +78,15 @@
 func (e *Entry) namingKnown(n *rollout.Naming) bool {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
-	return e.state.namings[namedVersion{n.Model, n.Version}] != nil
+	return e.state.namings[modelVersion{n.Model, n.Version}] != nil
 }
 
-// heardNamed takes an entry's word when a version was named. Of several the earliest
+// applyAnnouncement takes an entry's word when a version was named. Of several the earliest
 // counts: each has read the version a little after it was named.
-func (e *Entry) heardNamed(n *rollout.Naming) {
+func (e *Entry) applyAnnouncement(n *rollout.Naming) {
 	s := e.state
 	s.mu.Lock()
-	key := namedVersion{n.Model, n.Version}
+	key := modelVersion{n.Model, n.Version}
 	s.namingsRead[key] = true
 	known := s.namings[key]
 	news := known == nil || n.AtMs < known.AtMs
@@ -100,8 +100,8 @@
 	}
 }
 
-// namedVersion is a version of a model's weights.
-type namedVersion struct {
+// modelVersion is a version of a model's weights.
+type modelVersion struct {
 	model   string
 	version uint64
 }
@@ -115,7 +115,7 @@
 	}
 	overdue := e.namedAt(true)
 	for version := d.Newest(); version != 0; {
-		n := e.state.namings[namedVersion{model, version}]
+		n := e.state.namings[modelVersion{model, version}]
 		if n == nil {
 			return
 		}
@@ -133,5 +133,5 @@
 // ahead tells that they differ by more, and says nothing.
 func (e *Entry) namedSince(n *rollout.Naming) (time.Duration, bool) {
 	age := time.Since(time.UnixMilli(n.AtMs))
-	return e.clock.now() - age - e.direct().ClockSkew.D(), age >= 0
+	return e.clock.now() - age - e.directSettings().ClockSkew.D(), age >= 0
 }
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -63,10 +63,10 @@
 					}
 					if wordFirst {
 						time.Sleep(back.Sub(began))
-						e.heardNamed(word)
+						e.applyAnnouncement(word)
 					}
 					time.Sleep(time.Until(binds.Add(-500 * time.Millisecond)))
-					e.heardNamed(word)
+					e.applyAnnouncement(word)
 					time.Sleep(time.Until(binds))
 					e.state.mu.Lock()
 					oldest := e.state.demands[wantedModel].Oldest(e.clock.now())
--- a/internal/direct/notes.go
+++ b/internal/direct/notes.go
@@ -6,9 +6,9 @@
 	"skylarklead/internal/rollout"
 )
 
-// announce writes notes of a model; this entry heeds them at once, its peers when their datagram
+// publish writes notes of a model; this entry heeds them at once, its peers when their datagram
 // comes.
-func (r *rollouts) announce(ctx context.Context, model string, notes []rollout.Note) {
+func (r *rollouts) publish(ctx context.Context, model string, notes []rollout.Note) {
 	records := make([][]byte, len(notes))
 	for i := range notes {
 		envelope := rollout.Envelope{Note: &notes[i]}
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -93,7 +93,7 @@
 	}
 	s.mu.Unlock()
 	for part := range slices.Chunk(notices, maxWordNotices) {
-		e.peers.send(&word{From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Notices: part})
+		e.peers.broadcast(&peerMessage{From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Notices: part})
 	}
 }
 
--- a/internal/direct/notices_test.go
+++ b/internal/direct/notices_test.go
@@ -17,18 +17,18 @@
 		{{Replica: known, Rate: -1}, {Replica: known, Rate: math.Inf(1)}, {Replica: known, Rate: math.NaN()}},
 		{{Replica: "r-2", Rate: 3}, {}},
 	} {
-		data, err := cbor.Marshal(&word{From: "entry-1", Notices: list})
+		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Notices: list})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w word
-		if wordMode.Unmarshal(data, &w) != nil || len(w.Notices) == 0 {
+		var w peerMessage
+		if messageDecoder.Unmarshal(data, &w) != nil || len(w.Notices) == 0 {
 			return
 		}
-		e := newTalkers(t, 1, 1)[0]
+		e := newPeerNodes(t, 1, 1)[0]
 		e.state.replicas.Put(&fleet.Replica{ID: known, Name: known}, 1, 0)
 		e.heardNotices(w.Notices, w.From)
 		now := e.clock.now()
@@ -45,7 +45,7 @@
 
 // Guards against an answer of a replica that has another's address, and is taken for that one's.
 func TestAnotherReplicasAnswerTellsNothingOfTheOneMeant(t *testing.T) {
-	e := newTalkers(t, 1, 1)[0]
+	e := newPeerNodes(t, 1, 1)[0]
 	r := &fleet.Replica{ID: "r-1", Name: "r-1"}
 	e.state.replicas.Put(r, 1, 0)
 	j := &job{entry: e.Entry, hands: make([]hand, 1)}
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -14,29 +14,29 @@
 func (e *Entry) followOperator(ctx context.Context) {
 	topic, _ := e.platform.Records.Topics()
 	f := e.newFollower(topic)
-	f.keyed, f.wait = true, operatorWait
-	f.number = numberOperator
+	f.keyed, f.readWait = true, operatorWait
+	f.topicID = operatorTopicID
 	var gap operatorGap
 	var relayed bool
 	var mu sync.Mutex // calls without an answer are told by another goroutine than records
-	f.failed = func(made time.Time) {
+	f.onReadFailed = func(made time.Time) {
 		mu.Lock()
 		defer mu.Unlock()
 		gap.missed(made.Sub(e.clock.start))
 	}
-	f.reached = func(r spread.Reading) {
+	f.onRead = func(r spread.Reading) {
 		mu.Lock()
 		defer mu.Unlock()
 		relayed = r.Reader != "" && r.Reader != e.settings.ID
-		gap.answered(e.clock.sinceBoot(r.Answered, f.boot()), e.clock.now())
+		gap.answered(e.clock.fromBoot(r.Answered, f.boot()), e.clock.now())
 	}
 	when := func(first bool) namedWhen {
 		mu.Lock()
 		defer mu.Unlock()
 		return namedWhen{first: first, relayed: relayed, gap: gap.at(e.clock.now())}
 	}
-	f.record = func(r fleet.Record) { e.takeOperator(r, when(false)) }
-	f.whole = func(page fleet.Page) {
+	f.onRecord = func(r fleet.Record) { e.takeOperator(r, when(false)) }
+	f.onSnapshot = func(page fleet.Page) {
 		for _, r := range page.Records {
 			e.takeOperator(r, when(!f.begun))
 		}
@@ -139,7 +139,7 @@
 func (e *Entry) namedAt(first bool) time.Duration {
 	now := e.clock.now()
 	if first {
-		return now + startGrace - e.direct().WeightsWithin.D()
+		return now + startGrace - e.directSettings().WeightsWithin.D()
 	}
 	return now
 }
@@ -148,7 +148,7 @@
 // since the answer before. Older weights stay in use, however, for as long as the operator allows
 // after an outage: the entry is held to the naming only once the store has answered it for a while.
 func (e *Entry) namedEarliest(gap operatorGap) time.Duration {
-	inForce := e.direct().WeightsWithin.D() - weightsMargin
+	inForce := e.directSettings().WeightsWithin.D() - weightsMargin
 	return max(gap.since, gap.lastMissed+heeds-placing-inForce)
 }
 
@@ -156,7 +156,7 @@
 	e.state.mu.Lock()
 	d := e.state.demands[w.Model]
 	if d == nil {
-		d = rollout.NewDemand(e.direct().WeightsWithin.D() - weightsMargin)
+		d = rollout.NewDemand(e.directSettings().WeightsWithin.D() - weightsMargin)
 		e.state.demands[w.Model] = d
 	}
 	before := d.Newest()
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// wordEvery is the pause between words to each peer: a fraction of the time that
+	// minMessageInterval is the pause between words to each peer: a fraction of the time that
 	// a prompt takes to be read. With many peers it grows, so that an entry sends no
 	// more than wordsPerSecond.
-	wordEvery      = 50 * time.Millisecond
-	wordsPerSecond = 200
-	// peerForgotten is when a silent peer's word is dropped.
-	peerForgotten = 10 * time.Second
+	minMessageInterval = 50 * time.Millisecond
+	wordsPerSecond     = 200
+	// peerExpiry is when a silent peer's word is dropped.
+	peerExpiry = 10 * time.Second
 	// maxWord bounds a word, in bytes: what a datagram carries without fragments over links
 	// of 1,500 bytes.
 	maxWord = 1472
@@ -54,22 +54,22 @@
 	maxWordServed = time.Hour
 )
 
-// word is what an entry tells its peers.
-type word struct {
+// peerMessage is what an entry tells its peers.
+type peerMessage struct {
 	From  string     `cbor:"1,keyasint"`
 	Epoch uint64     `cbor:"2,keyasint"`
 	Seq   uint64     `cbor:"3,keyasint"`
 	Loads []wordLoad `cbor:"4,keyasint,omitempty"`
 	// Placements are the latest; each is in several words, as one may be lost.
 	Placements []wordPlacement `cbor:"6,keyasint,omitempty"`
-	// Notes are of a rollout; a word with them has no loads, and Seq is 0.
-	Notes []rollout.Note `cbor:"5,keyasint,omitempty"`
-	// Served is for how long the store has answered the reader of the list of replicas
+	// RolloutRecords are of a rollout; a word with them has no loads, and Seq is 0.
+	RolloutRecords []rollout.Note `cbor:"5,keyasint,omitempty"`
+	// StoreReachable is for how long the store has answered the reader of the list of replicas
 	// without a break, in milliseconds and one; 1 says that it doesn't, 0 nothing.
-	Served uint32 `cbor:"8,keyasint,omitempty"`
-	// Strikes are of requests at replicas that were lost; a word with them has nothing
+	StoreReachable uint32 `cbor:"8,keyasint,omitempty"`
+	// Crashes are of requests at replicas that were lost; a word with them has nothing
 	// else, nor has one of those that follow.
-	Strikes []attempt.Strike `cbor:"7,keyasint,omitempty"`
+	Crashes []attempt.Strike `cbor:"7,keyasint,omitempty"`
 	// Ask and Answer pass on what the store says. Hint says that the store answers the
 	// sender, though it doesn't answer the receiver.
 	Ask    *wordAsk    `cbor:"9,keyasint,omitempty"`
@@ -106,7 +106,7 @@
 	Kept    uint64
 }
 
-var wordMode = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
+var messageDecoder = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
 
 // peers exchanges loads with the other entries over UDP. A lost word costs nothing:
 // the next one says all again.
@@ -156,20 +156,20 @@
 // the entries' topic.
 func (p *peers) tell(notes []rollout.Note) {
 	for part := range slices.Chunk(notes, maxWordNotes) {
-		p.send(&word{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Notes: part})
+		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), RolloutRecords: part})
 	}
 }
 
-// tellStrikes sends strikes to the others at once.
-func (p *peers) tellStrikes(strikes []attempt.Strike) {
+// sendCrashes sends strikes to the others at once.
+func (p *peers) sendCrashes(strikes []attempt.Strike) {
 	for part := range slices.Chunk(strikes, maxWordStrikes) {
-		p.send(&word{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Strikes: part})
+		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Crashes: part})
 	}
 }
 
-func (p *peers) send(w *word) { p.sendTo(w, p.addresses()...) }
+func (p *peers) broadcast(w *peerMessage) { p.sendTo(w, p.addresses()...) }
 
-func (p *peers) sendTo(w *word, to ...netip.AddrPort) {
+func (p *peers) sendTo(w *peerMessage, to ...netip.AddrPort) {
 	data, err := cbor.Marshal(w)
 	if err != nil {
 		panic(err) // a word is made of plain values
@@ -218,7 +218,7 @@
 
 // pause is the time between this entry's words.
 func (p *peers) pause() time.Duration {
-	return max(wordEvery, time.Duration(len(p.near()))*time.Second/wordsPerSecond)
+	return max(minMessageInterval, time.Duration(len(p.near()))*time.Second/wordsPerSecond)
 }
 
 // aliveFor is the least time for which a peer counts as alive after its last message, and
@@ -228,7 +228,7 @@
 	aliveWords = 3
 )
 
-func (p *peers) word() *word {
+func (p *peers) word() *peerMessage {
 	s := p.entry.state
 	s.mu.Lock()
 	loads := s.feed.Loads()
@@ -237,7 +237,7 @@
 	served := s.outage.Served(now)
 	s.mu.Unlock()
 	p.seq++
-	w := &word{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, Served: wordServed(served)}
+	w := &peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, StoreReachable: wordServed(served)}
 	w.Loads = telling(loads, p.toldTaken, maxWordLoads-len(placements)*placementLoads)
 	for _, placed := range placements {
 		levels := placed.Levels[max(0, len(placed.Levels)-maxWordLevels):]
@@ -289,17 +289,17 @@
 
 func (p *peers) heard(data []byte, from netip.AddrPort) {
 	e := p.entry
-	var w word
-	if err := wordMode.Unmarshal(data, &w); err != nil || w.From == "" {
+	var w peerMessage
+	if err := messageDecoder.Unmarshal(data, &w); err != nil || w.From == "" {
 		e.tel.Metrics.Count("peer_words_malformed", 1)
 		return
 	}
 	p.heardOf(w.From, from)
 	switch {
-	case len(w.Notes) > 0:
-		e.rollouts.heardNotes(w.Notes)
-	case len(w.Strikes) > 0:
-		e.heardStrikes(w.Strikes, w.From)
+	case len(w.RolloutRecords) > 0:
+		e.rollouts.heardNotes(w.RolloutRecords)
+	case len(w.Crashes) > 0:
+		e.heardStrikes(w.Crashes, w.From)
 	case len(w.Reports) > 0:
 		e.heardReports(w.Reports)
 	case w.Ask != nil || w.Answer != nil || w.Hint:
@@ -333,7 +333,7 @@
 }
 
 // heardLoads takes what a peer has at the replicas.
-func (p *peers) heardLoads(w *word, from netip.AddrPort) {
+func (p *peers) heardLoads(w *peerMessage, from netip.AddrPort) {
 	e := p.entry
 	loads := make(map[uint64]route.Load, len(w.Loads))
 	for _, l := range w.Loads {
@@ -356,8 +356,8 @@
 		e.state.feed.HeardDomain(w.Of, w.Epoch, w.Seq, loads, now)
 	}
 	e.state.feed.HeardPlacements(placements, now)
-	if w.Served > 0 {
-		e.state.outage.Heard(w.From, time.Duration(w.Served-1)*time.Millisecond, now)
+	if w.StoreReachable > 0 {
+		e.state.outage.Heard(w.From, time.Duration(w.StoreReachable-1)*time.Millisecond, now)
 	}
 	e.state.mu.Unlock()
 }
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -17,7 +17,7 @@
 // placements as it may have, is longer than the reader's buffer.
 // Cause: bounds of the parts that don't add up to the whole.
 func TestTheLongestWordFitsADatagram(t *testing.T) {
-	w := &word{From: strings.Repeat("x", 24), Epoch: math.MaxUint64, Seq: math.MaxUint32, Served: math.MaxUint32}
+	w := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64, Seq: math.MaxUint32, StoreReachable: math.MaxUint32}
 	for range maxWordLoads - maxWordPlacements*placementLoads {
 		w.Loads = append(w.Loads, wordLoad{Replica: math.MaxUint64, Reading: math.MaxUint32, Running: 200, Taken: math.MaxUint16})
 	}
@@ -38,14 +38,14 @@
 
 // Guards against notices of replicas that don't fit a datagram together.
 func TestTheLongestNoticesFitADatagram(t *testing.T) {
-	w := &word{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
+	w := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
 	for range maxWordNotices {
 		w.Notices = append(w.Notices, wordNotice{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
 	}
 	checkLength(t, w)
 }
 
-func checkLength(t *testing.T, w *word) {
+func checkLength(t *testing.T, w *peerMessage) {
 	t.Helper()
 	data, err := cbor.Marshal(w)
 	if err != nil {
--- a/internal/direct/ports.go
+++ b/internal/direct/ports.go
@@ -11,12 +11,12 @@
 type Headers interface {
 	// Request decodes what a caller's headers say.
 	Request(http.Header) (fleet.Request, error)
-	// HandOver returns the headers for a replica.
-	HandOver(http.Header, *fleet.HandOver) http.Header
+	// ToReplica returns the headers for a replica.
+	ToReplica(http.Header, *fleet.HandOver) http.Header
 	// Answer decodes the head of a replica's answer.
 	Answer(status int, h http.Header) fleet.Answer
-	// Return returns the headers for a caller.
-	Return(http.Header) http.Header
+	// ToCaller returns the headers for a caller.
+	ToCaller(http.Header) http.Header
 	// Refusal sets the headers of an answer of the entry's own.
 	Refusal(h http.Header, requestID string)
 }
--- a/internal/direct/quotas.go
+++ b/internal/direct/quotas.go
@@ -118,7 +118,7 @@
 }
 
 // heard takes a peer's message.
-func (q *quotas) heard(w *word, from netip.AddrPort) {
+func (q *quotas) heard(w *peerMessage, from netip.AddrPort) {
 	m := w.Quota
 	if !(m.Units >= 0 && m.Units <= maxUnits && m.Left >= 0 && m.Left <= maxUnits) {
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
@@ -164,7 +164,7 @@
 }
 
 func (q *quotas) send(m *wordQuota, to netip.AddrPort) {
-	q.entry.peers.sendTo(&word{From: q.entry.settings.ID, Epoch: uint64(q.entry.tel.Epoch), Quota: m}, to)
+	q.entry.peers.sendTo(&peerMessage{From: q.entry.settings.ID, Epoch: uint64(q.entry.tel.Epoch), Quota: m}, to)
 }
 
 // borrow asks a lender for units. answered is false if none came in time.
--- a/internal/direct/quotas_test.go
+++ b/internal/direct/quotas_test.go
@@ -15,7 +15,7 @@
 // it hears, for units that entries of others hold.
 func TestUnitsAreLentAcrossFailureDomains(t *testing.T) {
 	const entries, each = 40, 1000
-	all := startTalkers(t, entries, 4)
+	all := startPeerNodes(t, entries, 4)
 	names := make([]string, entries)
 	for i, e := range all {
 		names[i] = e.settings.ID
@@ -51,7 +51,7 @@
 
 // Guards against a request that waits for entries that don't answer, each time anew.
 func TestASilentLenderIsLeftAlone(t *testing.T) {
-	all := newTalkers(t, 3, 1) // nobody listens
+	all := newPeerNodes(t, 3, 1) // nobody listens
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 1000, Burst: 1000}}
 	e := all[0]
 	e.quotas.limits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
@@ -76,7 +76,7 @@
 		{Kind: quotaReturn, Seq: 1, Organisation: "derwent", Units: math.MaxFloat64},
 		{Kind: 200, Seq: math.MaxUint64, Units: math.NaN()},
 	} {
-		data, err := cbor.Marshal(&word{From: "entry-1", Quota: m})
+		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Quota: m})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -85,11 +85,11 @@
 	const burst = 1000
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: burst, Burst: burst}}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w word
-		if wordMode.Unmarshal(data, &w) != nil || w.Quota == nil {
+		var w peerMessage
+		if messageDecoder.Unmarshal(data, &w) != nil || w.Quota == nil {
 			return
 		}
-		e := newTalkers(t, 1, 1)[0]
+		e := newPeerNodes(t, 1, 1)[0]
 		e.quotas.limits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
 		e.quotas.listed([]string{e.settings.ID}, true, true)
 		for range 2 {
--- a/internal/direct/reload.go
+++ b/internal/direct/reload.go
@@ -16,11 +16,11 @@
 // a signal, and no bound hangs on how soon that is noticed.
 const rereadEvery = 5 * time.Second
 
-// Source reads the settings again, as at the start.
-type Source func() (*settings.Settings, error)
+// SettingsLoader reads the settings again, as at the start.
+type SettingsLoader func() (*settings.Settings, error)
 
-// direct returns the settings in force of the role.
-func (e *Entry) direct() *settings.Direct { return e.tunable.Load() }
+// directSettings returns the settings in force of the role.
+func (e *Entry) directSettings() *settings.Direct { return e.tunable.Load() }
 
 // reload follows the settings file: at SIGHUP, and where it has changed by itself.
 // Without a handler the signal would end the process and cut every stream.
@@ -57,13 +57,13 @@
 		e.tel.Log.Error("settings not reloaded; those in force stay", "by", by, "error", "not of this role")
 		return
 	}
-	next, now := *s.Direct, *e.direct()
+	next, now := *s.Direct, *e.directSettings()
 	restart := next.Listen != now.Listen || next.Ready != now.Ready || next.Peers != now.Peers || next.Store != now.Store
 	next.Listen, next.Ready, next.Peers, next.Store = now.Listen, now.Ready, now.Peers, now.Store
 	changed := !reflect.DeepEqual(next, now)
 	if changed {
 		e.tunable.Store(&next)
-		e.state.rebudget(budgetOf(&next))
+		e.state.rebudget(retryBudgetParams(&next))
 		e.quotas.resize(&next)
 	}
 	if by != "" || changed || restart {
@@ -71,7 +71,7 @@
 	}
 }
 
-// budgetOf is what all entries together may send a second time to a service.
-func budgetOf(d *settings.Direct) attempt.BudgetParams {
+// retryBudgetParams is what all entries together may send a second time to a service.
+func retryBudgetParams(d *settings.Direct) attempt.BudgetParams {
 	return attempt.BudgetParams{Share: d.RetryShare * budgetMargin, Burst: d.RetryExtra * budgetMargin}
 }
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -21,7 +21,7 @@
 	placing = 200 * time.Millisecond
 	// missSeen is within which time the reader notices that the store doesn't answer: a
 	// pause, a read that waits, and the time that its answer may take.
-	missSeen = replicasMost + replicasWait + callTimeout
+	missSeen = maxReplicasReadPause + replicasReadWait + callTimeout
 	// wordFresh is how old a peer's word may be: at 25 entries eight of them in a row would
 	// have to be lost. Over 200 entries words are rarer than that, and tell nothing here.
 	wordFresh = time.Second
@@ -35,16 +35,18 @@
 func (e *Entry) followReplicas(ctx context.Context) {
 	_, topic := e.platform.Records.Topics()
 	f := e.newFollower(topic)
-	f.keyed, f.wait, f.every = true, replicasWait, replicasPause
-	f.number = numberReplicas
+	f.keyed, f.readWait, f.readPause = true, replicasReadWait, sharedReplicasReadPause
+	f.topicID = replicasTopicID
 	if e.hub == nil {
-		f.pause = func() time.Duration { return min(replicasMost, replicasEvery*time.Duration(e.state.count())) }
+		f.readPauseFunc = func() time.Duration {
+			return min(maxReplicasReadPause, replicasReadPause*time.Duration(e.state.count()))
+		}
 	}
-	f.failed = e.listMissed
-	f.reached = func(r spread.Reading) { e.listReached(r, f.boot()) }
-	f.record = e.takeReplica
-	f.whole = e.takeReplicas
-	f.rewound = func(first uint64) {
+	f.onReadFailed = e.listMissed
+	f.onRead = func(r spread.Reading) { e.listReached(r, f.boot()) }
+	f.onRecord = e.takeReplica
+	f.onSnapshot = e.takeReplicas
+	f.onRestore = func(first uint64) {
 		e.tel.Log.Warn("store is back from an older copy", "stream", topic, "era", fleet.Era(first))
 		e.state.mu.Lock()
 		e.state.listRewound = e.clock.now()
@@ -60,7 +62,7 @@
 	begins := e.state.outage.Missed(made.Sub(e.clock.start), now)
 	e.state.mu.Unlock()
 	if begins {
-		e.watch.storeLost(now)
+		e.watch.markStoreDown(now)
 	}
 }
 
@@ -71,7 +73,7 @@
 	e.state.mu.Unlock()
 	if begins {
 		e.tel.Log.Warn("list of replicas not heard of", "list_age_ms", (now - time.Duration(e.state.listReadAt.Load())).Milliseconds())
-		e.watch.storeLost(now)
+		e.watch.markStoreDown(now)
 	}
 }
 
@@ -79,14 +81,14 @@
 // reading names; boot is the time of the readings' clock.
 func (e *Entry) listReached(r spread.Reading, boot time.Duration) {
 	if r.Made > 0 {
-		e.state.listReadAt.Store(int64(e.clock.sinceBoot(r.Made, boot)))
+		e.state.listReadAt.Store(int64(e.clock.fromBoot(r.Made, boot)))
 		e.state.listReader.Store(&r.Reader)
 	}
 	e.state.mu.Lock()
-	ends := e.state.outage.Answered(e.clock.sinceBoot(r.Answered, boot))
+	ends := e.state.outage.Answered(e.clock.fromBoot(r.Answered, boot))
 	e.state.mu.Unlock()
 	if ends {
-		e.watch.storeBack()
+		e.watch.markStoreUp()
 	}
 }
 
@@ -171,7 +173,7 @@
 		return
 	}
 	e.replicaLost(listing.Ended)
-	taken := e.watch.take(listing.Ended)
+	taken := e.watch.cancelRepeatable(listing.Ended)
 	e.rollouts.poke()
 	e.tel.Log.Info("replica restarted", "replica", r.ID, "before", listing.Ended, "taken_from_it", taken)
 }
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -123,25 +123,25 @@
 // followEntries reads the entries' topic. Leases number records from 1.
 func (r *rollouts) followEntries(ctx context.Context) {
 	f := r.entry.newFollower(topicEntries)
-	f.every, f.poke = entriesEvery, r.reread
-	f.number = numberEntries
-	f.waits = r.readWait
-	f.record = r.take
-	f.skipped = func(first uint64) {
+	f.readPause, f.skipPause = entriesReadPause, r.reread
+	f.topicID = entriesTopicID
+	f.readWaitFunc = r.readWait
+	f.onRecord = r.take
+	f.onGap = func(first uint64) {
 		r.mu.Lock()
 		r.next = first
 		r.act(ctx, r.leases.Gap(first+1, bootTime()))
 		r.mu.Unlock()
 	}
-	f.rewound = func(first uint64) {
+	f.onRestore = func(first uint64) {
 		r.mu.Lock()
 		r.next = first
 		r.act(ctx, r.leases.Rewound(first+1, bootTime()))
 		r.mu.Unlock()
 		r.entry.tel.Log.Warn("store is back from an older copy", "stream", topicEntries, "era", fleet.Era(first))
-		r.entry.rewriteNamings()
+		r.entry.rewriteAnnouncements()
 	}
-	f.caughtUp = func() {
+	f.onCaughtUp = func() {
 		r.mu.Lock()
 		r.act(ctx, r.leases.CaughtUp(bootTime()))
 		r.mu.Unlock()
@@ -154,7 +154,7 @@
 	if r.active.Load() && r.entry.hub == nil {
 		return 0
 	}
-	return entriesWait
+	return entriesReadWait
 }
 
 func (r *rollouts) take(record fleet.Record) {
@@ -176,7 +176,7 @@
 		return
 	}
 	if envelope.Named != nil {
-		r.entry.heardNamed(envelope.Named)
+		r.entry.applyAnnouncement(envelope.Named)
 		return
 	}
 	if envelope.Strike != nil {
@@ -274,7 +274,7 @@
 		r.holds, r.fence = true, fence
 		r.entry.tel.Log.Info("giving orders", "fence", fence, "foreign_heard_ms_ago", (now - r.foreignAt).Milliseconds())
 	}
-	if r.foreignAt > 0 && now-r.foreignAt < r.entry.direct().Lease.D()+orderDelay {
+	if r.foreignAt > 0 && now-r.foreignAt < r.entry.directSettings().Lease.D()+orderDelay {
 		return true
 	}
 	for model, states := range due {
@@ -396,7 +396,7 @@
 		}
 	}
 	if len(notes) > 0 {
-		go r.announce(ctx, model, notes)
+		go r.publish(ctx, model, notes)
 	}
 }
 
@@ -455,7 +455,7 @@
 		return
 	}
 	if !replica.Is(report.Born) {
-		e.replaced(replica, replica.Name, report.Born)
+		e.handleReplaced(replica, replica.Name, report.Born)
 		r.drive(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
 		return
 	}
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -64,9 +64,9 @@
 	changed chan struct{}
 	// namings is entries' word when versions of weights were named: of a few a day for
 	// each model, as long as this process runs.
-	namings map[namedVersion]*rollout.Naming
+	namings map[modelVersion]*rollout.Naming
 	// namingsRead are those that were read in the store's present era.
-	namingsRead map[namedVersion]bool
+	namingsRead map[modelVersion]bool
 	// learns is called once for each service of engines that requests come for.
 	learns func(service string)
 	// budget is what all entries together may send a second time to a service; each
@@ -96,10 +96,10 @@
 		limits:   ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
 		changed:  make(chan struct{}),
 		budget:   budget,
-		namings:  make(map[namedVersion]*rollout.Naming),
+		namings:  make(map[modelVersion]*rollout.Naming),
 
 		leavingNews: make(map[string]int),
-		namingsRead: make(map[namedVersion]bool),
+		namingsRead: make(map[modelVersion]bool),
 		learns:      func(string) {},
 	}
 }
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -96,7 +96,7 @@
 		if err != nil {
 			return j.broken(p, err), false
 		}
-		j.entry.watch.heard(p.watched)
+		j.entry.watch.received(p.watched)
 		j.beginStream(p, x)
 		if _, err := j.w.Write(in.raw); err != nil {
 			return j.callerLost(err)
--- a/internal/direct/strikes.go
+++ b/internal/direct/strikes.go
@@ -95,7 +95,7 @@
 			records = append(records, envelope.Encode())
 		}
 	}
-	e.peers.tellStrikes(strikes)
+	e.peers.sendCrashes(strikes)
 	if len(records) > 0 {
 		go e.recordStrikes(records)
 	}
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -8,9 +8,9 @@
 	"skylarklead/internal/member"
 )
 
-// closed returns when the replicas of a service that could take a request for a model take
+// supplyIfClosed returns when the replicas of a service that could take a request for a model take
 // something again, if none of them does now and of each it is known why. The caller holds mu.
-func (s *state) closed(service *fleet.Service, model string, now time.Duration) (admit.Supply, bool) {
+func (s *state) supplyIfClosed(service *fleet.Service, model string, now time.Duration) (admit.Supply, bool) {
 	var supply admit.Supply
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
@@ -38,15 +38,15 @@
 	return opening, opening.At > now
 }
 
-// refuseBeyond ends the wait of those for whom the replicas will have no place in time, the
+// rejectBeyondSupply ends the wait of those for whom the replicas will have no place in time, the
 // last in turn first. The caller holds mu.
-func (s *state) refuseBeyond(g *gate, now time.Duration) {
+func (s *state) rejectBeyondSupply(g *gate, now time.Duration) {
 	t := g.line.Next(now)
 	if t == nil {
 		return
 	}
 	j := t.Value.(*job)
-	supply, closed := s.closed(j.service, j.asked.Model, now)
+	supply, closed := s.supplyIfClosed(j.service, j.asked.Model, now)
 	if !closed {
 		return
 	}
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -24,14 +24,14 @@
 // datagram may be lost.
 const reportsTold = 2
 
-// storeLost says that the store doesn't answer, storeBack that it does again.
-func (w *watch) storeLost(at time.Duration) {
+// markStoreDown says that the store doesn't answer, storeBack that it does again.
+func (w *replicaMonitor) markStoreDown(at time.Duration) {
 	w.mu.Lock()
 	w.lost, w.lostAt = true, at
 	w.mu.Unlock()
 }
 
-func (w *watch) storeBack() {
+func (w *replicaMonitor) markStoreUp() {
 	w.mu.Lock()
 	w.lost = false
 	w.mu.Unlock()
@@ -42,7 +42,7 @@
 // An entry that is cut off from the store hears no notes of a rollout. It would send
 // requests to replicas that load weights, or expect weights that have been replaced,
 // and each refusal takes from the budget that crashes need. So it asks.
-func (w *watch) unheard() []*fleet.Replica {
+func (w *replicaMonitor) unheard() []*fleet.Replica {
 	e := w.entry
 	now := e.clock.now()
 	w.mu.Lock()
@@ -76,7 +76,7 @@
 }
 
 // ask takes a replica's own word on its weights.
-func (w *watch) ask(ctx context.Context, r *fleet.Replica) {
+func (w *replicaMonitor) ask(ctx context.Context, r *fleet.Replica) {
 	e := w.entry
 	ctx, cancel := context.WithTimeout(ctx, askEvery)
 	defer cancel()
@@ -86,11 +86,11 @@
 	var other *fleet.MisdirectedError
 	switch {
 	case errors.As(err, &other):
-		e.replaced(r, other.Instance, 0)
+		e.handleReplaced(r, other.Instance, 0)
 	case err != nil:
 		// The next question comes soon; requests meet what is wrong before.
 	case !r.Is(report.Born):
-		e.replaced(r, r.Name, report.Born)
+		e.handleReplaced(r, r.Name, report.Born)
 	default:
 		e.takeReport(r, &report)
 		w.tell(r, &report)
@@ -121,7 +121,7 @@
 // tell tells the peers of a report that is news. Each replica is asked by few of those that
 // hear each other: all entries asking all replicas would be many more questions than
 // requests.
-func (w *watch) tell(r *fleet.Replica, report *fleet.Report) {
+func (w *replicaMonitor) tell(r *fleet.Replica, report *fleet.Report) {
 	if w.entry.hub == nil {
 		return
 	}
@@ -136,7 +136,7 @@
 	news := last.times <= reportsTold
 	w.mu.Unlock()
 	if news {
-		w.entry.peers.send(&word{From: w.entry.settings.ID, Epoch: uint64(w.entry.tel.Epoch), Reports: []wordReport{said}})
+		w.entry.peers.broadcast(&peerMessage{From: w.entry.settings.ID, Epoch: uint64(w.entry.tel.Epoch), Reports: []wordReport{said}})
 	}
 }
 
@@ -176,14 +176,14 @@
 	}
 }
 
-// replaced takes the word of another incarnation at a replica's address, of the name
+// handleReplaced takes the word of another incarnation at a replica's address, of the name
 // given and, where it says so, of its start: the one that was known is gone for good.
 // The new one is asked what it is, as the list that would tell may be out of reach; an
 // address may also go to another service.
 //
 // A replica that says it started before the one that is known is none to follow: what
 // it said was long under way.
-func (e *Entry) replaced(r *fleet.Replica, name string, born int64) {
+func (e *Entry) handleReplaced(r *fleet.Replica, name string, born int64) {
 	if name == r.Name && born <= r.Born {
 		return
 	}
--- a/internal/direct/watch.go
+++ b/internal/direct/watch.go
@@ -18,8 +18,8 @@
 	silentAfter = 450 * time.Millisecond
 )
 
-// exchange is one request under way at a replica.
-type exchange struct {
+// inFlightRequest is one request under way at a replica.
+type inFlightRequest struct {
 	replica *fleet.Replica
 	// heard is when the replica last sent something.
 	heard      time.Time
@@ -27,7 +27,7 @@
 	cancel     context.CancelFunc
 }
 
-// watch notices replicas that have fallen silent.
+// replicaMonitor notices replicas that have fallen silent.
 //
 // A machine that loses power resets no connection. The kernel finds out after
 // seconds, and all that while requests hang on it, and new ones are sent after them
@@ -35,10 +35,10 @@
 // neighbours are free. So where a request hears nothing for a while a new connection
 // is tried: a replica that is only slow takes it at once. If it doesn't, it gets
 // no new work, and requests that may be repeated are taken from it.
-type watch struct {
+type replicaMonitor struct {
 	entry *Entry
 	mu    sync.Mutex
-	under map[*exchange]struct{}
+	under map[*inFlightRequest]struct{}
 	// lost is set while the store doesn't answer, since lostAt.
 	lost   bool
 	lostAt time.Duration
@@ -47,34 +47,34 @@
 	told map[string]*toldReport
 }
 
-func newWatch(e *Entry) *watch {
-	return &watch{entry: e, under: make(map[*exchange]struct{}), told: make(map[string]*toldReport)}
+func newReplicaMonitor(e *Entry) *replicaMonitor {
+	return &replicaMonitor{entry: e, under: make(map[*inFlightRequest]struct{}), told: make(map[string]*toldReport)}
 }
 
 // begin watches a request until the function that it returns is called.
-func (w *watch) begin(r *fleet.Replica, repeatable bool, cancel context.CancelFunc) *exchange {
-	x := &exchange{replica: r, heard: time.Now(), repeatable: repeatable, cancel: cancel}
+func (w *replicaMonitor) begin(r *fleet.Replica, repeatable bool, cancel context.CancelFunc) *inFlightRequest {
+	x := &inFlightRequest{replica: r, heard: time.Now(), repeatable: repeatable, cancel: cancel}
 	w.mu.Lock()
 	w.under[x] = struct{}{}
 	w.mu.Unlock()
 	return x
 }
 
-func (w *watch) end(x *exchange) {
+func (w *replicaMonitor) end(x *inFlightRequest) {
 	w.mu.Lock()
 	delete(w.under, x)
 	w.mu.Unlock()
 }
 
-// heard notes that the replica has sent something.
-func (w *watch) heard(x *exchange) {
+// received notes that the replica has sent something.
+func (w *replicaMonitor) received(x *inFlightRequest) {
 	w.mu.Lock()
 	x.heard = time.Now()
 	w.mu.Unlock()
 }
 
 // run looks for silent and unreachable replicas until ctx ends.
-func (w *watch) run(ctx context.Context) {
+func (w *replicaMonitor) run(ctx context.Context) {
 	tick := time.NewTicker(watchEvery)
 	defer tick.Stop()
 	for {
@@ -98,7 +98,7 @@
 }
 
 // due returns the replicas to which a connection is to be tried.
-func (w *watch) due() []*fleet.Replica {
+func (w *replicaMonitor) due() []*fleet.Replica {
 	s := w.entry.state
 	now := w.entry.clock.now()
 	silent := w.silent()
@@ -113,7 +113,7 @@
 	return due
 }
 
-func (w *watch) silent() []*fleet.Replica {
+func (w *replicaMonitor) silent() []*fleet.Replica {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var silent []*fleet.Replica
@@ -126,10 +126,10 @@
 	return silent
 }
 
-func (w *watch) probe(ctx context.Context, r *fleet.Replica) {
+func (w *replicaMonitor) probe(ctx context.Context, r *fleet.Replica) {
 	e := w.entry
 	if err := e.pool.Probe(ctx, upstream.Replica{ID: r.ID, Address: r.Address}); err != nil {
-		e.unreachable(r, "probe", err)
+		e.markUnreachable(r, "probe", err)
 		return
 	}
 	e.state.mu.Lock()
@@ -148,8 +148,8 @@
 	}
 }
 
-// unreachable takes a connection that could not be made.
-func (e *Entry) unreachable(r *fleet.Replica, by string, err error) {
+// markUnreachable takes a connection that could not be made.
+func (e *Entry) markUnreachable(r *fleet.Replica, by string, err error) {
 	e.state.mu.Lock()
 	news := e.state.replicas.Unreachable(r.ID, e.clock.now())
 	e.state.mu.Unlock()
@@ -157,12 +157,12 @@
 		return
 	}
 	e.replicaLost(r.ID)
-	taken := e.watch.take(r.ID)
+	taken := e.watch.cancelRepeatable(r.ID)
 	e.tel.Log.Warn("replica unreachable", "replica", r.ID, "by", by, "taken_from_it", taken, "error", err)
 }
 
-// take breaks off the requests at a replica that may run again elsewhere.
-func (w *watch) take(id string) int {
+// cancelRepeatable breaks off the requests at a replica that may run again elsewhere.
+func (w *replicaMonitor) cancelRepeatable(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	taken := 0
