--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -98,7 +98,7 @@
 // head copies a replica's headers to the caller's answer.
 func (j *request) head(h http.Header) {
 	out := j.w.Header()
-	for name, values := range j.entry.platform.Headers.Return(h) {
+	for name, values := range j.entry.platform.Headers.ToCaller(h) {
 		out[name] = values
 	}
 	if j.entry.draining() {
@@ -166,7 +166,7 @@
 	case !head.Misdirected:
 		s.replicas.Busy(p.replica.ID, now)
 	case head.Instance != "" && head.Instance != p.replica.Name:
-		e.replaced(p.replica, head.Instance, 0)
+		e.handleReplaced(p.replica, head.Instance, 0)
 	case j.params.Model != "":
 		s.board.Saw(p.replica.ID, j.params.Model, p.version+1, 0)
 		s.feed.CacheCleared(p.replica.ID, now)
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -71,7 +71,7 @@
 			t.Value.(*request).placed <- nil
 		}
 		s.dispatch(g, now)
-		s.refuseBeyond(g, now)
+		s.rejectBeyondSupply(g, now)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	g.waiting.Add(ticket)
 	s.dispatch(g, began)
-	s.refuseBeyond(g, began)
+	s.rejectBeyondSupply(g, began)
 	s.mu.Unlock()
 	defer func() { j.waited += e.clock.now() - began }()
 	select {
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -32,7 +32,7 @@
 	// source is the address that a missing prefix is fetched from, keep the store
 	// that it is saved to; "" for none.
 	source, keep string
-	watched      *exchange
+	watched      *inFlightRequest
 	// window holds work of the request until it begins to be answered.
 	window *admit.CongestionWindow
 	work   float64
@@ -247,7 +247,7 @@
 		Method: j.r.Method,
 		Target: j.r.RequestURI,
 		Host:   j.r.Host,
-		Header: j.entry.platform.Headers.HandOver(j.r.Header, over),
+		Header: j.entry.platform.Headers.ToReplica(j.r.Header, over),
 		Body:   j.body,
 	}
 }
@@ -271,7 +271,7 @@
 		return loss
 	}
 	if loss == attempt.FailureNotSent {
-		e.unreachable(p.replica, "request "+j.params.ID, err)
+		e.markUnreachable(p.replica, "request "+j.params.ID, err)
 		return loss
 	}
 	j.fault(p, member.FaultBroken)
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -64,9 +64,9 @@
 	changed chan struct{}
 	// announcements is entries' word when versions of weights were named: of a few a day for
 	// each model, as long as this process runs.
-	announcements map[namedVersion]*rollout.Naming
+	announcements map[modelVersion]*rollout.Naming
 	// announcementsRead are those that were read in the store's present era.
-	announcementsRead map[namedVersion]bool
+	announcementsRead map[modelVersion]bool
 	// learns is called once for each service of engines that requests come for.
 	learns func(service string)
 	// retryBudget is what all entries together may send a second time to a service; each
@@ -96,10 +96,10 @@
 		rateLimits:    ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
 		changed:       make(chan struct{}),
 		retryBudget:   budget,
-		announcements: make(map[namedVersion]*rollout.Naming),
+		announcements: make(map[modelVersion]*rollout.Naming),
 
 		leavingNews:       make(map[string]int),
-		announcementsRead: make(map[namedVersion]bool),
+		announcementsRead: make(map[modelVersion]bool),
 		learns:            func(string) {},
 	}
 }
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -96,7 +96,7 @@
 		if err != nil {
 			return j.broken(p, err), false
 		}
-		j.entry.watch.heard(p.watched)
+		j.entry.watch.received(p.watched)
 		j.beginStream(p, x)
 		if _, err := j.w.Write(in.raw); err != nil {
 			return j.callerLost(err)
