--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -110,7 +110,7 @@
 func (j *job) worked(p *placed) {
 	s := j.entry.state
 	s.mu.Lock()
-	s.replicas.Worked(p.replica.ID, j.entry.clock.now())
+	s.replicas.RecordSuccess(p.replica.ID, j.entry.clock.now())
 	s.strikes.Worked(j.print, p.replica.ID)
 	s.mu.Unlock()
 }
@@ -118,13 +118,13 @@
 func (j *job) fault(p *placed, f member.Fault) {
 	s := j.entry.state
 	s.mu.Lock()
-	s.replicas.Faulty(p.replica.ID, f, j.entry.clock.now())
+	s.replicas.RecordFault(p.replica.ID, f, j.entry.clock.now())
 	s.mu.Unlock()
 }
 
 // garbled takes an answer that nobody vouches for.
 func (j *job) garbled(p *placed) attempt.Loss {
-	j.fault(p, member.FaultGarbled)
+	j.fault(p, member.FaultMalformedAnswer)
 	return attempt.LossUnknown
 }
 
@@ -132,7 +132,7 @@
 func (j *job) broken(p *placed, err error) attempt.Loss {
 	j.hands[len(j.hands)-1].err = err
 	if j.ctx.Err() == nil {
-		j.fault(p, member.FaultBroken)
+		j.fault(p, member.FaultConnectionLost)
 		j.broke(p)
 	}
 	return attempt.LossUnknown
@@ -164,7 +164,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case !head.Misdirected:
-		s.replicas.Busy(p.replica.ID, now)
+		s.replicas.MarkBusy(p.replica.ID, now)
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.replaced(p.replica, head.Instance, 0)
 	case j.asked.Model != "":
--- a/internal/direct/charge.go
+++ b/internal/direct/charge.go
@@ -160,7 +160,7 @@
 	c := &j.charging
 	fields := []any{slog.Float64("units", c.units)}
 	if s, ok := j.entry.quotas.state(j.organisation.Name); ok {
-		fields = append(fields, slog.Float64("rate", s.Rate), slog.Float64("burst", s.Burst), slog.Float64("part", s.Part),
+		fields = append(fields, slog.Float64("rate", s.Rate), slog.Float64("burst", s.Burst), slog.Float64("part", s.Share),
 			slog.Float64("left", round(s.Level)), slog.Bool("list_too_old", s.Stale))
 	}
 	if c.asked > 0 {
@@ -180,7 +180,7 @@
 func (q *quotas) take(organisation string, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return !q.ledger.Limited(organisation) || q.ledger.Take(organisation, units, q.entry.boot())
+	return !q.ledger.HasLimit(organisation) || q.ledger.Take(organisation, units, q.entry.boot())
 }
 
 // lenders lists the entries to ask for units. reached is false if all that might have some are
@@ -190,14 +190,14 @@
 	defer q.mu.Unlock()
 	now := q.entry.boot()
 	answers := func(id string) bool { return now >= q.silent[id] }
-	return q.ledger.Lenders(organisation, units, answers, now), q.ledger.Reached(organisation, answers, now)
+	return q.ledger.Lenders(organisation, units, answers, now), q.ledger.OwnerReachable(organisation, answers, now)
 }
 
 // giveBack returns the units of a charge that were not spent to where they came from.
 func (q *quotas) giveBack(organisation string, c *charge) {
 	if c.own > 0 {
 		q.mu.Lock()
-		q.ledger.Give(organisation, c.own, c.at, q.entry.boot())
+		q.ledger.Refund(organisation, c.own, c.at, q.entry.boot())
 		q.mu.Unlock()
 	}
 	for _, b := range c.borrowed {
@@ -212,7 +212,7 @@
 func (q *quotas) refused(organisation string, units float64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Refused(organisation, units, q.entry.boot())
+	return q.ledger.RecordRefusal(organisation, units, q.entry.boot())
 }
 
 func (q *quotas) state(organisation string) (quota.State, bool) {
--- a/internal/direct/digest.go
+++ b/internal/direct/digest.go
@@ -118,8 +118,8 @@
 	domains := slices.Collect(maps.Keys(members))
 	var to []netip.AddrPort
 	for _, other := range domains {
-		if other != own && spread.Speaker(members[own], own, other, domains) == p.entry.settings.ID {
-			to = append(to, p.known[spread.Counterpart(members[other], own, other, domains, d.triesAt(other, now))].address)
+		if other != own && spread.Gateway(members[own], own, other, domains) == p.entry.settings.ID {
+			to = append(to, p.known[spread.RemoteGateway(members[other], own, other, domains, d.triesAt(other, now))].address)
 		}
 	}
 	return to
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -266,7 +266,7 @@
 			e.state.forget(id)
 		}
 		e.state.feed.ForgetPeers(now - peerForgotten)
-		e.state.outage.Forget(now - peerForgotten)
+		e.state.outage.ForgetPeers(now - peerForgotten)
 		known := make(map[string]bool)
 		for _, id := range e.state.replicas.IDs() {
 			known[id] = true
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -54,9 +54,9 @@
 		}
 		p.counted()
 	}
-	f.reached = func(r spread.Reading) {
-		p.entry.quotas.confirmed(r.Made)
-		p.entry.limitsConfirmed(p.entry.clock.sinceBoot(r.Made, f.boot()))
+	f.reached = func(r spread.Read) {
+		p.entry.quotas.confirmed(r.CalledAt)
+		p.entry.limitsConfirmed(p.entry.clock.sinceBoot(r.CalledAt, f.boot()))
 	}
 	f.run(ctx)
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -86,12 +86,12 @@
 	poke <-chan struct{}
 	// reached is called with each reading that makes what is known younger, failed after
 	// each call without an answer with when that was made, unless peers know meanwhile.
-	reached func(spread.Reading)
+	reached func(spread.Read)
 	failed  func(made time.Time)
 
 	// mu guards the rest and is held while records are taken.
 	mu     sync.Mutex
-	belief spread.Belief
+	belief spread.Watermark
 	tail   *spread.Tail
 	// reread is set where a keyed topic must be read whole again, and one without keys from
 	// the store since no peer has enough of it; begun once the topic was read for the first time.
@@ -111,7 +111,7 @@
 	}
 	nothing := func() {}
 	f.caughtUp = nothing
-	f.reached = func(spread.Reading) {}
+	f.reached = func(spread.Read) {}
 	f.failed = func(time.Time) {}
 	f.skipped = func(uint64) {}
 	f.rewound = func(uint64) {}
@@ -121,7 +121,7 @@
 // run follows until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	f.mu.Lock()
-	f.belief = spread.NewBelief(f.boot())
+	f.belief = spread.NewWatermark(f.boot())
 	f.tail = spread.NewTail(f.keyed)
 	f.mu.Unlock()
 	if f.hub != nil {
@@ -225,8 +225,8 @@
 }
 
 // reading is what an answer that has just come to a call of this entry shows.
-func (f *follower) reading(next uint64, made time.Duration) spread.Reading {
-	r := spread.Reading{Next: next, Made: made, Answered: f.boot()}
+func (f *follower) reading(next uint64, made time.Duration) spread.Read {
+	r := spread.Read{Next: next, CalledAt: made, AnsweredAt: f.boot()}
 	if f.hub != nil {
 		f.hub.served()
 		r.Reader = f.hub.self.ID
@@ -248,7 +248,7 @@
 	r := f.reading(page.Next, made)
 	if page.Next < page.End {
 		// There is more: nothing is known yet of what was written before the call.
-		r.Made = 0
+		r.CalledAt = 0
 	}
 	f.take(page.Next-uint64(len(page.Records)), page.Records, r, ownCall)
 	f.pacer.Answered(ctx, len(page.Records), waited, time.Since(began))
@@ -291,7 +291,7 @@
 
 // takeWhole takes the newest record of all keys from a peer or a call of this entry's own,
 // unless more is known already.
-func (f *follower) takeWhole(page fleet.Page, r spread.Reading, from netip.AddrPort) {
+func (f *follower) takeWhole(page fleet.Page, r spread.Read, from netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.belief.Known && page.Next < f.belief.Next {
@@ -300,11 +300,11 @@
 	f.reached(r)
 	if f.belief.Known && fleet.Era(page.Next) > fleet.Era(f.belief.Next) {
 		f.rewound(page.Next)
-		f.tail.Rewound(f.boot())
+		f.tail.StoreRestored(f.boot())
 	}
 	f.whole(page)
-	f.tail.Start(page.Records, page.Next)
-	f.belief.Took(page.Next)
+	f.tail.Reset(page.Records, page.Next)
+	f.belief.Advance(page.Next)
 	f.belief.Confirm(r)
 	f.reread, f.begun = false, true
 	if f.hub != nil {
@@ -328,7 +328,7 @@
 // leave no gap, and the reading that brought them, from a peer or a call of this entry's
 // own; one with Made 0 confirms nothing. It reports whether all that the reading speaks of is
 // known now.
-func (f *follower) take(from uint64, records []fleet.Record, r spread.Reading, by netip.AddrPort) bool {
+func (f *follower) take(from uint64, records []fleet.Record, r spread.Read, by netip.AddrPort) bool {
 	own := by == ownCall
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -336,8 +336,8 @@
 		return false // it begins with a whole topic, or where a peer's records do
 	}
 	if own && !f.begun && f.belief.Next == 0 {
-		f.belief.Took(from) // the beginning of the store's era
-		f.tail.Start(nil, from)
+		f.belief.Advance(from) // the beginning of the store's era
+		f.tail.Reset(nil, from)
 	}
 	next := f.belief.Next
 	fresh := records[min(uint64(len(records)), max(from, next)-from):]
@@ -345,14 +345,14 @@
 		fresh = nil
 	}
 	covers := next+uint64(len(fresh)) >= r.Next
-	if own || covers && r.Made > f.belief.Last().Made {
+	if own || covers && r.CalledAt > f.belief.LastRead().CalledAt {
 		f.reached(r)
 	}
 	for _, record := range fresh {
 		f.record(record)
-		f.tail.Add(record, f.boot())
+		f.tail.Append(record, f.boot())
 	}
-	f.belief.Took(next + uint64(len(fresh)))
+	f.belief.Advance(next + uint64(len(fresh)))
 	f.begun = true
 	if own && !f.keyed {
 		f.reread = false
@@ -373,8 +373,8 @@
 	if f.belief.Known {
 		return
 	}
-	f.belief.Took(first)
-	f.tail.Start(nil, first)
+	f.belief.Advance(first)
+	f.tail.Reset(nil, first)
 	if first > 0 {
 		f.skipped(first)
 	}
@@ -397,8 +397,8 @@
 		return
 	}
 	again := fleet.Era(first) > fleet.Era(f.belief.Next)
-	f.belief.Took(max(f.belief.Next, first))
-	f.tail.Start(nil, f.belief.Next)
+	f.belief.Advance(max(f.belief.Next, first))
+	f.tail.Reset(nil, f.belief.Next)
 	if again {
 		f.rewound(f.belief.Next)
 	} else {
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -169,7 +169,7 @@
 	j.hands = append(j.hands, hand{
 		replica: choice.ID, reason: choice.Reason, score: choice.Score, load: choice.Load,
 		missed: choice.Missed, source: p.source, of: choice.Of, version: p.version,
-		listAge: now - time.Duration(s.listReadAt.Load()), listFrom: s.listFrom(), offList: s.replicas.OffList(choice.ID, now),
+		listAge: now - time.Duration(s.listReadAt.Load()), listFrom: s.listFrom(), offList: s.replicas.UnlistedFor(choice.ID, now),
 		limit: limit,
 	})
 	return p
@@ -274,7 +274,7 @@
 		e.unreachable(p.replica, "request "+j.asked.ID, err)
 		return loss
 	}
-	j.fault(p, member.FaultBroken)
+	j.fault(p, member.FaultConnectionLost)
 	j.broke(p)
 	return loss
 }
--- a/internal/direct/hub.go
+++ b/internal/direct/hub.go
@@ -38,7 +38,7 @@
 	// be. Leases are safe whatever is known of them; an entry spends less of organisations'
 	// limits where its list of entries is older.
 	entriesLimit = 10 * time.Second
-	peersLimit   = quota.DefaultJoinedWithin
+	peersLimit   = quota.DefaultMaxListAge
 	// shortLease is how long a read of the entries' topic waits while a rollout is under
 	// way, so that a silent connection hides renewals for less than a lease lasts.
 	shortLease = entriesEvery
@@ -62,7 +62,7 @@
 	close func()
 
 	mu        sync.Mutex
-	sources   *spread.Sources
+	sources   *spread.UpstreamSelector
 	followers [topics]*follower
 	fetching  [topics]bool
 	addresses map[string]netip.AddrPort
@@ -94,7 +94,7 @@
 	self := spread.Peer{ID: e.settings.ID, FailureDomain: e.settings.FailureDomain}
 	return &hub{
 		entry: e, tel: e.tel, boot: e.boot, self: self,
-		sources:   spread.NewSources(self, spread.DefaultParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		sources:   spread.NewUpstreamSelector(self, spread.DefaultParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		addresses: make(map[string]netip.AddrPort),
 		askers:    make(map[netip.AddrPort]time.Duration),
 	}
@@ -107,8 +107,8 @@
 // limits are how old what is known of each topic may be.
 func limits(d *settings.Direct) [topics]time.Duration {
 	return [topics]time.Duration{
-		numberOperator: spread.Limit(d.ConfigurationWithin.D()),
-		numberReplicas: spread.Limit(d.LeavingWithin.D()),
+		numberOperator: spread.MaxAge(d.ConfigurationWithin.D()),
+		numberReplicas: spread.MaxAge(d.LeavingWithin.D()),
 		numberEntries:  entriesLimit,
 		numberPeers:    peersLimit,
 	}
@@ -116,7 +116,7 @@
 
 // tooOld reports whether an age of the topic's belief is too old for a source.
 func (f *follower) tooOld(age time.Duration) bool {
-	return float64(age) > spread.StaleAt*float64(f.limit)
+	return float64(age) > spread.StaleFraction*float64(f.limit)
 }
 
 // attach takes part in a topic.
@@ -157,7 +157,7 @@
 	f.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return first || h.sources.Due(part, now)
+	return first || h.sources.ReadDue(part, now)
 }
 
 // patience is how long a read of the store waits, of an entry that others listen to no longer
@@ -166,7 +166,7 @@
 	now := h.boot()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.sources.Mode(now) != spread.Leading {
+	if h.sources.Mode(now) != spread.ReadingStore {
 		return 0
 	}
 	if f.number == numberEntries && h.entry.rollouts.active.Load() {
@@ -179,13 +179,13 @@
 func (h *hub) served() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sources.Served()
+	h.sources.StoreAnswered()
 }
 
 func (h *hub) missed() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sources.Missed()
+	h.sources.StoreFailed()
 }
 
 // listed takes where all other entries are.
@@ -198,7 +198,7 @@
 		h.addresses[id] = p.address
 		list = append(list, spread.Peer{ID: id, FailureDomain: p.domain})
 	}
-	if h.peers = list; h.sources.Mode(h.boot()) == spread.Alone {
+	if h.peers = list; h.sources.Mode(h.boot()) == spread.PeersUnknown {
 		h.tellSources()
 	}
 }
@@ -207,7 +207,7 @@
 // order is worked out once for many. The caller holds mu.
 func (h *hub) tellSources() {
 	if h.peers != nil {
-		h.sources.Peers(h.peers)
+		h.sources.SetPeers(h.peers)
 		h.peers = nil
 	}
 }
@@ -232,9 +232,9 @@
 	now := h.boot()
 	h.mu.Lock()
 	h.tellSources()
-	questions := h.sources.Tick(now)
-	hints := h.addressesOf(h.sources.Hints(now))
-	was, is := h.told, sourcing{mode: h.sources.Mode(now), source: h.sources.Source(), since: now}
+	questions := h.sources.DueQueries(now)
+	hints := h.addressesOf(h.sources.DueHints(now))
+	was, is := h.told, sourcing{mode: h.sources.Mode(now), source: h.sources.Upstream(), since: now}
 	changed := is.mode != was.mode || is.source != was.source
 	if changed {
 		h.told = is
@@ -249,7 +249,7 @@
 		h.send(&word{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Hint: true}, to)
 	}
 	for _, f := range followers {
-		if f != nil && (is.mode != spread.Listening || f.tooOld(f.age())) {
+		if f != nil && (is.mode != spread.Following || f.tooOld(f.age())) {
 			nudge(f.wake)
 		}
 	}
@@ -257,7 +257,7 @@
 
 func (h *hub) logSource(was, is sourcing) {
 	h.tel.Metrics.Count("records_source_changes", 1)
-	if is.mode == spread.Leading {
+	if is.mode == spread.ReadingStore {
 		h.tel.Metrics.Count("store_taken_over", 1)
 	}
 	lacks := was.lacking
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -20,7 +20,7 @@
 func testFollower(now *time.Duration) (*follower, *[]uint64) {
 	f := newFollower(nil, "topic", slog.New(slog.DiscardHandler))
 	f.boot = func() time.Duration { return *now }
-	f.belief, f.tail = spread.NewBelief(0), spread.NewTail(false)
+	f.belief, f.tail = spread.NewWatermark(0), spread.NewTail(false)
 	taken := &[]uint64{}
 	f.record = func(r fleet.Record) { *taken = append(*taken, r.Offset) }
 	return f, taken
@@ -39,11 +39,11 @@
 	const size = 4 << 10 // so that the oldest are dropped
 	now := time.Second
 	giver, _ := testFollower(&now)
-	giver.take(0, recordsFrom(0, 100, size), spread.Reading{Next: 100, Made: now}, ownCall)
+	giver.take(0, recordsFrom(0, 100, size), spread.Read{Next: 100, CalledAt: now}, ownCall)
 	if given, ok := giver.given(0); !ok || given.From != 0 || len(given.Records) != 100 {
 		t.Fatalf("nothing was dropped, and not all is given: %v", ok)
 	}
-	giver.take(100, recordsFrom(100, 400, size), spread.Reading{Next: 500, Made: now + 1}, ownCall)
+	giver.take(100, recordsFrom(100, 400, size), spread.Read{Next: 500, CalledAt: now + 1}, ownCall)
 	if _, ok := giver.given(0); ok {
 		t.Error("records that were taken just now were dropped, and the rest is given as if it were all")
 	}
@@ -66,13 +66,13 @@
 func TestRecordsAreTakenOnceAndInOrder(t *testing.T) {
 	now := time.Second
 	f, taken := testFollower(&now)
-	f.take(0, recordsFrom(0, 3, 1), spread.Reading{Next: 3, Made: now}, ownCall)
+	f.take(0, recordsFrom(0, 3, 1), spread.Read{Next: 3, CalledAt: now}, ownCall)
 	for _, c := range []struct {
 		from   uint64
 		n      int
 		covers bool
 	}{{1, 2, true}, {5, 2, false}, {2, 3, true}, {5, 2, true}, {0, 7, true}} {
-		if got := f.take(c.from, recordsFrom(c.from, c.n, 1), spread.Reading{Next: c.from + uint64(c.n)}, somePeer); got != c.covers {
+		if got := f.take(c.from, recordsFrom(c.from, c.n, 1), spread.Read{Next: c.from + uint64(c.n)}, somePeer); got != c.covers {
 			t.Errorf("records %d to %d: all known %v", c.from, c.from+uint64(c.n), got)
 		}
 	}
@@ -85,9 +85,9 @@
 func TestNewsProveNothing(t *testing.T) {
 	now := time.Second
 	f, _ := testFollower(&now)
-	f.take(0, recordsFrom(0, 3, 1), spread.Reading{Next: 3, Made: now}, ownCall)
+	f.take(0, recordsFrom(0, 3, 1), spread.Read{Next: 3, CalledAt: now}, ownCall)
 	now += 2 * time.Second
-	f.take(3, recordsFrom(3, 1, 1), spread.Reading{Next: 4}, somePeer)
+	f.take(3, recordsFrom(3, 1, 1), spread.Read{Next: 4}, somePeer)
 	if age := f.age(); age != 2*time.Second {
 		t.Errorf("age %v; the last reading was made 2 s ago", age)
 	}
@@ -109,14 +109,14 @@
 		go func() { e.sweep(ctx); close(done) }()
 		time.Sleep(time.Second)
 		passedOn := func() {
-			e.listReached(spread.Reading{Made: e.clock.now(), Answered: e.clock.now(), Reader: "entry-2"}, e.clock.now())
+			e.listReached(spread.Read{CalledAt: e.clock.now(), AnsweredAt: e.clock.now(), Reader: "entry-2"}, e.clock.now())
 		}
 		passedOn()
 		e.takeReplica(fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")})
 		for range 12 {
 			time.Sleep(500 * time.Millisecond)
 			e.state.mu.Lock()
-			e.state.outage.Heard("entry-2", 0, e.clock.now())
+			e.state.outage.PeerReported("entry-2", 0, e.clock.now())
 			e.state.mu.Unlock()
 		}
 		passedOn()
--- a/internal/direct/hubtalk.go
+++ b/internal/direct/hubtalk.go
@@ -10,7 +10,7 @@
 )
 
 // ask sends questions.
-func (h *hub) ask(questions []spread.Question) {
+func (h *hub) ask(questions []spread.Query) {
 	for _, q := range questions {
 		h.mu.Lock()
 		to, ok := h.addresses[q.Peer]
@@ -75,10 +75,10 @@
 	if !f.belief.Confirmed() {
 		return wordTopic{}, false
 	}
-	last := f.belief.Last()
+	last := f.belief.LastRead()
 	t := wordTopic{
 		Next: f.belief.Next, Reader: last.Reader,
-		MadeMs: ageMs(now - last.Made), AnsweredMs: ageMs(now - last.Answered),
+		MadeMs: ageMs(now - last.CalledAt), AnsweredMs: ageMs(now - last.AnsweredAt),
 	}
 	if next == 0 || next > f.belief.Next {
 		return t, true
@@ -118,7 +118,7 @@
 		return
 	}
 	h.mu.Lock()
-	sent, ok := h.sources.Sent(peer, a.Seq)
+	sent, ok := h.sources.QuerySentAt(peer, a.Seq)
 	h.mu.Unlock()
 	if !ok {
 		h.tel.Metrics.Count("records_answers_late", 1)
@@ -138,8 +138,8 @@
 		}
 		told[t.Number] = true
 		r := t.reading(sent)
-		if promised(f.number) && (t.Reader == h.self.ID || f.tooOld(now-r.Made)) {
-			lacks = lacking{peer: peer, topic: f.topic, reader: t.Reader, age: now - r.Made}
+		if promised(f.number) && (t.Reader == h.self.ID || f.tooOld(now-r.CalledAt)) {
+			lacks = lacking{peer: peer, topic: f.topic, reader: t.Reader, age: now - r.CalledAt}
 		}
 		h.take(f, t, r, from)
 	}
@@ -150,18 +150,18 @@
 	if lacks.peer != "" {
 		h.told.lacking = lacks
 	}
-	h.sources.Answered(a.Seq, lacks.peer == "", now)
+	h.sources.QueryAnswered(a.Seq, lacks.peer == "", now)
 	h.mu.Unlock()
 	h.step()
 }
 
 // reading is what an answer shows to a question that was sent at a time: the ages run back
 // from then, so that the way of the answer, or a stop of this process, makes nothing young.
-func (t *wordTopic) reading(sent time.Duration) spread.Reading {
-	return spread.Reading{
+func (t *wordTopic) reading(sent time.Duration) spread.Read {
+	return spread.Read{
 		Next: t.Next, Reader: t.Reader,
-		Made:     sent - time.Duration(t.MadeMs)*time.Millisecond,
-		Answered: sent - time.Duration(t.AnsweredMs)*time.Millisecond,
+		CalledAt:   sent - time.Duration(t.MadeMs)*time.Millisecond,
+		AnsweredAt: sent - time.Duration(t.AnsweredMs)*time.Millisecond,
 	}
 }
 
@@ -172,20 +172,20 @@
 	for i := range a.Topics {
 		t := &a.Topics[i]
 		if f := h.followed(int(t.Number)); f != nil {
-			behind = !f.take(t.From, t.records(), spread.Reading{Next: t.Next}, from) || behind
+			behind = !f.take(t.From, t.records(), spread.Read{Next: t.Next}, from) || behind
 		}
 	}
 	if !behind {
 		return
 	}
 	h.mu.Lock()
-	h.sources.Hurry(peer, h.boot())
+	h.sources.QueryNow(peer, h.boot())
 	h.mu.Unlock()
 	h.step()
 }
 
 // take takes what a peer tells of a topic, and fetches what isn't in its message.
-func (h *hub) take(f *follower, t *wordTopic, r spread.Reading, from netip.AddrPort) {
+func (h *hub) take(f *follower, t *wordTopic, r spread.Read, from netip.AddrPort) {
 	if f.take(t.From, t.records(), r, from) {
 		h.tel.Metrics.Count("records_from_peers", int64(len(t.Records)))
 		return
@@ -221,7 +221,7 @@
 // hinted takes a peer's word that the store answers it.
 func (h *hub) hinted(peer string) {
 	h.mu.Lock()
-	h.sources.Hinted(peer, h.boot())
+	h.sources.HintReceived(peer, h.boot())
 	h.mu.Unlock()
 	h.step()
 }
@@ -242,7 +242,7 @@
 			to = append(to, address)
 		}
 	}
-	if source, ok := h.addresses[h.sources.Source()]; ok && source != by && !slices.Contains(to, source) {
+	if source, ok := h.addresses[h.sources.Upstream()]; ok && source != by && !slices.Contains(to, source) {
 		to = append(to, source)
 	}
 	h.mu.Unlock()
--- a/internal/direct/hubtalk_test.go
+++ b/internal/direct/hubtalk_test.go
@@ -41,10 +41,10 @@
 	for number := range topics {
 		f := e.newFollower(topicNames[number])
 		f.hub, f.number, f.keyed = l.hub, number, true
-		f.belief, f.tail = spread.NewBelief(0), spread.NewTail(true)
+		f.belief, f.tail = spread.NewWatermark(0), spread.NewTail(true)
 		f.whole, f.record = func(fleet.Page) {}, func(fleet.Record) {}
 		l.attach(f)
-		f.takeWhole(fleet.Page{Next: 2, End: 2}, spread.Reading{Next: 2, Made: l.now, Answered: l.now}, somePeer)
+		f.takeWhole(fleet.Page{Next: 2, End: 2}, spread.Read{Next: 2, CalledAt: l.now, AnsweredAt: l.now}, somePeer)
 	}
 	l.listed(map[string]peerAddress{l.peer: {address: somePeer}})
 	return l
@@ -52,9 +52,9 @@
 
 // isFirst reports whether an entry comes before another in the order that all share.
 func isFirst(id, other string) bool {
-	s := spread.NewSources(spread.Peer{ID: id}, spread.DefaultParams, nil)
-	s.Peers([]spread.Peer{{ID: other}})
-	return s.Mode(0) == spread.Leading
+	s := spread.NewUpstreamSelector(spread.Peer{ID: id}, spread.DefaultParams, nil)
+	s.SetPeers([]spread.Peer{{ID: other}})
+	return s.Mode(0) == spread.ReadingStore
 }
 
 // ask has the entry ask its peer and returns the question's number.
@@ -93,7 +93,7 @@
 	if got := l.ageOf(numberReplicas); got != underWay+age {
 		t.Errorf("the list is %v old; want %v", got, underWay+age)
 	}
-	if l.sources.Source() != l.peer {
+	if l.sources.Upstream() != l.peer {
 		t.Error("a peer that knows more isn't listened to")
 	}
 }
@@ -108,7 +108,7 @@
 		if got := l.ageOf(numberReplicas); got != before {
 			t.Errorf("told an age of %d ms the list is %v old; it is %v", age, got, before)
 		}
-		if l.sources.Source() != "" {
+		if l.sources.Upstream() != "" {
 			t.Errorf("a peer that tells an age of %d ms is listened to", age)
 		}
 	}
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -184,8 +184,8 @@
 	if h.version > 0 {
 		fields = append(fields, slog.Uint64("weights", h.version))
 	}
-	if h.limit.Among > 0 {
-		fields = append(fields, slog.Float64("rate_limit", h.limit.Rate), slog.Float64("rate_part", h.limit.Part),
+	if h.limit.Sharers > 0 {
+		fields = append(fields, slog.Float64("rate_limit", h.limit.Rate), slog.Float64("rate_part", h.limit.Share),
 			slog.Int64("rate_limit_age_ms", h.limit.Age.Milliseconds()))
 	}
 	if h.notice.Rest > 0 {
--- a/internal/direct/leaving_test.go
+++ b/internal/direct/leaving_test.go
@@ -298,7 +298,7 @@
 		stop := startTalk(t, alone, served)
 		last := alone.lastUse(back.Add(6 * time.Second))
 		alone.state.mu.Lock()
-		read := alone.state.outage.Excuse(0).Ended
+		read := alone.state.outage.GracePeriod(0).Ended
 		alone.state.mu.Unlock()
 		if late := last.Sub(alone.clock.start) - read; late > soon {
 			t.Errorf("usable until %v after the removal was read, though a peer was served", late)
@@ -362,12 +362,12 @@
 // tellService tells the others for how long the store has answered this entry.
 func (l *lister) tellService(id string, others []*lister) {
 	l.state.mu.Lock()
-	served := l.state.outage.Served(l.clock.now())
+	served := l.state.outage.ServedFor(l.clock.now())
 	l.state.mu.Unlock()
 	for _, to := range others {
 		if to != l {
 			to.state.mu.Lock()
-			to.state.outage.Heard(id, served, to.clock.now())
+			to.state.outage.PeerReported(id, served, to.clock.now())
 			to.state.mu.Unlock()
 		}
 	}
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -44,20 +44,20 @@
 	s := e.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Leaving && s.replicas.Leaving(replica) {
+	if n.Leaving && s.replicas.MarkLeaving(replica) {
 		s.leavingNews[replica] = leavingTold
 		e.tel.Log.Info("replica is leaving", "replica", replica, "by", "its answer")
 	}
-	if n.Rest > 0 && s.replicas.Rest(replica, n.Rest, now) {
+	if n.Rest > 0 && s.replicas.Backoff(replica, n.Rest, now) {
 		e.tel.Metrics.Count("replica_rests", 1)
 		e.tel.Log.Info("replica rests", "replica", replica, "rest_ms", n.Rest.Milliseconds())
 	}
 	switch {
 	case n.Limited:
-		if s.replicas.Get(replica) != nil && s.limits.Named(replica, n.Rate, now) {
+		if s.replicas.Get(replica) != nil && s.limits.AnswerWithLimit(replica, n.Rate, now) {
 			e.limitNamed(replica, "its answer", now)
 		}
-	case whole && !n.Malformed && s.limits.Unnamed(replica, sent):
+	case whole && !n.Malformed && s.limits.AnswerWithoutLimit(replica, sent):
 		e.limitLifted(replica, "its answer")
 	}
 }
@@ -66,8 +66,8 @@
 func (e *Entry) limitNamed(replica, by string, now time.Duration) {
 	limit, _ := e.state.limits.State(replica, now)
 	e.tel.Metrics.Count("replica_rate_limits_named", 1)
-	e.tel.Log.Info("replica's rate limit", "replica", replica, "rate_limit", limit.Rate, "rate_part", limit.Part,
-		"among", limit.Among, "by", by)
+	e.tel.Log.Info("replica's rate limit", "replica", replica, "rate_limit", limit.Rate, "rate_part", limit.Share,
+		"among", limit.Sharers, "by", by)
 }
 
 // limitLifted logs the end of a rate limit. The caller holds the state's lock.
@@ -82,7 +82,7 @@
 	s := e.state
 	s.mu.Lock()
 	var notices []wordNotice
-	for _, l := range s.limits.Words(e.clock.now()) {
+	for _, l := range s.limits.DueUpdates(e.clock.now()) {
 		notices = append(notices, wordNotice{Replica: l.Replica, Rate: l.Rate, Lifted: l.Lifted})
 	}
 	for replica, times := range s.leavingNews {
@@ -109,10 +109,10 @@
 		}
 		switch {
 		case n.Leaving:
-			if s.replicas.Leaving(n.Replica) {
+			if s.replicas.MarkLeaving(n.Replica) {
 				e.tel.Log.Info("replica is leaving", "replica", n.Replica, "by", from)
 			}
-		case !s.limits.Heard(ratelimit.Word{Replica: n.Replica, Rate: n.Rate, Lifted: n.Lifted}, now):
+		case !s.limits.UpdateReceived(ratelimit.Update{Replica: n.Replica, Rate: n.Rate, Lifted: n.Lifted}, now):
 		case n.Lifted:
 			e.limitLifted(n.Replica, from)
 		default:
@@ -128,7 +128,7 @@
 	s := e.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Listed(entries, now)
+	s.limits.SetEntries(entries, now)
 	if self {
 		s.limits.Joined(known, now)
 	}
@@ -139,5 +139,5 @@
 	s := e.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Confirmed(asOf, e.clock.now())
+	s.limits.ListConfirmed(asOf, e.clock.now())
 }
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -24,11 +24,11 @@
 		defer mu.Unlock()
 		gap.missed(made.Sub(e.clock.start))
 	}
-	f.reached = func(r spread.Reading) {
+	f.reached = func(r spread.Read) {
 		mu.Lock()
 		defer mu.Unlock()
 		relayed = r.Reader != "" && r.Reader != e.settings.ID
-		gap.answered(e.clock.sinceBoot(r.Answered, f.boot()), e.clock.now())
+		gap.answered(e.clock.sinceBoot(r.AnsweredAt, f.boot()), e.clock.now())
 	}
 	when := func(first bool) namedWhen {
 		mu.Lock()
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -234,7 +234,7 @@
 	loads := s.feed.Loads()
 	now := p.entry.clock.now()
 	placements := s.feed.Placements(now-max(toldFor, (wordRepeats+1)*p.pause()), wordRepeats, maxWordPlacements)
-	served := s.outage.Served(now)
+	served := s.outage.ServedFor(now)
 	s.mu.Unlock()
 	p.seq++
 	w := &word{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, Served: wordServed(served)}
@@ -357,7 +357,7 @@
 	}
 	e.state.feed.HeardPlacements(placements, now)
 	if w.Served > 0 {
-		e.state.outage.Heard(w.From, time.Duration(w.Served-1)*time.Millisecond, now)
+		e.state.outage.PeerReported(w.From, time.Duration(w.Served-1)*time.Millisecond, now)
 	}
 	e.state.mu.Unlock()
 }
--- a/internal/direct/quotas.go
+++ b/internal/direct/quotas.go
@@ -74,7 +74,7 @@
 func quotaParams(d *settings.Direct) quota.Params {
 	return quota.Params{
 		Window: d.QuotaWindow.D(), Excess: d.QuotaExcess, Slack: d.QuotaSlack,
-		SpendWithin: quota.DefaultSpendWithin, JoinedWithin: quota.DefaultJoinedWithin,
+		SpendWithin: quota.DefaultSpendWithin, MaxListAge: quota.DefaultMaxListAge,
 	}
 }
 
@@ -82,7 +82,7 @@
 func (q *quotas) resize(d *settings.Direct) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Resize(quotaParams(d), q.entry.boot())
+	q.ledger.SetParams(quotaParams(d), q.entry.boot())
 }
 
 // limits takes the limits of a configuration.
@@ -95,7 +95,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Limits(limits, q.entry.boot())
+	q.ledger.SetLimits(limits, q.entry.boot())
 }
 
 // listed takes the list of entries. self says that it has this one, known that it had
@@ -104,7 +104,7 @@
 	now := q.entry.boot()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Listed(entries, now)
+	q.ledger.SetEntries(entries, now)
 	if self {
 		q.ledger.Joined(known, now)
 	}
@@ -114,7 +114,7 @@
 func (q *quotas) confirmed(asOf time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.Confirmed(asOf, q.entry.boot())
+	q.ledger.ListConfirmed(asOf, q.entry.boot())
 }
 
 // heard takes a peer's message.
@@ -124,7 +124,7 @@
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
 		return
 	}
-	by := quota.Loan{Entry: w.From, Epoch: w.Epoch, Seq: m.Seq}
+	by := quota.LoanID{Entry: w.From, Epoch: w.Epoch, Seq: m.Seq}
 	switch m.Kind {
 	case quotaAsk:
 		q.mu.Lock()
@@ -133,12 +133,12 @@
 		if lent.Units > 0 {
 			q.entry.tel.Metrics.Count("quota_lent", 1)
 		}
-		q.send(&wordQuota{Kind: quotaAnswer, Seq: m.Seq, Organisation: m.Organisation, Units: lent.Units, Left: max(0, lent.Left)}, from)
+		q.send(&wordQuota{Kind: quotaAnswer, Seq: m.Seq, Organisation: m.Organisation, Units: lent.Units, Left: max(0, lent.Remaining)}, from)
 	case quotaAnswer:
 		q.answered(m, w.From, from)
 	case quotaReturn:
 		q.mu.Lock()
-		q.ledger.Returned(m.Organisation, m.Units, by, q.entry.boot())
+		q.ledger.LoanReturned(m.Organisation, m.Units, by, q.entry.boot())
 		q.mu.Unlock()
 	default:
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
@@ -153,7 +153,7 @@
 	if mine {
 		delete(q.asked, m.Seq)
 		delete(q.silent, peer)
-		q.ledger.Heard(m.Organisation, peer, m.Left, q.entry.boot())
+		q.ledger.LenderReported(m.Organisation, peer, m.Left, q.entry.boot())
 	}
 	q.mu.Unlock()
 	if mine {
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -29,7 +29,7 @@
 	outageShown = 10 * time.Second
 )
 
-var outageParams = member.OutageParams{Back: afterOutage, Unheeded: heeds - placing, Seen: missSeen, Fresh: wordFresh}
+var outageParams = member.OutageParams{ReregisterWithin: afterOutage, ActWithin: heeds - placing, DetectWithin: missSeen, ReportTTL: wordFresh}
 
 // followReplicas keeps the list of replicas.
 func (e *Entry) followReplicas(ctx context.Context) {
@@ -41,7 +41,7 @@
 		f.pause = func() time.Duration { return min(replicasMost, replicasEvery*time.Duration(e.state.count())) }
 	}
 	f.failed = e.listMissed
-	f.reached = func(r spread.Reading) { e.listReached(r, f.boot()) }
+	f.reached = func(r spread.Read) { e.listReached(r, f.boot()) }
 	f.record = e.takeReplica
 	f.whole = e.takeReplicas
 	f.rewound = func(first uint64) {
@@ -57,7 +57,7 @@
 func (e *Entry) listMissed(made time.Time) {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	begins := e.state.outage.Missed(made.Sub(e.clock.start), now)
+	begins := e.state.outage.CallFailed(made.Sub(e.clock.start), now)
 	e.state.mu.Unlock()
 	if begins {
 		e.watch.storeLost(now)
@@ -67,7 +67,7 @@
 // listSilent looks whether nobody's answer for the list has come for too long.
 func (e *Entry) listSilent(now time.Duration) {
 	e.state.mu.Lock()
-	begins := e.state.outage.Silent(now)
+	begins := e.state.outage.CheckSilence(now)
 	e.state.mu.Unlock()
 	if begins {
 		e.tel.Log.Warn("list of replicas not heard of", "list_age_ms", (now - time.Duration(e.state.listReadAt.Load())).Milliseconds())
@@ -77,13 +77,13 @@
 
 // listReached takes an answer to a call for the list, of this entry or of the one that the
 // reading names; boot is the time of the readings' clock.
-func (e *Entry) listReached(r spread.Reading, boot time.Duration) {
-	if r.Made > 0 {
-		e.state.listReadAt.Store(int64(e.clock.sinceBoot(r.Made, boot)))
+func (e *Entry) listReached(r spread.Read, boot time.Duration) {
+	if r.CalledAt > 0 {
+		e.state.listReadAt.Store(int64(e.clock.sinceBoot(r.CalledAt, boot)))
 		e.state.listReader.Store(&r.Reader)
 	}
 	e.state.mu.Lock()
-	ends := e.state.outage.Answered(e.clock.sinceBoot(r.Answered, boot))
+	ends := e.state.outage.CallAnswered(e.clock.sinceBoot(r.AnsweredAt, boot))
 	e.state.mu.Unlock()
 	if ends {
 		e.watch.storeBack()
@@ -147,12 +147,12 @@
 
 // listed takes what a replica says of itself; known says that something was known of it
 // before. The caller holds the state's lock.
-func (e *Entry) listed(r *fleet.Replica, listing *member.Listing, known bool) {
+func (e *Entry) listed(r *fleet.Replica, listing *member.UpdateResult, known bool) {
 	if listing.Outdated || e.state.replicas.Get(r.ID) == nil {
 		return
 	}
-	if listing.Ended != "" {
-		e.state.forget(listing.Ended)
+	if listing.SupersededID != "" {
+		e.state.forget(listing.SupersededID)
 	}
 	for model, version := range r.Weights {
 		if e.state.board.Saw(r.ID, model, version, 0) && known {
@@ -166,17 +166,17 @@
 }
 
 // followed ends what was under way at the incarnation that a replica has followed.
-func (e *Entry) followed(r *fleet.Replica, listing *member.Listing) {
-	if listing.Ended == "" {
+func (e *Entry) followed(r *fleet.Replica, listing *member.UpdateResult) {
+	if listing.SupersededID == "" {
 		return
 	}
-	e.replicaLost(listing.Ended)
-	taken := e.watch.take(listing.Ended)
+	e.replicaLost(listing.SupersededID)
+	taken := e.watch.take(listing.SupersededID)
 	e.rollouts.poke()
-	e.tel.Log.Info("replica restarted", "replica", r.ID, "before", listing.Ended, "taken_from_it", taken)
+	e.tel.Log.Info("replica restarted", "replica", r.ID, "before", listing.SupersededID, "taken_from_it", taken)
 }
 
-func (e *Entry) logListing(r *fleet.Replica, listing *member.Listing, known bool, offset uint64) {
+func (e *Entry) logListing(r *fleet.Replica, listing *member.UpdateResult, known bool, offset uint64) {
 	switch {
 	case listing.Outdated:
 		e.tel.Log.Info("replica's record outdated", "replica", r.ID, "offset", offset)
@@ -192,24 +192,24 @@
 func (e *Entry) removeReplica(name string, offset uint64, grace time.Duration) {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	excuse := e.state.outage.Excuse(now)
+	excuse := e.state.outage.GracePeriod(now)
 	removed := ""
 	until := max(excuse.Until, grace)
 	kept := until > now
 	if kept {
-		e.state.replicas.Lapse(name, offset, now, until)
+		e.state.replicas.MarkExpired(name, offset, now, until)
 	} else if removed = e.state.replicas.Remove(name, offset, now); removed != "" {
 		e.state.forget(removed)
 	}
 	e.state.mu.Unlock()
-	outage := slog.Group("outage", "peers", excuse.Witness.String(), "began_ms_ago", (now - excuse.Began).Milliseconds(),
-		"missed_ms_ago", (now - excuse.Missed).Milliseconds(), "ended_ms_ago", (now - excuse.Ended).Milliseconds())
+	outage := slog.Group("outage", "peers", excuse.Evidence.String(), "began_ms_ago", (now - excuse.Began).Milliseconds(),
+		"missed_ms_ago", (now - excuse.LastFailed).Milliseconds(), "ended_ms_ago", (now - excuse.Ended).Milliseconds())
 	switch {
 	case kept:
 		e.tel.Metrics.Count("replicas_lapsed", 1)
 		e.tel.Log.Info("replica lapsed during an outage of the store", "replica", name, "offset", offset,
 			"gone_in_ms", (until - now).Milliseconds(), outage)
-	case removed != "" && excuse.Known && now-excuse.Ended < outageShown:
+	case removed != "" && excuse.OutageKnown && now-excuse.Ended < outageShown:
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset, outage)
 	case removed != "":
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset)
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -252,7 +252,7 @@
 			excluded.left++
 			continue
 		case member.Down:
-			if now < s.replicas.RestsUntil(id) {
+			if now < s.replicas.BackoffUntil(id) {
 				excluded.resting++
 			} else {
 				excluded.down++
@@ -265,7 +265,7 @@
 		}
 		c := route.FeedCandidate{
 			ID: id, FailureDomain: r.FailureDomain, Slots: r.Slots,
-			Engine: service.Engine != nil, Doubtful: health == member.Doubtful,
+			Engine: service.Engine != nil, Doubtful: health == member.Degraded,
 		}
 		if service.Engine != nil {
 			c.MemoryTokens = service.Engine.MemoryTokens
--- a/internal/direct/strikes.go
+++ b/internal/direct/strikes.go
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	now := j.entry.clock.now()
 	strikes := s.strikes.Broken(j.print, p.replica.ID, p.at, now)
-	check := s.replicas.Silent(p.replica.ID, now)
+	check := s.replicas.CheckSilent(p.replica.ID, now)
 	s.mu.Unlock()
 	j.entry.struck(strikes)
 	if check {
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -31,9 +31,9 @@
 // opening returns when a replica takes something again, false if it isn't known to take nothing
 // now. The caller holds mu.
 func (s *state) opening(id string, now time.Duration) (admit.Opening, bool) {
-	opening := admit.Opening{At: max(s.replicas.RestsUntil(id), s.limits.Next(id, now)), Rate: admit.Unlimited}
+	opening := admit.Opening{At: max(s.replicas.BackoffUntil(id), s.limits.Next(id, now)), Rate: admit.Unlimited}
 	if limit, limited := s.limits.State(id, now); limited {
-		opening.Rate = limit.Part
+		opening.Rate = limit.Share
 	}
 	return opening, opening.At > now
 }
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -64,7 +64,7 @@
 	var replicas []*fleet.Replica
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
-		if len(r.Weights) == 0 || now < s.replicas.RestsUntil(id) || e.hub != nil && !spread.Asks(e.settings.ID, alive, id) {
+		if len(r.Weights) == 0 || now < s.replicas.BackoffUntil(id) || e.hub != nil && !spread.ShouldQuery(e.settings.ID, alive, id) {
 			continue
 		}
 		if s.limits.Allows(id, now) {
@@ -158,7 +158,7 @@
 	s := e.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if report.Draining && s.replicas.Leaving(r.ID) {
+	if report.Draining && s.replicas.MarkLeaving(r.ID) {
 		e.tel.Log.Info("replica is leaving", "replica", r.ID, "by", "its report")
 	}
 	for model, version := range report.Weights {
--- a/internal/direct/watch.go
+++ b/internal/direct/watch.go
@@ -104,9 +104,9 @@
 	silent := w.silent()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := s.replicas.Probes(now)
+	due := s.replicas.DueProbes(now)
 	for _, r := range silent {
-		if s.replicas.Silent(r.ID, now) {
+		if s.replicas.CheckSilent(r.ID, now) {
 			due = append(due, r)
 		}
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	e.state.mu.Lock()
-	news := e.state.replicas.Reachable(r.ID)
+	news := e.state.replicas.MarkReachable(r.ID)
 	if news {
 		e.state.signal()
 	}
@@ -151,7 +151,7 @@
 // unreachable takes a connection that could not be made.
 func (e *Entry) unreachable(r *fleet.Replica, by string, err error) {
 	e.state.mu.Lock()
-	news := e.state.replicas.Unreachable(r.ID, e.clock.now())
+	news := e.state.replicas.MarkUnreachable(r.ID, e.clock.now())
 	e.state.mu.Unlock()
 	if !news {
 		return
--- a/internal/divide/bucket.go
+++ b/internal/divide/bucket.go
@@ -8,30 +8,30 @@
 
 // Bucket is an entry's part of a limit.
 type Bucket struct {
-	// Rate is in units a second, Most is what can be saved up.
-	Rate, Most float64
+	// Rate is in units a second, Capacity is what can be saved up.
+	Rate, Capacity float64
 	// Level is what is saved up as of At.
-	Level float64
-	At    time.Duration
+	Level      float64
+	RefilledAt time.Duration
 	// StaleAt is from when on the list of entries is too old for the whole rate.
 	StaleAt time.Duration
 }
 
 // Refill adds what has come in up to now.
 func (b *Bucket) Refill(now time.Duration) {
-	if now <= b.At {
+	if now <= b.RefilledAt {
 		return
 	}
-	fresh := max(0, min(now, b.StaleAt)-b.At)
-	stale := now - b.At - fresh
-	b.Level = min(b.Most, b.Level+b.Rate*(fresh.Seconds()+staleRate*stale.Seconds()))
-	b.At = now
+	fresh := max(0, min(now, b.StaleAt)-b.RefilledAt)
+	stale := now - b.RefilledAt - fresh
+	b.Level = min(b.Capacity, b.Level+b.Rate*(fresh.Seconds()+staleRate*stale.Seconds()))
+	b.RefilledAt = now
 }
 
 // Resize takes another rate and size, which hold from now on.
 func (b *Bucket) Resize(rate, most float64, now time.Duration) {
 	b.Refill(now)
-	b.Rate, b.Most = rate, most
+	b.Rate, b.Capacity = rate, most
 	b.Level = min(b.Level, most)
 }
 
@@ -45,8 +45,8 @@
 	return true
 }
 
-// Give takes withdrawn units back.
-func (b *Bucket) Give(units float64, now time.Duration) {
+// Refund takes withdrawn units back.
+func (b *Bucket) Refund(units float64, now time.Duration) {
 	b.Refill(now)
-	b.Level = min(b.Most, b.Level+units)
+	b.Level = min(b.Capacity, b.Level+units)
 }
--- a/internal/divide/divide_test.go
+++ b/internal/divide/divide_test.go
@@ -11,7 +11,7 @@
 func TestABucketGivesNoMoreThanComesIn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, most := rapid.Float64Range(0, 50).Draw(t, "rate"), rapid.Float64Range(0, 20).Draw(t, "most")
-		b := Bucket{Rate: rate, Most: most, StaleAt: time.Hour}
+		b := Bucket{Rate: rate, Capacity: most, StaleAt: time.Hour}
 		now, taken := time.Duration(0), 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(-50, 800).Draw(t, "ms")) * time.Millisecond
@@ -23,7 +23,7 @@
 				}
 			case 1:
 				if taken >= units {
-					b.Give(units, now)
+					b.Refund(units, now)
 					taken -= units
 				}
 			case 2:
@@ -32,7 +32,7 @@
 			if b.Level < -1e-9 || b.Level > most+1e-9 {
 				t.Fatalf("%v saved up, at most %v may be", b.Level, most)
 			}
-			if came := rate * b.At.Seconds(); taken > came+1e-6 {
+			if came := rate * b.RefilledAt.Seconds(); taken > came+1e-6 {
 				t.Fatalf("%v taken, %v came in", taken, came)
 			}
 		}
@@ -41,7 +41,7 @@
 
 // Guards against the whole rate of an entry whose list of entries is too old.
 func TestABucketFillsSlowerByAnOldList(t *testing.T) {
-	b := Bucket{Rate: 10, Most: 1000, StaleAt: 2 * time.Second}
+	b := Bucket{Rate: 10, Capacity: 1000, StaleAt: 2 * time.Second}
 	b.Refill(4 * time.Second)
 	if want := 20 + staleRate*20; b.Level != want {
 		t.Errorf("%v came in, want %v", b.Level, want)
@@ -53,17 +53,17 @@
 func TestEntriesJoinOnceAndAreConfirmedForward(t *testing.T) {
 	const within = 6 * time.Second
 	e := NewEntries("b")
-	e.Listed([]string{"c", "b", "a"})
-	if e.Names[0] != "a" || e.Active <= time.Hour {
+	e.SetNames([]string{"c", "b", "a"})
+	if e.Names[0] != "a" || e.ActiveAt <= time.Hour {
 		t.Errorf("%+v before it has joined", e)
 	}
-	if !e.Joined(false, within, time.Second) || e.Active != time.Second+within {
-		t.Errorf("active from %v", e.Active)
+	if !e.Joined(false, within, time.Second) || e.ActiveAt != time.Second+within {
+		t.Errorf("active from %v", e.ActiveAt)
 	}
-	if e.Joined(true, within, 2*time.Second) || e.Active != time.Second+within {
+	if e.Joined(true, within, 2*time.Second) || e.ActiveAt != time.Second+within {
 		t.Error("it has joined twice")
 	}
-	if !e.Confirmed(3*time.Second, within) || e.Confirmed(2*time.Second, within) || e.StaleAt != 3*time.Second+within {
+	if !e.ListConfirmed(3*time.Second, within) || e.ListConfirmed(2*time.Second, within) || e.StaleAt != 3*time.Second+within {
 		t.Errorf("the list is too old from %v", e.StaleAt)
 	}
 }
--- a/internal/divide/entries.go
+++ b/internal/divide/entries.go
@@ -19,33 +19,33 @@
 	Self string
 	// Names are of all entries listed, in order.
 	Names []string
-	// Active is from when on the entry has its parts, StaleAt from when on the list is too old.
-	Active, StaleAt time.Duration
+	// ActiveAt is from when on the entry has its parts, StaleAt from when on the list is too old.
+	ActiveAt, StaleAt time.Duration
 }
 
 // NewEntries returns what an entry knows before it has read the list: it has no part.
-func NewEntries(self string) Entries { return Entries{Self: self, Active: never} }
+func NewEntries(self string) Entries { return Entries{Self: self, ActiveAt: never} }
 
-// Listed takes the names of all entries listed.
-func (e *Entries) Listed(names []string) { e.Names = slices.Sorted(slices.Values(names)) }
+// SetNames takes the names of all entries listed.
+func (e *Entries) SetNames(names []string) { e.Names = slices.Sorted(slices.Values(names)) }
 
 // Joined says that the list has this entry, and reports whether that is news. known says that it had
 // when this process read the list first: all others count it then. Otherwise it has its parts once
 // within is over, the time that others may take to read the list.
 func (e *Entries) Joined(known bool, within, now time.Duration) bool {
-	if e.Active != never {
+	if e.ActiveAt != never {
 		return false
 	}
-	e.Active = now
+	e.ActiveAt = now
 	if !known {
-		e.Active += within
+		e.ActiveAt += within
 	}
 	return true
 }
 
-// Confirmed says as of when the list is known, which may be as old as within. It reports whether
+// ListConfirmed says as of when the list is known, which may be as old as within. It reports whether
 // that is later than what was known.
-func (e *Entries) Confirmed(asOf, within time.Duration) bool {
+func (e *Entries) ListConfirmed(asOf, within time.Duration) bool {
 	staleAt := asOf + within
 	if staleAt <= e.StaleAt {
 		return false
--- a/internal/endpoint/admission_test.go
+++ b/internal/endpoint/admission_test.go
@@ -50,7 +50,7 @@
 	defer e.pool.Close()
 	e.config = follow.FromSettings(e.settings, e.platformLog, nil, e.pool, e.log)
 	e.placement.loading = true // nothing goes to the engine
-	e.group.view.Listed([]member.Instance{{ID: "ep-2", Address: freeAddress(t), Group: "g"}}, e.now())
+	e.group.view.InstancesListed([]member.Instance{{ID: "ep-2", Address: freeAddress(t), Group: "g"}}, e.now())
 	for i, tokens := range []int{100, 10000} {
 		run := chat(byte(i))
 		a := &execution{id: run.Attempt, run: run, messages: []prefix.Message{{
--- a/internal/endpoint/enginewatch_test.go
+++ b/internal/endpoint/enginewatch_test.go
@@ -62,7 +62,7 @@
 	seq := uint64(0)
 	heard := func() {
 		seq++
-		view.Heard(&protocol.Heartbeat{ID: "ep-2", Epoch: 1, Seq: seq}, e.now())
+		view.HeartbeatReceived(&protocol.Heartbeat{ID: "ep-2", Epoch: 1, Seq: seq}, e.now())
 	}
 	heard()
 	e.logPeers()
@@ -71,8 +71,8 @@
 		why, msg string
 		down     func()
 	}{
-		{"reported_unavailable", "peer suspect", func() { view.Reported([]string{"ep-2"}, e.now()) }},
-		{"connection_failed", "peer dead", func() { view.Failed("ep-2", e.now()) }},
+		{"reported_unavailable", "peer suspect", func() { view.UnavailableReported([]string{"ep-2"}, e.now()) }},
+		{"connection_failed", "peer dead", func() { view.ConnectionFailed("ep-2", e.now()) }},
 		{"silent", "peer suspect", func() { e.started = e.started.Add(-4 * time.Second) }},
 	} {
 		c.down()
@@ -84,7 +84,7 @@
 		e.logPeers()
 		logged("heard again", "peer back", `"peer":"ep-2"`, "down_ms")
 	}
-	view.Failed("ep-2", e.now())
+	view.ConnectionFailed("ep-2", e.now())
 	e.logPeers()
 	log.take()
 	e.started = e.started.Add(-time.Second) // its backoff is over, but it wasn't heard
--- a/internal/endpoint/group.go
+++ b/internal/endpoint/group.go
@@ -86,7 +86,7 @@
 			})
 		}
 	}
-	e.group.view.Listed(listed, e.now())
+	e.group.view.InstancesListed(listed, e.now())
 }
 
 // epochSeen notes a peer's epoch; what was learnt of an earlier one is void.
@@ -94,7 +94,7 @@
 	if peer.Role != protocol.RoleEndpoint || peer.Group != e.settings.Endpoint.Group || peer.ID == e.settings.ID {
 		return
 	}
-	if e.group.view.EpochSeen(peer.ID, peer.Epoch, e.now()) {
+	if e.group.view.EpochObserved(peer.ID, peer.Epoch, e.now()) {
 		e.forgetPeer(peer.ID)
 		e.log.Info("peer restarted", "peer", peer.ID)
 	}
@@ -121,10 +121,10 @@
 		switch {
 		case !down && (m.State == member.Suspect || m.State == member.Dead):
 			e.group.down[m.ID] = now
-			e.log.Warn("peer "+m.State.String(), "peer", m.ID, "why", string(m.Why), "silent_ms", (now - m.Since).Milliseconds())
+			e.log.Warn("peer "+m.State.String(), "peer", m.ID, "why", string(m.Reason), "silent_ms", (now - m.Since).Milliseconds())
 		case down && m.Usable() && m.Since >= since:
 			delete(e.group.down, m.ID)
-			e.log.Warn("peer back", "peer", m.ID, "why", string(m.Why), "down_ms", (now - since).Milliseconds())
+			e.log.Warn("peer back", "peer", m.ID, "why", string(m.Reason), "down_ms", (now - since).Milliseconds())
 		}
 	}
 }
--- a/internal/endpoint/heartbeat.go
+++ b/internal/endpoint/heartbeat.go
@@ -62,7 +62,7 @@
 	e.beatAll()
 }
 
-func (e *Endpoint) everyone() []member.Beat {
+func (e *Endpoint) everyone() []member.Peer {
 	beats := e.group.view.Peers()
 	for _, b := range beats {
 		e.group.peer(b.ID).urgent = true
@@ -70,7 +70,7 @@
 	return beats
 }
 
-func (e *Endpoint) sendBeats(beats []member.Beat) {
+func (e *Endpoint) sendBeats(beats []member.Peer) {
 	e.collectResidents()
 	strikes := e.poison.Strikes(e.now())
 	load := e.load()
@@ -90,7 +90,7 @@
 			Load:         load,
 			Strikes:      strikes,
 			Silent:       p.silent,
-			PeriodMs:     e.group.view.Announce(b.ID).Milliseconds(),
+			PeriodMs:     e.group.view.HeartbeatPeriod(b.ID).Milliseconds(),
 		}
 		p.silent = nil
 		hb.Residents, hb.Full = e.residentsFor(b.ID, p)
@@ -98,7 +98,7 @@
 	}
 }
 
-func (e *Endpoint) sendBeat(b member.Beat, hb *protocol.Heartbeat) {
+func (e *Endpoint) sendBeat(b member.Peer, hb *protocol.Heartbeat) {
 	ctx, stop := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer stop()
 	s, err := e.pool.Get(ctx, b.Address)
@@ -112,7 +112,7 @@
 		e.group.peer(b.ID).sending = false
 		if err != nil {
 			e.group.peer(b.ID).fullSent = 0
-			e.group.view.Failed(b.ID, e.now())
+			e.group.view.ConnectionFailed(b.ID, e.now())
 			return
 		}
 		e.epochSeen(s.Peer())
@@ -120,7 +120,7 @@
 		e.heardOffset(s, s.Peer().ConfigOffset)
 		if e.group.peer(b.ID).urgent {
 			// What can't wait came up while this one was on its way, without it.
-			e.sendBeats([]member.Beat{b})
+			e.sendBeats([]member.Peer{b})
 		}
 	})
 }
@@ -194,7 +194,7 @@
 	}
 	e.epochSeen(from)
 	now := e.now()
-	if !e.group.view.Heard(hb, now) {
+	if !e.group.view.HeartbeatReceived(hb, now) {
 		e.dropped("late heartbeat", s)
 		return
 	}
--- a/internal/endpoint/orders_test.go
+++ b/internal/endpoint/orders_test.go
@@ -78,7 +78,7 @@
 	other := platform.Instance{ID: "ep-2", Role: platform.RoleEndpoint, Address: "127.0.0.1:1", Group: "g", State: platform.StateLive}
 	beat := func(seq uint64, up bool) {
 		hb := &protocol.Heartbeat{ID: "ep-2", Epoch: 1, Seq: seq, Load: protocol.Load{EngineUp: up}}
-		e.group.view.Heard(hb, e.now())
+		e.group.view.HeartbeatReceived(hb, e.now())
 		peer := e.group.peer("ep-2")
 		peer.load, peer.hasLoad = hb.Load, true
 	}
--- a/internal/endpoint/probe.go
+++ b/internal/endpoint/probe.go
@@ -55,7 +55,7 @@
 		}
 		e.log.Warn("peer gives no sign of life", "peer", id, "error", err)
 		// Its next heartbeat takes this back.
-		e.group.view.Reported([]string{id}, e.now())
+		e.group.view.UnavailableReported([]string{id}, e.now())
 		if tell {
 			e.tellSilent(id)
 		}
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -46,7 +46,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.Listed(endpoints, d.now())
+	d.view.InstancesListed(endpoints, d.now())
 	select {
 	case <-d.known:
 	default:
@@ -116,7 +116,7 @@
 func (d *directory) failed(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.Failed(id, d.now())
+	d.view.ConnectionFailed(id, d.now())
 }
 
 // seen takes what a session's opening showed.
@@ -126,14 +126,14 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.EpochSeen(peer.ID, peer.Epoch, d.now())
+	d.view.EpochObserved(peer.ID, peer.Epoch, d.now())
 }
 
 // left takes an endpoint's own word that it is leaving.
 func (d *directory) left(id string, epoch protocol.Epoch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.Left(id, epoch, d.now())
+	d.view.LeavingAnnounced(id, epoch, d.now())
 }
 
 // reported takes an owner's word on endpoints of its group.
@@ -143,7 +143,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.view.Reported(ids, d.now())
+	d.view.UnavailableReported(ids, d.now())
 }
 
 // status lists what is thought of each endpoint.
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -19,7 +19,7 @@
 		listed = append(listed, Instance{ID: id, Address: "10.20.3.117:7400", FailureDomain: "huonville-c", Group: "ledger-llm"})
 		ids = append(ids, id)
 	}
-	v.Listed(listed, 0)
+	v.InstancesListed(listed, 0)
 	return v, ids
 }
 
@@ -29,7 +29,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		hb.ID, hb.Seq = ids[i%len(ids)], uint64(i+1)
-		v.Heard(hb, time.Duration(i))
+		v.HeartbeatReceived(hb, time.Duration(i))
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		v.Listed(listed, 0)
+		v.InstancesListed(listed, 0)
 	}
 }
 
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -16,8 +16,8 @@
 	maxAnnounced = time.Minute
 )
 
-// Beat is a peer to send a heartbeat to.
-type Beat struct {
+// Peer is a peer to send a heartbeat to.
+type Peer struct {
 	ID      string
 	Address string
 }
@@ -26,7 +26,7 @@
 // phase of its own, so that a group's heartbeats don't fall together. A peer that
 // is down is tried at its backoff, a leaving one is told until it is gone: it
 // still answers for what it runs.
-func (v *View) Tick(now time.Duration) []Beat {
+func (v *View) Tick(now time.Duration) []Peer {
 	due := v.beats(func(r *record) bool { return now >= r.nextBeat && now >= r.downUntil })
 	if len(due) == 0 {
 		return nil
@@ -47,26 +47,26 @@
 
 // Peers returns all that have an address, in order of ID, for what can't wait
 // until their heartbeats are due.
-func (v *View) Peers() []Beat { return v.beats(func(*record) bool { return true }) }
+func (v *View) Peers() []Peer { return v.beats(func(*record) bool { return true }) }
 
 // beats returns the peers with an address that are wanted. They are in order, so
 // that equal random numbers give equal phases.
-func (v *View) beats(wanted func(*record) bool) []Beat {
-	var beats []Beat
+func (v *View) beats(wanted func(*record) bool) []Peer {
+	var beats []Peer
 	for _, r := range v.records {
 		if r.Address != "" && wanted(r) {
-			beats = append(beats, Beat{ID: r.ID, Address: r.Address})
+			beats = append(beats, Peer{ID: r.ID, Address: r.Address})
 		}
 	}
-	slices.SortFunc(beats, func(a, b Beat) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(beats, func(a, b Peer) int { return strings.Compare(a.ID, b.ID) })
 	return beats
 }
 
-// Announce returns the period to announce in a heartbeat to a peer: the longest
+// HeartbeatPeriod returns the period to announce in a heartbeat to a peer: the longest
 // time until the next one that is due to it. A peer judges silence by this and
 // not by the group's size as it sees it: while a group grows, two members know of
 // different sizes, and the one that knows of fewer would suspect the other.
-func (v *View) Announce(id string) time.Duration {
+func (v *View) HeartbeatPeriod(id string) time.Duration {
 	if r := v.records[id]; r != nil && r.period > 0 {
 		return r.period
 	}
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -4,16 +4,16 @@
 
 // OutageParams time what an entry makes of a store of records that doesn't answer it.
 type OutageParams struct {
-	// Back is how long after the store's return a replica may take to write a record
+	// ReregisterWithin is how long after the store's return a replica may take to write a record
 	// again that lapsed meanwhile.
-	Back time.Duration
-	// Unheeded is how long after a call without an answer an entry may leave unheeded
+	ReregisterWithin time.Duration
+	// ActWithin is how long after a call without an answer an entry may leave unheeded
 	// what was written then. The store has not come back before that call was made.
-	Unheeded time.Duration
-	// Seen is within which time a reader notices that the store doesn't answer it.
-	Seen time.Duration
-	// Fresh is how old a peer's word of the store may be.
-	Fresh time.Duration
+	ActWithin time.Duration
+	// DetectWithin is within which time a reader notices that the store doesn't answer it.
+	DetectWithin time.Duration
+	// ReportTTL is how old a peer's word of the store may be.
+	ReportTTL time.Duration
 }
 
 // Outage is an entry's account of the last time in which the store of replicas' records
@@ -55,9 +55,9 @@
 	return &Outage{params: p, peers: make(map[string]peerService)}
 }
 
-// Missed takes a call that got no answer, with when it was made. It reports whether an
+// CallFailed takes a call that got no answer, with when it was made. It reports whether an
 // outage begins.
-func (o *Outage) Missed(made, now time.Duration) bool {
+func (o *Outage) CallFailed(made, now time.Duration) bool {
 	o.missedAt = max(o.missedAt, made)
 	if o.away {
 		return false
@@ -67,23 +67,23 @@
 	return true
 }
 
-// Silent takes it that time goes by, and reports whether an outage begins: nobody's answer has
+// CheckSilence takes it that time goes by, and reports whether an outage begins: nobody's answer has
 // come for longer than a reader may take to notice that the store doesn't answer it. An entry
 // that others tell what the store says calls rarely itself; without this the first removals after
 // an outage would count as replicas that left, though their records had lapsed. A long time since
 // the last answer's call says nothing: a read that waits may be under way. Nothing shows that
 // the store was away later than its last answer, so that alone excuses no removal.
-func (o *Outage) Silent(now time.Duration) bool {
-	if !o.answered || now-o.answeredAt <= o.params.Seen {
+func (o *Outage) CheckSilence(now time.Duration) bool {
+	if !o.answered || now-o.answeredAt <= o.params.DetectWithin {
 		return false
 	}
-	return o.Missed(o.answeredAt, now)
+	return o.CallFailed(o.answeredAt, now)
 }
 
-// Answered takes an answer. It reports whether an outage ends.
-func (o *Outage) Answered(now time.Duration) bool {
+// CallAnswered takes an answer. It reports whether an outage ends.
+func (o *Outage) CallAnswered(now time.Duration) bool {
 	ended := o.away
-	if ended || !o.answered || now-o.answeredAt > o.params.Seen {
+	if ended || !o.answered || now-o.answeredAt > o.params.DetectWithin {
 		o.servedSince = now
 	}
 	if ended {
@@ -93,22 +93,22 @@
 	return ended
 }
 
-// Served is for how long the store has answered this entry without a break, 0 if it
+// ServedFor is for how long the store has answered this entry without a break, 0 if it
 // doesn't. It is what peers are told.
-func (o *Outage) Served(now time.Duration) time.Duration {
-	if o.away || !o.answered || now-o.answeredAt > o.params.Seen {
+func (o *Outage) ServedFor(now time.Duration) time.Duration {
+	if o.away || !o.answered || now-o.answeredAt > o.params.DetectWithin {
 		return 0
 	}
 	return now - o.servedSince
 }
 
-// Heard takes a peer's word: for how long the store has answered it, 0 if it doesn't.
-func (o *Outage) Heard(peer string, served, now time.Duration) {
+// PeerReported takes a peer's word: for how long the store has answered it, 0 if it doesn't.
+func (o *Outage) PeerReported(peer string, served, now time.Duration) {
 	o.peers[peer] = peerService{heardAt: now, since: now - served, served: served > 0}
 }
 
-// Forget drops the words of peers that were last heard before a time.
-func (o *Outage) Forget(before time.Duration) {
+// ForgetPeers drops the words of peers that were last heard before a time.
+func (o *Outage) ForgetPeers(before time.Duration) {
 	for peer, p := range o.peers {
 		if p.heardAt < before {
 			delete(o.peers, peer)
@@ -116,48 +116,48 @@
 	}
 }
 
-// Witness is what peers say of an entry's outage.
-type Witness uint8
+// PeerEvidence is what peers say of an entry's outage.
+type PeerEvidence uint8
 
 // The witnesses.
 const (
-	// WitnessNone: no peer says anything that tells.
-	WitnessNone Witness = iota
-	// WitnessAway: the store didn't answer peers either, nor the replicas, it seems.
-	WitnessAway
-	// WitnessServed: the store has answered a peer all along, and so the replicas.
-	WitnessServed
+	// EvidenceNone: no peer says anything that tells.
+	EvidenceNone PeerEvidence = iota
+	// EvidenceOutage: the store didn't answer peers either, nor the replicas, it seems.
+	EvidenceOutage
+	// EvidenceServed: the store has answered a peer all along, and so the replicas.
+	EvidenceServed
 )
 
 var witnessNames = [...]string{"none", "away", "served"}
 
 // String names the witness as logs have it.
-func (w Witness) String() string { return witnessNames[w] }
+func (w PeerEvidence) String() string { return witnessNames[w] }
 
-// Excuse is how long a replica may be kept in use whose removal is read now.
-type Excuse struct {
+// GracePeriod is how long a replica may be kept in use whose removal is read now.
+type GracePeriod struct {
 	// Until is when it is taken as gone if its record isn't back, not after now where
 	// nothing excuses the removal.
-	Until   time.Duration
-	Witness Witness
+	Until    time.Duration
+	Evidence PeerEvidence
 	// Began, Missed and Ended are those of the outage, for the log, where there was one.
-	Known                bool
-	Began, Missed, Ended time.Duration
+	OutageKnown              bool
+	Began, LastFailed, Ended time.Duration
 }
 
-// Excuse decides on a removal that is read now.
-func (o *Outage) Excuse(now time.Duration) Excuse {
+// GracePeriod decides on a removal that is read now.
+func (o *Outage) GracePeriod(now time.Duration) GracePeriod {
 	if !o.known {
-		return Excuse{}
+		return GracePeriod{}
 	}
-	x := Excuse{Witness: o.witness(now), Known: true, Began: o.beganAt, Missed: o.missedAt, Ended: o.endedAt}
-	switch x.Witness {
-	case WitnessServed:
-	case WitnessAway:
-		x.Until = o.endedAt + o.params.Back
+	x := GracePeriod{Evidence: o.witness(now), OutageKnown: true, Began: o.beganAt, LastFailed: o.missedAt, Ended: o.endedAt}
+	switch x.Evidence {
+	case EvidenceServed:
+	case EvidenceOutage:
+		x.Until = o.endedAt + o.params.ReregisterWithin
 	default:
 		// The store may have been back for as long as the last call hung.
-		x.Until = min(o.endedAt+o.params.Back, o.missedAt+o.params.Unheeded)
+		x.Until = min(o.endedAt+o.params.ReregisterWithin, o.missedAt+o.params.ActWithin)
 	}
 	return x
 }
@@ -167,18 +167,18 @@
 // A peer that was served since before it, and says so long enough after it began to have
 // noticed a break of its own, was served through it. A break that is over sooner goes
 // unnoticed, but no record lapses in one: that takes three heartbeats.
-func (o *Outage) witness(now time.Duration) Witness {
-	w := WitnessNone
+func (o *Outage) witness(now time.Duration) PeerEvidence {
+	w := EvidenceNone
 	for _, p := range o.peers {
-		if now-p.heardAt > o.params.Fresh {
+		if now-p.heardAt > o.params.ReportTTL {
 			continue
 		}
 		if !p.served || p.since > o.before {
-			w = max(w, WitnessAway)
+			w = max(w, EvidenceOutage)
 			continue
 		}
-		if p.heardAt-o.beganAt >= o.params.Seen {
-			w = WitnessServed
+		if p.heardAt-o.beganAt >= o.params.DetectWithin {
+			w = EvidenceServed
 		}
 	}
 	return w
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -16,7 +16,7 @@
 )
 
 func newOutage() *member.Outage {
-	return member.NewOutage(member.OutageParams{Back: outageBack, Unheeded: outageUnheeded, Seen: outageSeen, Fresh: time.Second})
+	return member.NewOutage(member.OutageParams{ReregisterWithin: outageBack, ActWithin: outageUnheeded, DetectWithin: outageSeen, ReportTTL: time.Second})
 }
 
 // outageFrom6To12 is the account of a reader whose calls fail from 6 s on. The last of
@@ -24,11 +24,11 @@
 func outageFrom6To12(missed time.Duration) *member.Outage {
 	o := newOutage()
 	for at := time.Second; at < 6*time.Second; at += time.Second {
-		o.Answered(at)
+		o.CallAnswered(at)
 	}
-	o.Missed(5500*ms, 6*time.Second)
-	o.Missed(missed, 12*time.Second-ms)
-	o.Answered(12 * time.Second)
+	o.CallFailed(5500*ms, 6*time.Second)
+	o.CallFailed(missed, 12*time.Second-ms)
+	o.CallAnswered(12 * time.Second)
 	return o
 }
 
@@ -37,11 +37,11 @@
 func TestExcuseRunsFromTheStoresReturn(t *testing.T) {
 	o := outageFrom6To12(11900 * ms)
 	for at := 12 * time.Second; at < 16*time.Second; at += time.Second {
-		if x := o.Excuse(at); x.Until != 14*time.Second {
+		if x := o.GracePeriod(at); x.Until != 14*time.Second {
 			t.Errorf("read at %v a removal is excused until %v", at, x.Until)
 		}
 	}
-	if x := newOutage().Excuse(time.Second); x.Until != 0 {
+	if x := newOutage().GracePeriod(time.Second); x.Until != 0 {
 		t.Errorf("excused until %v though nothing was amiss", x.Until)
 	}
 }
@@ -51,7 +51,7 @@
 // replica leaves. Cause: the store's return taken for the first answer.
 func TestExcuseEndsWhereTheStoreMayHaveReturnedEarly(t *testing.T) {
 	o := outageFrom6To12(10 * time.Second)
-	if x := o.Excuse(12 * time.Second); x.Until != 12800*ms || x.Witness != member.WitnessNone {
+	if x := o.GracePeriod(12 * time.Second); x.Until != 12800*ms || x.Evidence != member.EvidenceNone {
 		t.Errorf("got %+v; want 2.8 s after the last call without an answer", x)
 	}
 }
@@ -62,32 +62,32 @@
 		name string
 		// served is what the peer says at heardAt.
 		served, heardAt time.Duration
-		want            member.Witness
+		want            member.PeerEvidence
 		until           time.Duration
 	}{
-		{"served since long ago", hour, 11900 * ms, member.WitnessServed, 0},
-		{"served since before the outage", 7 * time.Second, 12 * time.Second, member.WitnessServed, 0},
-		{"not served", 0, 12 * time.Second, member.WitnessAway, 14 * time.Second},
-		{"served since the outage's end", 100 * ms, 12 * time.Second, member.WitnessAway, 14 * time.Second},
-		{"served since a moment in the outage", 3 * time.Second, 12 * time.Second, member.WitnessAway, 14 * time.Second},
-		{"a word from the outage's first moments", hour, 6100 * ms, member.WitnessNone, 12800 * ms},
+		{"served since long ago", hour, 11900 * ms, member.EvidenceServed, 0},
+		{"served since before the outage", 7 * time.Second, 12 * time.Second, member.EvidenceServed, 0},
+		{"not served", 0, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
+		{"served since the outage's end", 100 * ms, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
+		{"served since a moment in the outage", 3 * time.Second, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
+		{"a word from the outage's first moments", hour, 6100 * ms, member.EvidenceNone, 12800 * ms},
 	}
 	for _, c := range cases {
 		o := outageFrom6To12(10 * time.Second)
-		o.Heard("peer", c.served, c.heardAt)
-		if x := o.Excuse(12 * time.Second); x.Witness != c.want || x.Until != c.until {
-			t.Errorf("%s: %v, excused until %v; want %v, %v", c.name, x.Witness, x.Until, c.want, c.until)
+		o.PeerReported("peer", c.served, c.heardAt)
+		if x := o.GracePeriod(12 * time.Second); x.Evidence != c.want || x.Until != c.until {
+			t.Errorf("%s: %v, excused until %v; want %v, %v", c.name, x.Evidence, x.Until, c.want, c.until)
 		}
 	}
 	o := outageFrom6To12(10 * time.Second)
-	o.Heard("away-too", 0, 12*time.Second)
-	o.Heard("served", hour, 12*time.Second)
-	if x := o.Excuse(12 * time.Second); x.Witness != member.WitnessServed {
-		t.Errorf("one peer served, one not: %v", x.Witness)
+	o.PeerReported("away-too", 0, 12*time.Second)
+	o.PeerReported("served", hour, 12*time.Second)
+	if x := o.GracePeriod(12 * time.Second); x.Evidence != member.EvidenceServed {
+		t.Errorf("one peer served, one not: %v", x.Evidence)
 	}
-	o.Forget(12*time.Second + ms)
-	if x := o.Excuse(12 * time.Second); x.Witness != member.WitnessNone {
-		t.Errorf("words that were dropped: %v", x.Witness)
+	o.ForgetPeers(12*time.Second + ms)
+	if x := o.GracePeriod(12 * time.Second); x.Evidence != member.EvidenceNone {
+		t.Errorf("words that were dropped: %v", x.Evidence)
 	}
 }
 
@@ -96,11 +96,11 @@
 // all along. Cause: a word that comes before the peer can know.
 func TestShortOutageIsNotToldByPeers(t *testing.T) {
 	o := newOutage()
-	o.Answered(5 * time.Second)
-	o.Missed(6*time.Second, 6*time.Second)
-	o.Answered(7 * time.Second)
-	o.Heard("peer", time.Hour, 7*time.Second)
-	if x := o.Excuse(7 * time.Second); x.Witness != member.WitnessNone || x.Until != 8800*ms {
+	o.CallAnswered(5 * time.Second)
+	o.CallFailed(6*time.Second, 6*time.Second)
+	o.CallAnswered(7 * time.Second)
+	o.PeerReported("peer", time.Hour, 7*time.Second)
+	if x := o.GracePeriod(7 * time.Second); x.Evidence != member.EvidenceNone || x.Until != 8800*ms {
 		t.Errorf("got %+v", x)
 	}
 }
@@ -109,23 +109,23 @@
 // says that the store has answered it since long ago. Cause: no call of it has failed.
 func TestGapIsABreakOfService(t *testing.T) {
 	o := newOutage()
-	if got := o.Served(time.Second); got != 0 {
+	if got := o.ServedFor(time.Second); got != 0 {
 		t.Fatalf("served for %v before the first answer", got)
 	}
-	o.Answered(time.Second)
-	o.Answered(4 * time.Second)
-	if got := o.Served(5 * time.Second); got != 4*time.Second {
+	o.CallAnswered(time.Second)
+	o.CallAnswered(4 * time.Second)
+	if got := o.ServedFor(5 * time.Second); got != 4*time.Second {
 		t.Errorf("served for %v; want 4 s", got)
 	}
-	if got := o.Served(4*time.Second + outageSeen + ms); got != 0 {
+	if got := o.ServedFor(4*time.Second + outageSeen + ms); got != 0 {
 		t.Errorf("served for %v though no answer came for long", got)
 	}
-	o.Answered(10 * time.Second)
-	if got := o.Served(11 * time.Second); got != time.Second {
+	o.CallAnswered(10 * time.Second)
+	if got := o.ServedFor(11 * time.Second); got != time.Second {
 		t.Errorf("served for %v after a gap; want 1 s", got)
 	}
-	o.Missed(11*time.Second, 12*time.Second)
-	if got := o.Served(12 * time.Second); got != 0 {
+	o.CallFailed(11*time.Second, 12*time.Second)
+	if got := o.ServedFor(12 * time.Second); got != 0 {
 		t.Errorf("served for %v while calls fail", got)
 	}
 }
@@ -134,8 +134,8 @@
 // to come back is over. Cause: only the sweep looked at that time.
 func TestLapsedReplicaIsGoneAtItsTime(t *testing.T) {
 	v := listed("a")
-	v.Lapse("a", 7, time.Second, 2*time.Second)
-	if got := v.OffList("a", 1500*ms); got != 500*ms {
+	v.MarkExpired("a", 7, time.Second, 2*time.Second)
+	if got := v.UnlistedFor("a", 1500*ms); got != 500*ms {
 		t.Errorf("off the list for %v; want 500 ms", got)
 	}
 	if h := v.Health("a", 2*time.Second-ms); h != member.Healthy {
@@ -176,9 +176,9 @@
 	o := newOutage()
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
 		if at%(1500*time.Millisecond) == 0 {
-			o.Answered(at)
+			o.CallAnswered(at)
 		}
-		if o.Silent(at) {
+		if o.CheckSilence(at) {
 			t.Fatalf("an outage begins at %v, %v after an answer", at, at%(1500*time.Millisecond))
 		}
 	}
@@ -188,10 +188,10 @@
 func TestATimeWithoutAnswersIsAnOutage(t *testing.T) {
 	for _, peerAway := range []bool{false, true} {
 		o := newOutage()
-		o.Answered(time.Second)
+		o.CallAnswered(time.Second)
 		begun := time.Duration(0)
 		for at := time.Second; at < 7*time.Second; at += 100 * time.Millisecond {
-			if o.Silent(at) {
+			if o.CheckSilence(at) {
 				begun = at
 			}
 		}
@@ -199,12 +199,12 @@
 			t.Errorf("the outage begins at %v; the last answer came at 1s", begun)
 		}
 		if peerAway {
-			o.Heard("entry-2", 0, 7*time.Second)
+			o.PeerReported("entry-2", 0, 7*time.Second)
 		}
-		if !o.Answered(7 * time.Second) {
+		if !o.CallAnswered(7 * time.Second) {
 			t.Error("the outage doesn't end")
 		}
-		if x := o.Excuse(7 * time.Second); (x.Until > 7*time.Second) != peerAway {
+		if x := o.GracePeriod(7 * time.Second); (x.Until > 7*time.Second) != peerAway {
 			t.Errorf("a peer was away %v: a removal is excused until %v", peerAway, x.Until)
 		}
 	}
--- a/internal/member/reborn_test.go
+++ b/internal/member/reborn_test.go
@@ -22,13 +22,13 @@
 	first, second := born("a", 1), born("a", 2)
 	first.Draining = true
 	v.Put(first, 1, 0)
-	v.Unreachable(first.ID, 0)
-	v.Busy(first.ID, 0)
+	v.MarkUnreachable(first.ID, 0)
+	v.MarkBusy(first.ID, 0)
 	for range 10 {
-		v.Faulty(first.ID, member.FaultBroken, 0)
+		v.RecordFault(first.ID, member.FaultConnectionLost, 0)
 	}
 	listing := v.Put(second, 2, 0)
-	if !listing.Changed || listing.Ended != first.ID {
+	if !listing.Changed || listing.SupersededID != first.ID {
 		t.Fatalf("%+v", listing)
 	}
 	if h := v.Health(second.ID, 0); h != member.Healthy {
--- a/internal/member/replicas.go
+++ b/internal/member/replicas.go
@@ -15,29 +15,29 @@
 	// BackoffMin and BackoffMax bound the pause between tries to reach a replica; it
 	// doubles with each failure in a row.
 	BackoffMin, BackoffMax time.Duration
-	// CheckEvery is the least time between looks at a replica that is silent.
-	CheckEvery time.Duration
-	// BusyFor is how long a replica that refused a request gets no other.
-	BusyFor time.Duration
-	// RestMost is the longest rest that a replica is given at its word.
-	RestMost time.Duration
+	// SilenceCheckInterval is the least time between looks at a replica that is silent.
+	SilenceCheckInterval time.Duration
+	// BusyBackoff is how long a replica that refused a request gets no other.
+	BusyBackoff time.Duration
+	// MaxRequestedBackoff is the longest rest that a replica is given at its word.
+	MaxRequestedBackoff time.Duration
 	// FaultHalfLife is how fast faults are forgotten, in time.
 	FaultHalfLife time.Duration
 	// FaultLimit is the weight of recent faults from which on a replica gets work
 	// only where no other can take it.
 	FaultLimit float64
-	// Tombstone is how long a replica that was taken off the list stays off, however
+	// TombstoneTTL is how long a replica that was taken off the list stays off, however
 	// old the records are that still name it.
-	Tombstone time.Duration
+	TombstoneTTL time.Duration
 }
 
 // DefaultReplicaParams try a replica that is down three times in the first second,
 // as a crash lasts seconds, and take three quick faults for more than chance.
 var DefaultReplicaParams = ReplicaParams{
 	BackoffMin: 200 * time.Millisecond, BackoffMax: 800 * time.Millisecond,
-	CheckEvery: 500 * time.Millisecond, BusyFor: 200 * time.Millisecond, RestMost: 10 * time.Minute,
+	SilenceCheckInterval: 500 * time.Millisecond, BusyBackoff: 200 * time.Millisecond, MaxRequestedBackoff: 10 * time.Minute,
 	FaultHalfLife: 2 * time.Second, FaultLimit: 2.5,
-	Tombstone: 2 * time.Minute,
+	TombstoneTTL: 2 * time.Minute,
 }
 
 // Fault is what went wrong at a replica that could be reached.
@@ -45,12 +45,12 @@
 
 // The faults, by how much they say against the replica.
 const (
-	// FaultBroken: it broke a connection off with a request on it.
-	FaultBroken Fault = iota
-	// FaultMute: it didn't answer in time.
-	FaultMute
-	// FaultGarbled: what it sent is no answer.
-	FaultGarbled
+	// FaultConnectionLost: it broke a connection off with a request on it.
+	FaultConnectionLost Fault = iota
+	// FaultTimeout: it didn't answer in time.
+	FaultTimeout
+	// FaultMalformedAnswer: what it sent is no answer.
+	FaultMalformedAnswer
 )
 
 // listed is what is known of one replica.
@@ -98,12 +98,12 @@
 	return &Replicas{params: p, known: map[string]*listed{}, names: map[string]*name{}}
 }
 
-// Listing is what a record changed.
-type Listing struct {
+// UpdateResult is what a record changed.
+type UpdateResult struct {
 	// Changed is set where the record says something new.
 	Changed bool
-	// Ended is the incarnation that the record's own one has followed, "" for none.
-	Ended string
+	// SupersededID is the incarnation that the record's own one has followed, "" for none.
+	SupersededID string
 	// Outdated is set where the record is of an incarnation that another has followed.
 	Outdated bool
 }
@@ -111,10 +111,10 @@
 // Put takes a replica's record. One older than the newest one taken is ignored: a
 // store that serves stale reads for a while would otherwise bring a leaving replica
 // back.
-func (v *Replicas) Put(r *fleet.Replica, offset uint64, now time.Duration) Listing {
+func (v *Replicas) Put(r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
 	n := v.named(r.Name)
 	if n.removed && (offset <= n.removedAt || n.copied(r, offset)) {
-		return Listing{}
+		return UpdateResult{}
 	}
 	return v.put(n, r, offset, now)
 }
@@ -122,20 +122,20 @@
 // Adopt takes a replica's own word that it runs, which no record tells yet. One whose
 // record was removed has left or is taken for gone, and runs on for a while: in use again it would
 // stay so, as the list has nothing more to say of it.
-func (v *Replicas) Adopt(r *fleet.Replica, now time.Duration) Listing {
+func (v *Replicas) Adopt(r *fleet.Replica, now time.Duration) UpdateResult {
 	n := v.named(r.Name)
 	if n.removed && (n.id == r.ID || n.id == "") && v.known[r.ID] == nil {
-		return Listing{Outdated: true}
+		return UpdateResult{Outdated: true}
 	}
 	return v.put(n, r, n.removedAt, now)
 }
 
-func (v *Replicas) put(n *name, r *fleet.Replica, offset uint64, now time.Duration) Listing {
+func (v *Replicas) put(n *name, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
 	// Of two eras of the store the numbers tell which record is the later one.
 	later := r.ID == n.id && r.Beat > n.beat && v.known[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.known[r.ID].offset)
 	ended, ok := n.begin(r, now)
 	if !ok {
-		return Listing{Outdated: true}
+		return UpdateResult{Outdated: true}
 	}
 	if ended != "" && v.known[ended] == nil {
 		ended = ""
@@ -145,15 +145,15 @@
 	l := v.known[r.ID]
 	if l == nil {
 		v.known[r.ID] = &listed{replica: r, offset: offset, draining: n.leaving}
-		return Listing{Changed: true, Ended: ended}
+		return UpdateResult{Changed: true, SupersededID: ended}
 	}
 	if offset < l.offset && !later {
-		return Listing{}
+		return UpdateResult{}
 	}
 	changed := !l.replica.Equal(r)
 	l.replica, l.offset, l.lapsesAt = r, max(l.offset, offset), 0
 	l.draining = n.leaving
-	return Listing{Changed: changed}
+	return UpdateResult{Changed: changed}
 }
 
 func (v *Replicas) named(registered string) *name {
@@ -181,11 +181,11 @@
 	return n.id
 }
 
-// Lapse says that the replica of a name fell off the list in an outage of the store, in
+// MarkExpired says that the replica of a name fell off the list in an outage of the store, in
 // which it could not renew its record. It counts as gone at the time given unless its
 // record is back by then: without that an outage of seconds would end with no
 // replica left to serve, although all of them run.
-func (v *Replicas) Lapse(registered string, offset uint64, now, until time.Duration) {
+func (v *Replicas) MarkExpired(registered string, offset uint64, now, until time.Duration) {
 	n := v.names[registered]
 	if n == nil {
 		return
@@ -197,9 +197,9 @@
 	l.offset, l.offAt, l.lapsesAt = offset, now, until
 }
 
-// OffList returns for how long the record of a replica in use has been known to be
+// UnlistedFor returns for how long the record of a replica in use has been known to be
 // removed, 0 while it is on the list.
-func (v *Replicas) OffList(id string, now time.Duration) time.Duration {
+func (v *Replicas) UnlistedFor(id string, now time.Duration) time.Duration {
 	if l := v.known[id]; l != nil && l.lapsesAt != 0 {
 		return now - l.offAt
 	}
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// Leaving takes a replica's own word that it is leaving. It reports whether that is news.
-func (v *Replicas) Leaving(id string) bool {
+// MarkLeaving takes a replica's own word that it is leaving. It reports whether that is news.
+func (v *Replicas) MarkLeaving(id string) bool {
 	l := v.known[id]
 	if l == nil || l.draining {
 		return false
@@ -257,9 +257,9 @@
 	return l == nil || l.draining
 }
 
-// Unreachable says that no connection to a replica could be made. It gets no new
+// MarkUnreachable says that no connection to a replica could be made. It gets no new
 // work until one is; Probes says when to try. It reports whether that is news.
-func (v *Replicas) Unreachable(id string, now time.Duration) bool {
+func (v *Replicas) MarkUnreachable(id string, now time.Duration) bool {
 	l := v.known[id]
 	if l == nil || l.unreachable && !l.probing {
 		return false
@@ -271,9 +271,9 @@
 	return news
 }
 
-// Reachable says that a connection to a replica was made. It reports whether that
+// MarkReachable says that a connection to a replica was made. It reports whether that
 // is news.
-func (v *Replicas) Reachable(id string) bool {
+func (v *Replicas) MarkReachable(id string) bool {
 	l := v.known[id]
 	if l == nil {
 		return false
@@ -284,9 +284,9 @@
 	return news
 }
 
-// Probes returns the unreachable replicas to which a connection is to be tried now.
+// DueProbes returns the unreachable replicas to which a connection is to be tried now.
 // Trying with a caller's request instead would hold that up for a timeout each time.
-func (v *Replicas) Probes(now time.Duration) []*fleet.Replica {
+func (v *Replicas) DueProbes(now time.Duration) []*fleet.Replica {
 	var due []*fleet.Replica
 	for _, id := range v.IDs() {
 		l := v.known[id]
@@ -298,48 +298,48 @@
 	return due
 }
 
-// Silent says that a replica hasn't sent a byte to a request for long. It reports
+// CheckSilent says that a replica hasn't sent a byte to a request for long. It reports
 // whether to try a connection to it, which a dark one won't take.
-func (v *Replicas) Silent(id string, now time.Duration) bool {
+func (v *Replicas) CheckSilent(id string, now time.Duration) bool {
 	l := v.known[id]
-	if l == nil || l.unreachable || l.checked && now < l.checkedAt+v.params.CheckEvery {
+	if l == nil || l.unreachable || l.checked && now < l.checkedAt+v.params.SilenceCheckInterval {
 		return false
 	}
 	l.checked, l.checkedAt = true, now
 	return true
 }
 
-// Busy says that a replica refused a request since it is full or carries out an
+// MarkBusy says that a replica refused a request since it is full or carries out an
 // order. It is left alone for a moment, and counts as sound.
-func (v *Replicas) Busy(id string, now time.Duration) {
+func (v *Replicas) MarkBusy(id string, now time.Duration) {
 	if l := v.known[id]; l != nil {
-		l.busyUntil = now + v.params.BusyFor
+		l.busyUntil = now + v.params.BusyBackoff
 	}
 }
 
-// Rest says that a replica turned a request away and wants none for a time. It counts as sound. Of
+// Backoff says that a replica turned a request away and wants none for a time. It counts as sound. Of
 // two such words the one that ends later holds: an answer may overtake another. It reports whether
 // the rest begins now.
-func (v *Replicas) Rest(id string, d, now time.Duration) (begins bool) {
+func (v *Replicas) Backoff(id string, d, now time.Duration) (begins bool) {
 	l := v.known[id]
 	if l == nil {
 		return false
 	}
 	begins = l.restUntil <= now
-	l.restUntil = max(l.restUntil, now+min(d, v.params.RestMost))
+	l.restUntil = max(l.restUntil, now+min(d, v.params.MaxRequestedBackoff))
 	return begins
 }
 
-// RestsUntil returns until when a replica wants nothing, a time that is over if it doesn't rest.
-func (v *Replicas) RestsUntil(id string) time.Duration {
+// BackoffUntil returns until when a replica wants nothing, a time that is over if it doesn't rest.
+func (v *Replicas) BackoffUntil(id string) time.Duration {
 	if l := v.known[id]; l != nil {
 		return l.restUntil
 	}
 	return 0
 }
 
-// Faulty says that a request met a fault at a replica.
-func (v *Replicas) Faulty(id string, _ Fault, now time.Duration) {
+// RecordFault says that a request met a fault at a replica.
+func (v *Replicas) RecordFault(id string, _ Fault, now time.Duration) {
 	l := v.known[id]
 	if l == nil {
 		return
@@ -348,8 +348,8 @@
 	l.faultsAt = now
 }
 
-// Worked says that a replica answered a request as it should.
-func (v *Replicas) Worked(id string, now time.Duration) {
+// RecordSuccess says that a replica answered a request as it should.
+func (v *Replicas) RecordSuccess(id string, now time.Duration) {
 	l := v.known[id]
 	if l == nil {
 		return
@@ -378,8 +378,8 @@
 // The healths, best first.
 const (
 	Healthy Health = iota
-	// Doubtful replicas get work only where no healthy one can take it.
-	Doubtful
+	// Degraded replicas get work only where no healthy one can take it.
+	Degraded
 	// Down replicas can't be reached, have just refused a request, or rest.
 	Down
 	// Left replicas are leaving or gone; they get nothing.
@@ -404,7 +404,7 @@
 	case l.unreachable || now < max(l.busyUntil, l.restUntil):
 		return Down
 	case v.decayed(l, now) >= v.params.FaultLimit:
-		return Doubtful
+		return Degraded
 	}
 	return Healthy
 }
@@ -426,7 +426,7 @@
 // forgetNames drops names of which nothing was heard for as long as a tombstone stands.
 func (v *Replicas) forgetNames(now time.Duration) {
 	for registered, n := range v.names {
-		if v.known[n.id] == nil && now-n.heard > v.params.Tombstone {
+		if v.known[n.id] == nil && now-n.heard > v.params.TombstoneTTL {
 			delete(v.names, registered)
 		}
 	}
--- a/internal/member/replicas_test.go
+++ b/internal/member/replicas_test.go
@@ -61,7 +61,7 @@
 // first read after the outage shows them gone. Cause: a lapse taken for leaving.
 func TestLapsedInOutageServesOn(t *testing.T) {
 	v := listed("a")
-	v.Lapse("a", 7, 0, 2*time.Second)
+	v.MarkExpired("a", 7, 0, 2*time.Second)
 	if h := v.Health("a", time.Second); h != member.Healthy {
 		t.Fatalf("right after the outage it is %v", h)
 	}
@@ -69,7 +69,7 @@
 	if gone := v.Tick(3 * time.Second); len(gone) != 0 {
 		t.Fatalf("gone though its record is back: %v", gone)
 	}
-	v.Lapse("a", 9, 3*time.Second, 5*time.Second)
+	v.MarkExpired("a", 9, 3*time.Second, 5*time.Second)
 	if gone := v.Tick(5 * time.Second); len(gone) != 1 {
 		t.Fatalf("not gone though its record didn't come back: %v", gone)
 	}
@@ -80,21 +80,21 @@
 // that it is still dark. Cause: callers' requests used as probes.
 func TestUnreachableUntilProbed(t *testing.T) {
 	v := listed("a")
-	if !v.Unreachable("a", 0) {
+	if !v.MarkUnreachable("a", 0) {
 		t.Fatal("the first failure is no news")
 	}
 	if h := v.Health("a", time.Hour); h != member.Down {
 		t.Fatalf("an hour later, with no connection made, it is %v", h)
 	}
-	probes := v.Probes(time.Second)
-	if len(probes) != 1 || len(v.Probes(time.Second)) != 0 {
+	probes := v.DueProbes(time.Second)
+	if len(probes) != 1 || len(v.DueProbes(time.Second)) != 0 {
 		t.Fatalf("probes: %v, then again", probes)
 	}
-	v.Unreachable("a", time.Second)
-	if len(v.Probes(time.Second)) != 0 || len(v.Probes(time.Minute)) != 1 {
+	v.MarkUnreachable("a", time.Second)
+	if len(v.DueProbes(time.Second)) != 0 || len(v.DueProbes(time.Minute)) != 1 {
 		t.Fatal("a failed probe isn't tried again later")
 	}
-	if !v.Reachable("a") || v.Health("a", time.Minute) != member.Healthy {
+	if !v.MarkReachable("a") || v.Health("a", time.Minute) != member.Healthy {
 		t.Fatal("not healthy once a connection was made")
 	}
 }
@@ -107,13 +107,13 @@
 	for i := range 20 {
 		now += 50 * time.Millisecond
 		if i%5 < 2 {
-			v.Faulty("grey", member.FaultBroken, now)
+			v.RecordFault("grey", member.FaultConnectionLost, now)
 		} else {
-			v.Worked("grey", now)
+			v.RecordSuccess("grey", now)
 		}
-		v.Worked("sound", now)
+		v.RecordSuccess("sound", now)
 	}
-	if v.Health("grey", now) != member.Doubtful || v.Health("sound", now) != member.Healthy {
+	if v.Health("grey", now) != member.Degraded || v.Health("sound", now) != member.Healthy {
 		t.Fatalf("grey %v, sound %v", v.Health("grey", now), v.Health("sound", now))
 	}
 	if h := v.Health("grey", now+20*time.Second); h != member.Healthy {
@@ -135,13 +135,13 @@
 // "looked at when the process started".
 func TestSilentReplicaIsLookedAtSoonAfterTheStart(t *testing.T) {
 	v := listed("r")
-	if !v.Silent("r", 100*time.Millisecond) {
+	if !v.CheckSilent("r", 100*time.Millisecond) {
 		t.Fatal("not looked at 100 ms after the start")
 	}
-	if v.Silent("r", 300*time.Millisecond) {
+	if v.CheckSilent("r", 300*time.Millisecond) {
 		t.Fatal("looked at again 200 ms later")
 	}
-	if !v.Silent("r", 700*time.Millisecond) {
+	if !v.CheckSilent("r", 700*time.Millisecond) {
 		t.Fatal("not looked at again 600 ms later")
 	}
 }
@@ -151,7 +151,7 @@
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	first := &fleet.Replica{ID: "r-1", Name: "r", Born: 1}
 	v.Put(first, 1, 0)
-	if !v.Leaving("r-1") {
+	if !v.MarkLeaving("r-1") {
 		t.Fatal("that it leaves is no news")
 	}
 	v.Put(first, 2, time.Second)
@@ -173,17 +173,17 @@
 func TestTheRestThatEndsLaterHolds(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	v.Put(&fleet.Replica{ID: "r", Name: "r"}, 1, 0)
-	if !v.Rest("r", 3*time.Second, time.Second) || v.Rest("r", time.Second, 2*time.Second) {
+	if !v.Backoff("r", 3*time.Second, time.Second) || v.Backoff("r", time.Second, 2*time.Second) {
 		t.Error("the rest doesn't begin with the first word of it")
 	}
-	v.Worked("r", 2*time.Second)
+	v.RecordSuccess("r", 2*time.Second)
 	for at, want := range map[time.Duration]member.Health{3500 * time.Millisecond: member.Down, 4 * time.Second: member.Healthy} {
 		if got := v.Health("r", at); got != want {
 			t.Errorf("at %v it is %v, want %v", at, got, want)
 		}
 	}
-	v.Rest("r", 24*time.Hour, 5*time.Second)
-	if until := v.RestsUntil("r"); until != 5*time.Second+member.DefaultReplicaParams.RestMost {
+	v.Backoff("r", 24*time.Hour, 5*time.Second)
+	if until := v.BackoffUntil("r"); until != 5*time.Second+member.DefaultReplicaParams.MaxRequestedBackoff {
 		t.Errorf("it rests until %v", until)
 	}
 }
--- a/internal/member/step_bench_test.go
+++ b/internal/member/step_bench_test.go
@@ -20,9 +20,9 @@
 		id := fmt.Sprintf("endpoint-%03d", i)
 		instances[i] = Instance{ID: id, Address: fmt.Sprintf("127.0.0.1:%d", 20000+i), FailureDomain: "hobart-a", Group: "ledger-llm"}
 	}
-	v.Listed(instances, 0)
+	v.InstancesListed(instances, 0)
 	for i := range instances {
-		v.Heard(&protocol.Heartbeat{ID: instances[i].ID, Epoch: 1, Seq: 1}, 0)
+		v.HeartbeatReceived(&protocol.Heartbeat{ID: instances[i].ID, Epoch: 1, Seq: 1}, 0)
 	}
 	return v
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -38,14 +38,14 @@
 
 // The reasons.
 const (
-	ReasonListed     Reason = "listed"
-	ReasonHeard      Reason = "heard"
-	ReasonNeverHeard Reason = "never_heard"
-	ReasonSilent     Reason = "silent"
-	ReasonFailed     Reason = "connection_failed"
-	ReasonReported   Reason = "reported_unavailable"
-	ReasonOwnWord    Reason = "said_leaving"
-	ReasonListLeaves Reason = "listed_leaving"
+	ReasonListed              Reason = "listed"
+	ReasonReachable           Reason = "heard"
+	ReasonNoHeartbeat         Reason = "never_heard"
+	ReasonSilent              Reason = "silent"
+	ReasonConnectionFailed    Reason = "connection_failed"
+	ReasonReportedUnavailable Reason = "reported_unavailable"
+	ReasonAnnouncedLeaving    Reason = "said_leaving"
+	ReasonListedLeaving       Reason = "listed_leaving"
 )
 
 // Instance is one line of the platform's list.
@@ -60,9 +60,9 @@
 // Member is a View's answer about one instance.
 type Member struct {
 	Instance
-	Epoch protocol.Epoch
-	State State
-	Why   Reason
+	Epoch  protocol.Epoch
+	State  State
+	Reason Reason
 	// Since is when it was last heard, or when it was first listed.
 	Since time.Duration
 }
@@ -88,12 +88,12 @@
 	// down; it doubles with each failure in a row.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// ReportedFor is how long an owner's word that a member is unavailable holds.
-	ReportedFor time.Duration
-	// LeavingFor is how long an entry holds a member to its word that it leaves
+	// ReportTTL is how long an owner's word that a member is unavailable holds.
+	ReportTTL time.Duration
+	// LeavingTTL is how long an entry holds a member to its word that it leaves
 	// while the list calls it live. An entry opens no session to a leaving member
 	// and so doesn't see its new epoch; it has to exceed the list's lag.
-	LeavingFor time.Duration
+	LeavingTTL time.Duration
 	// ForgetAfter is how long an unlisted, unheard member is remembered. It has
 	// to exceed the list's lag, or a leaving endpoint would come back with a
 	// stale list.
@@ -105,7 +105,7 @@
 var DefaultParams = Params{
 	Interval: time.Second, PeersPerInterval: 10, SuspectAfter: 3 * time.Second, DeadAfter: 10 * time.Second,
 	BackoffMin: 250 * time.Millisecond, BackoffMax: 10 * time.Second,
-	ReportedFor: 3 * time.Second, LeavingFor: 2 * time.Minute, ForgetAfter: 5 * time.Minute,
+	ReportTTL: 3 * time.Second, LeavingTTL: 2 * time.Minute, ForgetAfter: 5 * time.Minute,
 }
 
 // record is what is known of one instance.
@@ -147,9 +147,9 @@
 	return &View{params: params, self: self, rng: rng, records: map[string]*record{}}
 }
 
-// Listed takes a snapshot of the instance list. A member missing from it stays
+// InstancesListed takes a snapshot of the instance list. A member missing from it stays
 // as long as it is heard.
-func (v *View) Listed(instances []Instance, now time.Duration) {
+func (v *View) InstancesListed(instances []Instance, now time.Duration) {
 	for _, r := range v.records {
 		r.listed = false
 	}
@@ -164,9 +164,9 @@
 	v.forget(now)
 }
 
-// Heard takes a peer's heartbeat. It returns false for one of an older epoch or
+// HeartbeatReceived takes a peer's heartbeat. It returns false for one of an older epoch or
 // a doubled one, which must not be used.
-func (v *View) Heard(hb *protocol.Heartbeat, now time.Duration) bool {
+func (v *View) HeartbeatReceived(hb *protocol.Heartbeat, now time.Duration) bool {
 	r := v.record(hb.ID, now)
 	if r.epoch == hb.Epoch && r.seen && hb.Seq <= r.seq || r.isPast(hb.Epoch) {
 		return false
@@ -186,9 +186,9 @@
 	return true
 }
 
-// EpochSeen takes the epoch that a session's opening showed. It reports whether
+// EpochObserved takes the epoch that a session's opening showed. It reports whether
 // the member was restarted, so that what was learnt of it is void.
-func (v *View) EpochSeen(id string, epoch protocol.Epoch, now time.Duration) bool {
+func (v *View) EpochObserved(id string, epoch protocol.Epoch, now time.Duration) bool {
 	r := v.record(id, now)
 	if r.isPast(epoch) {
 		return false
@@ -198,10 +198,10 @@
 	return changed
 }
 
-// EpochTold takes the epoch that another process gave for a member, such as the
+// EpochReported takes the epoch that another process gave for a member, such as the
 // executor of a decision. It reports the same as EpochSeen, but is no sign that
 // the member can be reached from here.
-func (v *View) EpochTold(id string, epoch protocol.Epoch, now time.Duration) bool {
+func (v *View) EpochReported(id string, epoch protocol.Epoch, now time.Duration) bool {
 	r := v.record(id, now)
 	if epoch == 0 || r.isPast(epoch) {
 		return false
@@ -209,8 +209,8 @@
 	return r.enter(epoch)
 }
 
-// Left takes a member's own word, given in an epoch, that it is leaving.
-func (v *View) Left(id string, epoch protocol.Epoch, now time.Duration) {
+// LeavingAnnounced takes a member's own word, given in an epoch, that it is leaving.
+func (v *View) LeavingAnnounced(id string, epoch protocol.Epoch, now time.Duration) {
 	r := v.record(id, now)
 	if r.isPast(epoch) {
 		return
@@ -219,10 +219,10 @@
 	r.leave(now)
 }
 
-// Failed takes a failed connection. The member is down for a short time that
+// ConnectionFailed takes a failed connection. The member is down for a short time that
 // doubles with each failure in a row, jittered so that entries don't all try it
 // again together.
-func (v *View) Failed(id string, now time.Duration) {
+func (v *View) ConnectionFailed(id string, now time.Duration) {
 	r := v.record(id, now)
 	down := min(v.params.BackoffMin<<min(r.failures, 16), v.params.BackoffMax)
 	if r.failures < 16 {
@@ -233,17 +233,17 @@
 	r.nextBeat = min(r.nextBeat, now+v.params.Interval)
 }
 
-// Reported takes an owner's list of members that are dead or leaving. It holds
+// UnavailableReported takes an owner's list of members that are dead or leaving. It holds
 // for a while only: the owner may be wrong, or out of date. In a group it holds
 // until the member is heard or suspected for its silence: a stopped process would
 // else get work again in between.
-func (v *View) Reported(ids []string, now time.Duration) {
+func (v *View) UnavailableReported(ids []string, now time.Duration) {
 	for _, id := range ids {
 		if id == v.self {
 			continue
 		}
 		r := v.record(id, now)
-		r.reportedUntil = now + v.params.ReportedFor
+		r.reportedUntil = now + v.params.ReportTTL
 		if v.params.Heartbeats {
 			r.reportedUntil = max(r.reportedUntil, now+v.suspectAfter(r))
 		}
@@ -289,34 +289,34 @@
 	if r.seen {
 		since = r.heard
 	}
-	return Member{Instance: r.Instance, Epoch: r.epoch, State: state, Why: why, Since: since}
+	return Member{Instance: r.Instance, Epoch: r.epoch, State: state, Reason: why, Since: since}
 }
 
 func (v *View) state(r *record, now time.Duration) (State, Reason) {
 	if r.leaving && !v.lapsed(r, now) {
-		return Leaving, ReasonOwnWord
+		return Leaving, ReasonAnnouncedLeaving
 	}
 	if r.Leaving && !v.contradicts(r, now) {
-		return Leaving, ReasonListLeaves
+		return Leaving, ReasonListedLeaving
 	}
 	if now < r.downUntil {
-		return Dead, ReasonFailed
+		return Dead, ReasonConnectionFailed
 	}
 	if now < r.reportedUntil {
-		return Suspect, ReasonReported
+		return Suspect, ReasonReportedUnavailable
 	}
 	if !v.params.Heartbeats {
 		return v.stateUnheard(r)
 	}
 	if !r.seen {
-		return v.bySilence(r, now-r.known, Unknown, ReasonListed, ReasonNeverHeard)
+		return v.bySilence(r, now-r.known, Unknown, ReasonListed, ReasonNoHeartbeat)
 	}
-	return v.bySilence(r, now-r.heard, Alive, ReasonHeard, ReasonSilent)
+	return v.bySilence(r, now-r.heard, Alive, ReasonReachable, ReasonSilent)
 }
 
 // lapsed reports whether an entry should try a leaving member again.
 func (v *View) lapsed(r *record, now time.Duration) bool {
-	return !v.params.Heartbeats && r.listed && !r.Leaving && now-r.leavingAt >= v.params.LeavingFor
+	return !v.params.Heartbeats && r.listed && !r.Leaving && now-r.leavingAt >= v.params.LeavingTTL
 }
 
 // contradicts reports whether a member that the list calls leaving says
@@ -327,7 +327,7 @@
 
 func (v *View) stateUnheard(r *record) (State, Reason) {
 	if r.epoch != 0 {
-		return Alive, ReasonHeard
+		return Alive, ReasonReachable
 	}
 	return Unknown, ReasonListed
 }
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -38,32 +38,36 @@
 		want State
 		why  Reason
 	}{
-		{"listed at a peer", groupView(), func(v *View) { v.Listed(live, 0) }, s, Unknown, ReasonListed},
-		{"listed and never heard", groupView(), func(v *View) { v.Listed(live, 0) }, 3 * s, Suspect, ReasonNeverHeard},
-		{"listed at an entry, for long", entryView(), func(v *View) { v.Listed(live, 0) }, 300 * s, Unknown, ReasonListed},
-		{"heard", groupView(), func(v *View) { v.Heard(beat(1, 1, false), 0) }, s, Alive, ReasonHeard},
-		{"silent", groupView(), func(v *View) { v.Heard(beat(1, 1, false), 0) }, 4 * s, Suspect, ReasonSilent},
-		{"silent for long", groupView(), func(v *View) { v.Heard(beat(1, 1, false), 0) }, 10 * s, Dead, ReasonSilent},
-		{"a doubled heartbeat, late", groupView(), func(v *View) { v.Heard(beat(1, 1, false), 0); v.Heard(beat(1, 1, false), 9*s) }, 10 * s, Dead, ReasonSilent},
-		{"frozen link, listed live", groupView(), func(v *View) { v.Heard(beat(1, 1, false), 0); v.Listed(live, 10*s) }, 10 * s, Dead, ReasonSilent},
-		{"connection failed", entryView(), func(v *View) { v.Listed(live, 0); v.Failed("a", s) }, s, Dead, ReasonFailed},
-		{"tried again", entryView(), func(v *View) { v.Listed(live, 0); v.Failed("a", s) }, 2 * s, Unknown, ReasonListed},
-		{"heard after a failure", groupView(), func(v *View) { v.Failed("a", s); v.Heard(beat(1, 1, false), s) }, s, Alive, ReasonHeard},
-		{"reported by an owner", entryView(), func(v *View) { v.Listed(live, 0); v.Reported([]string{"a", "self"}, s) }, 2 * s, Suspect, ReasonReported},
-		{"a report lapses", entryView(), func(v *View) { v.Listed(live, 0); v.Reported([]string{"a"}, s) }, 5 * s, Unknown, ReasonListed},
-		{"leaving by own word, stale list", groupView(), func(v *View) { v.Heard(beat(1, 1, true), 0); v.Listed(live, s) }, s, Leaving, ReasonOwnWord},
-		{"leaving is not taken back", groupView(), func(v *View) { v.Heard(beat(1, 1, true), 0); v.Heard(beat(1, 2, false), s) }, s, Leaving, ReasonOwnWord},
-		{"a new epoch isn't leaving", groupView(), func(v *View) { v.Heard(beat(1, 1, true), 0); v.Heard(beat(2, 1, false), s) }, s, Alive, ReasonHeard},
-		{"listed leaving of the epoch before", groupView(), func(v *View) { v.Listed(gone, 0); v.Heard(beat(2, 1, false), s) }, s, Alive, ReasonHeard},
-		{"listed leaving", entryView(), func(v *View) { v.Listed(gone, 0) }, s, Leaving, ReasonListLeaves},
-		{"left, at an entry with a stale list", entryView(), func(v *View) { v.Listed(live, 0); v.Left("a", 1, 0); v.Listed(live, 60*s) }, 60 * s, Leaving, ReasonOwnWord},
-		{"left, told of a new epoch", entryView(), func(v *View) { v.Listed(live, 0); v.Left("a", 1, 0); v.EpochTold("a", 2, s) }, s, Alive, ReasonHeard},
-		{"a late word of the epoch before", entryView(), func(v *View) { v.EpochSeen("a", 1, 0); v.EpochSeen("a", 2, s); v.Left("a", 1, s) }, s, Alive, ReasonHeard},
+		{"listed at a peer", groupView(), func(v *View) { v.InstancesListed(live, 0) }, s, Unknown, ReasonListed},
+		{"listed and never heard", groupView(), func(v *View) { v.InstancesListed(live, 0) }, 3 * s, Suspect, ReasonNoHeartbeat},
+		{"listed at an entry, for long", entryView(), func(v *View) { v.InstancesListed(live, 0) }, 300 * s, Unknown, ReasonListed},
+		{"heard", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0) }, s, Alive, ReasonReachable},
+		{"silent", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0) }, 4 * s, Suspect, ReasonSilent},
+		{"silent for long", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0) }, 10 * s, Dead, ReasonSilent},
+		{"a doubled heartbeat, late", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0); v.HeartbeatReceived(beat(1, 1, false), 9*s) }, 10 * s, Dead, ReasonSilent},
+		{"frozen link, listed live", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0); v.InstancesListed(live, 10*s) }, 10 * s, Dead, ReasonSilent},
+		{"connection failed", entryView(), func(v *View) { v.InstancesListed(live, 0); v.ConnectionFailed("a", s) }, s, Dead, ReasonConnectionFailed},
+		{"tried again", entryView(), func(v *View) { v.InstancesListed(live, 0); v.ConnectionFailed("a", s) }, 2 * s, Unknown, ReasonListed},
+		{"heard after a failure", groupView(), func(v *View) { v.ConnectionFailed("a", s); v.HeartbeatReceived(beat(1, 1, false), s) }, s, Alive, ReasonReachable},
+		{"reported by an owner", entryView(), func(v *View) { v.InstancesListed(live, 0); v.UnavailableReported([]string{"a", "self"}, s) }, 2 * s, Suspect, ReasonReportedUnavailable},
+		{"a report lapses", entryView(), func(v *View) { v.InstancesListed(live, 0); v.UnavailableReported([]string{"a"}, s) }, 5 * s, Unknown, ReasonListed},
+		{"leaving by own word, stale list", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.InstancesListed(live, s) }, s, Leaving, ReasonAnnouncedLeaving},
+		{"leaving is not taken back", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.HeartbeatReceived(beat(1, 2, false), s) }, s, Leaving, ReasonAnnouncedLeaving},
+		{"a new epoch isn't leaving", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.HeartbeatReceived(beat(2, 1, false), s) }, s, Alive, ReasonReachable},
+		{"listed leaving of the epoch before", groupView(), func(v *View) { v.InstancesListed(gone, 0); v.HeartbeatReceived(beat(2, 1, false), s) }, s, Alive, ReasonReachable},
+		{"listed leaving", entryView(), func(v *View) { v.InstancesListed(gone, 0) }, s, Leaving, ReasonListedLeaving},
+		{"left, at an entry with a stale list", entryView(), func(v *View) {
+			v.InstancesListed(live, 0)
+			v.LeavingAnnounced("a", 1, 0)
+			v.InstancesListed(live, 60*s)
+		}, 60 * s, Leaving, ReasonAnnouncedLeaving},
+		{"left, told of a new epoch", entryView(), func(v *View) { v.InstancesListed(live, 0); v.LeavingAnnounced("a", 1, 0); v.EpochReported("a", 2, s) }, s, Alive, ReasonReachable},
+		{"a late word of the epoch before", entryView(), func(v *View) { v.EpochObserved("a", 1, 0); v.EpochObserved("a", 2, s); v.LeavingAnnounced("a", 1, s) }, s, Alive, ReasonReachable},
 	} {
 		test.do(test.view)
 		m, _ := test.view.Get("a", test.at)
-		if m.State != test.want || m.Why != test.why {
-			t.Errorf("%s: %s (%s), want %s (%s)", test.name, m.State, m.Why, test.want, test.why)
+		if m.State != test.want || m.Reason != test.why {
+			t.Errorf("%s: %s (%s), want %s (%s)", test.name, m.State, m.Reason, test.want, test.why)
 		}
 	}
 }
@@ -85,7 +89,7 @@
 			case "beat":
 				seq++
 				late = append(late, beat(epoch, seq, leaving))
-				v.Heard(beat(epoch, seq, leaving), now)
+				v.HeartbeatReceived(beat(epoch, seq, leaving), now)
 			case "leave":
 				leaving = true
 			case "restart":
@@ -95,20 +99,20 @@
 			case "late":
 				if len(late) > 0 {
 					hb := late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
-					if v.Heard(hb, now) && (hb.Epoch < v.records["a"].epoch) {
+					if v.HeartbeatReceived(hb, now) && (hb.Epoch < v.records["a"].epoch) {
 						t.Fatalf("a heartbeat of a past epoch was taken")
 					}
 				}
 			case "list":
-				v.Listed([]Instance{{ID: "a", Address: "x", Leaving: rapid.Bool().Draw(t, "leaving")}}, now)
+				v.InstancesListed([]Instance{{ID: "a", Address: "x", Leaving: rapid.Bool().Draw(t, "leaving")}}, now)
 			case "fail":
-				v.Failed("a", now)
+				v.ConnectionFailed("a", now)
 			case "report":
-				v.Reported([]string{"a"}, now)
+				v.UnavailableReported([]string{"a"}, now)
 			}
 			told := len(late) > 0 && late[len(late)-1].Epoch == epoch && late[len(late)-1].Leaving
 			if m, ok := v.Get("a", now); ok && told && m.Usable() {
-				t.Fatalf("usable (%s) after it said that it leaves", m.Why)
+				t.Fatalf("usable (%s) after it said that it leaves", m.Reason)
 			}
 		}
 	})
@@ -119,10 +123,10 @@
 func TestFailuresBackOffAndEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := entryView()
-		v.Listed([]Instance{{ID: "a"}}, 0)
+		v.InstancesListed([]Instance{{ID: "a"}}, 0)
 		n := rapid.IntRange(1, 40).Draw(t, "failures")
 		for range n {
-			v.Failed("a", 0)
+			v.ConnectionFailed("a", 0)
 		}
 		down := v.records["a"].downUntil
 		if down <= 0 || down > DefaultParams.BackoffMax {
@@ -140,7 +144,7 @@
 	for i := 1; i < n; i++ {
 		list = append(list, Instance{ID: "p" + strconv.Itoa(i), Address: "x"})
 	}
-	v.Listed(list, now)
+	v.InstancesListed(list, now)
 }
 
 // Symptom: the heartbeats of a large group take more than all that a process may
@@ -164,8 +168,8 @@
 			sent += len(beats)
 			most = max(most, len(beats))
 			for _, b := range beats {
-				if gap := now - last[b.ID]; gap > c.period+50*time.Millisecond || v.Announce(b.ID) != c.period {
-					t.Fatalf("%d peers: a heartbeat after %v, announced %v, want %v", c.peers, gap, v.Announce(b.ID), c.period)
+				if gap := now - last[b.ID]; gap > c.period+50*time.Millisecond || v.HeartbeatPeriod(b.ID) != c.period {
+					t.Fatalf("%d peers: a heartbeat after %v, announced %v, want %v", c.peers, gap, v.HeartbeatPeriod(b.ID), c.period)
 				}
 				last[b.ID] = now
 			}
@@ -204,18 +208,18 @@
 			for _, b := range sender.Tick(now) {
 				if b.ID == "b" {
 					seq, sent = seq+1, now
-					inFlight = append(inFlight, &protocol.Heartbeat{ID: "a", Epoch: 1, Seq: seq, PeriodMs: sender.Announce("b").Milliseconds()})
+					inFlight = append(inFlight, &protocol.Heartbeat{ID: "a", Epoch: 1, Seq: seq, PeriodMs: sender.HeartbeatPeriod("b").Milliseconds()})
 				}
 			}
 			if len(inFlight) > 0 && (now-sent >= transit || rapid.Bool().Draw(t, "arrives")) {
 				for _, hb := range inFlight {
-					hearer.Heard(hb, now)
+					hearer.HeartbeatReceived(hb, now)
 					heard, period = now, time.Duration(hb.PeriodMs)*time.Millisecond
 				}
 				inFlight = nil
 			}
 			if m, _ := hearer.Get("a", now); seq > 0 && period > 0 && !m.Usable() {
-				t.Fatalf("%s (%s) at %v though heard at %v with a period of %v", m.State, m.Why, now, heard, period)
+				t.Fatalf("%s (%s) at %v though heard at %v with a period of %v", m.State, m.Reason, now, heard, period)
 			}
 		}
 		bound := max(DefaultParams.SuspectAfter, 3*period)
@@ -239,27 +243,27 @@
 	v.Tick(0)
 	v.Tick(3100 * time.Millisecond)
 	due := func(now time.Duration) bool {
-		return slices.ContainsFunc(v.Tick(now), func(b Beat) bool { return b.ID == "a" })
+		return slices.ContainsFunc(v.Tick(now), func(b Peer) bool { return b.ID == "a" })
 	}
 	const at = 3200 * time.Millisecond
-	v.Heard(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 1, PeriodMs: 3100}, at)
+	v.HeartbeatReceived(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 1, PeriodMs: 3100}, at)
 	if !due(at) {
 		t.Error("a member heard for the first time isn't told at once")
 	}
 	v.Tick(at + 3100*time.Millisecond)
 	const failed = at + 3200*time.Millisecond
-	v.Failed("a", failed)
+	v.ConnectionFailed("a", failed)
 	if !due(failed + DefaultParams.Interval) {
 		t.Error("a failed heartbeat isn't tried again within an interval")
 	}
-	v.Heard(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 2, PeriodMs: 3100}, failed)
-	v.Reported([]string{"a"}, failed)
+	v.HeartbeatReceived(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 2, PeriodMs: 3100}, failed)
+	v.UnavailableReported([]string{"a"}, failed)
 	for now := failed; now < failed+20*time.Second; now += time.Second {
 		if m, _ := v.Get("a", now); m.Usable() {
 			t.Fatalf("usable %v after it was found stopped", now-failed)
 		}
 	}
-	v.Heard(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 3, PeriodMs: 3100}, failed+time.Second)
+	v.HeartbeatReceived(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 3, PeriodMs: 3100}, failed+time.Second)
 	if m, _ := v.Get("a", failed+time.Second); !m.Usable() {
 		t.Error("not usable once heard")
 	}
@@ -267,12 +271,12 @@
 
 func TestUnlistedMembersAreForgotten(t *testing.T) {
 	v := groupView()
-	v.Heard(beat(1, 1, true), 0)
-	v.Listed(nil, DefaultParams.ForgetAfter-1)
+	v.HeartbeatReceived(beat(1, 1, true), 0)
+	v.InstancesListed(nil, DefaultParams.ForgetAfter-1)
 	if _, ok := v.Get("a", 0); !ok {
 		t.Error("forgotten while the list may lag")
 	}
-	v.Listed(nil, DefaultParams.ForgetAfter)
+	v.InstancesListed(nil, DefaultParams.ForgetAfter)
 	if _, ok := v.Get("a", 0); ok {
 		t.Error("remembered for ever")
 	}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -51,7 +51,7 @@
 
 var simParams = Params{
 	Window: 8 * time.Second, Excess: 0.1, Slack: 110_000,
-	SpendWithin: DefaultSpendWithin, JoinedWithin: DefaultJoinedWithin,
+	SpendWithin: DefaultSpendWithin, MaxListAge: DefaultMaxListAge,
 }
 
 func newSimulated(seed uint64, entries int, limits map[string]fleet.Quota) *simulated {
@@ -66,7 +66,7 @@
 	for i := range entries {
 		s.add(fmt.Sprint("entry-", i), limits)
 	}
-	s.run(2*DefaultJoinedWithin, nil)
+	s.run(2*DefaultMaxListAge, nil)
 	return s
 }
 
@@ -85,7 +85,7 @@
 		s.listed = append(s.listed, e.name)
 	}
 	e.ledger, e.read = NewLedger(e.name, s.params, s.rand.IntN), 0
-	e.ledger.Limits(e.limits, s.now)
+	e.ledger.SetLimits(e.limits, s.now)
 	if !e.cut {
 		s.read(e)
 		e.ledger.Joined(known, s.now)
@@ -95,10 +95,10 @@
 // read has an entry read the list of entries.
 func (s *simulated) read(e *simEntry) {
 	if e.read != len(s.listed) {
-		e.ledger.Listed(slices.Clone(s.listed), s.now)
+		e.ledger.SetEntries(slices.Clone(s.listed), s.now)
 		e.read = len(s.listed)
 	}
-	e.ledger.Confirmed(s.now, s.now)
+	e.ledger.ListConfirmed(s.now, s.now)
 }
 
 func (s *simulated) after(d time.Duration, do func()) {
@@ -147,7 +147,7 @@
 type borrowed struct {
 	from  *simEntry
 	units float64
-	loan  Loan
+	loan  LoanID
 }
 
 // request has an entry acquire a request's units as an entry of the product does, and
@@ -158,7 +158,7 @@
 	own, pieces := s.acquire(e, organisation, units)
 	if own < 0 {
 		s.refused++
-		e.ledger.Refused(organisation, units, s.now)
+		e.ledger.RecordRefusal(organisation, units, s.now)
 		s.giveBack(e, organisation, 0, pieces, at)
 		return false
 	}
@@ -192,7 +192,7 @@
 		lender := s.named(name)
 		s.messages++
 		e.seq++
-		id := Loan{e.name, e.epoch, e.seq}
+		id := LoanID{e.name, e.epoch, e.seq}
 		if lender == nil || !s.reaches(e, lender) {
 			continue
 		}
@@ -200,7 +200,7 @@
 		if !s.reaches(lender, e) {
 			continue
 		}
-		e.ledger.Heard(organisation, name, lent.Left, s.now)
+		e.ledger.LenderReported(organisation, name, lent.Remaining, s.now)
 		if lent.Units > 0 {
 			pieces = append(pieces, borrowed{lender, lent.Units, id})
 			left -= lent.Units
@@ -217,10 +217,10 @@
 
 func (s *simulated) giveBack(e *simEntry, organisation string, own float64, pieces []borrowed, at time.Duration) {
 	if own > 0 {
-		e.ledger.Give(organisation, own, at, s.now)
+		e.ledger.Refund(organisation, own, at, s.now)
 	}
 	for _, p := range pieces {
-		back := func() { p.from.ledger.Returned(organisation, p.units, p.loan, s.now) }
+		back := func() { p.from.ledger.LoanReturned(organisation, p.units, p.loan, s.now) }
 		if s.reaches(e, p.from) {
 			s.after(time.Duration(s.rand.Int64N(int64(4*s.delay))), back)
 		}
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -14,9 +14,9 @@
 func sole(t *testing.T, known bool) (l *Ledger, most float64, now time.Duration) {
 	t.Helper()
 	l = NewLedger("a", simParams, func(int) int { return 0 })
-	l.Listed([]string{"a"}, 0)
-	l.Limits(map[string]fleet.Quota{"derwent": tokens(guardRate)}, 0)
-	l.Confirmed(time.Hour, 0)
+	l.SetEntries([]string{"a"}, 0)
+	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(guardRate)}, 0)
+	l.ListConfirmed(time.Hour, 0)
 	l.Joined(known, 0)
 	q := tokens(guardRate)
 	return l, simParams.most(&q), time.Minute
@@ -43,14 +43,14 @@
 	l, most, now := sole(t, true)
 	level(t, l, time.Second)
 	wantLevel(t, l, now, most)
-	l.Give("derwent", 500, now, now)
+	l.Refund("derwent", 500, now, now)
 	wantLevel(t, l, now, most)
 }
 
 // Guards against a question that arrives twice and is answered with units twice.
 func TestAQuestionIsAnsweredWithUnitsOnce(t *testing.T) {
 	l, most, now := sole(t, true)
-	id := Loan{"b", 1, 1}
+	id := LoanID{"b", 1, 1}
 	if lent := l.Lend("derwent", 1000, id, now); lent.Units != 1000 {
 		t.Errorf("%+v lent of 1,000 units", lent)
 	}
@@ -63,30 +63,30 @@
 // Guards against units that come back twice, late, of nobody's, or more of them than went.
 func TestUnitsComeBackOnceAndInTime(t *testing.T) {
 	l, most, now := sole(t, true)
-	first, second := Loan{"b", 1, 1}, Loan{"b", 1, 2}
+	first, second := LoanID{"b", 1, 1}, LoanID{"b", 1, 2}
 	l.Lend("derwent", 20_000, first, now)
 	l.Lend("derwent", 20_000, second, now)
-	l.Returned("derwent", 20_000, Loan{"b", 1, 3}, now)
+	l.LoanReturned("derwent", 20_000, LoanID{"b", 1, 3}, now)
 	wantLevel(t, l, now, most-40_000)
-	l.Returned("derwent", 30_000, first, now)
+	l.LoanReturned("derwent", 30_000, first, now)
 	wantLevel(t, l, now, most-20_000)
-	l.Returned("derwent", 20_000, first, now)
+	l.LoanReturned("derwent", 20_000, first, now)
 	wantLevel(t, l, now, most-20_000)
 	late := now + simParams.SpendWithin + time.Millisecond
 	before := level(t, l, late)
-	l.Returned("derwent", 20_000, second, late)
+	l.LoanReturned("derwent", 20_000, second, late)
 	wantLevel(t, l, late, before)
-	l.Give("derwent", 20_000, now, late)
+	l.Refund("derwent", 20_000, now, late)
 	wantLevel(t, l, late, before)
 }
 
 // Guards against a new entry that spends before all others count it.
 func TestANewEntryWaitsUntilAllOthersKnowOfIt(t *testing.T) {
 	l, _, _ := sole(t, false)
-	if l.Take("derwent", 1, simParams.JoinedWithin-time.Millisecond) {
+	if l.Take("derwent", 1, simParams.MaxListAge-time.Millisecond) {
 		t.Error("it spends before its time")
 	}
-	if !l.Take("derwent", 1, simParams.JoinedWithin+time.Second) {
+	if !l.Take("derwent", 1, simParams.MaxListAge+time.Second) {
 		t.Error("it spends nothing after its time")
 	}
 }
@@ -94,8 +94,8 @@
 // Guards against an entry that goes by an old list of entries and spends its whole part.
 func TestAnOldListHalvesWhatComesIn(t *testing.T) {
 	l, _, _ := sole(t, true)
-	l.Confirmed(2*time.Hour, time.Hour)
-	stale := 2*time.Hour + simParams.JoinedWithin
+	l.ListConfirmed(2*time.Hour, time.Hour)
+	stale := 2*time.Hour + simParams.MaxListAge
 	if !l.Take("derwent", level(t, l, stale), stale) {
 		t.Fatal("nothing to take")
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -27,7 +27,7 @@
 	bucket  divide.Bucket
 	begun   bool
 	// lent are the withdrawals by others that may still be given back.
-	lent map[Loan]loan
+	lent map[LoanID]loan
 	// known is what lenders said they have left.
 	known map[string]lender
 	// refused is how much was refused lately, as of refusedAt.
@@ -38,8 +38,8 @@
 	lackingUntil time.Duration
 }
 
-// Loan names a withdrawal by another entry.
-type Loan struct {
+// LoanID names a withdrawal by another entry.
+type LoanID struct {
 	Entry      string
 	Epoch, Seq uint64
 }
@@ -55,29 +55,29 @@
 	return &Ledger{params: p, entries: divide.NewEntries(self), accounts: make(map[string]*account), draw: draw}
 }
 
-// Resize takes other parameters.
-func (l *Ledger) Resize(p Params, now time.Duration) {
+// SetParams takes other parameters.
+func (l *Ledger) SetParams(p Params, now time.Duration) {
 	l.params = p
 	l.redivide(now)
 }
 
-// Listed takes the names of all entries listed.
-func (l *Ledger) Listed(entries []string, now time.Duration) {
-	l.entries.Listed(entries)
+// SetEntries takes the names of all entries listed.
+func (l *Ledger) SetEntries(entries []string, now time.Duration) {
+	l.entries.SetNames(entries)
 	l.redivide(now)
 }
 
 // Joined says that the list of entries has this one. known says that it had when this
 // process read the list first: all others count it then, as it was there before.
 func (l *Ledger) Joined(known bool, now time.Duration) {
-	if l.entries.Joined(known, l.params.JoinedWithin, now) {
+	if l.entries.Joined(known, l.params.MaxListAge, now) {
 		l.redivide(now)
 	}
 }
 
-// Confirmed says as of when the list of entries is known.
-func (l *Ledger) Confirmed(asOf, now time.Duration) {
-	if !l.entries.Confirmed(asOf, l.params.JoinedWithin) {
+// ListConfirmed says as of when the list of entries is known.
+func (l *Ledger) ListConfirmed(asOf, now time.Duration) {
+	if !l.entries.ListConfirmed(asOf, l.params.MaxListAge) {
 		return
 	}
 	for _, a := range l.accounts {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Limits takes the limits in force. Organisations without one aren't among them.
-func (l *Ledger) Limits(limits map[string]fleet.Quota, now time.Duration) {
+// SetLimits takes the limits in force. Organisations without one aren't among them.
+func (l *Ledger) SetLimits(limits map[string]fleet.Quota, now time.Duration) {
 	for name := range l.accounts {
 		if _, ok := limits[name]; !ok {
 			delete(l.accounts, name)
@@ -113,13 +113,13 @@
 	for name, q := range limits {
 		a := l.accounts[name]
 		if a == nil {
-			a = &account{name: name, lent: make(map[Loan]loan), known: make(map[string]lender)}
-			a.bucket.At, a.bucket.StaleAt = now, l.entries.StaleAt
+			a = &account{name: name, lent: make(map[LoanID]loan), known: make(map[string]lender)}
+			a.bucket.RefilledAt, a.bucket.StaleAt = now, l.entries.StaleAt
 			l.accounts[name] = a
 		}
 		if a.limit != q {
 			a.settle(now)
-			a.bucket.At = now
+			a.bucket.RefilledAt = now
 			a.limit, a.divided = q, false
 			clear(a.known)
 		}
@@ -135,16 +135,16 @@
 	}
 	a.divided = true
 	a.shares = sharesOf(a.name, &a.limit, l.params.most(&a.limit), l.entries.Names)
-	if now < l.entries.Active {
+	if now < l.entries.ActiveAt {
 		a.divided = false
 		return a
 	}
 	part := a.shares.of(l.entries.Self)
 	if !a.begun {
 		// What came in between the beginning of the part and its first use.
-		a.bucket.At = max(a.bucket.At, l.entries.Active)
-		a.bucket.Rate, a.bucket.Most = l.rate(a, part), l.most(a, part)
-		a.bucket.Level = min(a.bucket.Most, begun*l.params.Slack*part)
+		a.bucket.RefilledAt = max(a.bucket.RefilledAt, l.entries.ActiveAt)
+		a.bucket.Rate, a.bucket.Capacity = l.rate(a, part), l.most(a, part)
+		a.bucket.Level = min(a.bucket.Capacity, begun*l.params.Slack*part)
 		a.begun = true
 	}
 	a.bucket.Resize(l.rate(a, part), l.most(a, part), now)
@@ -159,8 +159,8 @@
 	return part * l.params.most(&a.limit)
 }
 
-// Limited reports whether an organisation has a limit.
-func (l *Ledger) Limited(organisation string) bool { return l.accounts[organisation] != nil }
+// HasLimit reports whether an organisation has a limit.
+func (l *Ledger) HasLimit(organisation string) bool { return l.accounts[organisation] != nil }
 
 // Take withdraws units from this entry's own part.
 func (l *Ledger) Take(organisation string, units float64, now time.Duration) bool {
@@ -168,48 +168,48 @@
 	return a != nil && a.bucket.Take(units, now)
 }
 
-// Give takes back units of this entry's own part that were withdrawn at a time and are
+// Refund takes back units of this entry's own part that were withdrawn at a time and are
 // not spent. Those withdrawn longer ago are lost.
-func (l *Ledger) Give(organisation string, units float64, at, now time.Duration) {
+func (l *Ledger) Refund(organisation string, units float64, at, now time.Duration) {
 	if a := l.account(organisation, now); a != nil && now-at <= l.params.SpendWithin {
-		a.bucket.Give(units, now)
+		a.bucket.Refund(units, now)
 	}
 }
 
-// Lent is the answer to an entry that asks for units.
-type Lent struct {
-	// Units are lent, 0 for none; Left are left here.
-	Units, Left float64
+// LendReply is the answer to an entry that asks for units.
+type LendReply struct {
+	// Units are lent, 0 for none; Remaining are left here.
+	Units, Remaining float64
 }
 
 // Lend withdraws units for another entry: all that it asks for, or, of a request larger
 // than what is saved up here at most, a part.
-func (l *Ledger) Lend(organisation string, units float64, to Loan, now time.Duration) Lent {
+func (l *Ledger) Lend(organisation string, units float64, to LoanID, now time.Duration) LendReply {
 	a := l.account(organisation, now)
 	if a == nil || !(units > 0) {
-		return Lent{}
+		return LendReply{}
 	}
 	a.forget(now - l.params.SpendWithin)
 	a.bucket.Refill(now)
 	if _, again := a.lent[to]; again {
-		return Lent{Left: a.bucket.Level}
+		return LendReply{Remaining: a.bucket.Level}
 	}
 	lent := min(units, max(a.bucket.Level, 0))
-	if lent < min(units, lendAtOnce*a.bucket.Most) {
-		return Lent{Left: a.bucket.Level}
+	if lent < min(units, lendAtOnce*a.bucket.Capacity) {
+		return LendReply{Remaining: a.bucket.Level}
 	}
 	if !a.bucket.Take(lent, now) || lent == 0 {
-		return Lent{Left: a.bucket.Level}
+		return LendReply{Remaining: a.bucket.Level}
 	}
 	a.lent[to] = loan{lent, now}
-	return Lent{Units: lent, Left: a.bucket.Level}
+	return LendReply{Units: lent, Remaining: a.bucket.Level}
 }
 
 // lendAtOnce is the part of what can be saved up that is lent of a larger request.
 const lendAtOnce = 0.5
 
-// Returned takes units back that were lent and not spent.
-func (l *Ledger) Returned(organisation string, units float64, by Loan, now time.Duration) {
+// LoanReturned takes units back that were lent and not spent.
+func (l *Ledger) LoanReturned(organisation string, units float64, by LoanID, now time.Duration) {
 	a := l.account(organisation, now)
 	if a == nil {
 		return
@@ -220,7 +220,7 @@
 		return
 	}
 	delete(a.lent, by)
-	a.bucket.Give(min(units, given.units), now)
+	a.bucket.Refund(min(units, given.units), now)
 }
 
 // forget drops loans made before a time: they can't be given back any more.
@@ -235,8 +235,8 @@
 // State is what an entry tells of a limit.
 type State struct {
 	Rate, Burst float64
-	// Part is this entry's part of the limit, 0 to 1, Level what it has left of it.
-	Part, Level float64
+	// Share is this entry's part of the limit, 0 to 1, Level what it has left of it.
+	Share, Level float64
 	// Stale says that the list of entries is too old for the whole rate.
 	Stale bool
 }
@@ -252,8 +252,8 @@
 		Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.bucket.Level,
 		Stale: now > l.entries.StaleAt,
 	}
-	if now >= l.entries.Active {
-		s.Part = a.shares.of(l.entries.Self)
+	if now >= l.entries.ActiveAt {
+		s.Share = a.shares.of(l.entries.Self)
 	}
 	return s, true
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -174,14 +174,14 @@
 func TestWaitGrowsWithWhatWasRefused(t *testing.T) {
 	s := newSimulated(1, 30, map[string]fleet.Quota{"derwent": tokens(29_000)})
 	l := s.entries[0].ledger
-	first := l.Refused("derwent", 9_000, s.now)
+	first := l.RecordRefusal("derwent", 9_000, s.now)
 	if want := 310 * time.Millisecond; first < want-10*time.Millisecond || first > want+10*time.Millisecond {
 		t.Errorf("%v for 9,000 units at 29,000 a second", first)
 	}
-	if again := l.Refused("derwent", 9_000, s.now); again <= first {
+	if again := l.RecordRefusal("derwent", 9_000, s.now); again <= first {
 		t.Errorf("%v after %v", again, first)
 	}
-	if later := l.Refused("derwent", 9_000, s.now+2*refusedFor); later != first {
+	if later := l.RecordRefusal("derwent", 9_000, s.now+2*refusedFor); later != first {
 		t.Errorf("%v after a pause, %v before", later, first)
 	}
 }
@@ -189,20 +189,20 @@
 // Guards against limits that hold on after they were lowered, raised or taken away.
 func TestLimitsFollowTheConfiguration(t *testing.T) {
 	l := NewLedger("a", simParams, func(int) int { return 0 })
-	l.Listed([]string{"a"}, 0)
-	l.Confirmed(time.Hour, 0)
+	l.SetEntries([]string{"a"}, 0)
+	l.ListConfirmed(time.Hour, 0)
 	l.Joined(true, 0)
-	l.Limits(map[string]fleet.Quota{"derwent": tokens(100_000)}, 0)
+	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(100_000)}, 0)
 	if !l.Take("derwent", 100_000, 10*time.Second) {
 		t.Error("what was saved up is refused")
 	}
-	l.Limits(map[string]fleet.Quota{"derwent": tokens(10_000)}, 20*time.Second)
+	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(10_000)}, 20*time.Second)
 	lower := tokens(10_000)
 	if l.Take("derwent", l.params.most(&lower)+1, 20*time.Second) {
 		t.Error("more than the lower limit has saved up")
 	}
-	l.Limits(map[string]fleet.Quota{}, 20*time.Second)
-	if l.Limited("derwent") {
+	l.SetLimits(map[string]fleet.Quota{}, 20*time.Second)
+	if l.HasLimit("derwent") {
 		t.Error("a limit that was taken away holds on")
 	}
 }
--- a/internal/quota/lenders.go
+++ b/internal/quota/lenders.go
@@ -48,9 +48,9 @@
 	return append(homes, l.lendersOf(a, []string{other}, a.shares.even, units, usable, now)...)
 }
 
-// Reached reports whether any entry that holds the undivided part of a limit may be asked, this
+// OwnerReachable reports whether any entry that holds the undivided part of a limit may be asked, this
 // one included.
-func (l *Ledger) Reached(organisation string, usable func(string) bool, now time.Duration) bool {
+func (l *Ledger) OwnerReachable(organisation string, usable func(string) bool, now time.Duration) bool {
 	a := l.account(organisation, now)
 	return a == nil || slices.ContainsFunc(a.shares.homes, func(home string) bool { return home == l.entries.Self || usable(home) })
 }
@@ -98,16 +98,16 @@
 	return names
 }
 
-// Heard takes what a lender said it has left.
-func (l *Ledger) Heard(organisation, entry string, left float64, now time.Duration) {
+// LenderReported takes what a lender said it has left.
+func (l *Ledger) LenderReported(organisation, entry string, left float64, now time.Duration) {
 	if a := l.accounts[organisation]; a != nil && slices.Contains(l.entries.Names, entry) {
 		a.known[entry] = lender{left, now}
 	}
 }
 
-// Refused counts units that were refused, and returns when the limit will have room for
+// RecordRefusal counts units that were refused, and returns when the limit will have room for
 // them after those refused before, here and, as it is told by this entry's own, elsewhere.
-func (l *Ledger) Refused(organisation string, units float64, now time.Duration) time.Duration {
+func (l *Ledger) RecordRefusal(organisation string, units float64, now time.Duration) time.Duration {
 	a := l.account(organisation, now)
 	if a == nil || a.limit.Rate <= 0 {
 		return leastWait
--- a/internal/quota/params.go
+++ b/internal/quota/params.go
@@ -17,16 +17,16 @@
 	// SpendWithin is how long units may be kept from their withdrawal until the request
 	// is sent, and until which they may be given back.
 	SpendWithin time.Duration
-	// JoinedWithin is how old the list of entries may be. An entry has no part until it
+	// MaxListAge is how old the list of entries may be. An entry has no part until it
 	// has been listed for as long, and half a part while what it knows is older.
-	JoinedWithin time.Duration
+	MaxListAge time.Duration
 }
 
 const (
 	// DefaultSpendWithin covers a question to another entry and a hand-over.
 	DefaultSpendWithin = 300 * time.Millisecond
-	// DefaultJoinedWithin covers several reads of the list of entries.
-	DefaultJoinedWithin = 6 * time.Second
+	// DefaultMaxListAge covers several reads of the list of entries.
+	DefaultMaxListAge = 6 * time.Second
 )
 
 const (
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -74,8 +74,8 @@
 }
 
 func (f *fleet) read(e *simEntry) {
-	e.limits.Listed(slices.Clone(f.listed), f.now)
-	e.limits.Confirmed(f.now, f.now)
+	e.limits.SetEntries(slices.Clone(f.listed), f.now)
+	e.limits.ListConfirmed(f.now, f.now)
 }
 
 // remove takes an entry away.
@@ -117,12 +117,12 @@
 }
 
 func (f *fleet) tell(e *simEntry) {
-	for _, w := range e.limits.Words(f.now) {
+	for _, w := range e.limits.DueUpdates(f.now) {
 		for _, other := range f.entries {
 			if other == e || e.cut || other.cut || f.rand.Float64() < f.loss {
 				continue
 			}
-			f.after(time.Duration(f.rand.Int64N(int64(20*time.Millisecond))), func() { other.limits.Heard(w, f.now) })
+			f.after(time.Duration(f.rand.Int64N(int64(20*time.Millisecond))), func() { other.limits.UpdateReceived(w, f.now) })
 		}
 	}
 }
@@ -145,13 +145,13 @@
 			}
 			e.underWay = false
 			if rate < 0 {
-				e.limits.Unnamed(simReplica, sent)
+				e.limits.AnswerWithoutLimit(simReplica, sent)
 				return
 			}
 			if e.told == 0 {
 				e.told = f.now
 			}
-			e.limits.Named(simReplica, rate, f.now)
+			e.limits.AnswerWithLimit(simReplica, rate, f.now)
 		})
 	})
 }
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -11,26 +11,26 @@
 type Params struct {
 	// Burst is how many requests all entries together may save up at least, 1 or more.
 	Burst float64
-	// SavedFor is the time for which a part of a large rate is saved up.
-	SavedFor time.Duration
-	// BelievedFor is how long a limit holds after the last word of it. Then one request is
+	// BurstPeriod is the time for which a part of a large rate is saved up.
+	BurstPeriod time.Duration
+	// LimitTTL is how long a limit holds after the last word of it. Then one request is
 	// tried, whose answer tells.
-	BelievedFor time.Duration
-	// RenewEvery is the pause between words to the others that a limit still holds.
-	RenewEvery time.Duration
-	// OwnFirst is for how long a replica's answer is believed against what others tell.
-	OwnFirst time.Duration
-	// ListedWithin is how old the list of entries may be. An entry has no part until it has been
+	LimitTTL time.Duration
+	// RenewInterval is the pause between words to the others that a limit still holds.
+	RenewInterval time.Duration
+	// ReplicaPrecedence is for how long a replica's answer is believed against what others tell.
+	ReplicaPrecedence time.Duration
+	// MaxListAge is how old the list of entries may be. An entry has no part until it has been
 	// listed for as long, and half a part while what it knows is older.
-	ListedWithin time.Duration
+	MaxListAge time.Duration
 }
 
 // DefaultParams keep what a limit allows within any four seconds below one and a half times the
 // limit and five requests, also with one entry more than some of them know of.
 var DefaultParams = Params{
-	Burst: 3, SavedFor: 250 * time.Millisecond,
-	BelievedFor: 30 * time.Second, RenewEvery: 10 * time.Second, OwnFirst: time.Second,
-	ListedWithin: 6 * time.Second,
+	Burst: 3, BurstPeriod: 250 * time.Millisecond,
+	LimitTTL: 30 * time.Second, RenewInterval: 10 * time.Second, ReplicaPrecedence: time.Second,
+	MaxListAge: 6 * time.Second,
 }
 
 const (
@@ -61,8 +61,8 @@
 	part  divide.Bucket
 }
 
-// Word is what entries tell each other of a replica's limit.
-type Word struct {
+// Update is what entries tell each other of a replica's limit.
+type Update struct {
 	Replica string
 	// Rate is in requests a second; Lifted says that there is no limit any more.
 	Rate   float64
@@ -86,23 +86,23 @@
 	return &Limits{params: p, entries: divide.NewEntries(self), known: make(map[string]*limit), lifted: make(map[string]int), draw: draw}
 }
 
-// Listed takes the names of all entries listed.
-func (l *Limits) Listed(entries []string, now time.Duration) {
-	l.entries.Listed(entries)
+// SetEntries takes the names of all entries listed.
+func (l *Limits) SetEntries(entries []string, now time.Duration) {
+	l.entries.SetNames(entries)
 	l.redivide(now)
 }
 
 // Joined says that the list of entries has this one. known says that it had when this process
 // read the list first: all others count it then.
 func (l *Limits) Joined(known bool, now time.Duration) {
-	if l.entries.Joined(known, l.params.ListedWithin, now) {
+	if l.entries.Joined(known, l.params.MaxListAge, now) {
 		l.redivide(now)
 	}
 }
 
-// Confirmed says as of when the list of entries is known.
-func (l *Limits) Confirmed(asOf, now time.Duration) {
-	if !l.entries.Confirmed(asOf, l.params.ListedWithin) {
+// ListConfirmed says as of when the list of entries is known.
+func (l *Limits) ListConfirmed(asOf, now time.Duration) {
+	if !l.entries.ListConfirmed(asOf, l.params.MaxListAge) {
 		return
 	}
 	for _, k := range l.known {
@@ -128,13 +128,13 @@
 
 // refill adds what has come in up to now. Before the entry has parts nothing does.
 func (l *Limits) refill(k *limit, now time.Duration) {
-	k.part.At = max(k.part.At, min(now, l.entries.Active))
+	k.part.RefilledAt = max(k.part.RefilledAt, min(now, l.entries.ActiveAt))
 	k.part.Refill(now)
 }
 
-// Named takes an answer of a replica that names a limit. It reports whether that is news: a
+// AnswerWithLimit takes an answer of a replica that names a limit. It reports whether that is news: a
 // first limit, or one that differs from the last by more than a little.
-func (l *Limits) Named(id string, rate float64, now time.Duration) bool {
+func (l *Limits) AnswerWithLimit(id string, rate float64, now time.Duration) bool {
 	k, news := l.put(id, rate, now)
 	k.own = now
 	l.heard(k, now)
@@ -148,7 +148,7 @@
 	delete(l.lifted, id)
 	k = l.known[id]
 	if k == nil {
-		k = &limit{part: divide.Bucket{At: now, StaleAt: l.entries.StaleAt}}
+		k = &limit{part: divide.Bucket{RefilledAt: now, StaleAt: l.entries.StaleAt}}
 		l.known[id] = k
 		news = true
 	}
@@ -164,18 +164,18 @@
 // heard says that a limit was spoken of now.
 func (l *Limits) heard(k *limit, now time.Duration) {
 	k.said = now
-	k.tryAt = now + l.params.BelievedFor + l.spread()
+	k.tryAt = now + l.params.LimitTTL + l.spread()
 }
 
 // spread is drawn, so that entries don't all try at the same time.
 func (l *Limits) spread() time.Duration {
-	return time.Duration(l.draw() * float64(l.params.BelievedFor))
+	return time.Duration(l.draw() * float64(l.params.LimitTTL))
 }
 
-// Unnamed takes an answer of a replica without a limit, to a request that was sent at a time. It
+// AnswerWithoutLimit takes an answer of a replica without a limit, to a request that was sent at a time. It
 // reports whether that ends a limit: the answer to a request from before the last word of the
 // limit may be older than the limit.
-func (l *Limits) Unnamed(id string, sent time.Duration) bool {
+func (l *Limits) AnswerWithoutLimit(id string, sent time.Duration) bool {
 	k := l.known[id]
 	if k == nil || sent <= k.said {
 		return false
@@ -185,10 +185,10 @@
 	return true
 }
 
-// Heard takes what another entry tells. It reports whether that is news.
-func (l *Limits) Heard(w Word, now time.Duration) bool {
+// UpdateReceived takes what another entry tells. It reports whether that is news.
+func (l *Limits) UpdateReceived(w Update, now time.Duration) bool {
 	k := l.known[w.Replica]
-	if k != nil && k.own != 0 && now-k.own <= l.params.OwnFirst {
+	if k != nil && k.own != 0 && now-k.own <= l.params.ReplicaPrecedence {
 		return false
 	}
 	if w.Lifted {
@@ -211,7 +211,7 @@
 		return true
 	}
 	l.refill(k, now)
-	if now >= k.tryAt && now-k.asked > l.params.BelievedFor {
+	if now >= k.tryAt && now-k.asked > l.params.LimitTTL {
 		// All entries may have had nothing to send for as long.
 		k.tryAt = now + l.spread()
 	}
@@ -227,7 +227,7 @@
 	}
 	l.refill(k, now)
 	if !k.part.Take(1, now) && now >= k.tryAt {
-		k.tryAt = now + l.params.BelievedFor + l.spread()
+		k.tryAt = now + l.params.LimitTTL + l.spread()
 	}
 }
 
@@ -239,31 +239,31 @@
 	}
 	l.refill(k, now)
 	next := max(now, k.tryAt)
-	if k.part.Rate > 0 && l.entries.Active-now < l.params.BelievedFor {
+	if k.part.Rate > 0 && l.entries.ActiveAt-now < l.params.LimitTTL {
 		missing := max(0, 1-k.part.Level) / k.part.Rate
-		next = min(next, max(now, l.entries.Active)+time.Duration(missing*float64(time.Second)))
+		next = min(next, max(now, l.entries.ActiveAt)+time.Duration(missing*float64(time.Second)))
 	}
 	return next
 }
 
-// Words returns what to tell the others now: what is news to them, and limits that they have not
+// DueUpdates returns what to tell the others now: what is news to them, and limits that they have not
 // been told of for a while.
-func (l *Limits) Words(now time.Duration) []Word {
-	var words []Word
+func (l *Limits) DueUpdates(now time.Duration) []Update {
+	var words []Update
 	for id, times := range l.lifted {
-		words = append(words, Word{Replica: id, Lifted: true})
+		words = append(words, Update{Replica: id, Lifted: true})
 		if l.lifted[id] = times - 1; times <= 1 {
 			delete(l.lifted, id)
 		}
 	}
 	for id, k := range l.known {
-		renew := k.own > k.told && now-k.told >= l.params.RenewEvery
+		renew := k.own > k.told && now-k.told >= l.params.RenewInterval
 		if k.tell == 0 && !renew {
 			continue
 		}
 		k.tell = max(0, k.tell-1)
 		k.told = now
-		words = append(words, Word{Replica: id, Rate: k.rate})
+		words = append(words, Update{Replica: id, Rate: k.rate})
 	}
 	return words
 }
@@ -276,13 +276,13 @@
 
 // State is what is known of a replica's limit.
 type State struct {
-	// Rate is what the replica takes, Part what this entry may send of it, both in requests a
+	// Rate is what the replica takes, Share what this entry may send of it, both in requests a
 	// second; Among is how many entries have a part.
-	Rate, Part float64
-	Among      int
+	Rate, Share float64
+	Sharers     int
 	// Age is the time since the last word of it, Own whether the replica itself named it here.
-	Age time.Duration
-	Own bool
+	Age         time.Duration
+	FromReplica bool
 }
 
 // State returns the state of a replica's limit, false if it has none.
@@ -291,5 +291,5 @@
 	if k == nil {
 		return State{}, false
 	}
-	return State{Rate: k.rate, Part: k.part.Rate, Among: k.among, Age: now - k.said, Own: k.own != 0}, true
+	return State{Rate: k.rate, Share: k.part.Rate, Sharers: k.among, Age: now - k.said, FromReplica: k.own != 0}, true
 }
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -110,12 +110,12 @@
 func TestANewEntryHasNoPartAtFirst(t *testing.T) {
 	now := time.Minute
 	l := New("new", DefaultParams, rand.Float64)
-	l.Listed([]string{"a", "new"}, now)
-	l.Confirmed(now, now)
+	l.SetEntries([]string{"a", "new"}, now)
+	l.ListConfirmed(now, now)
 	l.Joined(false, now)
-	l.Named("r", 10, now)
-	later := now + DefaultParams.ListedWithin
-	l.Confirmed(later, later)
+	l.AnswerWithLimit("r", 10, now)
+	later := now + DefaultParams.MaxListAge
+	l.ListConfirmed(later, later)
 	if l.Allows("r", later) {
 		t.Error("a new entry sends before all others know of it")
 	}
@@ -138,7 +138,7 @@
 			f.rate = -1
 			within := 3 * time.Second
 			if loss == 1 {
-				within = 2*DefaultParams.BelievedFor + 2*time.Second
+				within = 2*DefaultParams.LimitTTL + 2*time.Second
 			}
 			f.run(within)
 			for _, e := range f.entries {
@@ -172,8 +172,8 @@
 // Guards against a try whose answer is still under way that is followed by more.
 func TestOneTryAtATime(t *testing.T) {
 	l := New("a", DefaultParams, rand.Float64)
-	l.Named("r", 0, time.Second)
-	l.Allows("r", DefaultParams.BelievedFor)
+	l.AnswerWithLimit("r", 0, time.Second)
+	l.Allows("r", DefaultParams.LimitTTL)
 	now := l.Next("r", time.Second)
 	if l.Allows("r", now-time.Millisecond) || !l.Allows("r", now) {
 		t.Fatal("the time of the next request isn't when it is allowed")
@@ -202,12 +202,12 @@
 	l := New("a", DefaultParams, rand.Float64)
 	now := time.Minute
 	for _, rate := range []float64{2, 20, 0.5} {
-		l.Named("r", rate, now)
+		l.AnswerWithLimit("r", rate, now)
 		told := 0
 		for range 10 {
 			now += 50 * time.Millisecond
-			for _, w := range l.Words(now) {
-				if w != (Word{Replica: "r", Rate: rate}) {
+			for _, w := range l.DueUpdates(now) {
+				if w != (Update{Replica: "r", Rate: rate}) {
 					t.Errorf("told %+v at a rate of %v", w, rate)
 				}
 				told++
@@ -222,11 +222,11 @@
 // Guards against an answer from before the limit that is taken for its end.
 func TestAnAnswerToAnEarlierRequestEndsNoLimit(t *testing.T) {
 	l := New("a", DefaultParams, rand.Float64)
-	l.Named("r", 2, 10*time.Second)
-	if l.Unnamed("r", 9*time.Second) {
+	l.AnswerWithLimit("r", 2, 10*time.Second)
+	if l.AnswerWithoutLimit("r", 9*time.Second) {
 		t.Error("the answer to a request from before the limit has ended it")
 	}
-	if !l.Unnamed("r", 11*time.Second) {
+	if !l.AnswerWithoutLimit("r", 11*time.Second) {
 		t.Error("the answer to a later request has not ended the limit")
 	}
 }
@@ -234,14 +234,14 @@
 // Guards against others' old words that win over what the replica itself has just said.
 func TestTheReplicasOwnWordGoesFirst(t *testing.T) {
 	l := New("a", DefaultParams, rand.Float64)
-	l.Named("r", 2, 10*time.Second)
-	if l.Heard(Word{Replica: "r", Lifted: true}, 10*time.Second+DefaultParams.OwnFirst/2) {
+	l.AnswerWithLimit("r", 2, 10*time.Second)
+	if l.UpdateReceived(Update{Replica: "r", Lifted: true}, 10*time.Second+DefaultParams.ReplicaPrecedence/2) {
 		t.Error("another entry's word ended a limit that was just named here")
 	}
-	if !l.Heard(Word{Replica: "r", Lifted: true}, 10*time.Second+2*DefaultParams.OwnFirst) {
+	if !l.UpdateReceived(Update{Replica: "r", Lifted: true}, 10*time.Second+2*DefaultParams.ReplicaPrecedence) {
 		t.Error("another entry's word of the end isn't taken")
 	}
-	if l.Heard(Word{Replica: "r", Rate: -1}, 20*time.Second) {
+	if l.UpdateReceived(Update{Replica: "r", Rate: -1}, 20*time.Second) {
 		t.Error("a rate below 0 is taken")
 	}
 }
@@ -250,13 +250,13 @@
 func TestALimitFollowsTheAnswers(t *testing.T) {
 	now := 10 * time.Second
 	l := New("a", DefaultParams, rand.Float64)
-	l.Listed([]string{"a"}, now)
-	l.Confirmed(now, now)
+	l.SetEntries([]string{"a"}, now)
+	l.ListConfirmed(now, now)
 	l.Joined(true, now)
-	l.Named("r", 100, now)
+	l.AnswerWithLimit("r", 100, now)
 	now += time.Second
-	l.Confirmed(now, now)
-	l.Named("r", 1, now)
+	l.ListConfirmed(now, now)
+	l.AnswerWithLimit("r", 1, now)
 	sent := 0
 	for ; l.Allows("r", now); sent++ {
 		l.Take("r", now)
@@ -268,7 +268,7 @@
 		t.Errorf("the next request may go in %v", next-now)
 	}
 	now += 100 * time.Millisecond
-	l.Named("r", 1000, now)
+	l.AnswerWithLimit("r", 1000, now)
 	now += 100 * time.Millisecond
 	if !l.Allows("r", now) {
 		t.Error("a raised limit allows nothing")
@@ -304,8 +304,8 @@
 // Guards against a cost of each request and answer that grows with what is known.
 func BenchmarkAllowsUnlimited(b *testing.B) {
 	l := New("a", DefaultParams, rand.Float64)
-	l.Listed([]string{"a", "b", "c"}, 0)
-	l.Named("other", 2, 0)
+	l.SetEntries([]string{"a", "b", "c"}, 0)
+	l.AnswerWithLimit("other", 2, 0)
 	for b.Loop() {
 		l.Allows("r", time.Second)
 	}
@@ -317,11 +317,11 @@
 	for i := range 300 {
 		names = append(names, fmt.Sprint("entry-", i))
 	}
-	l.Listed(names, 0)
+	l.SetEntries(names, 0)
 	l.Joined(true, 0)
 	now := time.Second
 	for b.Loop() {
 		now += time.Millisecond
-		l.Named("r", 2, now)
+		l.AnswerWithLimit("r", 2, now)
 	}
 }
--- a/internal/ratelimit/share.go
+++ b/internal/ratelimit/share.go
@@ -24,5 +24,5 @@
 		return 0, 0, among
 	}
 	rate = whole / float64(among)
-	return rate, max(1, rate*p.SavedFor.Seconds()), among
+	return rate, max(1, rate*p.BurstPeriod.Seconds()), among
 }
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Longest is the longest time that Parse returns.
-const Longest = 24 * time.Hour
+// Max is the longest time that Parse returns.
+const Max = 24 * time.Hour
 
 // Parse reads a number of seconds, whole as in RFC 9110 or with a fraction, as some servers write.
 // It reports false for anything else; dates are not read.
@@ -18,5 +18,5 @@
 	if err != nil || math.IsNaN(seconds) || seconds < 0 {
 		return 0, false
 	}
-	return time.Duration(min(seconds, Longest.Seconds()) * float64(time.Second)), true
+	return time.Duration(min(seconds, Max.Seconds()) * float64(time.Second)), true
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -8,7 +8,7 @@
 // Guards against a time that is misread, or that overflows.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"0": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, " 1 ": time.Second, "1e300": Longest, "+Inf": Longest,
+		"0": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, " 1 ": time.Second, "1e300": Max, "+Inf": Max,
 	} {
 		if got, ok := Parse(text); !ok || got != want {
 			t.Errorf("%q: %v, %v", text, got, ok)
@@ -24,7 +24,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add("0.5")
 	f.Fuzz(func(t *testing.T, text string) {
-		if d, _ := Parse(text); d < 0 || d > Longest {
+		if d, _ := Parse(text); d < 0 || d > Max {
 			t.Errorf("%q: %v", text, d)
 		}
 	})
--- a/internal/spread/asks.go
+++ b/internal/spread/asks.go
@@ -10,9 +10,9 @@
 // from it, or lost.
 const askersOf = 2
 
-// Asks reports whether an entry is one of those that ask a replica for its state, where it
+// ShouldQuery reports whether an entry is one of those that ask a replica for its state, where it
 // hears some others. Entries that hear each other choose alike.
-func Asks(self string, alive []string, replica string) bool {
+func ShouldQuery(self string, alive []string, replica string) bool {
 	if len(alive) < askersOf {
 		return true
 	}
--- a/internal/spread/params.go
+++ b/internal/spread/params.go
@@ -4,42 +4,42 @@
 
 // Params time how entries ask each other.
 type Params struct {
-	// AskEvery is the pause between questions to a source: what an entry believes is
+	// QueryInterval is the pause between questions to a source: what an entry believes is
 	// older than its source's belief by as much.
-	AskEvery time.Duration
-	// AskTimeout is how long an answer may take, Tries how many in a row may be missing
+	QueryInterval time.Duration
+	// QueryTimeout is how long an answer may take, Tries how many in a row may be missing
 	// until the next one is asked: a datagram may be lost.
-	AskTimeout time.Duration
-	Tries      int
-	// SkipMin and SkipMax bound for how long one that doesn't answer is not asked.
-	SkipMin, SkipMax time.Duration
-	// Witnesses is how many entries must say that they can't reach the store until
+	QueryTimeout  time.Duration
+	MaxUnanswered int
+	// BackoffMin and BackoffMax bound for how long one that doesn't answer is not asked.
+	BackoffMin, BackoffMax time.Duration
+	// OutageQuorum is how many entries must say that they can't reach the store until
 	// another believes that it is away from all, and leaves it to its turn to try.
-	Witnesses int
+	OutageQuorum int
 	// FanIn is how many entries one answers.
 	FanIn int
-	// FirstTriesPerSecond bounds the first reads of all entries together that believe so,
-	// TriesPerSecond those that follow. The first ones are more: the witnesses may be cut off
+	// FirstProbesPerSecond bounds the first reads of all entries together that believe so,
+	// ProbesPerSecond those that follow. The first ones are more: the witnesses may be cut off
 	// themselves, and then whoever is answered must be found before anybody's limit.
-	FirstTriesPerSecond, TriesPerSecond float64
-	// HintEvery is the pause between hints, HintFor how long one is followed.
-	HintEvery, HintFor time.Duration
+	FirstProbesPerSecond, ProbesPerSecond float64
+	// HintInterval is the pause between hints, HintTTL how long one is followed.
+	HintInterval, HintTTL time.Duration
 }
 
 // DefaultParams are for links of milliseconds within a region and entries with a tenth of a
 // core, which may need some ten milliseconds for an answer.
 var DefaultParams = Params{
-	AskEvery: 150 * time.Millisecond, AskTimeout: 120 * time.Millisecond, Tries: 2,
-	SkipMin: 3 * time.Second, SkipMax: time.Minute,
-	Witnesses: 3, FanIn: 64, FirstTriesPerSecond: 50, TriesPerSecond: 20,
-	HintEvery: time.Second, HintFor: 3 * time.Second,
+	QueryInterval: 150 * time.Millisecond, QueryTimeout: 120 * time.Millisecond, MaxUnanswered: 2,
+	BackoffMin: 3 * time.Second, BackoffMax: time.Minute,
+	OutageQuorum: 3, FanIn: 64, FirstProbesPerSecond: 50, ProbesPerSecond: 20,
+	HintInterval: time.Second, HintTTL: 3 * time.Second,
 }
 
 // The parts of a topic's limit at which something is done, and what is kept free of a
 // promise for it.
 const (
-	// StaleAt is from which part of the limit on a source's belief is too old to be used.
-	StaleAt = 0.75
+	// StaleFraction is from which part of the limit on a source's belief is too old to be used.
+	StaleFraction = 0.75
 	// takeOverAt is from which part on an entry that has lost its source, and has not heard
 	// of all others, reads for itself; the entries are spread from there to the limit. Between
 	// StaleAt and this it asks others: they know more, or tell that the store is away.
@@ -58,15 +58,15 @@
 	minWait = 100 * time.Millisecond
 )
 
-// Limit is how old a belief may be at most whose changes must be in force everywhere
+// MaxAge is how old a belief may be at most whose changes must be in force everywhere
 // within a time.
-func Limit(within time.Duration) time.Duration { return max(minLimit, within-reserve) }
+func MaxAge(within time.Duration) time.Duration { return max(minLimit, within-reserve) }
 
 // readWait is how long a read of the store waits for a record at most so that nobody's
 // belief gets old while all is well: of two reads in a row, with a pause between, the first
 // is believed until the second is answered, and each tier asks once in AskEvery.
 func (p *Params) readWait(limit, pause time.Duration, tiers int) time.Duration {
-	passed := time.Duration(tiers) * (p.AskEvery + p.AskTimeout/2)
+	passed := time.Duration(tiers) * (p.QueryInterval + p.QueryTimeout/2)
 	wait := (time.Duration(healthy*float64(limit)) - passed - pause) / 2
 	return max(minWait, wait)
 }
--- a/internal/spread/simulation_test.go
+++ b/internal/spread/simulation_test.go
@@ -42,8 +42,8 @@
 
 type simEntry struct {
 	id      string
-	sources *Sources
-	belief  Belief
+	sources *UpstreamSelector
+	belief  Watermark
 	// calling is set while a call is under way, made at madeAt.
 	calling bool
 	madeAt  time.Duration
@@ -90,9 +90,9 @@
 	e := s.entries[i]
 	others := slices.Delete(slices.Clone(s.peers), i, i+1)
 	*e = simEntry{id: e.id, cutUntil: e.cutUntil, lonelyUntil: e.lonelyUntil, troubled: s.now, calls: e.calls}
-	e.sources = NewSources(s.peers[i], DefaultParams, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))
-	e.belief = NewBelief(s.now)
-	e.sources.Peers(others)
+	e.sources = NewUpstreamSelector(s.peers[i], DefaultParams, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))
+	e.belief = NewWatermark(s.now)
+	e.sources.SetPeers(others)
 }
 
 func (s *sim) storeDown() bool { return s.now < s.downUntil }
@@ -142,10 +142,10 @@
 	if s.now < e.frozenUntil {
 		return
 	}
-	for _, q := range e.sources.Tick(s.now) {
+	for _, q := range e.sources.DueQueries(s.now) {
 		s.send(simMessage{from: i, to: s.index[q.Peer], ask: true, seq: q.Seq})
 	}
-	for _, id := range e.sources.Hints(s.now) {
+	for _, id := range e.sources.DueHints(s.now) {
 		s.send(simMessage{from: i, to: s.index[id], hint: true})
 	}
 	s.read(e)
@@ -153,14 +153,14 @@
 
 // read is the reader of the store, with long polls as the product's.
 func (s *sim) read(e *simEntry) {
-	limit := Limit(simWithin)
+	limit := MaxAge(simWithin)
 	if !e.calling {
 		part := float64(e.belief.Age(s.now)) / float64(limit)
-		if s.now < e.retryAt || !e.sources.Due(part, s.now) {
+		if s.now < e.retryAt || !e.sources.ReadDue(part, s.now) {
 			return
 		}
 		e.calling, e.madeAt, e.from, e.wait = true, s.now, e.belief.Next, 0
-		if e.sources.Mode(s.now) == Leading {
+		if e.sources.Mode(s.now) == ReadingStore {
 			e.wait = e.sources.ReadWait(limit, 0, 1500*time.Millisecond)
 		}
 		e.calls++
@@ -172,13 +172,13 @@
 		// It hangs, also where the trouble is over.
 		if s.now-e.madeAt >= simTimeout+e.wait {
 			e.calling, e.retryAt = false, s.now+simRetry
-			e.sources.Missed()
+			e.sources.StoreFailed()
 		}
 	case s.now-e.madeAt >= simAnswer && (uint64(len(s.acked)) > e.from || s.now-e.madeAt >= e.wait):
 		e.calling = false
-		e.sources.Served()
-		e.belief.Took(uint64(len(s.acked)))
-		e.belief.Confirm(Reading{Next: uint64(len(s.acked)), Made: e.madeAt, Answered: s.now, Reader: e.id})
+		e.sources.StoreAnswered()
+		e.belief.Advance(uint64(len(s.acked)))
+		e.belief.Confirm(Read{Next: uint64(len(s.acked)), CalledAt: e.madeAt, AnsweredAt: s.now, Reader: e.id})
 	}
 }
 
@@ -194,25 +194,25 @@
 	e := s.entries[m.to]
 	switch {
 	case m.hint:
-		e.sources.Hinted(s.entries[m.from].id, s.now)
+		e.sources.HintReceived(s.entries[m.from].id, s.now)
 	case m.ask:
-		last := e.belief.Last()
+		last := e.belief.LastRead()
 		s.send(simMessage{from: m.to, to: m.from, seq: m.seq, next: e.belief.Next,
-			age: s.now - last.Made, reader: last.Reader, lacks: !e.belief.Confirmed()})
+			age: s.now - last.CalledAt, reader: last.Reader, lacks: !e.belief.Confirmed()})
 	default:
-		sent, ok := e.sources.Sent(s.entries[m.from].id, m.seq)
+		sent, ok := e.sources.QuerySentAt(s.entries[m.from].id, m.seq)
 		if !ok {
 			return
 		}
 		made := sent - m.age
-		fresh := !m.lacks && m.reader != e.id && float64(s.now-made) <= StaleAt*float64(Limit(simWithin))
+		fresh := !m.lacks && m.reader != e.id && float64(s.now-made) <= StaleFraction*float64(MaxAge(simWithin))
 		if !m.lacks {
 			if s.now >= e.starvedUntil {
-				e.belief.Took(m.next) // the records come with the answer
+				e.belief.Advance(m.next) // the records come with the answer
 			}
-			e.belief.Confirm(Reading{Next: m.next, Made: made, Answered: made, Reader: m.reader})
+			e.belief.Confirm(Read{Next: m.next, CalledAt: made, AnsweredAt: made, Reader: m.reader})
 		}
-		e.sources.Answered(m.seq, fresh, s.now)
+		e.sources.QueryAnswered(m.seq, fresh, s.now)
 	}
 }
 
@@ -220,8 +220,8 @@
 func (s *sim) untrue() string {
 	for _, e := range s.entries {
 		for offset, at := range s.acked {
-			if at < e.belief.Last().Made && uint64(offset) >= e.belief.Next {
-				return fmt.Sprintf("%s believes to know all as of %v and lacks record %d of %v", e.id, e.belief.Last().Made, offset, at)
+			if at < e.belief.LastRead().CalledAt && uint64(offset) >= e.belief.Next {
+				return fmt.Sprintf("%s believes to know all as of %v and lacks record %d of %v", e.id, e.belief.LastRead().CalledAt, offset, at)
 			}
 		}
 	}
@@ -238,7 +238,7 @@
 		for offset, at := range s.acked {
 			if s.now-at > simWithin && uint64(offset) >= e.belief.Next {
 				return fmt.Sprintf("%s lacks record %d %v after it was acknowledged, %v after any trouble of its own; %v, source %q, age %v",
-					e.id, offset, s.now-at, calm, e.sources.Mode(s.now), e.sources.Source(), e.belief.Age(s.now))
+					e.id, offset, s.now-at, calm, e.sources.Mode(s.now), e.sources.Upstream(), e.belief.Age(s.now))
 			}
 		}
 	}
@@ -352,7 +352,7 @@
 func TestWitnessesThatAreCutOffThemselvesAreTold(t *testing.T) {
 	s := newSim(103, 5, 0, 13)
 	s.run(t, 4*time.Second)
-	first := s.inOrder()[:DefaultParams.Witnesses+1]
+	first := s.inOrder()[:DefaultParams.OutageQuorum+1]
 	s.trouble("cut", first, s.now+10*time.Second)
 	s.run(t, s.now+9*time.Second)
 	for _, e := range first {
@@ -371,9 +371,9 @@
 		s.trouble("kill", []*simEntry{lost}, time.Hour)
 		// Two questions, the next of which was due, go unanswered; then the next entry is asked.
 		p := DefaultParams
-		s.run(t, s.now+p.AskEvery+time.Duration(p.Tries)*p.AskTimeout+4*simStep+p.AskEvery)
+		s.run(t, s.now+p.QueryInterval+time.Duration(p.MaxUnanswered)*p.QueryTimeout+4*simStep+p.QueryInterval)
 		for _, e := range s.entries {
-			if e != lost && e.sources.Source() == lost.id {
+			if e != lost && e.sources.Upstream() == lost.id {
 				t.Errorf("of %d entries %s still listens to the one that was killed", entries, e.id)
 			}
 		}
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -11,19 +11,19 @@
 
 // The modes.
 const (
-	// Alone: the peers aren't known yet.
-	Alone Mode = iota
-	// Listening: a peer before it in the order tells it what the store says.
-	Listening
-	// Walking: it hasn't heard yet of all that it could ask.
-	Walking
-	// Leading: nobody that it could ask knows better, so it reads the store.
-	Leading
-	// Waiting: as many as are needed to believe it say that the store is away; it tries at
+	// PeersUnknown: the peers aren't known yet.
+	PeersUnknown Mode = iota
+	// Following: a peer before it in the order tells it what the store says.
+	Following
+	// Searching: it hasn't heard yet of all that it could ask.
+	Searching
+	// ReadingStore: nobody that it could ask knows better, so it reads the store.
+	ReadingStore
+	// AwaitingSlot: as many as are needed to believe it say that the store is away; it tries at
 	// its turn.
-	Waiting
-	// Relieving: as many say so, but the store answers this entry, which tells them.
-	Relieving
+	AwaitingSlot
+	// ReadingForPeers: as many say so, but the store answers this entry, which tells them.
+	ReadingForPeers
 )
 
 var modeNames = [...]string{"alone", "listening", "walking", "leading", "waiting", "relieving"}
@@ -31,8 +31,8 @@
 // String names the mode as logs have it.
 func (m Mode) String() string { return modeNames[m] }
 
-// Question is a question to a peer.
-type Question struct {
+// Query is a question to a peer.
+type Query struct {
 	Peer string
 	Seq  uint64
 }
@@ -51,7 +51,7 @@
 	sent time.Duration
 }
 
-// Sources chooses whom an entry asks, and tells when it reads the store itself.
+// UpstreamSelector chooses whom an entry asks, and tells when it reads the store itself.
 //
 // A source is left after two questions without an answer. Turns keep all entries from calling a
 // store at once that is away from all; hints keep a few that are cut off from making all others
@@ -59,7 +59,7 @@
 //
 // Invariants: source is "" or in the chain; questions are only to peers that may be skipped
 // no longer; of each peer at most one is under way.
-type Sources struct {
+type UpstreamSelector struct {
 	params Params
 	self   Peer
 	rng    *rand.Rand
@@ -85,16 +85,16 @@
 	hintedAt  time.Duration
 }
 
-// NewSources returns the sources of an entry that knows no peers yet.
-func NewSources(self Peer, p Params, rng *rand.Rand) *Sources {
-	return &Sources{
+// NewUpstreamSelector returns the sources of an entry that knows no peers yet.
+func NewUpstreamSelector(self Peer, p Params, rng *rand.Rand) *UpstreamSelector {
+	return &UpstreamSelector{
 		params: p, self: self, rng: rng, size: 1, domains: 1,
 		candidates: make(map[string]*candidate), under: make(map[uint64]question),
 	}
 }
 
-// Peers takes the list of all other entries.
-func (s *Sources) Peers(peers []Peer) {
+// SetPeers takes the list of all other entries.
+func (s *UpstreamSelector) SetPeers(peers []Peer) {
 	s.listed, s.size = true, len(peers)+1
 	domains := map[string]bool{s.self.FailureDomain: true}
 	for _, p := range peers {
@@ -125,21 +125,21 @@
 // ReadWait is how long a read of the store waits for a record of a topic that has a limit, with
 // a pause between reads, and at most. If there are others that would ask this entry it is short
 // enough that their beliefs don't get old while all is well.
-func (s *Sources) ReadWait(limit, pause, longest time.Duration) time.Duration {
+func (s *UpstreamSelector) ReadWait(limit, pause, longest time.Duration) time.Duration {
 	if s.size <= len(s.chain)+1 {
 		return longest // nobody comes after it in the order
 	}
 	return min(longest, s.params.readWait(limit, pause, tiers(s.size, s.domains, s.params.FanIn)))
 }
 
-// Tick returns the questions to send now.
-func (s *Sources) Tick(now time.Duration) []Question {
+// DueQueries returns the questions to send now.
+func (s *UpstreamSelector) DueQueries(now time.Duration) []Query {
 	s.expire(now)
 	if now < s.roundAt || len(s.chain) == 0 && !s.hinted(now) {
 		return nil
 	}
-	s.roundAt = now + s.params.AskEvery
-	var out []Question
+	s.roundAt = now + s.params.QueryInterval
+	var out []Query
 	asked := 0
 	for _, id := range s.chain {
 		if s.candidates[id].skipUntil > now {
@@ -147,11 +147,11 @@
 		}
 		out = s.ask(out, id, now)
 		asked++
-		if id == s.source || asked >= s.params.Witnesses {
+		if id == s.source || asked >= s.params.OutageQuorum {
 			break
 		}
 	}
-	if s.source != "" && asked >= s.params.Witnesses {
+	if s.source != "" && asked >= s.params.OutageQuorum {
 		out = s.ask(out, s.source, now)
 	}
 	if s.hinted(now) {
@@ -160,7 +160,7 @@
 	return out
 }
 
-func (s *Sources) ask(out []Question, id string, now time.Duration) []Question {
+func (s *UpstreamSelector) ask(out []Query, id string, now time.Duration) []Query {
 	for _, q := range s.under {
 		if q.peer == id {
 			return out
@@ -168,13 +168,13 @@
 	}
 	s.seq++
 	s.under[s.seq] = question{peer: id, sent: now}
-	return append(out, Question{Peer: id, Seq: s.seq})
+	return append(out, Query{Peer: id, Seq: s.seq})
 }
 
 // expire takes questions that weren't answered in time.
-func (s *Sources) expire(now time.Duration) {
+func (s *UpstreamSelector) expire(now time.Duration) {
 	for seq, q := range s.under {
-		if now-q.sent < s.params.AskTimeout {
+		if now-q.sent < s.params.QueryTimeout {
 			continue
 		}
 		delete(s.under, seq)
@@ -183,8 +183,8 @@
 			continue
 		}
 		c.missing++
-		if over := c.missing - s.params.Tries; over >= 0 {
-			c.skipUntil = now + min(s.params.SkipMin<<min(over, 8), s.params.SkipMax)
+		if over := c.missing - s.params.MaxUnanswered; over >= 0 {
+			c.skipUntil = now + min(s.params.BackoffMin<<min(over, 8), s.params.BackoffMax)
 			c.heard = false
 			s.leave(q.peer, now)
 		}
@@ -192,21 +192,21 @@
 }
 
 // leave ends a source; the next one is asked at once.
-func (s *Sources) leave(id string, now time.Duration) {
+func (s *UpstreamSelector) leave(id string, now time.Duration) {
 	if s.source == id {
 		s.source, s.roundAt = "", now
 	}
 }
 
-// Sent is when a question was sent that a peer answers; false for an answer that comes too
+// QuerySentAt is when a question was sent that a peer answers; false for an answer that comes too
 // late, or that nobody asked for.
-func (s *Sources) Sent(peer string, seq uint64) (time.Duration, bool) {
+func (s *UpstreamSelector) QuerySentAt(peer string, seq uint64) (time.Duration, bool) {
 	q, ok := s.under[seq]
 	return q.sent, ok && q.peer == peer
 }
 
-// Answered takes an answer to a question, and whether what it tells is young enough.
-func (s *Sources) Answered(seq uint64, fresh bool, now time.Duration) {
+// QueryAnswered takes an answer to a question, and whether what it tells is young enough.
+func (s *UpstreamSelector) QueryAnswered(seq uint64, fresh bool, now time.Duration) {
 	q, ok := s.under[seq]
 	if !ok {
 		return
@@ -226,28 +226,28 @@
 	}
 }
 
-// Served says that the store answered a call of this entry, Missed that it didn't.
-func (s *Sources) Served() { s.served, s.turnAt = true, 0 }
+// StoreAnswered says that the store answered a call of this entry, Missed that it didn't.
+func (s *UpstreamSelector) StoreAnswered() { s.served, s.turnAt = true, 0 }
 
-// Missed: see Served.
-func (s *Sources) Missed() { s.served = false }
+// StoreFailed: see Served.
+func (s *UpstreamSelector) StoreFailed() { s.served = false }
 
-// Hinted takes a peer's word that the store answers it although it doesn't answer this
+// HintReceived takes a peer's word that the store answers it although it doesn't answer this
 // entry, which comes before it in the order.
-func (s *Sources) Hinted(peer string, now time.Duration) {
+func (s *UpstreamSelector) HintReceived(peer string, now time.Duration) {
 	if s.source != "" {
 		return
 	}
-	s.hint, s.hintUntil, s.roundAt = peer, now+s.params.HintFor, now
+	s.hint, s.hintUntil, s.roundAt = peer, now+s.params.HintTTL, now
 }
 
-func (s *Sources) hinted(now time.Duration) bool { return s.hint != "" && now < s.hintUntil }
+func (s *UpstreamSelector) hinted(now time.Duration) bool { return s.hint != "" && now < s.hintUntil }
 
-// Hints are the peers to tell that the store answers this entry: those before it that it
+// DueHints are the peers to tell that the store answers this entry: those before it that it
 // doesn't answer. They would be cut off, and would have all that ask them believe that
 // the store is away.
-func (s *Sources) Hints(now time.Duration) []string {
-	if mode := s.Mode(now); !s.served || mode != Leading && mode != Relieving || now-s.hintedAt < s.params.HintEvery {
+func (s *UpstreamSelector) DueHints(now time.Duration) []string {
+	if mode := s.Mode(now); !s.served || mode != ReadingStore && mode != ReadingForPeers || now-s.hintedAt < s.params.HintInterval {
 		return nil
 	}
 	s.hintedAt = now
@@ -257,57 +257,57 @@
 			stale = append(stale, id)
 		}
 	}
-	return stale[:min(len(stale), s.params.Witnesses)]
+	return stale[:min(len(stale), s.params.OutageQuorum)]
 }
 
 // told reports whether a candidate answers, but knows too little.
 func (c *candidate) told() bool { return c.heard && c.stale }
 
-// Source is the peer that the entry listens to, "" for none.
-func (s *Sources) Source() string { return s.source }
+// Upstream is the peer that the entry listens to, "" for none.
+func (s *UpstreamSelector) Upstream() string { return s.source }
 
 // Mode is where the entry has its records from now.
-func (s *Sources) Mode(now time.Duration) Mode {
+func (s *UpstreamSelector) Mode(now time.Duration) Mode {
 	if !s.listed {
-		return Alone
+		return PeersUnknown
 	}
 	if s.source != "" {
-		return Listening
+		return Following
 	}
 	told, open := 0, false
 	for _, id := range s.chain {
 		switch c := s.candidates[id]; {
 		case c.told():
 			told++
-		case c.missing < s.params.Tries:
+		case c.missing < s.params.MaxUnanswered:
 			open = true
 		}
 	}
 	switch {
-	case told >= s.params.Witnesses && !s.served:
-		return Waiting
-	case told >= s.params.Witnesses:
-		return Relieving
+	case told >= s.params.OutageQuorum && !s.served:
+		return AwaitingSlot
+	case told >= s.params.OutageQuorum:
+		return ReadingForPeers
 	case open:
-		return Walking
+		return Searching
 	}
-	return Leading
+	return ReadingStore
 }
 
-// Due reports whether to read a topic from the store now, whose belief has used up a part of
+// ReadDue reports whether to read a topic from the store now, whose belief has used up a part of
 // its limit.
-func (s *Sources) Due(part float64, now time.Duration) bool {
+func (s *UpstreamSelector) ReadDue(part float64, now time.Duration) bool {
 	switch s.Mode(now) {
-	case Leading:
+	case ReadingStore:
 		return true
-	case Listening:
+	case Following:
 		// The source knows, but this topic doesn't reach the entry.
-		return part >= StaleAt+(1-StaleAt)*s.place
-	case Walking:
+		return part >= StaleFraction+(1-StaleFraction)*s.place
+	case Searching:
 		return part >= takeOverAt+(1-takeOverAt)*s.place
-	case Waiting:
-		return part >= StaleAt && s.turn(now)
-	case Relieving:
+	case AwaitingSlot:
+		return part >= StaleFraction && s.turn(now)
+	case ReadingForPeers:
 		// Those that it tells will read for all in a moment.
 		return part >= relieveAt
 	}
@@ -317,10 +317,10 @@
 // turn reports whether an entry that waits may try. The entries' turns are spread so that
 // all of them together try at a bounded rate: the first ones soon, since the witnesses
 // may just have been cut off themselves.
-func (s *Sources) turn(now time.Duration) bool {
-	all := time.Duration(float64(s.size) / s.params.TriesPerSecond * float64(time.Second))
+func (s *UpstreamSelector) turn(now time.Duration) bool {
+	all := time.Duration(float64(s.size) / s.params.ProbesPerSecond * float64(time.Second))
 	if s.turnAt == 0 {
-		first := float64(s.size) / s.params.FirstTriesPerSecond * float64(time.Second)
+		first := float64(s.size) / s.params.FirstProbesPerSecond * float64(time.Second)
 		s.turnAt = now + time.Duration(s.place*first)
 	}
 	if now < s.turnAt {
@@ -330,8 +330,8 @@
 	return true
 }
 
-// Hurry has a peer asked now that has news which didn't reach the entry whole.
-func (s *Sources) Hurry(peer string, now time.Duration) {
+// QueryNow has a peer asked now that has news which didn't reach the entry whole.
+func (s *UpstreamSelector) QueryNow(peer string, now time.Duration) {
 	if peer == s.source {
 		s.roundAt = now
 	}
--- a/internal/spread/speaker.go
+++ b/internal/spread/speaker.go
@@ -1,18 +1,18 @@
 package spread
 
-// Speaker is the entry of a failure domain that tells another domain what its own has at the
+// Gateway is the entry of a failure domain that tells another domain what its own has at the
 // replicas, and hears it from there: a different one for each, as far as there are as many.
 // members are the domain's entries that hear each other, domains all failure domains.
-func Speaker(members []string, own, other string, domains []string) string {
+func Gateway(members []string, own, other string, domains []string) string {
 	if len(members) == 0 {
 		return ""
 	}
 	return idsInOrder(members)[turnOf(own, other, domains)%len(members)]
 }
 
-// Counterpart is whom a speaker tells in another domain: of its entries, in the order that all
+// RemoteGateway is whom a speaker tells in another domain: of its entries, in the order that all
 // share, the one whose turn it is there and, after so many tries without a word, a later one.
-func Counterpart(members []string, own, other string, domains []string, tries int) string {
+func RemoteGateway(members []string, own, other string, domains []string, tries int) string {
 	if len(members) == 0 {
 		return ""
 	}
--- a/internal/spread/speaker_test.go
+++ b/internal/spread/speaker_test.go
@@ -21,9 +21,9 @@
 			if other == d {
 				continue
 			}
-			speaker := Speaker(members[d], d, other, domains)
+			speaker := Gateway(members[d], d, other, domains)
 			tasks[speaker]++
-			if got := Counterpart(members[d], other, d, domains, 0); got != speaker {
+			if got := RemoteGateway(members[d], other, d, domains, 0); got != speaker {
 				t.Errorf("%s tells %s, where %s speaks with it", other, got, speaker)
 			}
 		}
@@ -38,7 +38,7 @@
 	members := []string{"x1", "x2", "x3", "x4"}
 	tried := map[string]bool{}
 	for tries := range len(members) {
-		tried[Counterpart(members, "a", "x", []string{"a", "x"}, tries)] = true
+		tried[RemoteGateway(members, "a", "x", []string{"a", "x"}, tries)] = true
 	}
 	if len(tried) != len(members) {
 		t.Errorf("%d of %d entries are tried", len(tried), len(members))
--- a/internal/spread/tail.go
+++ b/internal/spread/tail.go
@@ -42,9 +42,9 @@
 	return &Tail{keyed: keyed, newest: make(map[string]fleet.Record), before: make(map[string]fleet.Record)}
 }
 
-// Rewound says that what follows is of a store that came back from an older copy. The records
+// StoreRestored says that what follows is of a store that came back from an older copy. The records
 // known until now are passed on beside, since the copy may lack them.
-func (t *Tail) Rewound(now time.Duration) {
+func (t *Tail) StoreRestored(now time.Duration) {
 	maps.Copy(t.before, t.newest)
 	t.rewound = now
 }
@@ -52,8 +52,8 @@
 // beforeFor is how long a key may take to be written again: a replica that hasn't done so is gone.
 const beforeFor = 10 * time.Second
 
-// Start begins anew at an offset, with the newest record of each key before it.
-func (t *Tail) Start(newest []fleet.Record, next uint64) {
+// Reset begins anew at an offset, with the newest record of each key before it.
+func (t *Tail) Reset(newest []fleet.Record, next uint64) {
 	t.first, t.records, t.taken, t.bytes, t.dropped = next, nil, nil, 0, false
 	clear(t.newest)
 	for _, r := range newest {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Add takes the next record.
-func (t *Tail) Add(r fleet.Record, now time.Duration) {
+// Append takes the next record.
+func (t *Tail) Append(r fleet.Record, now time.Duration) {
 	delete(t.before, r.Key)
 	if t.keyed && r.Value == nil {
 		delete(t.newest, r.Key)
--- a/internal/spread/tail_test.go
+++ b/internal/spread/tail_test.go
@@ -19,9 +19,9 @@
 		return r
 	}
 	tail := NewTail(true)
-	tail.Start([]fleet.Record{record(0, 3, "config", "5"), record(0, 4, "version", "2")}, 5)
-	tail.Rewound(time.Minute)
-	tail.Start([]fleet.Record{record(1, 0, "config", "4")}, fleet.Position(1, 1))
+	tail.Reset([]fleet.Record{record(0, 3, "config", "5"), record(0, 4, "version", "2")}, 5)
+	tail.StoreRestored(time.Minute)
+	tail.Reset([]fleet.Record{record(1, 0, "config", "4")}, fleet.Position(1, 1))
 	values := func(now time.Duration) (list []string) {
 		for _, r := range tail.Newest(now) {
 			list = append(list, r.Key+" "+string(r.Value))
@@ -31,7 +31,7 @@
 	if got, want := values(time.Minute), []string{"config 5", "version 2", "config 4"}; !slices.Equal(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
-	tail.Add(record(1, 1, "config", "6"), time.Minute)
+	tail.Append(record(1, 1, "config", "6"), time.Minute)
 	if got, want := values(time.Minute), []string{"version 2", "config 6"}; !slices.Equal(got, want) {
 		t.Errorf("%q once a key was written again, want %q", got, want)
 	}
