--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -110,7 +110,7 @@
 func (j *request) worked(p *placement) {
 	s := j.entry.state
 	s.mu.Lock()
-	s.replicas.Worked(p.replica.ID, j.entry.clock.now())
+	s.replicas.RecordSuccess(p.replica.ID, j.entry.clock.now())
 	s.crashes.RecordSuccess(j.print, p.replica.ID)
 	s.mu.Unlock()
 }
@@ -118,13 +118,13 @@
 func (j *request) fault(p *placement, f member.Fault) {
 	s := j.entry.state
 	s.mu.Lock()
-	s.replicas.Faulty(p.replica.ID, f, j.entry.clock.now())
+	s.replicas.RecordFault(p.replica.ID, f, j.entry.clock.now())
 	s.mu.Unlock()
 }
 
 // garbled takes an answer that nobody vouches for.
 func (j *request) garbled(p *placement) attempt.DispatchFailure {
-	j.fault(p, member.FaultGarbled)
+	j.fault(p, member.FaultMalformedAnswer)
 	return attempt.FailureUnknown
 }
 
@@ -132,7 +132,7 @@
 func (j *request) broken(p *placement, err error) attempt.DispatchFailure {
 	j.hands[len(j.hands)-1].err = err
 	if j.ctx.Err() == nil {
-		j.fault(p, member.FaultBroken)
+		j.fault(p, member.FaultConnectionLost)
 		j.broke(p)
 	}
 	return attempt.FailureUnknown
@@ -164,7 +164,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case !head.Misdirected:
-		s.replicas.Busy(p.replica.ID, now)
+		s.replicas.MarkBusy(p.replica.ID, now)
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.handleReplaced(p.replica, head.Instance, 0)
 	case j.params.Model != "":
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -266,7 +266,7 @@
 			e.state.forgetReplica(id)
 		}
 		e.state.feed.ForgetPeers(now - peerExpiry)
-		e.state.outage.Forget(now - peerExpiry)
+		e.state.outage.ForgetPeers(now - peerExpiry)
 		known := make(map[string]bool)
 		for _, id := range e.state.replicas.IDs() {
 			known[id] = true
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -54,9 +54,9 @@
 		}
 		p.counted()
 	}
-	f.onRead = func(r spread.Reading) {
-		p.entry.quotas.entriesConfirmed(r.Made)
-		p.entry.rateLimitEntriesConfirmed(p.entry.clock.fromBoot(r.Made, f.boot()))
+	f.onRead = func(r spread.Read) {
+		p.entry.quotas.entriesConfirmed(r.CalledAt)
+		p.entry.rateLimitEntriesConfirmed(p.entry.clock.fromBoot(r.CalledAt, f.boot()))
 	}
 	f.run(ctx)
 }
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -169,7 +169,7 @@
 	j.hands = append(j.hands, hand{
 		replica: choice.ID, reason: choice.Reason, score: choice.Score, load: choice.WaitMs,
 		missed: choice.MissingTokens, source: p.source, of: choice.CandidateCount, version: p.version,
-		listAge: now - time.Duration(s.listReadAt.Load()), listFrom: s.listFrom(), offList: s.replicas.OffList(choice.ID, now),
+		listAge: now - time.Duration(s.listReadAt.Load()), listFrom: s.listFrom(), offList: s.replicas.UnlistedFor(choice.ID, now),
 		limit: limit,
 	})
 	return p
@@ -274,7 +274,7 @@
 		e.markUnreachable(p.replica, "request "+j.params.ID, err)
 		return loss
 	}
-	j.fault(p, member.FaultBroken)
+	j.fault(p, member.FaultConnectionLost)
 	j.broke(p)
 	return loss
 }
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -234,7 +234,7 @@
 	loads := s.feed.Loads()
 	now := p.entry.clock.now()
 	placements := s.feed.PlacementsToSend(now-max(toldFor, (wordRepeats+1)*p.pause()), wordRepeats, maxWordPlacements)
-	served := s.outage.Served(now)
+	served := s.outage.ServedFor(now)
 	s.mu.Unlock()
 	p.seq++
 	w := &peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, StoreReachable: wordServed(served)}
@@ -357,7 +357,7 @@
 	}
 	e.state.feed.ApplyPlacements(placements, now)
 	if w.StoreReachable > 0 {
-		e.state.outage.Heard(w.From, time.Duration(w.StoreReachable-1)*time.Millisecond, now)
+		e.state.outage.PeerReported(w.From, time.Duration(w.StoreReachable-1)*time.Millisecond, now)
 	}
 	e.state.mu.Unlock()
 }
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -31,9 +31,9 @@
 // opening returns when a replica takes something again, false if it isn't known to take nothing
 // now. The caller holds mu.
 func (s *state) opening(id string, now time.Duration) (admit.Reopening, bool) {
-	opening := admit.Reopening{At: max(s.replicas.RestsUntil(id), s.rateLimits.Next(id, now)), Rate: admit.Unlimited}
+	opening := admit.Reopening{At: max(s.replicas.BackoffUntil(id), s.rateLimits.Next(id, now)), Rate: admit.Unlimited}
 	if limit, limited := s.rateLimits.State(id, now); limited {
-		opening.Rate = limit.Part
+		opening.Rate = limit.Share
 	}
 	return opening, opening.At > now
 }
