--- a/internal/route/backlog.go
+++ b/internal/route/backlog.go
@@ -3,35 +3,34 @@
 import "time"
 
 const (
-	// backlogStep is how many tokens a backlog must have grown by for word of it to
-	// go out ahead of the next report, 100 ms of an engine's time.
-	backlogStep = 2000
-	// backlogPause is the least time between two such words.
-	backlogPause = 100 * time.Millisecond
+	// backlogMinGrowth is by how many tokens a backlog must have grown to be reported ahead of
+	// the next regular report: 100 ms of an engine's time.
+	backlogMinGrowth = 2000
+	// backlogMinInterval is the least time between two such reports.
+	backlogMinInterval = 100 * time.Millisecond
 )
 
-// BacklogTrigger tells when an endpoint has to send its load summary at once: when the
-// prompt tokens that its engine is still to compute have doubled, and grown by
-// backlogStep, since the least after the last word. Its zero value is an empty one.
+// BacklogTrigger decides when an endpoint must send its load summary at once: when the prompt
+// tokens that its engine still has to compute have doubled, and grown by backlogMinGrowth,
+// relative to their minimum since the last such report. The zero value is ready to use.
 //
-// Owners follow each endpoint between its reports by their own decisions and don't
-// know of one another's. After a crash all of them place prefixes anew within half
-// a second. With a report each second, two that chose one endpoint both go on
-// sending there, and its callers wait for several times what each was told to
-// expect.
+// Between reports each owner estimates an endpoint's load from its own decisions and doesn't see
+// those of other owners. After a crash all of them place prefixes anew within half a second. With
+// a report each second, two owners that chose the same endpoint would both go on sending there,
+// and its callers would wait several times as long as each owner expected.
 type BacklogTrigger struct {
-	least int
-	told  time.Duration
-	any   bool // word went out
+	minSinceReport int
+	reportedAt     time.Duration
+	hasReported    bool
 }
 
-// ShouldReport takes the backlog of tokens as of now and reports whether to tell it. The
-// caller then does.
+// ShouldReport takes the backlog of tokens at now and reports whether to send the summary. It
+// counts the report as sent.
 func (b *BacklogTrigger) ShouldReport(now time.Duration, tokens int) bool {
-	b.least = min(b.least, tokens)
-	if tokens < 2*b.least+backlogStep || b.any && now-b.told < backlogPause {
+	b.minSinceReport = min(b.minSinceReport, tokens)
+	if tokens < 2*b.minSinceReport+backlogMinGrowth || b.hasReported && now-b.reportedAt < backlogMinInterval {
 		return false
 	}
-	b.least, b.told, b.any = tokens, now, true
+	b.minSinceReport, b.reportedAt, b.hasReported = tokens, now, true
 	return true
 }
--- a/internal/route/backlog_test.go
+++ b/internal/route/backlog_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Symptom: for a second after a crash callers wait several times as long as each
-// owner expected, beside idle engines.
-// Sequence: the owners of different prefixes place them anew at one endpoint.
-// Cause: each knows of its own requests only, until the endpoint's next report.
+// Guards against callers that wait several times as long as each owner expected, beside idle
+// engines, for a second after a crash: the owners of different prefixes place them anew at one
+// endpoint, and each knows only its own requests until the endpoint's next report.
 func TestBacklogIsToldWhenItRises(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -20,8 +19,8 @@
 		{"a new prefix", []int{0, 10}, []int{4000, 4600}, []bool{true, false}},
 		{"doubled since", []int{0, 200}, []int{4000, 10000}, []bool{true, true}},
 		{"not yet doubled", []int{0, 200}, []int{4000, 9999}, []bool{true, false}},
-		{"drained and new", []int{0, 200, 300}, []int{4000, 100, 2200}, []bool{true, false, true}},
-		{"within the pause, then after", []int{0, 99, 100}, []int{2000, 9000, 9000}, []bool{true, false, true}},
+		{"drained, then a new prefix", []int{0, 200, 300}, []int{4000, 100, 2200}, []bool{true, false, true}},
+		{"within the minimum interval, then after it", []int{0, 99, 100}, []int{2000, 9000, 9000}, []bool{true, false, true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -29,7 +28,7 @@
 			for i, tokens := range tt.tokens {
 				now := time.Duration(tt.at[i]) * time.Millisecond
 				if got := b.ShouldReport(now, tokens); got != tt.want[i] {
-					t.Errorf("at %v with %d tokens: %v", now, tokens, got)
+					t.Errorf("at %v with %d tokens: ShouldReport = %v", now, tokens, got)
 				}
 			}
 		})
--- a/internal/route/baseline.go
+++ b/internal/route/baseline.go
@@ -11,11 +11,11 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// Policy names a way to choose an executor, as in settings.Entry.Policy.
+// Policy is a way to choose an executor, as in settings.Entry.Policy.
 type Policy string
 
-// The policies. PolicyOwner is the one that asks a prefix's owner; the others
-// choose at the entry and are there to measure against.
+// The policies. PolicyOwner asks the prefix's owner. With the others the entry chooses by itself;
+// they are baselines for comparison.
 const (
 	PolicyOwner        Policy = "owner"
 	PolicyRandom       Policy = "random"
@@ -26,23 +26,23 @@
 	PolicyPrefixTables Policy = "prefix_tables"
 )
 
-// Choice is a chooser's answer; Executor is empty if no endpoint can run it.
+// Choice is the result of Chooser.Choose; Executor is empty if no endpoint can run the request.
 type Choice struct {
 	Executor        string
 	Reason          string
 	PredictedCached int
 }
 
-// Chooser chooses an executor from what one entry knows by itself. It is not
-// safe for concurrent use.
+// Chooser chooses an executor from what a single entry knows. It is not safe for concurrent use.
 type Chooser interface {
 	// Choose picks an executor and counts the request as in flight there.
 	Choose(now time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) Choice
-	// Finished ends a request that Choose had placed.
+	// Finished ends a request placed by Choose.
 	Finished(now time.Duration, endpoint string, q *Query)
 }
 
-// NewChooser returns the chooser of a baseline policy.
+// NewChooser returns the chooser of a baseline policy. It fails for any other policy, PolicyOwner
+// included.
 func NewChooser(policy Policy) (Chooser, error) {
 	base := inFlight{count: make(map[string]int)}
 	switch policy {
@@ -89,12 +89,13 @@
 	return Choice{Executor: id, Reason: reason, PredictedCached: cached}
 }
 
-// load is what an entry thinks is at an endpoint.
+// load estimates the number of requests at an endpoint: own ones in flight plus those in its last
+// load summary.
 func (f *inFlight) load(e *Endpoint) int {
 	return f.count[e.ID] + e.Load.Running + e.Load.Queued
 }
 
-func usable(q *Query, endpoints []Endpoint) []Endpoint {
+func usableEndpoints(q *Query, endpoints []Endpoint) []Endpoint {
 	list := make([]Endpoint, 0, len(endpoints))
 	for i := range endpoints {
 		if exclusion(q, &endpoints[i]) == "" {
@@ -104,7 +105,7 @@
 	return list
 }
 
-func ids(endpoints []Endpoint) []string {
+func endpointIDs(endpoints []Endpoint) []string {
 	list := make([]string, len(endpoints))
 	for i := range endpoints {
 		list[i] = endpoints[i].ID
@@ -116,7 +117,7 @@
 
 // Choose implements Chooser.
 func (c *random) Choose(_ time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) Choice {
-	list := usable(q, endpoints)
+	list := usableEndpoints(q, endpoints)
 	if len(list) == 0 {
 		return Choice{}
 	}
@@ -130,7 +131,7 @@
 
 // Choose implements Chooser.
 func (c *roundRobin) Choose(_ time.Duration, _ *rand.Rand, q *Query, endpoints []Endpoint) Choice {
-	list := usable(q, endpoints)
+	list := usableEndpoints(q, endpoints)
 	if len(list) == 0 {
 		return Choice{}
 	}
@@ -142,10 +143,10 @@
 
 // Choose implements Chooser.
 func (c *leastLoaded) Choose(_ time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) Choice {
-	return c.choose(c.least(rng, usable(q, endpoints)), string(PolicyLeastLoaded), 0)
+	return c.choose(c.least(rng, usableEndpoints(q, endpoints)), string(PolicyLeastLoaded), 0)
 }
 
-// least returns the endpoint with the least load, ties at random, or "".
+// least returns the endpoint with the least load, ties broken at random, or "" if list is empty.
 func (f *inFlight) least(rng *rand.Rand, list []Endpoint) string {
 	best, low, equals := "", 0, 0
 	for i := range list {
@@ -168,23 +169,23 @@
 
 // Choose implements Chooser.
 func (c *wholePrompt) Choose(_ time.Duration, _ *rand.Rand, q *Query, endpoints []Endpoint) Choice {
-	return c.choose(rendezvous.First(q.Fingerprint, ids(usable(q, endpoints))), string(PolicyWholePrompt), 0)
+	return c.choose(rendezvous.First(q.Fingerprint, endpointIDs(usableEndpoints(q, endpoints))), string(PolicyWholePrompt), 0)
 }
 
-// boundFactor is how far over the mean load an endpoint may go before the next
-// in rendezvous order is taken.
-const boundFactor = 1.25
+// loadBoundFactor is by how much an endpoint's load may exceed the mean before the next in
+// rendezvous order is taken.
+const loadBoundFactor = 1.25
 
 type boundedLoad struct{ inFlight }
 
 // Choose implements Chooser.
 func (c *boundedLoad) Choose(_ time.Duration, _ *rand.Rand, q *Query, endpoints []Endpoint) Choice {
-	list := usable(q, endpoints)
-	order := rendezvous.Order(OwnerKey(q.Organisation, q.Model, q.Levels), ids(list))
+	list := usableEndpoints(q, endpoints)
+	order := rendezvous.Order(OwnerKey(q.Organisation, q.Model, q.Levels), endpointIDs(list))
 	return c.choose(c.withinBound(order, list), string(PolicyBoundedLoad), 0)
 }
 
-// withinBound returns the first of order whose load is within the bound.
+// withinBound returns the first endpoint in order whose load is within the bound.
 func (f *inFlight) withinBound(order []string, list []Endpoint) string {
 	if len(order) == 0 {
 		return ""
@@ -195,7 +196,7 @@
 		loads[list[i].ID] = f.load(&list[i])
 		total += loads[list[i].ID]
 	}
-	bound := boundFactor * float64(total) / float64(len(list))
+	bound := loadBoundFactor * float64(total) / float64(len(list))
 	for _, id := range order {
 		if float64(loads[id]+1) <= max(bound, 1) {
 			return id
@@ -207,8 +208,8 @@
 // tableSize bounds an entry's prefix table.
 const tableSize = 16384
 
-// prefixTables is the common design of an entry that remembers where it sent
-// each prefix and balances when the load is uneven.
+// prefixTables is the common design of an entry that remembers where it sent each prefix, and
+// falls back to the least loaded endpoint if the load is imbalanced.
 type prefixTables struct {
 	inFlight
 	sent *simplelru.LRU[prefix.Hash, string]
@@ -222,9 +223,9 @@
 
 // Choose implements Chooser.
 func (c *prefixTables) Choose(_ time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) Choice {
-	list := usable(q, endpoints)
-	id, cached := c.remembered(q, list)
-	if id == "" || c.uneven(id, list) {
+	list := usableEndpoints(q, endpoints)
+	id, cached := c.lookup(q, list)
+	if id == "" || c.imbalanced(id, list) {
 		id, cached = c.least(rng, list), 0
 	}
 	if id == "" {
@@ -236,8 +237,8 @@
 	return c.choose(id, string(PolicyPrefixTables), cached)
 }
 
-// remembered returns where the longest known level was sent.
-func (c *prefixTables) remembered(q *Query, list []Endpoint) (string, int) {
+// lookup returns where the longest known level was sent, and its length.
+func (c *prefixTables) lookup(q *Query, list []Endpoint) (string, int) {
 	for i := len(q.Levels) - 1; i >= 0; i-- {
 		id, ok := c.sent.Get(q.Levels[i].Hash)
 		if ok && contains(list, id) {
@@ -256,14 +257,14 @@
 	return false
 }
 
-// Load is uneven for an endpoint when it has more than unevenFactor times the
-// least, and at least unevenGap more.
+// An endpoint is overloaded relative to others if its load is more than imbalanceFactor times the
+// least load and at least imbalanceMinGap above it.
 const (
-	unevenFactor = 1.5
-	unevenGap    = 4
+	imbalanceFactor = 1.5
+	imbalanceMinGap = 4
 )
 
-func (c *prefixTables) uneven(id string, list []Endpoint) bool {
+func (c *prefixTables) imbalanced(id string, list []Endpoint) bool {
 	own, low := 0, -1
 	for i := range list {
 		load := c.load(&list[i])
@@ -274,5 +275,5 @@
 			low = load
 		}
 	}
-	return own-low >= unevenGap && float64(own) > unevenFactor*float64(low)
+	return own-low >= imbalanceMinGap && float64(own) > imbalanceFactor*float64(low)
 }
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -10,7 +10,7 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// rootQuery is a request of one of many prefixes, in three levels.
+// rootQuery is a request for one of many prefixes, in three levels.
 func rootQuery(i int) *Query {
 	q := query(0)
 	q.Levels = []prefix.Level{
@@ -22,8 +22,8 @@
 	return q
 }
 
-// filledRouter has roots resident levels over a group.
-func filledRouter(roots int, endpoints []Endpoint) *Router {
+// newFilledRouter returns a Router with at least roots levels, resident at the endpoints.
+func newFilledRouter(roots int, endpoints []Endpoint) *Router {
 	r, rng := NewRouter(Params{TransferTokensPerSecond: 200000}), newRand()
 	for i := 0; r.Table().Len() < roots; i++ {
 		q := rootQuery(i)
@@ -39,7 +39,7 @@
 
 func benchmarkDecide(b *testing.B, fleet, roots int) {
 	endpoints := group(fleet)
-	r, rng := filledRouter(roots, endpoints), newRand()
+	r, rng := newFilledRouter(roots, endpoints), newRand()
 	queries := make([]*Query, roots)
 	for i := range queries {
 		queries[i] = rootQuery(i)
@@ -57,7 +57,7 @@
 func BenchmarkDecide128(b *testing.B) { benchmarkDecide(b, 128, 1000) }
 
 func BenchmarkOwner600(b *testing.B) {
-	list := ids(group(600))
+	list := endpointIDs(group(600))
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		rendezvous.First(uint64(i), list)
@@ -78,7 +78,7 @@
 	var bytes uint64
 	for b.Loop() {
 		before := heapBytes()
-		r := filledRouter(levels, endpoints)
+		r := newFilledRouter(levels, endpoints)
 		bytes = heapBytes() - before
 		runtime.KeepAlive(r)
 	}
@@ -87,7 +87,7 @@
 
 func BenchmarkFullAdvertisement(b *testing.B) {
 	endpoints := group(32)
-	r := filledRouter(1000, endpoints)
+	r := newFilledRouter(1000, endpoints)
 	var residents []protocol.Resident
 	for i := range 100 {
 		residents = append(residents, protocol.Resident{Hash: prefix.Hash(100 + i), Tokens: 4000})
--- a/internal/route/decide.go
+++ b/internal/route/decide.go
@@ -9,7 +9,7 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// Why a candidate was filtered out, as candidates and logs show it.
+// Why a candidate was excluded, as shown in candidate lists and logs.
 const (
 	excludedDead       = "dead"
 	excludedLeaving    = "leaving"
@@ -22,33 +22,33 @@
 
 // Reasons of a decision.
 const (
-	reasonHolder  = "holder"
-	reasonWidened = "widened"
-	reasonSpill   = "spill"
-	reasonNew     = "new_prefix"
-	reasonLoad    = "least_cost"
-	reasonSuspect = "suspect"
+	reasonHolder    = "holder"
+	reasonWidened   = "widened"
+	reasonSpill     = "spill"
+	reasonNewPrefix = "new_prefix"
+	reasonLeastCost = "least_cost"
+	reasonSuspect   = "suspect"
 )
 
-// candidate is one endpoint while a decision is made.
+// candidate is the state of one endpoint during a decision.
 type candidate struct {
-	endpoint int
-	slot     uint16
-	excluded string
-	cached   int
-	wait     float64 // ms
-	copying  float64 // ms, of computing what it lacks, harm to others included
-	score    float64 // ms
-	holder   bool    // of the prefix that binds the query
-	active   bool    // among the holders in use
-	rank     uint64  // of a holder, in rendezvous order
-	full     bool    // the organisation is over its share of this cache
+	endpoint         int
+	slot             uint16
+	excluded         string
+	cachedTokens     int
+	waitMs           float64 // ms until a running slot is free and the prefill ahead is done
+	copyCostMs       float64 // ms to compute the uncached tokens, cost of evictions included
+	score            float64 // ms
+	isHolder         bool    // holds the prefix that binds the query
+	active           bool    // one of the holders in use
+	rendezvousWeight uint64  // rendezvous weight of a holder, set if some holders are left out
+	overShare        bool    // the organisation would exceed its share of this cache
 }
 
-// Decide picks the executor of q. Endpoints is the whole group, in any order.
+// Decide picks the executor of q. endpoints is the whole group, in any order.
 func (r *Router) Decide(now time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) Result {
 	if q.Poison {
-		return refuseGivenUp()
+		return refusePoison()
 	}
 	r.filter(q, endpoints)
 	r.findCached(now, q)
@@ -64,15 +64,15 @@
 	return result
 }
 
-// filter fills scratch with all endpoints and says which can't run q.
+// filter fills r.candidates with all endpoints and marks those that can't run q.
 func (r *Router) filter(q *Query, endpoints []Endpoint) {
-	r.scratch = r.scratch[:0]
+	r.candidates = r.candidates[:0]
 	for i := range endpoints {
 		e := &endpoints[i]
 		s := r.table.slotOf(e.ID)
 		r.table.identify(s, e.Epoch, e.Load.Incarnation, e.Load.Version)
 		r.learnOutput(&e.Load)
-		r.scratch = append(r.scratch, candidate{
+		r.candidates = append(r.candidates, candidate{
 			endpoint: i,
 			slot:     s,
 			excluded: exclusion(q, e),
@@ -105,8 +105,8 @@
 // findCached sets how much of the prompt each candidate's engine holds.
 func (r *Router) findCached(now time.Duration, q *Query) {
 	t := r.table
-	r.cached = slices.Grow(r.cached[:0], len(t.slots))[:len(t.slots)]
-	clear(r.cached)
+	r.cachedBySlot = slices.Grow(r.cachedBySlot[:0], len(t.slots))[:len(t.slots)]
+	clear(r.cachedBySlot)
 	for _, l := range q.Levels {
 		n, ok := t.index[l.Hash]
 		if !ok {
@@ -115,97 +115,97 @@
 		for h := t.nodes[n].holders; h != none; h = t.holders[h].next {
 			holder := &t.holders[h]
 			if t.live(now, holder) {
-				r.cached[holder.slot] = max(r.cached[holder.slot], holder.tokens)
+				r.cachedBySlot[holder.slot] = max(r.cachedBySlot[holder.slot], holder.tokens)
 			}
 		}
 	}
-	r.key = r.keyNode(now, q)
-	for i := range r.scratch {
-		c := &r.scratch[i]
-		c.cached = min(int(r.cached[c.slot]), q.PromptTokens)
-		if r.key != none {
-			h := t.find(r.key, c.slot)
-			c.holder = h != nil && t.live(now, h)
+	r.boundNode = r.findBoundNode(now, q)
+	for i := range r.candidates {
+		c := &r.candidates[i]
+		c.cachedTokens = min(int(r.cachedBySlot[c.slot]), q.PromptTokens)
+		if r.boundNode != none {
+			h := t.find(r.boundNode, c.slot)
+			c.isHolder = h != nil && t.live(now, h)
 		}
 	}
 }
 
-// maxKeyLevel is the deepest level that may bind a query; deeper ones are too
-// cool to need a holder set.
-const maxKeyLevel = 2
+// maxBoundLevel is the index of the deepest level that may bind a query. Deeper ones get too few
+// requests to need a holder set.
+const maxBoundLevel = 2
 
-// keyNode is the node whose holder set binds q: the deepest level with a holder,
-// if it is at least two thirds of all that q shares. A new case thus goes to where its
-// charter is held, while a new charter is placed freely: what it has in common
-// with its organisation's others is no reason to have them all in one cache.
-func (r *Router) keyNode(now time.Duration, q *Query) int32 {
+// findBoundNode returns the node whose holder set binds q: the deepest level that has a holder
+// and covers at least two thirds of the shared part of q. A request for a known document thus
+// goes where the document's prefix is cached, while one for a new document is placed freely: the
+// part that it has in common with the organisation's other documents is no reason to have them
+// all in one cache.
+func (r *Router) findBoundNode(now time.Duration, q *Query) int32 {
 	if len(q.Levels) == 0 {
 		return none
 	}
 	shared := q.Levels[len(q.Levels)-1].Tokens
-	for i := min(maxKeyLevel, len(q.Levels)-1); i >= 0; i-- {
+	for i := min(maxBoundLevel, len(q.Levels)-1); i >= 0; i-- {
 		n, ok := r.table.index[q.Levels[i].Hash]
-		if ok && 3*q.Levels[i].Tokens >= 2*shared && r.table.held(now, n) {
+		if ok && 3*q.Levels[i].Tokens >= 2*shared && r.table.isHeld(now, n) {
 			return n
 		}
 	}
 	return none
 }
 
-// pick chooses among the candidates that are left.
+// pick chooses among the candidates that are not excluded.
 func (r *Router) pick(now time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) (int, string) {
 	best := r.best(rng, func(*candidate) bool { return true })
 	if best >= 0 && q.Suspect {
-		return r.quietest(), reasonSuspect
+		return r.leastBusy(), reasonSuspect
 	}
 	if best < 0 || len(q.Levels) == 0 {
-		return best, reasonLoad
+		return best, reasonLeastCost
 	}
 	if r.holders() == 0 {
-		if inShare := r.best(rng, func(c *candidate) bool { return !c.full }); inShare >= 0 {
-			return inShare, reasonNew
+		if inShare := r.best(rng, func(c *candidate) bool { return !c.overShare }); inShare >= 0 {
+			return inShare, reasonNewPrefix
 		}
-		return best, reasonNew
+		return best, reasonNewPrefix
 	}
-	return r.amongHolders(now, rng, q, endpoints)
+	return r.pickAmongHolders(now, rng, q, endpoints)
 }
 
-// amongHolders keeps a prefix on the holders in use unless their number is to
-// grow, or the best of them would cost more than another endpoint by a wide
-// margin.
-func (r *Router) amongHolders(now time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) (int, string) {
-	h := r.heat(now, r.key)
+// pickAmongHolders keeps a prefix on its holders in use, unless a holder is to be added or the
+// best holder would cost more than another endpoint by a wide margin.
+func (r *Router) pickAmongHolders(now time.Duration, rng *rand.Rand, q *Query, endpoints []Endpoint) (int, string) {
+	h := r.heat(now, r.boundNode)
 	inUse := r.activate(h, endpoints)
-	held := r.best(rng, func(c *candidate) bool { return c.active })
-	other := r.best(rng, func(c *candidate) bool { return !c.active && !c.full })
-	if other < 0 {
-		return held, reasonHolder
+	heldIndex := r.best(rng, func(c *candidate) bool { return c.active })
+	otherIndex := r.best(rng, func(c *candidate) bool { return !c.active && !c.overShare })
+	if otherIndex < 0 {
+		return heldIndex, reasonHolder
 	}
-	here, there := &r.scratch[held], &r.scratch[other]
-	h.observe(now, &r.params, view{
-		held:    inUse,
-		wait:    here.wait,
-		other:   there.wait,
-		copying: there.copying - here.copying,
-		work:    r.engineMs(q, here.cached),
+	heldCandidate, otherCandidate := &r.candidates[heldIndex], &r.candidates[otherIndex]
+	h.observe(now, &r.params, holderView{
+		activeHolders: inUse,
+		waitMs:        heldCandidate.waitMs,
+		otherWaitMs:   otherCandidate.waitMs,
+		copyCostMs:    otherCandidate.copyCostMs - heldCandidate.copyCostMs,
+		workMs:        r.engineMs(q, heldCandidate.cachedTokens),
 	})
 	switch {
-	case inUse < h.holders && there.wait < here.wait:
-		return other, reasonWidened
-	case here.score > spillFactor*there.score+ms(r.params.WidenWait):
-		return other, reasonSpill
+	case inUse < h.holders && otherCandidate.waitMs < heldCandidate.waitMs:
+		return otherIndex, reasonWidened
+	case heldCandidate.score > spillFactor*otherCandidate.score+ms(r.params.WidenWait):
+		return otherIndex, reasonSpill
 	}
-	return held, reasonHolder
+	return heldIndex, reasonHolder
 }
 
-// spillFactor is how much worse the best holder must be than another endpoint
-// for a single request to leave the holder set.
+// spillFactor is how many times worse than another endpoint the best holder must be for a single
+// request to leave the holder set.
 const spillFactor = 2
 
 func (r *Router) heat(now time.Duration, n int32) *heat {
 	h := r.table.heats[n]
 	if h == nil {
-		h = &heat{holders: 1, wait: smooth{at: now}}
+		h = &heat{holders: 1, wait: smoothedWait{at: now}}
 		r.table.heats[n] = h
 	}
 	return h
@@ -214,60 +214,60 @@
 // holders counts the candidates that hold the prefix and can run the query.
 func (r *Router) holders() int {
 	count := 0
-	for i := range r.scratch {
-		if r.scratch[i].excluded == "" && r.scratch[i].holder {
+	for i := range r.candidates {
+		if r.candidates[i].excluded == "" && r.candidates[i].isHolder {
 			count++
 		}
 	}
 	return count
 }
 
-// activate marks the holders in use, as many as the prefix is to have. When it
-// has more, the ones first in rendezvous order stay, so that every decision
-// leaves out the same ones and their copies can age out.
+// activate marks the holders in use, as many as h allows, and returns their number. If there are
+// more, those that are first in rendezvous order stay, so that every decision leaves out the same
+// ones and their copies can expire.
 func (r *Router) activate(h *heat, endpoints []Endpoint) int {
 	count := r.holders()
-	spare := max(0, count-h.holders)
-	key := uint64(r.table.nodes[r.key].hash)
-	for i := range r.scratch {
-		c := &r.scratch[i]
-		c.active = c.excluded == "" && c.holder
-		if c.active && spare > 0 {
-			c.rank = rendezvous.Weight(key, endpoints[c.endpoint].ID)
+	excess := max(0, count-h.holders)
+	key := uint64(r.table.nodes[r.boundNode].hash)
+	for i := range r.candidates {
+		c := &r.candidates[i]
+		c.active = c.excluded == "" && c.isHolder
+		if c.active && excess > 0 {
+			c.rendezvousWeight = rendezvous.Weight(key, endpoints[c.endpoint].ID)
 		}
 	}
-	for range spare {
-		r.scratch[r.lowestRank()].active = false
+	for range excess {
+		r.candidates[r.lowestRank()].active = false
 	}
-	return count - spare
+	return count - excess
 }
 
 // lowestRank returns the active candidate that is last in rendezvous order.
 func (r *Router) lowestRank() int {
 	lowest := -1
-	for i := range r.scratch {
-		c := &r.scratch[i]
-		if c.active && (lowest < 0 || c.rank < r.scratch[lowest].rank) {
+	for i := range r.candidates {
+		c := &r.candidates[i]
+		if c.active && (lowest < 0 || c.rendezvousWeight < r.candidates[lowest].rendezvousWeight) {
 			lowest = i
 		}
 	}
 	return lowest
 }
 
-// best returns the candidate with the lowest score among those that pass, any
-// of the near-equal ones at random: endpoints that score alike would otherwise
-// all be asked in the same order by every owner.
+// best returns the candidate with the lowest score among those that pass, or -1. One within
+// TieMargin of it is chosen at random: otherwise every owner would use endpoints with similar
+// scores in the same order.
 func (r *Router) best(rng *rand.Rand, pass func(*candidate) bool) int {
 	low := math.Inf(1)
-	for i := range r.scratch {
-		c := &r.scratch[i]
+	for i := range r.candidates {
+		c := &r.candidates[i]
 		if c.excluded == "" && pass(c) {
 			low = min(low, c.score)
 		}
 	}
 	chosen, equals := -1, 0
-	for i := range r.scratch {
-		c := &r.scratch[i]
+	for i := range r.candidates {
+		c := &r.candidates[i]
 		if c.excluded != "" || !pass(c) || c.score > low+ms(r.params.TieMargin) {
 			continue
 		}
@@ -279,12 +279,12 @@
 	return chosen
 }
 
-// quietest returns the candidate with the least work to lose.
-func (r *Router) quietest() int {
+// leastBusy returns the candidate with the fewest requests, or -1.
+func (r *Router) leastBusy() int {
 	chosen, least := -1, 0.0
-	for i := range r.scratch {
-		c := &r.scratch[i]
-		requests := r.table.slots[c.slot].occupancy.value.requests
+	for i := range r.candidates {
+		c := &r.candidates[i]
+		requests := r.table.slots[c.slot].occupancy.estimate.requests
 		if c.excluded == "" && (chosen < 0 || requests < least) {
 			chosen, least = i, requests
 		}
@@ -292,22 +292,22 @@
 	return chosen
 }
 
-// commit notes the decision in the table and as work in flight.
+// commit records the decision in the table and counts the request as in flight.
 func (r *Router) commit(now time.Duration, q *Query, chosen int) {
-	c := &r.scratch[chosen]
-	owner := OrganisationHash(q.Organisation)
+	c := &r.candidates[chosen]
+	organisation := OrganisationHash(q.Organisation)
 	s := &r.table.slots[c.slot]
 	requests := r.serviceMs(q) / r.meanServiceMs(q)
 	if q.Suspect {
-		// It runs alone and so takes every place. Counted as one request, all
-		// the suspects of a crash would queue for the same quiet endpoint.
+		// A suspect runs alone and so takes every running slot. If it were counted as one
+		// request, all the suspects of a crash would queue at the same idle endpoint.
 		requests *= float64(r.params.MaxRunning)
 	}
 	s.occupancy.add(now, amount{
-		requests: requests,
-		prefill:  float64(q.PromptTokens-c.cached) * r.prefillMs(),
+		requests:  requests,
+		prefillMs: float64(q.PromptTokens-c.cachedTokens) * r.prefillMs(),
 	})
-	s.served.add(now, r.params.HeatHalfLife, float64(c.cached))
-	r.flights.add(now, shareKey{owner, c.slot}, c.wait+r.serviceMs(q))
-	r.table.decided(now, owner, q.Levels, c.slot)
+	s.served.add(now, r.params.HeatHalfLife, float64(c.cachedTokens))
+	r.serviceLoads.add(now, shareKey{organisation, c.slot}, c.waitMs+r.serviceMs(q))
+	r.table.recordDecision(now, organisation, q.Levels, c.slot)
 }
--- a/internal/route/decide_test.go
+++ b/internal/route/decide_test.go
@@ -25,14 +25,14 @@
 	return list
 }
 
-func query(charter int) *Query {
+func query(document int) *Query {
 	return &Query{Ask: protocol.Ask{
 		Organisation: "huon",
 		Model:        "m",
 		Version:      "v1",
 		Levels: []prefix.Level{
 			{Hash: 1, Tokens: 2000},
-			{Hash: prefix.Hash(100 + charter), Tokens: 4000},
+			{Hash: prefix.Hash(100 + document), Tokens: 4000},
 		},
 		PromptTokens: 4100,
 		MaxTokens:    100,
@@ -82,9 +82,9 @@
 	}
 }
 
-// Symptom: a restarted engine draws its old prefixes and computes them all anew.
-// Sequence: the holder's engine crashes and comes back with a new incarnation.
-// Cause: the owner still believes in the blocks of the old one.
+// Guards against a restarted engine that attracts its former prefixes and recomputes them all:
+// the holder's engine comes back with a new incarnation, and the owner still counts the blocks of
+// the old one as resident.
 func TestNewIncarnationVoidsHolder(t *testing.T) {
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(4)
 	first := r.Decide(0, rng, query(1), endpoints)
@@ -98,9 +98,9 @@
 	}
 }
 
-// Symptom: one endpoint gets a second's worth of requests while others idle.
-// Sequence: many requests with different prefixes come between two load reports.
-// Cause: each decision sees the same old load.
+// Guards against one endpoint that gets a second's worth of requests while others are idle: many
+// requests with different prefixes arrive between two load reports, and each decision sees the
+// same old load.
 func TestHerdBetweenLoadReportsSpreads(t *testing.T) {
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(8)
 	count := map[string]int{}
@@ -111,15 +111,14 @@
 	}
 	for id, n := range count {
 		if n > 20 {
-			t.Errorf("%s got %d of 80", id, n)
+			t.Errorf("%s got %d of 80 requests", id, n)
 		}
 	}
 }
 
-// Symptom: after a crash some callers wait for seconds.
-// Sequence: what ran at the crashed engine is sent again, all within a moment; each
-// of it runs alone.
-// Cause: all of it goes to the one endpoint that was last reported quietest.
+// Guards against callers that wait for seconds after a crash: the requests that ran at the
+// crashed engine are sent again within a moment, each of them runs alone, and all go to the one
+// endpoint that was last reported least busy.
 func TestSuspectsOfACrashSpread(t *testing.T) {
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(8)
 	for i := range endpoints {
@@ -137,20 +136,20 @@
 	}
 }
 
-// Symptom: tokens are predicted of an engine that came back empty.
-// Sequence: a prefix is placed at an endpoint that is listed but not heard yet; its
-// engine crashes; its first heartbeat tells of the new incarnation only.
-// Cause: with nothing known of the engine before, its first word isn't a change.
+// Guards against predicting cached tokens at an engine that came back empty: a prefix is placed
+// at an endpoint that is listed but has not reported yet, its engine crashes, and its first
+// heartbeat shows only the new incarnation. Without a known incarnation before it, the first
+// report doesn't look like a change.
 func TestFirstWordOfAnEngineVoidsWhatWasPlacedBefore(t *testing.T) {
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(1)
-	heard := endpoints[0].Load
+	report := endpoints[0].Load
 	endpoints[0].Load, endpoints[0].HasLoad = protocol.Load{}, false
 	r.Decide(0, rng, query(1), endpoints)
 	if got := r.Decide(time.Second, rng, query(1), endpoints); got.PredictedCached != 4000 {
 		t.Fatalf("%d tokens predicted where the prefix was placed", got.PredictedCached)
 	}
-	endpoints[0].Load, endpoints[0].HasLoad = heard, true
+	endpoints[0].Load, endpoints[0].HasLoad = report, true
 	if got := r.Decide(2*time.Second, rng, query(1), endpoints); got.PredictedCached != 0 {
-		t.Errorf("%d tokens predicted of an engine that nothing was heard of", got.PredictedCached)
+		t.Errorf("%d tokens predicted at an engine that had not reported before", got.PredictedCached)
 	}
 }
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,12 +1,14 @@
-// Package route decides which endpoint runs a request.
+// Package route decides which endpoint or replica runs a request, so that requests with a common
+// prompt prefix reuse the KV cache of the engine that already holds it.
 //
-// The entry names a request's owner by rendezvous hashing (rendezvous.go). The
-// owner's Router keeps what it has learnt about who holds which prefix
-// (table.go), how hot each prefix is (heat.go) and how much work is where between
-// load reports (occupancy.go), and decides in three steps:
-// filter, score, pick (decide.go). The baselines to measure against are in
+// In a group, the entry finds a request's owner by rendezvous hashing (owner.go). The owner's
+// Router records which endpoint holds which prefix (table.go), how hot each prefix is (heat.go)
+// and how much work each endpoint has between load reports (occupancy.go). It decides in three
+// steps: filter, score, pick (decide.go). The baseline policies that it is compared with are in
 // baseline.go.
 //
-// The package is pure: time and randomness are passed in, and nothing here
-// blocks. A Router is not safe for concurrent use.
+// A direct entry dispatches to replicas itself and chooses with a Picker.
+//
+// The package does no I/O: time and randomness are passed in, and no call blocks. Neither a
+// Router nor a Picker is safe for concurrent use.
 package route
--- a/internal/route/donor_test.go
+++ b/internal/route/donor_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// checkDonor checks that a decision's donor is another endpoint, named by its
-// present epoch, incarnation and weights, whose engine may hold a level of q that
-// the executor isn't predicted to have.
+// checkDonor checks that a decision's donor is another endpoint, named by its current epoch,
+// incarnation and weights, whose engine may hold a level of q that the executor isn't predicted
+// to have.
 func (f *fleet) checkDonor(t *rapid.T, q *Query, got Result) {
 	d := got.Donor
 	if d == nil {
@@ -34,8 +34,8 @@
 	tests := []struct {
 		name   string
 		params Params
-		// change comes after the first endpoint has run the prompt, and with
-		// confirmed after its answer.
+		// change is applied after the first endpoint has run the prompt and, if confirmed is set,
+		// has reported its outcome.
 		confirmed bool
 		change    func(holder *Endpoint, q *Query)
 		want      bool
--- a/internal/route/enginespeed.go
+++ b/internal/route/enginespeed.go
@@ -2,60 +2,61 @@
 
 import "math"
 
-// engineSpeed is how long the engines of a service take to begin a request, learnt from
-// requests that have begun: overhead, and more for each token that is to be read before
-// and for each request that runs beside.
+// engineSpeed estimates how long the engines of a service take from dispatch to a request's first
+// event: a fixed overhead, plus time for each token to be prefilled before it and for each
+// request running beside it.
 //
-// Engines differ fivefold in each. Taken from one deployment's sheet, the figures send
-// requests of a faster engine past replicas that are nearly idle, or let those of a slower
-// one queue until they are late.
+// Engines differ fivefold in each. Fixed figures, taken from one deployment, would send requests
+// past nearly idle replicas if its engines are faster, or queue them until they are late if they
+// are slower.
 //
-// It is recursive least squares with forgetting: the figures follow what is seen over
-// the latest requests, and a start value counts as much as some tens of them.
+// The estimate is a recursive least squares fit with forgetting: it follows the latest requests,
+// and a start value weighs as much as some tens of them.
 type engineSpeed struct {
-	// theta are the overhead, the time for a thousand tokens and for ten running
-	// requests, in milliseconds: of one size, so that none is learnt faster.
+	// theta has the overhead, the time per thousand tokens and the time per ten running requests,
+	// in milliseconds. The units keep them of similar size, so that none is learnt faster than
+	// the others.
 	theta [3]float64
-	// p is the inverse of the weight of what was seen.
-	p [3][3]float64
+	// covariance is the covariance of theta, relative to the variance of one observation.
+	covariance [3][3]float64
 }
 
 const (
 	tokenUnit   = 1000
 	runningUnit = 10
-	// speedForgets is the part of the weight of earlier requests that each one leaves:
-	// some 300 requests count, seconds to a minute at an entry.
-	speedForgets = 0.997
-	// speedPrior is the variance of the start values against that of one request: they
-	// count as much as twenty.
-	speedPrior = 0.05
-	// speedWild is by how much, in milliseconds, a request may begin later than expected
-	// and still be learnt from in full. A replica that crashes, or loads weights, says
-	// nothing of its engine's speed.
-	speedWild = 150
-	// The least and most that is believed, a decade to both sides of the engines known.
+	// forgettingFactor multiplies the weight of earlier requests with each new one: some 300
+	// requests count, seconds to a minute at an entry.
+	forgettingFactor = 0.997
+	// priorVariance is the variance of the start values relative to one observation: they weigh
+	// as much as twenty.
+	priorVariance = 0.05
+	// maxResidualMs bounds by how much, in milliseconds, a request may start later than expected
+	// and still count in full. A replica that crashes or loads weights says nothing about its
+	// engine's speed.
+	maxResidualMs = 150
+	// Bounds of the estimates: a factor of ten beyond the engines known on either side.
 	minTokensPerMs, maxTokensPerMs = 5, 1000
 	maxRunningMs                   = 5
-	minOverhead, maxOverhead       = 1, 250
+	minOverheadMs, maxOverheadMs   = 1, 250
 )
 
 func newEngineSpeed(p PickerParams) *engineSpeed {
-	e := &engineSpeed{theta: [3]float64{p.OverheadMs, tokenUnit / p.PrefillTokensPerMs, runningUnit * p.TokenMs}}
-	for i := range e.p {
-		e.p[i][i] = speedPrior
+	e := &engineSpeed{theta: [3]float64{p.OverheadMs, tokenUnit / p.PrefillTokensPerMs, runningUnit * p.RunningMs}}
+	for i := range e.covariance {
+		e.covariance[i][i] = priorVariance
 	}
 	return e
 }
 
-// began takes a request that began the time given after it was placed, in milliseconds,
-// behind a load that includes its own prompt.
-func (e *engineSpeed) began(ahead Load, took float64) {
+// observe updates the estimates with a request whose first event came elapsedMs after its
+// dispatch. ahead is the load in front of it, its own prompt included.
+func (e *engineSpeed) observe(ahead Load, elapsedMs float64) {
 	x := [3]float64{1, ahead.PrefillTokens / tokenUnit, float64(ahead.Running) / runningUnit}
 	var px [3]float64
-	weight := speedForgets
+	weight := forgettingFactor
 	for i := range x {
 		for j := range x {
-			px[i] += e.p[i][j] * x[j]
+			px[i] += e.covariance[i][j] * x[j]
 		}
 		weight += x[i] * px[i]
 	}
@@ -63,45 +64,45 @@
 	for i := range x {
 		expected += e.theta[i] * x[i]
 	}
-	wrong := min(took-expected, speedWild)
+	residual := min(elapsedMs-expected, maxResidualMs)
 	for i := range x {
-		e.theta[i] += px[i] / weight * wrong
+		e.theta[i] += px[i] / weight * residual
 	}
-	e.forget(px, weight)
+	e.updateCovariance(px, weight)
 	e.bound()
 }
 
-// forget takes what was seen into p and lets earlier requests count less. Where nothing
-// new is seen of a figure for long its weight must not vanish, or one request would set
-// it.
-func (e *engineSpeed) forget(px [3]float64, weight float64) {
-	for i := range e.p {
-		for j := range e.p {
-			e.p[i][j] = (e.p[i][j] - px[i]*px[j]/weight) / speedForgets
+// updateCovariance applies an observation and lets earlier ones count less. A component that gets
+// no new information for long must not lose all its weight, or a single request would set it; so
+// the largest variance is capped at priorVariance.
+func (e *engineSpeed) updateCovariance(px [3]float64, weight float64) {
+	for i := range e.covariance {
+		for j := range e.covariance {
+			e.covariance[i][j] = (e.covariance[i][j] - px[i]*px[j]/weight) / forgettingFactor
 		}
 	}
-	if most := max(e.p[0][0], e.p[1][1], e.p[2][2]); most > speedPrior {
-		for i := range e.p {
-			for j := range e.p {
-				e.p[i][j] *= speedPrior / most
+	if largest := max(e.covariance[0][0], e.covariance[1][1], e.covariance[2][2]); largest > priorVariance {
+		for i := range e.covariance {
+			for j := range e.covariance {
+				e.covariance[i][j] *= priorVariance / largest
 			}
 		}
 	}
 }
 
 func (e *engineSpeed) bound() {
-	e.theta[0] = math.Min(math.Max(e.theta[0], minOverhead), maxOverhead)
+	e.theta[0] = math.Min(math.Max(e.theta[0], minOverheadMs), maxOverheadMs)
 	e.theta[1] = math.Min(math.Max(e.theta[1], tokenUnit/maxTokensPerMs), tokenUnit/minTokensPerMs)
 	e.theta[2] = math.Min(math.Max(e.theta[2], 0), runningUnit*maxRunningMs)
 }
 
-// overhead is the time to a first event beside reading and waiting, in milliseconds.
-func (e *engineSpeed) overhead() float64 { return e.theta[0] }
+// overheadMs is the time to the first event besides prefill and waiting.
+func (e *engineSpeed) overheadMs() float64 { return e.theta[0] }
 
-// reading is the time to read tokens, in milliseconds.
-func (e *engineSpeed) reading(tokens float64) float64 { return e.theta[1] * tokens / tokenUnit }
+// prefillMs is the time to prefill tokens.
+func (e *engineSpeed) prefillMs(tokens float64) float64 { return e.theta[1] * tokens / tokenUnit }
 
-// wait is the time until a load lets another request begin, in milliseconds.
-func (e *engineSpeed) wait(l Load) float64 {
-	return e.reading(l.PrefillTokens) + e.theta[2]*float64(l.Running)/runningUnit
+// waitMs is how long a load delays the start of another request.
+func (e *engineSpeed) waitMs(l Load) float64 {
+	return e.prefillMs(l.PrefillTokens) + e.theta[2]*float64(l.Running)/runningUnit
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -9,38 +9,38 @@
 	"skylarklead/internal/protocol"
 )
 
-// result explains a decision.
+// result builds the Result of a decision.
 func (r *Router) result(chosen int, reason string, q *Query, endpoints []Endpoint) Result {
-	c := r.scratch[chosen]
+	c := r.candidates[chosen]
 	e := &endpoints[c.endpoint]
 	return Result{
 		Executor:        e.ID,
 		Epoch:           e.Epoch,
 		Reason:          reason,
-		PredictedCached: c.cached,
+		PredictedCached: c.cachedTokens,
 		Suspect:         q.Suspect,
 		Candidates:      r.explain(chosen, endpoints),
 	}
 }
 
-// explain lists the chosen candidate if there is one, then the others by score,
-// the excluded ones last.
+// explain lists the chosen candidate if there is one, then the others by score, excluded ones
+// last.
 func (r *Router) explain(chosen int, endpoints []Endpoint) []protocol.Candidate {
-	rest := r.scratch
+	others := r.candidates
 	if chosen >= 0 {
-		rest[0], rest[chosen] = rest[chosen], rest[0]
-		rest = rest[1:]
+		others[0], others[chosen] = others[chosen], others[0]
+		others = others[1:]
 	}
-	slices.SortFunc(rest, compareCandidates)
-	list := make([]protocol.Candidate, min(len(r.scratch), MaxCandidates))
+	slices.SortFunc(others, compareCandidates)
+	list := make([]protocol.Candidate, min(len(r.candidates), MaxCandidates))
 	for i := range list {
-		c := &r.scratch[i]
+		c := &r.candidates[i]
 		list[i] = protocol.Candidate{
 			Endpoint:     endpoints[c.endpoint].ID,
 			Excluded:     c.excluded,
 			Score:        c.score,
-			CachedTokens: c.cached,
-			WaitMs:       c.wait,
+			CachedTokens: c.cachedTokens,
+			WaitMs:       c.waitMs,
 		}
 	}
 	return list
@@ -59,18 +59,18 @@
 	return cmp.Compare(a.endpoint, b.endpoint)
 }
 
-// refuse says that no endpoint can run the request, and why.
+// refuse returns the refusal for a request that no endpoint can run.
 func (r *Router) refuse(endpoints []Endpoint) Result {
-	why := "the group has no endpoint"
-	if len(r.scratch) > 0 {
-		why = fmt.Sprintf("none of %d endpoints can run it, the first is %s", len(r.scratch), r.scratch[0].excluded)
+	message := "the group has no endpoints"
+	if len(r.candidates) > 0 {
+		message = fmt.Sprintf("none of the group's %d endpoints can run the request; the first was excluded as %s", len(r.candidates), r.candidates[0].excluded)
 	}
 	return Result{
 		Reason:     "no_endpoint",
 		Candidates: r.explain(-1, endpoints),
 		Refusal: &protocol.Refusal{
 			Code:         protocol.CodeNoEndpoint,
-			Message:      why,
+			Message:      message,
 			Ran:          protocol.NotRun,
 			RetryAfterMs: noEndpointRetryAfter.Milliseconds(),
 		},
@@ -80,8 +80,8 @@
 // noEndpointRetryAfter is about the time in which a group finds a new member.
 const noEndpointRetryAfter = 2 * time.Second
 
-// refuseGivenUp is the final answer to a request that crashed too many engines.
-func refuseGivenUp() Result {
+// refusePoison is the final answer to a request that has crashed too many engines.
+func refusePoison() Result {
 	return Result{
 		Reason: "given_up",
 		Refusal: &protocol.Refusal{
--- a/internal/route/feed.go
+++ b/internal/route/feed.go
@@ -9,123 +9,125 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// Picker picks replicas for an entry that hands requests to them itself. It knows
-// its own work there and where it has sent which prefixes. It is pure.
+// Picker chooses replicas for a direct entry, which dispatches requests to them itself. It tracks
+// the entry's own load at each replica, the loads that peers report, and which prefixes were sent
+// where. It does no I/O.
 type Picker struct {
 	params PickerParams
 	rng    *rand.Rand
-	loads  map[string]*feedLoad
-	peers  *Peers
-	// domainTaken counts the tokens that each replica has taken in from peers heard directly.
-	domainTaken map[uint64]float64
-	// resident has which levels were sent where, kept when a prefix was last sent to be
-	// kept in the store, by its hash with its salt. Both have what peers tell, too.
-	resident *residents
-	kept     *lru.Cache[uint64, time.Duration]
-	// promptTokens is what a running request takes of a replica's memory, learnt from
-	// those that were placed.
-	promptTokens float64
-	// stores has by how much fetches from stores of kept cache delay requests.
+	loads  map[string]*ownLoad
+	peers  *PeerLoads
+	// domainAddedTokens counts, by replica, the tokens added to its cache by peers that report
+	// directly, not in another failure domain's digest.
+	domainAddedTokens map[uint64]float64
+	// residency records which levels were sent where; saved, when a prefix was last sent to a KV
+	// store, by savedKey. Both include what peers report.
+	residency *prefixResidency
+	saved     *lru.Cache[uint64, time.Duration]
+	// meanRequestTokens is the memory that a running request takes at a replica, averaged over
+	// the dispatched requests.
+	meanRequestTokens float64
+	// stores tracks by how much fetches from each KV store delay requests.
 	stores storeDelays
-	// engines has the speed of each service's engines.
+	// engines has the learnt speed of each service's engines.
 	engines map[string]*engineSpeed
-	// views are of the candidates of the latest choice, kept for their memory.
-	views []feedView
-	// told are this entry's latest placements, for its peers.
-	told []toldPlacement
-	// tokenMs is the time of an output token, learnt from streams that have ended.
+	// views describe the candidates of the latest pick; the slice is reused.
+	views []candidateView
+	// outbox has this entry's latest placements, to be sent to its peers.
+	outbox []outgoingPlacement
+	// tokenMs is the time per output token, learnt from streams that have ended.
 	tokenMs float64
 }
 
-// NewPicker returns a feed that knows of no load.
+// NewPicker returns a Picker without any load.
 func NewPicker(p PickerParams, rng *rand.Rand) *Picker {
-	kept, err := lru.New[uint64, time.Duration](p.Known)
+	saved, err := lru.New[uint64, time.Duration](p.MaxLevels)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
 	return &Picker{
-		params: p, rng: rng, peers: NewPeers(p.PeerFresh), loads: map[string]*feedLoad{}, domainTaken: map[uint64]float64{}, engines: map[string]*engineSpeed{},
-		stores:   storeDelays{known: map[string]*storeDelay{}},
-		resident: newResidents(p.Known, p.KnownFor), kept: kept, tokenMs: p.OutputTokenMs,
+		params: p, rng: rng, peers: NewPeerLoads(p.PeerTTL), loads: map[string]*ownLoad{}, domainAddedTokens: map[uint64]float64{}, engines: map[string]*engineSpeed{},
+		stores:    storeDelays{byStore: map[string]*storeDelay{}},
+		residency: newPrefixResidency(p.MaxLevels, p.LevelTTL), saved: saved, tokenMs: p.OutputTokenMs,
 	}
 }
 
-// feedView is what a choice knows of a candidate.
-type feedView struct {
-	key uint64
-	// load is what all entries have there.
+// candidateView is what a pick knows of a candidate.
+type candidateView struct {
+	replicaKey uint64
+	// load is the load of all entries there.
 	load Load
-	// held is how many shared tokens it is believed to hold, read those of them that it
-	// has read already.
-	held, read int
-	// weight is its rendezvous weight for the prefix.
-	weight uint64
+	// heldTokens is how many shared tokens it is expected to hold, prefilledTokens how many of
+	// them it has already computed.
+	heldTokens, prefilledTokens int
+	// ownerWeight is its rendezvous weight for the prefix.
+	ownerWeight uint64
 }
 
-// Pick returns the candidate with the lowest cost: what the engine has to read
-// before, what it has to read anew, and what speaks against the replica. It
-// returns false if all candidates are excluded.
-func (f *Picker) Pick(now time.Duration, q *PickQuery, candidates []PickCandidate) (PickResult, bool) {
-	f.look(now, q, candidates)
-	home := f.home(q, candidates)
-	best, at := PickResult{CandidateCount: len(candidates)}, -1
-	sampled := f.sample(q.Sample, len(candidates))
-	bounded := q.MaxWaitMs > 0 && f.PeerLoadsKnown(now)
+// Pick returns the candidate with the lowest score: the expected wait, the prefill of missing
+// shared tokens, and penalties. It returns false if all candidates are excluded, or if peers'
+// loads are known and each wait exceeds q.MaxWaitMs.
+func (p *Picker) Pick(now time.Duration, q *PickQuery, candidates []PickCandidate) (PickResult, bool) {
+	p.fillViews(now, q, candidates)
+	owner := p.ownerIndex(q, candidates)
+	best, bestIndex := PickResult{CandidateCount: len(candidates)}, -1
+	sampled := p.sample(q.Sample, len(candidates))
+	bounded := q.MaxWaitMs > 0 && p.PeerLoadsKnown(now)
 	for i := range candidates {
 		c := &candidates[i]
-		if excluded(q.Exclude, c.ID) {
+		if containsID(q.Exclude, c.ID) {
 			continue
 		}
-		if sampled != nil && !sampled[i] && i != home && 2*f.views[i].held <= q.SharedTokens {
+		if sampled != nil && !sampled[i] && i != owner && 2*p.views[i].heldTokens <= q.SharedTokens {
 			continue
 		}
-		choice := f.cost(now, q, c, &f.views[i], i == home)
+		choice := p.score(now, q, c, &p.views[i], i == owner)
 		if bounded && choice.WaitMs > q.MaxWaitMs {
 			continue
 		}
-		if at < 0 || choice.Score < best.Score {
+		if bestIndex < 0 || choice.Score < best.Score {
 			choice.CandidateCount = len(candidates)
-			best, at = choice, i
+			best, bestIndex = choice, i
 		}
 	}
-	if at >= 0 && len(q.Levels) > 0 {
-		best.Donor, best.DonorTokens = f.source(q, at, candidates)
+	if bestIndex >= 0 && len(q.Levels) > 0 {
+		best.Donor, best.DonorTokens = p.donor(q, bestIndex, candidates)
 	}
-	return best, at >= 0
+	return best, bestIndex >= 0
 }
 
-// look fills the views of all candidates.
-func (f *Picker) look(now time.Duration, q *PickQuery, candidates []PickCandidate) {
-	f.views = f.views[:0]
-	holders := f.resident.holders(q.Levels)
-	informed := f.PeerLoadsKnown(now)
+// fillViews computes the views of all candidates.
+func (p *Picker) fillViews(now time.Duration, q *PickQuery, candidates []PickCandidate) {
+	p.views = p.views[:0]
+	holders := p.residency.holders(q.Levels)
+	peersKnown := p.PeerLoadsKnown(now)
 	for i := range candidates {
 		c := &candidates[i]
-		v := feedView{key: ReplicaKey(c.ID)}
-		v.load = f.total(now, c.ID, v.key, informed)
+		v := candidateView{replicaKey: ReplicaKey(c.ID)}
+		v.load = p.totalLoad(now, c.ID, v.replicaKey, peersKnown)
 		if len(q.Levels) > 0 {
-			v.weight = rendezvous.Weight(q.prefixKey(), c.ID)
-			v.held, v.read = f.held(now, q, holders, v.key, f.room(c, v.load))
+			v.ownerWeight = rendezvous.Weight(q.prefixKey(), c.ID)
+			v.heldTokens, v.prefilledTokens = p.heldTokens(now, q, holders, v.replicaKey, p.cacheCapacity(c, v.load))
 		}
-		f.views = append(f.views, v)
+		p.views = append(p.views, v)
 	}
 }
 
-// sample draws n of the candidates, nil for all. What peers tell is some tens of
-// milliseconds old: were all entries to look at all replicas, those that choose
-// meanwhile would all send to the one that was idle.
-func (f *Picker) sample(n, of int) []bool {
-	if n <= 0 || n >= of {
+// sample draws n of the candidates, or returns nil for all. Peers' loads are some tens of
+// milliseconds old: if every entry looked at all replicas, those that choose in that time would
+// all send to the one that was idle.
+func (p *Picker) sample(n, total int) []bool {
+	if n <= 0 || n >= total {
 		return nil
 	}
-	drawn := make([]bool, of)
-	for _, i := range f.rng.Perm(of)[:n] {
+	drawn := make([]bool, total)
+	for _, i := range p.rng.Perm(total)[:n] {
 		drawn[i] = true
 	}
 	return drawn
 }
 
-func excluded(ids []string, id string) bool {
+func containsID(ids []string, id string) bool {
 	for _, e := range ids {
 		if e == id {
 			return true
@@ -134,38 +136,38 @@
 	return false
 }
 
-func (f *Picker) cost(now time.Duration, q *PickQuery, c *PickCandidate, v *feedView, home bool) PickResult {
-	out := PickResult{ID: c.ID, LoadAtPick: v.load, Reason: feedLeast}
-	out.WaitMs = f.load(now, q, c, v)
-	out.Score = out.WaitMs
+func (p *Picker) score(now time.Duration, q *PickQuery, c *PickCandidate, v *candidateView, isOwner bool) PickResult {
+	result := PickResult{ID: c.ID, LoadAtPick: v.load, Reason: pickLeastLoaded}
+	result.WaitMs = p.expectedWaitMs(now, q, c, v)
+	result.Score = result.WaitMs
 	if len(q.Levels) > 0 {
-		out.MissingTokens, out.Reason = f.missing(q, v.held, home)
-		out.Score += f.params.MissWeight * f.engineOf(q).reading(float64(out.MissingTokens))
+		result.MissingTokens, result.Reason = p.missingTokens(q, v.heldTokens, isOwner)
+		result.Score += p.params.MissWeight * p.engineFor(q).prefillMs(float64(result.MissingTokens))
 	}
 	if q.WantedVersion != 0 && c.Version < q.WantedVersion {
-		out.Score += f.params.OldWeights
+		result.Score += p.params.OldWeightsCost
 	}
 	if c.RolloutPlanned {
-		over := f.ExpectedStreamTime(q) - c.RolloutIn
-		out.Score += f.params.Outlasts * max(0, float64(over.Milliseconds()))
+		overrun := p.ExpectedStreamTime(q) - c.RolloutIn
+		result.Score += p.params.OverrunCost * max(0, float64(overrun.Milliseconds()))
 	}
 	if c.RecentFaults {
-		out.Score += f.params.Doubtful
+		result.Score += p.params.RecentFaultsCost
 	}
 	if c.FailureDomain != q.FailureDomain {
-		out.Score += f.params.Crossing
+		result.Score += p.params.CrossDomainCost
 	}
-	return out
+	return result
 }
 
-// load is the expected wait at a replica, in milliseconds.
-func (f *Picker) load(now time.Duration, q *PickQuery, c *PickCandidate, v *feedView) float64 {
+// expectedWaitMs is the expected wait at a replica, in milliseconds.
+func (p *Picker) expectedWaitMs(now time.Duration, q *PickQuery, c *PickCandidate, v *candidateView) float64 {
 	if !c.Engine {
-		return float64(v.load.Running) * f.params.PlainMs / float64(max(1, c.Slots))
+		return float64(v.load.Running) * p.params.PlainServiceMs / float64(max(1, c.Slots))
 	}
-	lag := 0.0
-	if l := f.loads[c.ID]; l != nil {
-		lag = f.lag(l, now)
+	delayMs := 0.0
+	if l := p.loads[c.ID]; l != nil {
+		delayMs = p.queueDelay(l, now)
 	}
-	return f.engineOf(q).wait(v.load) + lag
+	return p.engineFor(q).waitMs(v.load) + delayMs
 }
--- a/internal/route/feedload.go
+++ b/internal/route/feedload.go
@@ -6,90 +6,90 @@
 	"time"
 )
 
-// feedLoad is what this entry has at a replica.
-type feedLoad struct {
-	reading float64 // tokens of prompts not yet read
-	running int
-	// taken is how many tokens it has sent there to be read and kept.
-	taken float64
-	// lag is by how much, in ms, a request lately began later than its own reading
-	// explains, as of lagAt.
-	lag   float64
-	lagAt time.Duration
-}
-
-// PeerLoadsKnown reports whether the others' loads are known.
-func (f *Picker) PeerLoadsKnown(now time.Duration) bool { return f.peers.Heard(now) > 0 }
-
-// total is what this entry and its peers have at a replica. Where none is heard the
-// others are taken to have as much there as this one, each.
-func (f *Picker) total(now time.Duration, id string, key uint64, informed bool) Load {
+// ownLoad is the load of this entry at a replica.
+type ownLoad struct {
+	prefillTokens float64 // prompt tokens not yet prefilled
+	running       int
+	// addedTokens counts the tokens that its requests have added to the replica's cache.
+	addedTokens float64
+	// queueDelayMs is by how much requests have recently started later than their own prefill
+	// explains, as of queueDelayAt.
+	queueDelayMs float64
+	queueDelayAt time.Duration
+}
+
+// PeerLoadsKnown reports whether a peer's load report has arrived within its TTL.
+func (p *Picker) PeerLoadsKnown(now time.Duration) bool { return p.peers.FreshPeers(now) > 0 }
+
+// totalLoad is the load of this entry and its peers at a replica. If no peer's load is known, the
+// others together are assumed to have PeerLoadFactor times this entry's load.
+func (p *Picker) totalLoad(now time.Duration, id string, key uint64, peersKnown bool) Load {
 	var own Load
-	if l := f.loads[id]; l != nil {
-		own = Load{PrefillTokens: l.reading, Running: l.running}
+	if l := p.loads[id]; l != nil {
+		own = Load{PrefillTokens: l.prefillTokens, Running: l.running}
 	}
-	if !informed {
-		others := 1 + f.params.Others
+	if !peersKnown {
+		others := 1 + p.params.PeerLoadFactor
 		return Load{PrefillTokens: own.PrefillTokens * others, Running: int(float64(own.Running) * others)}
 	}
-	sum := f.peers.Load(key, now)
+	sum := p.peers.Load(key, now)
 	return Load{PrefillTokens: own.PrefillTokens + sum.PrefillTokens, Running: own.Running + sum.Running}
 }
 
-// engineOf is what is known of the speed of a request's engines.
-func (f *Picker) engineOf(q *PickQuery) *engineSpeed {
-	e := f.engines[q.Service]
+// engineFor returns the learnt speed of the engines of q's service.
+func (p *Picker) engineFor(q *PickQuery) *engineSpeed {
+	e := p.engines[q.Service]
 	if e == nil {
-		e = newEngineSpeed(f.params)
-		f.engines[q.Service] = e
+		e = newEngineSpeed(p.params)
+		p.engines[q.Service] = e
 	}
 	return e
 }
 
-// Loads is what this entry has at each replica, for its peers, by ReplicaKey.
-func (f *Picker) Loads() map[uint64]Load {
-	loads := make(map[uint64]Load, len(f.loads))
-	for id, l := range f.loads {
-		loads[ReplicaKey(id)] = Load{PrefillTokens: l.reading, Running: l.running, AddedTokens: uint16(uint64(l.taken) / AddedTokensUnit)}
+// Loads returns this entry's load at each replica, by ReplicaKey, to be sent to peers.
+func (p *Picker) Loads() map[uint64]Load {
+	loads := make(map[uint64]Load, len(p.loads))
+	for id, l := range p.loads {
+		loads[ReplicaKey(id)] = Load{PrefillTokens: l.prefillTokens, Running: l.running, AddedTokens: uint16(uint64(l.addedTokens) / AddedTokensUnit)}
 	}
 	return loads
 }
 
-// freshWords is how many words of a peer would have to be lost until what it has at replicas
-// counts no more.
-const freshWords = 3
+// freshIntervals is how many intervals between a peer's messages its last load report stays
+// valid.
+const freshIntervals = 3
 
-// SetPeerInterval says how long the pause between a peer's words is. A word counts for
-// longer than that: where it doesn't, what most of a hundred peers have at the replicas is
-// missing in the sums at any moment.
-func (f *Picker) SetPeerInterval(pause time.Duration) {
-	f.peers.fresh = max(f.params.PeerFresh, freshWords*pause)
+// SetPeerInterval sets the interval at which peers send their messages. A load report must stay
+// valid for longer than that: otherwise the load of most of a hundred peers would be missing from
+// the sums at any moment.
+func (p *Picker) SetPeerInterval(interval time.Duration) {
+	p.peers.ttl = max(p.params.PeerTTL, freshIntervals*interval)
 }
 
-// UpdatePeerLoads takes another entry's word on its loads, by ReplicaKey.
-func (f *Picker) UpdatePeerLoads(peer string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
-	f.peers.Take(peer, epoch, seq, loads, now, func(replica uint64, tokens float64) {
-		f.resident.took(replica, tokens)
-		f.domainTaken[replica] += tokens
+// UpdatePeerLoads applies a peer's load report, keyed by ReplicaKey.
+func (p *Picker) UpdatePeerLoads(peer string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
+	p.peers.Update(peer, epoch, seq, loads, now, func(replica uint64, tokens float64) {
+		p.residency.addTokens(replica, tokens)
+		p.domainAddedTokens[replica] += tokens
 	})
 }
 
-// UpdateDomainLoads takes what a part of another failure domain's entries have together, as Heard; each
-// part has replicas of its own.
-func (f *Picker) UpdateDomainLoads(part string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
-	f.peers.TakeDomain(part, epoch, seq, loads, now, f.resident.took)
+// UpdateDomainLoads applies one part of another failure domain's digest, as UpdatePeerLoads does.
+// Each part covers different replicas.
+func (p *Picker) UpdateDomainLoads(part string, epoch, seq uint64, loads map[uint64]Load, now time.Duration) {
+	p.peers.UpdateDomain(part, epoch, seq, loads, now, p.residency.addTokens)
 }
 
-// DomainLoads is what this entry and those that it hears directly have at each replica, by
-// ReplicaKey.
-func (f *Picker) DomainLoads(now time.Duration) map[uint64]Load {
-	sums := f.peers.direct(now)
-	taken := maps.Clone(f.domainTaken)
-	for id, l := range f.loads {
+// DomainLoads returns the load of this entry and of the peers that report to it directly at each
+// replica, by ReplicaKey.
+func (p *Picker) DomainLoads(now time.Duration) map[uint64]Load {
+	sums := p.peers.directSums(now)
+	taken := maps.Clone(p.domainAddedTokens)
+	for id, l := range p.loads {
 		key := ReplicaKey(id)
 		sum := sums[key]
-		sums[key] = Load{PrefillTokens: sum.PrefillTokens + l.reading, Running: sum.Running + l.running}
-		taken[key] += l.taken
+		sums[key] = Load{PrefillTokens: sum.PrefillTokens + l.prefillTokens, Running: sum.Running + l.running}
+		taken[key] += l.addedTokens
 	}
 	for key, tokens := range taken {
 		sum := sums[key]
@@ -99,86 +99,85 @@
 	return sums
 }
 
-// lag is the wait that the others' load explains: this entry hears nothing of it
-// but how long its own requests wait.
-func (f *Picker) lag(l *feedLoad, now time.Duration) float64 {
-	if l.lag == 0 {
+// queueDelay is the decayed extra wait, in milliseconds, that this entry's requests have met at a
+// replica. It covers load of others that no report contains.
+func (p *Picker) queueDelay(l *ownLoad, now time.Duration) float64 {
+	if l.queueDelayMs == 0 {
 		return 0
 	}
-	return l.lag * math.Exp2(-float64(now-l.lagAt)/float64(f.params.LagHalfLife))
+	return l.queueDelayMs * math.Exp2(-float64(now-l.queueDelayAt)/float64(p.params.QueueDelayHalfLife))
 }
 
-// Dispatched notes that a request goes to a replica. Its end is told by Began and
-// Ended, with the same query and ID.
-func (f *Picker) Dispatched(now time.Duration, q *PickQuery, choice *PickResult) {
-	l := f.loads[choice.ID]
+// Dispatched records that a request is sent to a replica. Finished must follow, before it
+// FirstEvent if there is a first event, with the same query and result.
+func (p *Picker) Dispatched(now time.Duration, q *PickQuery, choice *PickResult) {
+	l := p.loads[choice.ID]
 	if l == nil {
-		l = &feedLoad{}
-		f.loads[choice.ID] = l
+		l = &ownLoad{}
+		p.loads[choice.ID] = l
 	}
 	l.running++
-	l.reading += f.unread(q, choice)
-	f.take(l, q, choice)
-	f.holdOwn(q, choice.ID, false, now)
+	l.prefillTokens += p.uncachedTokens(q, choice)
+	p.countAddedTokens(l, q, choice)
+	p.recordPlacement(q, choice.ID, false, now)
 }
 
-// take counts the tokens that a request adds to a replica's memory.
-func (f *Picker) take(l *feedLoad, q *PickQuery, choice *PickResult) {
+// countAddedTokens counts the tokens that a request adds to a replica's cache.
+func (p *Picker) countAddedTokens(l *ownLoad, q *PickQuery, choice *PickResult) {
 	if q.PromptTokens == 0 {
 		return
 	}
-	fresh := float64(max(0, q.PromptTokens-q.SharedTokens+choice.MissingTokens) + q.OutputTokens)
-	l.taken += fresh
-	f.resident.took(ReplicaKey(choice.ID), fresh)
+	added := float64(max(0, q.PromptTokens-q.SharedTokens+choice.MissingTokens) + q.OutputTokens)
+	l.addedTokens += added
+	p.residency.addTokens(ReplicaKey(choice.ID), added)
 	whole := float64(q.PromptTokens + q.OutputTokens)
-	f.promptTokens += f.params.Learning * (whole - f.promptTokens)
+	p.meanRequestTokens += p.params.LearningRate * (whole - p.meanRequestTokens)
 }
 
-// unread is how many tokens of a request's prompt a replica is expected to read.
-func (f *Picker) unread(q *PickQuery, choice *PickResult) float64 {
+// uncachedTokens is how many tokens of a request's prompt a replica is expected to prefill.
+func (p *Picker) uncachedTokens(q *PickQuery, choice *PickResult) float64 {
 	return float64(max(0, q.PromptTokens-q.SharedTokens+choice.MissingTokens))
 }
 
-// PrefillTime is how long a replica with nothing else to do takes to read what it is
-// expected to lack of a request's prompt.
-func (f *Picker) PrefillTime(q *PickQuery, choice *PickResult) time.Duration {
-	return milliseconds(f.engineOf(q).reading(f.unread(q, choice)))
+// PrefillTime is how long an otherwise idle replica takes to prefill the part of a prompt that it
+// is expected to lack.
+func (p *Picker) PrefillTime(q *PickQuery, choice *PickResult) time.Duration {
+	return milliseconds(p.engineFor(q).prefillMs(p.uncachedTokens(q, choice)))
 }
 
-// PrefillMs is how long an engine takes to read tokens, in milliseconds, Overhead the
-// time to a first event beside reading.
-func (f *Picker) PrefillMs(q *PickQuery, tokens int) float64 {
-	return f.engineOf(q).reading(float64(tokens))
+// PrefillMs is how long an engine takes to prefill tokens, in milliseconds.
+func (p *Picker) PrefillMs(q *PickQuery, tokens int) float64 {
+	return p.engineFor(q).prefillMs(float64(tokens))
 }
 
-// OverheadMs is told in ReadTime.
-func (f *Picker) OverheadMs(q *PickQuery) float64 { return f.engineOf(q).overhead() }
+// OverheadMs is the time to the first event besides prefill and waiting, in milliseconds.
+func (p *Picker) OverheadMs(q *PickQuery) float64 { return p.engineFor(q).overheadMs() }
 
-// learn takes how long a request took to begin, in milliseconds, as word of its engine's
-// speed or, where most of its prefix came from a store, of the store's delay.
-func (f *Picker) learn(now time.Duration, q *PickQuery, choice *PickResult, took float64) {
-	e := f.engineOf(q)
+// learnDelay learns from the time to a request's first event: the engine's speed or, if most of
+// its prefix came from a KV store, that store's delay.
+func (p *Picker) learnDelay(now time.Duration, q *PickQuery, choice *PickResult, elapsedMs float64) {
+	e := p.engineFor(q)
 	if choice.Store == "" || 2*choice.MissingTokens < q.SharedTokens {
-		e.began(Load{PrefillTokens: choice.LoadAtPick.PrefillTokens + f.unread(q, choice), Running: choice.LoadAtPick.Running}, took)
+		e.observe(Load{PrefillTokens: choice.LoadAtPick.PrefillTokens + p.uncachedTokens(q, choice), Running: choice.LoadAtPick.Running}, elapsedMs)
 		return
 	}
 	own := Load{PrefillTokens: choice.LoadAtPick.PrefillTokens + float64(q.PromptTokens-q.SharedTokens), Running: choice.LoadAtPick.Running}
-	f.stores.fetched(choice.Store, took-e.overhead()-e.wait(own), now)
+	p.stores.observe(choice.Store, elapsedMs-e.overheadMs()-e.waitMs(own), now)
 }
 
-// EngineSpeed is what was learnt of the engines of a service.
+// EngineSpeed is the learnt speed of a service's engines.
 type EngineSpeed struct {
-	// TokensPerMs is how fast they read, RunningMs by how much a running request delays
-	// the next, OverheadMs the time to a first event beside.
+	// TokensPerMs is the prefill speed, RunningMs by how much each running request delays the
+	// next one, OverheadMs the time to the first event besides these.
 	TokensPerMs, RunningMs, OverheadMs float64
 }
 
-// EngineSpeeds is what was learnt of the engines of each service that was asked for.
-func (f *Picker) EngineSpeeds() map[string]EngineSpeed {
-	speeds := make(map[string]EngineSpeed, len(f.engines))
-	for service, e := range f.engines {
+// EngineSpeeds returns the learnt speeds by service, for each service with a request so far.
+func (p *Picker) EngineSpeeds() map[string]EngineSpeed {
+	speeds := make(map[string]EngineSpeed, len(p.engines))
+	for service, speed := range p.engines {
 		speeds[service] = EngineSpeed{
-			TokensPerMs: 1 / e.reading(1), RunningMs: e.wait(Load{Running: 1}), OverheadMs: e.overhead(),
+			TokensPerMs: 1 / speed.prefillMs(1), RunningMs: speed.waitMs(Load{Running: 1}), OverheadMs: speed.overheadMs(),
 		}
 	}
 	return speeds
@@ -186,68 +185,68 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// FirstEvent notes that a request's prompt has been read, in the time that it took since
-// it was placed.
-func (f *Picker) FirstEvent(now time.Duration, q *PickQuery, choice *PickResult, took time.Duration) {
-	l := f.loads[choice.ID]
+// FirstEvent records that a request's prompt has been prefilled, elapsed after its dispatch.
+func (p *Picker) FirstEvent(now time.Duration, q *PickQuery, choice *PickResult, elapsed time.Duration) {
+	l := p.loads[choice.ID]
 	if l == nil {
 		return
 	}
-	f.read(q, choice)
-	f.holdOwn(q, choice.ID, true, now)
-	f.learn(now, q, choice, ms(took))
-	waited := ms(took - f.PrefillTime(q, choice))
-	before := f.lag(l, now)
-	l.lag = before + f.params.LagLearning*(max(0, waited)-before)
-	l.lagAt = now
+	p.prefillDone(q, choice)
+	p.recordPlacement(q, choice.ID, true, now)
+	p.learnDelay(now, q, choice, ms(elapsed))
+	waitedMs := ms(elapsed - p.PrefillTime(q, choice))
+	previousMs := p.queueDelay(l, now)
+	l.queueDelayMs = previousMs + p.params.QueueDelayLearningRate*(max(0, waitedMs)-previousMs)
+	l.queueDelayAt = now
 }
 
-func (f *Picker) read(q *PickQuery, choice *PickResult) {
-	if l := f.loads[choice.ID]; l != nil {
-		l.reading = max(0, l.reading-f.unread(q, choice))
+func (p *Picker) prefillDone(q *PickQuery, choice *PickResult) {
+	if l := p.loads[choice.ID]; l != nil {
+		l.prefillTokens = max(0, l.prefillTokens-p.uncachedTokens(q, choice))
 	}
 }
 
-// Finished notes that a request is no longer at a replica; began tells whether Began
-// was called for it.
-func (f *Picker) Finished(q *PickQuery, choice *PickResult, began bool) {
-	l := f.loads[choice.ID]
+// Finished records that a request is no longer at a replica. firstEventSeen tells whether
+// FirstEvent was called for it.
+func (p *Picker) Finished(q *PickQuery, choice *PickResult, firstEventSeen bool) {
+	l := p.loads[choice.ID]
 	if l == nil {
 		return
 	}
-	if !began {
-		f.read(q, choice)
+	if !firstEventSeen {
+		p.prefillDone(q, choice)
 	}
 	l.running--
 }
 
 // ExpectedStreamTime is how long a request's output is expected to take.
-func (f *Picker) ExpectedStreamTime(q *PickQuery) time.Duration {
-	return time.Duration(float64(q.OutputTokens) * f.tokenMs * float64(time.Millisecond))
+func (p *Picker) ExpectedStreamTime(q *PickQuery) time.Duration {
+	return time.Duration(float64(q.OutputTokens) * p.tokenMs * float64(time.Millisecond))
 }
 
-// ObserveStream learns from a stream that took d from its first event to its end.
-func (f *Picker) ObserveStream(q *PickQuery, d time.Duration) {
+// ObserveStream learns the time per output token from a stream that took d from its first event
+// to its end.
+func (p *Picker) ObserveStream(q *PickQuery, d time.Duration) {
 	if q.OutputTokens <= 0 {
 		return
 	}
-	seen := float64(d) / float64(time.Millisecond) / float64(q.OutputTokens)
-	f.tokenMs += f.params.Learning * (seen - f.tokenMs)
+	tokenMs := float64(d) / float64(time.Millisecond) / float64(q.OutputTokens)
+	p.tokenMs += p.params.LearningRate * (tokenMs - p.tokenMs)
 }
 
-// ForgetPeers drops the words of peers that were last heard before a time.
-func (f *Picker) ForgetPeers(before time.Duration) { f.peers.Forget(before) }
+// ForgetPeers drops the load reports of peers last received before a time.
+func (p *Picker) ForgetPeers(before time.Duration) { p.peers.Forget(before) }
 
-// RemoveReplica forgets a replica.
-func (f *Picker) RemoveReplica(id string) {
-	delete(f.loads, id)
-	delete(f.domainTaken, ReplicaKey(id))
-	f.resident.gone(ReplicaKey(id))
+// RemoveReplica drops the state of a replica.
+func (p *Picker) RemoveReplica(id string) {
+	delete(p.loads, id)
+	delete(p.domainAddedTokens, ReplicaKey(id))
+	p.residency.removeReplica(ReplicaKey(id))
 }
 
-// Running is how many requests of this entry are at a replica.
-func (f *Picker) Running(id string) int {
-	if l := f.loads[id]; l != nil {
+// Running is the number of this entry's requests in flight at a replica.
+func (p *Picker) Running(id string) int {
+	if l := p.loads[id]; l != nil {
 		return l.running
 	}
 	return 0
--- a/internal/route/feedprefix.go
+++ b/internal/route/feedprefix.go
@@ -13,22 +13,23 @@
 
 // PrefixLevel is one of the nested prefixes of a prompt.
 type PrefixLevel struct {
-	// Key stands for all parts up to the level's end and for whom they may be shared
-	// with: model and isolation. The weights' version isn't in it: a replica that loads
-	// others holds nothing any more.
+	// Key is a hash of all parts up to the level's end and of the scope in which they may be
+	// shared: model and isolation. The weights version isn't included, since a replica that loads
+	// other weights loses its cache anyway.
 	Key uint64
 	// Tokens is the length up to the level's end.
 	Tokens int
 }
 
-// PrefixLevels chains the parts of a prompt to levels. scope is what they may be shared in.
+// PrefixLevels chains the parts of a prompt, given by ID and length in tokens, to levels. scope
+// is the scope in which they may be shared.
 func PrefixLevels(scope string, ids []string, tokens []int) []PrefixLevel {
 	if len(ids) == 0 {
 		return nil
 	}
 	levels := make([]PrefixLevel, len(ids))
 	d := xxhash.New()
-	_, _ = d.WriteString(scope) // a digest takes all
+	_, _ = d.WriteString(scope) // Digest.WriteString returns no error
 	total := 0
 	for i, id := range ids {
 		_, _ = d.WriteString("\x00" + id)
@@ -41,165 +42,166 @@
 // prefixKey is the key of the longest level.
 func (q *PickQuery) prefixKey() uint64 { return q.Levels[len(q.Levels)-1].Key }
 
-// source is another replica to fetch shared parts from: the one on the same weights
-// that is known to have read the longest level. Where none is known it is the one that comes first in the order in which all
-// entries look for the prefix's home, a guess. One that fails costs a millisecond;
-// reading the prefix anew costs fifty.
+// donor returns another replica to fetch the shared parts from: the one on the same weights that
+// is known to have prefilled most of them. If none is known, it is a guess: the first in the
+// rendezvous order by which all entries find the prefix's owner. A fetch that fails costs a
+// millisecond, prefilling the prefix anew costs fifty.
 //
-// It is named for a replica that is believed to hold the prefix, too: a cache may have
-// dropped it, which nobody hears of in time.
-func (f *Picker) source(q *PickQuery, chosen int, candidates []PickCandidate) (source string, tokens int) {
-	best, first := -1, -1
+// A donor is named even for a replica that is expected to hold the prefix: its cache may have
+// evicted it, which entries don't learn in time.
+func (p *Picker) donor(q *PickQuery, chosen int, candidates []PickCandidate) (donor string, tokens int) {
+	best, owner := -1, -1
 	for i := range candidates {
-		v := &f.views[i]
+		v := &p.views[i]
 		if i == chosen || candidates[i].Version != candidates[chosen].Version {
 			continue
 		}
-		if v.read > 0 && (best < 0 || v.read > f.views[best].read) {
+		if v.prefilledTokens > 0 && (best < 0 || v.prefilledTokens > p.views[best].prefilledTokens) {
 			best = i
 		}
-		if first < 0 || v.weight > f.views[first].weight {
-			first = i
+		if owner < 0 || v.ownerWeight > p.views[owner].ownerWeight {
+			owner = i
 		}
 	}
 	switch {
 	case best >= 0:
-		return candidates[best].ID, f.views[best].read
-	case first >= 0:
-		return candidates[first].ID, 0
+		return candidates[best].ID, p.views[best].prefilledTokens
+	case owner >= 0:
+		return candidates[owner].ID, 0
 	}
 	return "", 0
 }
 
-// sourceRoom is the part of a cache's room after which a level isn't relied on as a
-// source any more. What a replica took in isn't known to the token; one that turns out to
-// lack a level costs its reading, a store in its place only a fetch.
-const sourceRoom = 0.5
+// donorCapacityShare is the fraction of a cache's capacity that may be added after a level before
+// the replica is no longer trusted as its donor. The tokens added to a replica aren't known
+// exactly. A donor that turns out to lack a level costs its prefill, while a store in its place
+// costs only a fetch.
+const donorCapacityShare = 0.5
 
-// held is how many shared tokens a replica is believed to hold, and how many of them it
-// has read already and can send: a level counts only with all those before it.
-func (f *Picker) held(now time.Duration, q *PickQuery, holders []levelHolders, key uint64, room float64) (held, read int) {
-	allRead := true
-	for i, at := range holders {
-		h, ok := at[key]
-		if !ok || !f.resident.stays(now, key, h, room) {
+// heldTokens returns how many shared tokens a replica is expected to hold, and how many of them
+// it has prefilled and can send. A level counts only with all those before it.
+func (p *Picker) heldTokens(now time.Duration, q *PickQuery, holders []levelHolders, key uint64, capacity float64) (heldTokens, prefilledTokens int) {
+	allPrefilled := true
+	for i, replicas := range holders {
+		h, ok := replicas[key]
+		if !ok || !p.residency.resident(now, key, h, capacity) {
 			break
 		}
-		held = q.Levels[i].Tokens
-		sure := h.read && f.resident.stays(now, key, h, sourceRoom*room)
-		if allRead = allRead && sure; allRead {
-			read = held
+		heldTokens = q.Levels[i].Tokens
+		reliable := h.prefilled && p.residency.resident(now, key, h, donorCapacityShare*capacity)
+		if allPrefilled = allPrefilled && reliable; allPrefilled {
+			prefilledTokens = heldTokens
 		}
 	}
-	return held, read
+	return heldTokens, prefilledTokens
 }
 
-// room is how much of a replica's memory running requests leave to cached parts, in
-// tokens. Unknown memory is taken for unbounded: then time alone decides.
-func (f *Picker) room(c *PickCandidate, load Load) float64 {
+// cacheCapacity is the part of a replica's memory that running requests leave to cached prefixes,
+// in tokens. Unknown memory counts as unbounded: then only LevelTTL limits a level.
+func (p *Picker) cacheCapacity(c *PickCandidate, load Load) float64 {
 	if c.MemoryTokens == 0 {
 		return math.MaxFloat64
 	}
-	return float64(c.MemoryTokens) - float64(load.Running)*f.promptTokens
+	return float64(c.MemoryTokens) - float64(load.Running)*p.meanRequestTokens
 }
 
-// home is the index of the replica that all entries send a prefix to when nothing else
-// is known, -1 for none.
-func (f *Picker) home(q *PickQuery, candidates []PickCandidate) int {
+// ownerIndex is the index of the prefix's owner, the replica to which all entries send it if
+// nothing else is known; -1 without a shared prefix.
+func (p *Picker) ownerIndex(q *PickQuery, candidates []PickCandidate) int {
 	if len(q.Levels) == 0 {
 		return -1
 	}
 	best := -1
 	for i := range candidates {
-		if best < 0 || f.views[i].weight > f.views[best].weight {
+		if best < 0 || p.views[i].ownerWeight > p.views[best].ownerWeight {
 			best = i
 		}
 	}
 	return best
 }
 
-// missing is how many tokens of the shared prefix a replica is expected to read
-// anew.
-func (f *Picker) missing(q *PickQuery, held int, home bool) (int, string) {
-	missed := q.SharedTokens - held
+// missingTokens is how many tokens of the shared prefix a replica is expected to prefill anew,
+// with the reason to report.
+func (p *Picker) missingTokens(q *PickQuery, held int, isOwner bool) (int, string) {
+	missing := q.SharedTokens - held
 	switch {
-	case missed <= 0:
-		return 0, feedHeld
-	case home:
-		return int(f.params.HomeDoubt * float64(missed)), feedHome
+	case missing <= 0:
+		return 0, pickPrefixHeld
+	case isOwner:
+		return int(p.params.OwnerMissShare * float64(missing)), pickPrefixOwner
 	}
-	return missed, feedSpill
+	return missing, pickSpill
 }
 
-// keep reports whether a prefix, under a salt, is to be sent to the store of kept
-// cache, and notes that it is. With it goes the request's own part, which nobody
-// asks for again: sent each time, those would push all shared parts out.
-func (f *Picker) keep(now time.Duration, prefix uint64, salt string) bool {
-	key := f.keptKey(prefix, salt)
-	if at, ok := f.kept.Get(key); ok && now-at < f.params.KeptFor {
+// startSave reports whether a prefix, under a salt, is due to be saved to its KV store, and if so
+// records that it is. A save includes the request's own part, which nobody fetches again: on
+// every request, those would push all shared parts out of the store.
+func (p *Picker) startSave(now time.Duration, prefix uint64, salt string) bool {
+	key := p.savedKey(prefix, salt)
+	if savedAt, ok := p.saved.Get(key); ok && now-savedAt < p.params.SavedTTL {
 		return false
 	}
-	f.kept.Add(key, now)
-	f.tell(now, Placement{Saved: key})
+	p.saved.Add(key, now)
+	p.enqueuePlacement(now, Placement{Saved: key})
 	return true
 }
 
-// keptKey stands for a prefix under a salt.
-func (f *Picker) keptKey(prefix uint64, salt string) uint64 {
+// savedKey identifies a prefix under a salt.
+func (p *Picker) savedKey(prefix uint64, salt string) uint64 {
 	return prefix ^ xxhash.Sum64String(salt)
 }
 
 const (
-	// fetchedTokens is the shared length from which on a prefix is fetched: below it
-	// reading anew takes less than looking for it.
-	fetchedTokens = 64
-	// keptTokens is the length from which on a prefix is kept in a store and fetched
-	// from there. An engine reads shorter ones in 10 ms; a fetch from a store waits
-	// behind those of long prefixes, at the ninetieth percentile for half a second,
-	// and each save pushes long ones out.
-	keptTokens = 512
+	// minFetchTokens is the shared length from which a prefix is fetched; below it prefilling
+	// takes less time than looking for it.
+	minFetchTokens = 64
+	// minSaveTokens is the length from which a prefix is saved to a KV store and fetched from
+	// there. An engine prefills a shorter one in 10 ms, while a fetch from a store queues behind
+	// those of long prefixes, for half a second at the 90th percentile, and each save pushes long
+	// ones out.
+	minSaveTokens = 512
 )
 
-// CachePlan is what a replica is told about the shared parts of a prompt.
+// CachePlan tells a replica where to fetch the shared parts of a prompt that it lacks and where
+// to save them.
 type CachePlan struct {
-	// Donor is the replica to fetch from what is missing, Store the store of kept
-	// cache; at most one of them is set.
+	// Donor is the replica to fetch from, Store the KV store; at most one of them is set.
 	Donor, Store string
-	// SaveTo is the store to send the parts to once they are read, "" for none.
+	// SaveTo is the KV store to save the parts to once they are prefilled, "" for none.
 	SaveTo string
 }
 
-// PlanCache decides where a replica that was picked fetches shared parts that it turns
-// out to lack, and whether they are kept. salt sets them apart by weights and walls.
-func (f *Picker) PlanCache(now time.Duration, q *PickQuery, choice *PickResult, salt string, stores []string) CachePlan {
-	var use CachePlan
-	if q.SharedTokens < fetchedTokens {
-		return use
+// PlanCache decides where the picked replica fetches shared parts that it turns out to lack, and
+// whether they are saved. salt separates them by weights and isolation.
+func (p *Picker) PlanCache(now time.Duration, q *PickQuery, choice *PickResult, salt string, stores []string) CachePlan {
+	var plan CachePlan
+	if q.SharedTokens < minFetchTokens {
+		return plan
 	}
-	if q.SharedTokens >= keptTokens {
-		use.Store = StoreFor(q.prefixKey(), stores)
+	if q.SharedTokens >= minSaveTokens {
+		plan.Store = StoreFor(q.prefixKey(), stores)
 	}
-	if use.Store != "" && f.keep(now, q.prefixKey(), salt) {
-		use.SaveTo = use.Store
+	if plan.Store != "" && p.startSave(now, q.prefixKey(), salt) {
+		plan.SaveTo = plan.Store
 	}
-	if f.fetchesFromReplica(q, choice, use.Store) {
-		use.Donor, use.Store = choice.Donor, ""
+	if p.prefersDonor(q, choice, plan.Store) {
+		plan.Donor, plan.Store = choice.Donor, ""
 	}
-	if use.Store != "" && !f.stores.bears(use.Store, q.MaxWaitMs, now, f.rng) {
-		use.Store = ""
+	if plan.Store != "" && !p.stores.allowFetch(plan.Store, q.MaxWaitMs, now, p.rng) {
+		plan.Store = ""
 		if choice.DonorTokens > 0 {
-			use.Donor = choice.Donor
+			plan.Donor = choice.Donor
 		}
 	}
-	choice.Store = use.Store
-	return use
+	choice.Store = plan.Store
+	return plan
 }
 
-// fetchesFromReplica reports whether a replica is the better source than a store. One
-// that has read all is: it sends at once, where a store sends one prefix after the
-// other. One that has read only a part is not, even where nobody is known to have sent the
-// prefix to the store.
-func (f *Picker) fetchesFromReplica(q *PickQuery, choice *PickResult, store string) bool {
+// prefersDonor reports whether a replica is a better source than a KV store. One that has
+// prefilled all shared parts is: it sends at once, where a store sends one prefix after another.
+// One that has only some of them is not, even if the prefix isn't known to have been saved to the
+// store.
+func (p *Picker) prefersDonor(q *PickQuery, choice *PickResult, store string) bool {
 	switch {
 	case choice.Donor == "":
 		return false
@@ -211,80 +213,83 @@
 	return choice.DonorTokens > 0 || choice.MissingTokens > 0
 }
 
-// StoreFor is which of the stores of kept cache has a prefix, "" if there is none. Each
-// prefix is in one of them, the same one for all entries: together they hold as many
-// as they have room for, where copies in each would push others out.
+// StoreFor returns the KV store that has a prefix, "" if there are no stores. Each prefix is in
+// one store, the same for all entries, so that the stores' capacities add up; with copies in
+// each, prefixes would push one another out.
 func StoreFor(prefix uint64, stores []string) string { return rendezvous.First(prefix, stores) }
 
-// Placement is what an entry tells its peers of a request: which levels went where, or
-// that a prefix was sent to the store of kept cache. Keys stand for names.
+// Placement is what an entry sends its peers about a request: which levels were sent to which
+// replica, or that a prefix was saved to its KV store. Names are sent as hashes.
 type Placement struct {
 	Levels  []uint64
 	Replica uint64
-	// Prefilled is set once the replica has read them.
+	// Prefilled is set once the replica has computed the levels.
 	Prefilled bool
-	Saved     uint64
+	// Saved is the savedKey of a prefix that was saved to its KV store, 0 for none.
+	Saved uint64
 }
 
-// toldPlacement is a placement and how often it was told.
-type toldPlacement struct {
-	at    time.Duration
-	times int
+// outgoingPlacement is a placement with the number of times it was sent.
+type outgoingPlacement struct {
+	at        time.Duration
+	sendCount int
 	Placement
 }
 
-// PlacementsToSend returns at most so many of this entry's placements for its peers: those that
-// were told least, the latest first. Each is told so often, unless it is from before a time.
-// With a hundred peers a word comes twice a second: one that has room for a part of what was
-// placed since the last one must have what the peers don't know.
-func (f *Picker) PlacementsToSend(since time.Duration, times, most int) []Placement {
-	f.told = slices.DeleteFunc(f.told, func(t toldPlacement) bool { return t.at < since || t.times >= times })
-	slices.SortStableFunc(f.told, func(a, b toldPlacement) int {
-		return cmp.Or(cmp.Compare(a.times, b.times), cmp.Compare(b.at, a.at))
+// PlacementsToSend returns at most limit of this entry's placements for its peers: those sent the
+// fewest times first, among them the latest first. Each is sent maxSends times, unless it is
+// older than since. With a hundred peers a message goes out only twice a second: if it has room
+// for only a part of the placements since the last one, it must contain those that the peers
+// don't know.
+func (p *Picker) PlacementsToSend(since time.Duration, maxSends, limit int) []Placement {
+	p.outbox = slices.DeleteFunc(p.outbox, func(queued outgoingPlacement) bool { return queued.at < since || queued.sendCount >= maxSends })
+	slices.SortStableFunc(p.outbox, func(a, b outgoingPlacement) int {
+		return cmp.Or(cmp.Compare(a.sendCount, b.sendCount), cmp.Compare(b.at, a.at))
 	})
-	list := make([]Placement, min(most, len(f.told)))
+	list := make([]Placement, min(limit, len(p.outbox)))
 	for i := range list {
-		list[i] = f.told[i].Placement
-		f.told[i].times++
+		list[i] = p.outbox[i].Placement
+		p.outbox[i].sendCount++
 	}
 	return list
 }
 
-// tell has a placement told. That a request was sent isn't told any more once it was read.
-func (f *Picker) tell(at time.Duration, p Placement) {
-	if p.Prefilled {
-		f.told = slices.DeleteFunc(f.told, func(t toldPlacement) bool {
-			return !t.Prefilled && t.Replica == p.Replica && slices.Equal(t.Levels, p.Levels)
+// enqueuePlacement queues a placement for the peers. One that says that the levels were prefilled
+// replaces the one that says that they were sent.
+func (p *Picker) enqueuePlacement(at time.Duration, placement Placement) {
+	if placement.Prefilled {
+		p.outbox = slices.DeleteFunc(p.outbox, func(queued outgoingPlacement) bool {
+			return !queued.Prefilled && queued.Replica == placement.Replica && slices.Equal(queued.Levels, placement.Levels)
 		})
 	}
-	f.told = append(f.told, toldPlacement{at: at, Placement: p})
+	p.outbox = append(p.outbox, outgoingPlacement{at: at, Placement: placement})
 }
 
-// ApplyPlacements takes a peer's placements.
-func (f *Picker) ApplyPlacements(list []Placement, now time.Duration) {
-	for _, p := range list {
-		if p.Saved != 0 {
-			f.kept.Add(p.Saved, now)
+// ApplyPlacements records a peer's placements.
+func (p *Picker) ApplyPlacements(list []Placement, now time.Duration) {
+	for _, placement := range list {
+		if placement.Saved != 0 {
+			p.saved.Add(placement.Saved, now)
 		}
-		for _, level := range p.Levels {
-			f.resident.hold(level, p.Replica, p.Prefilled, now)
+		for _, level := range placement.Levels {
+			p.residency.record(level, placement.Replica, placement.Prefilled, now)
 		}
 	}
 }
 
-// holdOwn notes what this entry sent, and tells its peers.
-func (f *Picker) holdOwn(q *PickQuery, replica string, read bool, now time.Duration) {
+// recordPlacement records where this entry sent the levels of q and queues that for its peers.
+func (p *Picker) recordPlacement(q *PickQuery, replica string, prefilled bool, now time.Duration) {
 	if len(q.Levels) == 0 {
 		return
 	}
-	p := Placement{Levels: make([]uint64, len(q.Levels)), Replica: ReplicaKey(replica), Prefilled: read}
+	placement := Placement{Levels: make([]uint64, len(q.Levels)), Replica: ReplicaKey(replica), Prefilled: prefilled}
 	for i, level := range q.Levels {
-		p.Levels[i] = level.Key
-		f.resident.hold(level.Key, p.Replica, read, now)
+		placement.Levels[i] = level.Key
+		p.residency.record(level.Key, placement.Replica, prefilled, now)
 	}
-	f.tell(now, p)
+	p.enqueuePlacement(now, placement)
 }
 
-// CacheCleared forgets which levels a replica held: it was restarted or has loaded other
+// CacheCleared records that a replica lost its cache: it was restarted or has loaded other
 // weights.
-func (f *Picker) CacheCleared(id string, now time.Duration) { f.resident.empty(ReplicaKey(id), now) }
+func (p *Picker) CacheCleared(id string, now time.Duration) { p.residency.clear(ReplicaKey(id), now) }
--- a/internal/route/feedtypes.go
+++ b/internal/route/feedtypes.go
@@ -2,81 +2,81 @@
 
 import "time"
 
-// PickerParams weigh what a direct entry knows of the replicas that it feeds. Times
-// are engine time in milliseconds.
+// PickerParams are the costs and time constants by which a Picker compares replicas. Costs are
+// engine time in milliseconds.
 type PickerParams struct {
-	// PrefillTokensPerMs is how fast an engine reads prompts, TokenMs how much one running
-	// request slows its others, OverheadMs the time to a first event beside: until they are
-	// learnt from requests.
-	PrefillTokensPerMs, TokenMs, OverheadMs float64
-	// MissWeight is what a millisecond of reading shared parts anew weighs against one of
-	// waiting: the copy also pushes out of the cache what others will read anew.
+	// PrefillTokensPerMs is an engine's prefill speed, RunningMs by how much one running request
+	// delays another, OverheadMs the time to the first event besides these. They are start values
+	// until speeds are learnt from requests.
+	PrefillTokensPerMs, RunningMs, OverheadMs float64
+	// MissWeight is the cost of a millisecond of prefilling shared parts anew, relative to one of
+	// waiting: the new copy also evicts what others will then prefill anew.
 	MissWeight float64
-	// Others is the load of other entries for each unit of one's own: they see the
-	// same mix and pick by the same rules, but what they place is not heard of.
-	Others float64
-	// PeerFresh is how long another entry's word on its loads counts. While none was
-	// heard, Others stands in.
-	PeerFresh time.Duration
-	// LagHalfLife is how fast the waits that requests met at a replica are forgotten,
-	// LagLearning the weight of the latest.
-	LagHalfLife time.Duration
-	LagLearning float64
-	// HomeDoubt is the part of a shared prefix that is expected to be missing at its
-	// home when this entry has not sent it there.
-	HomeDoubt float64
-	// Outlasts is the cost of each millisecond that a request is expected to outlast
-	// the replica's turn to load weights: the replica stands nearly idle meanwhile.
-	Outlasts float64
-	// OutputTokenMs is the expected time of an output token until some were seen,
-	// Learning the weight of each stream's end in what is expected from then on.
-	OutputTokenMs, Learning float64
-	// OldWeights is what it costs to begin on weights that are to be replaced.
-	OldWeights float64
-	// Doubtful is what a replica with recent faults is set back by.
-	Doubtful float64
-	// Crossing is the cost of another failure domain.
-	Crossing float64
-	// PlainMs is the work of a request at a plain service.
-	PlainMs float64
-	// Known bounds the levels remembered. KnownFor bounds how long one is believed to
-	// stay in a cache where nothing else pushes it out.
-	Known    int
-	KnownFor time.Duration
-	// KeptFor is how long a prefix is believed to be in the store once it was sent.
-	KeptFor time.Duration
+	// PeerLoadFactor is the assumed load of the other entries relative to this one's while no
+	// peer's load is known. They get the same mix of requests and pick by the same rules.
+	PeerLoadFactor float64
+	// PeerTTL is how long a peer's load report stays valid. While there is none, PeerLoadFactor
+	// applies.
+	PeerTTL time.Duration
+	// QueueDelayHalfLife is the half-life of the delays that requests met at a replica,
+	// QueueDelayLearningRate the weight of the latest one.
+	QueueDelayHalfLife     time.Duration
+	QueueDelayLearningRate float64
+	// OwnerMissShare is the fraction of a shared prefix that is expected to be missing at its
+	// owner if this entry has not sent it there.
+	OwnerMissShare float64
+	// OverrunCost is the cost of each millisecond by which a request is expected to outlast the
+	// replica's scheduled start of a weights load: the replica is nearly idle until it ends.
+	OverrunCost float64
+	// OutputTokenMs is the start value of the time per output token, LearningRate the weight of
+	// the latest request in the running means.
+	OutputTokenMs, LearningRate float64
+	// OldWeightsCost is the cost of starting on weights that are to be replaced.
+	OldWeightsCost float64
+	// RecentFaultsCost is the penalty of a replica with recent faults.
+	RecentFaultsCost float64
+	// CrossDomainCost is the cost of dispatching to another failure domain.
+	CrossDomainCost float64
+	// PlainServiceMs is the work of a request at a replica without an engine.
+	PlainServiceMs float64
+	// MaxLevels bounds the levels remembered. LevelTTL bounds how long one is expected to stay in
+	// a cache where nothing else evicts it.
+	MaxLevels int
+	LevelTTL  time.Duration
+	// SavedTTL is how long a prefix is expected to stay in a KV store after a save.
+	SavedTTL time.Duration
 }
 
-// DefaultPickerParams come from the engines' sheets: some 56 prompt tokens a
-// millisecond and a step of 4 ms that grows by a tenth with each running request.
+// DefaultPickerParams follow the engines' data sheets: some 56 prompt tokens per millisecond, and
+// a decode step of 4 ms that grows by a tenth with each running request.
 var DefaultPickerParams = PickerParams{
-	PrefillTokensPerMs: 50, MissWeight: 4.5, TokenMs: 2, OverheadMs: 40, Others: 2, HomeDoubt: 0.3,
-	PeerFresh: 500 * time.Millisecond, LagHalfLife: 400 * time.Millisecond, LagLearning: 0.4,
-	Outlasts: 0.2, OutputTokenMs: 8, Learning: 0.05, OldWeights: 150, Doubtful: 1000, Crossing: 3, PlainMs: 60,
-	Known: 8192, KnownFor: 30 * time.Second, KeptFor: 10 * time.Second,
+	PrefillTokensPerMs: 50, MissWeight: 4.5, RunningMs: 2, OverheadMs: 40, PeerLoadFactor: 2, OwnerMissShare: 0.3,
+	PeerTTL: 500 * time.Millisecond, QueueDelayHalfLife: 400 * time.Millisecond, QueueDelayLearningRate: 0.4,
+	OverrunCost: 0.2, OutputTokenMs: 8, LearningRate: 0.05, OldWeightsCost: 150, RecentFaultsCost: 1000, CrossDomainCost: 3, PlainServiceMs: 60,
+	MaxLevels: 8192, LevelTTL: 30 * time.Second, SavedTTL: 10 * time.Second,
 }
 
-// PickQuery is a request as far as its place matters.
+// PickQuery describes a request as far as it affects the choice of a replica.
 type PickQuery struct {
-	// Service names the engines that may run it.
+	// Service names the service whose engines may run it.
 	Service string
-	// Levels are the nested prefixes that other prompts may share, the shortest first.
+	// Levels are the nested prefixes that other prompts may share, shortest first.
 	Levels       []PrefixLevel
 	SharedTokens int
 	PromptTokens int
-	// OutputTokens is the expected output.
+	// OutputTokens is the expected output length.
 	OutputTokens int
 	// FailureDomain is the entry's own.
 	FailureDomain string
-	// WantedVersion is the version of the weights to use if there is a choice, 0 for any.
+	// WantedVersion is the preferred weights version, 0 for any.
 	WantedVersion uint64
-	// MaxWaitMs is the wait, in milliseconds, beyond which a replica isn't picked while
-	// the others' loads are known; 0 is no bound.
+	// MaxWaitMs is the expected wait, in milliseconds, above which a replica isn't picked while
+	// peers' loads are known; 0 for no bound.
 	MaxWaitMs float64
-	// Sample is how many replicas are looked at beside the prefix's holders and its
-	// home, 0 for all.
+	// Sample is how many replicas are considered besides the prefix's holders and its owner, 0
+	// for all.
 	Sample int
-	// Exclude names replicas that have had the request.
+	// Exclude lists replicas that the request was already sent to.
 	Exclude []string
 }
 
@@ -85,41 +85,44 @@
 	ID            string
 	FailureDomain string
 	Version       uint64
-	Slots         int
-	// MemoryTokens is an engine's memory for running requests and cached parts, 0 if it
-	// isn't known.
+	// Slots is how many requests the replica runs at once; it counts only for a plain replica.
+	Slots int
+	// MemoryTokens is an engine's memory for running requests and cached prefixes, 0 if it isn't
+	// known.
 	MemoryTokens int
+	// Engine is set for a model engine, false for a plain replica.
 	Engine       bool
 	RecentFaults bool
-	// RolloutIn is the time until the replica takes no more work to load other weights,
-	// if Planned.
+	// RolloutIn is the time until the replica stops taking requests to load other weights; valid
+	// if RolloutPlanned.
 	RolloutIn      time.Duration
 	RolloutPlanned bool
 }
 
-// PickResult is a pick with what decided it.
+// PickResult is the chosen replica with the values that decided the choice.
 type PickResult struct {
 	ID     string
 	Score  float64
 	WaitMs float64
-	// MissingTokens is how many shared tokens the replica is expected to lack, Source another
+	// MissingTokens is how many shared tokens the replica is expected to lack, Donor another
 	// replica on the same weights that may hold them, "" if none.
 	MissingTokens int
 	Donor         string
-	// DonorTokens is how many shared tokens Source is known to have read, 0 for a guess.
+	// DonorTokens is how many shared tokens Donor is known to have prefilled, 0 if Donor is a
+	// guess.
 	DonorTokens int
-	// Store is the store that the replica was told to fetch from, "" for none.
+	// Store is the KV store that the replica was told to fetch from, "" for none.
 	Store string
-	// LoadAtPick is what all entries had there when it was picked.
+	// LoadAtPick is the load of all entries there at the time of the pick.
 	LoadAtPick     Load
 	Reason         string
 	CandidateCount int
 }
 
-// Reasons of a feed's pick.
+// Reasons of a pick.
 const (
-	feedHeld  = "prefix_held"
-	feedHome  = "prefix_home"
-	feedSpill = "spill"
-	feedLeast = "least_loaded"
+	pickPrefixHeld  = "prefix_held"
+	pickPrefixOwner = "prefix_home"
+	pickSpill       = "spill"
+	pickLeastLoaded = "least_loaded"
 )
--- a/internal/route/heat.go
+++ b/internal/route/heat.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// meter is an exponentially decayed sum.
-type meter struct {
+// decayedSum is an exponentially decaying sum.
+type decayedSum struct {
 	value float64
 	at    time.Duration
 }
 
-func (m *meter) add(now, halfLife time.Duration, v float64) {
+func (m *decayedSum) add(now, halfLife time.Duration, v float64) {
 	m.value = m.read(now, halfLife) + v
 	m.at = now
 }
 
-func (m *meter) read(now, halfLife time.Duration) float64 {
+func (m *decayedSum) read(now, halfLife time.Duration) float64 {
 	if m.value == 0 || now <= m.at {
 		return m.value
 	}
@@ -24,122 +24,121 @@
 }
 
 // rate returns the sum as a rate per second.
-func (m *meter) rate(now, halfLife time.Duration) float64 {
+func (m *decayedSum) rate(now, halfLife time.Duration) float64 {
 	return m.read(now, halfLife) * math.Ln2 / halfLife.Seconds()
 }
 
-// smooth is a value smoothed over waitMemory. A prefix that is just being
-// computed makes those behind it wait for a moment; a copy made for that would
-// be ready no sooner.
-type smooth struct {
+// smoothedWait is an exponential moving average with time constant waitTimeConstant. Requests
+// behind a prefix that is just being computed wait for a moment; a copy made for them would be
+// ready no sooner, so a short wait must not add a holder.
+type smoothedWait struct {
 	value float64
 	at    time.Duration
 }
 
 const (
-	waitMemory = 500 * time.Millisecond
-	// maxWaitShare bounds the share of one observation, however long ago the
-	// last one was: a single one says nothing of what stays.
-	maxWaitShare = 0.2
+	waitTimeConstant = 500 * time.Millisecond
+	// maxWaitWeight bounds the weight of one observation, however long ago the previous one was:
+	// a single one doesn't show that a wait lasts.
+	maxWaitWeight = 0.2
 )
 
-func (s *smooth) add(now time.Duration, v float64) {
-	share := 1 - math.Exp(-float64(now-s.at)/float64(waitMemory))
-	s.value += min(maxWaitShare, max(0, share)) * (v - s.value)
+func (s *smoothedWait) add(now time.Duration, v float64) {
+	weight := 1 - math.Exp(-float64(now-s.at)/float64(waitTimeConstant))
+	s.value += min(maxWaitWeight, max(0, weight)) * (v - s.value)
 	s.at = now
 }
 
-// heat is how hot one prefix is and how many endpoints are to hold it.
+// heat tracks how hot one prefix is and how many endpoints should hold it.
 //
-// A holder is added when the wait at the best one is over a threshold and a new
-// copy would save more waiting within the horizon than it costs to compute. It is
-// taken away when the wait has stayed under a lower threshold for a time and the
-// others can carry the work. A single threshold would flap: each narrowing raises
-// the wait that caused the widening, and each round computes the prefix again.
+// A holder is added when the wait at the best one exceeds WidenWait and a new copy would save
+// more waiting within CacheHorizon than it costs to compute. One is removed when the wait has
+// stayed below NarrowWait for NarrowHold and the others can carry the work. With a single
+// threshold the number would oscillate: each removal raises the wait that caused the addition,
+// and each cycle computes the prefix again.
 type heat struct {
-	work      meter // milliseconds of engine time
-	requests  meter
-	wait      smooth // milliseconds, at the best holder
-	holders   int
-	changedAt time.Duration
-	lowSince  time.Duration
-	low       bool
+	work            decayedSum // milliseconds of engine time
+	requests        decayedSum
+	wait            smoothedWait // milliseconds, at the best holder
+	holders         int
+	changedAt       time.Duration
+	belowSince      time.Duration
+	belowNarrowWait bool
 }
 
-// view is what one decision sees of a prefix's holders. Times are in
-// milliseconds.
-type view struct {
-	held    int     // holders in use
-	wait    float64 // at the best of them
-	other   float64 // wait at the best of the rest
-	copying float64 // cost of a new copy, harm included
-	work    float64 // engine time of the request
+// holderView is what one decision sees of a prefix's holders.
+type holderView struct {
+	activeHolders int     // holders in use
+	waitMs        float64 // wait at the best of them
+	otherWaitMs   float64 // wait at the best of the other endpoints
+	copyCostMs    float64 // cost of a new copy, evictions included
+	workMs        float64 // engine time of the request
 }
 
-// observe notes one request and moves the number of holders.
-func (h *heat) observe(now time.Duration, p *Params, v view) {
-	h.work.add(now, p.HeatHalfLife, v.work)
+// observe records one request and adjusts the number of holders.
+func (h *heat) observe(now time.Duration, p *Params, v holderView) {
+	h.work.add(now, p.HeatHalfLife, v.workMs)
 	h.requests.add(now, p.HeatHalfLife, 1)
-	h.wait.add(now, v.wait)
+	h.wait.add(now, v.waitMs)
 	if h.wait.value > ms(p.WidenWait) {
-		h.low = false
+		h.belowNarrowWait = false
 		h.widen(now, p, v)
 		return
 	}
 	if h.wait.value > ms(p.NarrowWait) {
-		h.low = false
+		h.belowNarrowWait = false
 		return
 	}
-	if !h.low {
-		h.low = true
-		h.lowSince = now
+	if !h.belowNarrowWait {
+		h.belowNarrowWait = true
+		h.belowSince = now
 	}
-	if now-h.lowSince >= p.NarrowHold {
+	if now-h.belowSince >= p.NarrowHold {
 		h.narrow(now, p)
 	}
 }
 
-// widen adds a holder, at most one each WidenHold, when the last one that was
-// added is there and a new one pays off.
-func (h *heat) widen(now time.Duration, p *Params, v view) {
-	if v.held < h.holders || (h.holders > 1 && now-h.changedAt < p.WidenHold) {
+// widen adds a holder, at most one per WidenHold, if the one added before is in use and a new one
+// pays off.
+func (h *heat) widen(now time.Duration, p *Params, v holderView) {
+	if v.activeHolders < h.holders || (h.holders > 1 && now-h.changedAt < p.WidenHold) {
 		return
 	}
-	if h.places(now, p) < widenUse*float64(v.held*p.MaxRunning) {
+	if h.usedCapacity(now, p) < widenUtilisation*float64(v.activeHolders*p.MaxRunning) {
 		return
 	}
 	expected := h.requests.rate(now, p.HeatHalfLife) * p.CacheHorizon.Seconds()
-	if expected*(h.wait.value-v.other) <= v.copying {
+	if expected*(h.wait.value-v.otherWaitMs) <= v.copyCostMs {
 		return
 	}
 	h.holders++
 	h.changedAt = now
 }
 
-// narrow takes a holder away if the others can carry the work.
+// narrow removes a holder if the others can carry the work.
 func (h *heat) narrow(now time.Duration, p *Params) {
 	if h.holders <= 1 {
 		return
 	}
-	if h.places(now, p) > narrowUse*float64((h.holders-1)*p.MaxRunning) {
+	if h.usedCapacity(now, p) > narrowUtilisation*float64((h.holders-1)*p.MaxRunning) {
 		return
 	}
 	h.holders--
 	h.changedAt = now
-	h.lowSince = now
+	h.belowSince = now
 }
 
-// places is how many places the prefix's work takes in the mean.
-func (h *heat) places(now time.Duration, p *Params) float64 {
+// usedCapacity is the mean number of running slots that the prefix's requests occupy.
+func (h *heat) usedCapacity(now time.Duration, p *Params) float64 {
 	return h.work.rate(now, p.HeatHalfLife) / 1000
 }
 
 const (
-	// widenUse is the share of its holders' places that a prefix's own work must
-	// take for another holder. Below it the prefix isn't what they are busy with,
-	// and copies of it would be used too seldom to stay.
-	widenUse = 0.2
-	// narrowUse is the share of the remaining holders' places that a prefix's
-	// work may take for one to be given up.
-	narrowUse = 0.35
+	// widenUtilisation is the fraction of its holders' running slots that a prefix's own requests
+	// must occupy before a holder is added. Below it the holders are busy with other prefixes,
+	// and copies of this one would be used too seldom to stay cached.
+	widenUtilisation = 0.2
+	// narrowUtilisation is the fraction of the remaining holders' running slots that a prefix's
+	// requests may occupy for a holder to be removed.
+	narrowUtilisation = 0.35
 )
--- a/internal/route/lru.go
+++ b/internal/route/lru.go
@@ -2,20 +2,20 @@
 
 import "skylarklead/internal/prefix"
 
-// touch returns the node of a level, made if need be, as the newest.
+// touch moves the node of a level to the front of the LRU list, creating it if needed.
 func (t *Table) touch(organisation uint64, level prefix.Level, parentTokens int) int32 {
 	n, ok := t.index[level.Hash]
 	if ok {
 		t.unlink(n)
-		t.adopt(n, organisation, parentTokens)
+		t.assignOrganisation(n, organisation, parentTokens)
 	} else {
 		n = t.newNode()
 		t.nodes[n] = node{
-			hash:    level.Hash,
-			owner:   organisation,
-			tokens:  int32(level.Tokens),
-			parent:  int32(parentTokens),
-			holders: none,
+			hash:         level.Hash,
+			organisation: organisation,
+			tokens:       int32(level.Tokens),
+			parentTokens: int32(parentTokens),
+			holders:      none,
 		}
 		t.index[level.Hash] = n
 	}
@@ -23,24 +23,24 @@
 	return n
 }
 
-// adopt gives a node that was only known from an advertisement its
-// organisation and parent.
-func (t *Table) adopt(n int32, organisation uint64, parentTokens int) {
-	if t.nodes[n].owner != 0 || organisation == 0 {
+// assignOrganisation sets the organisation and parent of a node that was known only from an
+// advertisement, and charges its holders' tokens to that organisation.
+func (t *Table) assignOrganisation(n int32, organisation uint64, parentTokens int) {
+	if t.nodes[n].organisation != 0 || organisation == 0 {
 		return
 	}
 	for h := t.nodes[n].holders; h != none; h = t.holders[h].next {
-		t.account(n, t.holders[h].slot, -int(t.holders[h].tokens), int(t.holders[h].tokens))
+		t.adjustShare(n, t.holders[h].slot, -int(t.holders[h].tokens), int(t.holders[h].tokens))
 	}
-	t.nodes[n].owner = organisation
-	t.nodes[n].parent = int32(parentTokens)
+	t.nodes[n].organisation = organisation
+	t.nodes[n].parentTokens = int32(parentTokens)
 	for h := t.nodes[n].holders; h != none; h = t.holders[h].next {
-		t.account(n, t.holders[h].slot, int(t.holders[h].tokens), 0)
+		t.adjustShare(n, t.holders[h].slot, int(t.holders[h].tokens), 0)
 	}
 }
 
 func (t *Table) newNode() int32 {
-	if len(t.index) >= t.params.MaxNodes {
+	if len(t.index) >= t.params.MaxLevels {
 		t.evict(t.oldest)
 	}
 	if n := t.freeNode; n != none {
--- a/internal/route/occupancy.go
+++ b/internal/route/occupancy.go
@@ -6,112 +6,109 @@
 )
 
 const (
-	// arrivalTick is the resolution in which own decisions are remembered,
-	// arrivalTicks how many ticks.
+	// arrivalTick is the resolution at which own decisions are remembered, arrivalTicks the
+	// number of ticks.
 	arrivalTick  = 50 * time.Millisecond
 	arrivalTicks = 64
-	// transit is how long a request may take from its decision until its
-	// executor's load report has it.
+	// transit bounds the time from a decision until the request appears in its executor's load
+	// report.
 	transit = 50 * time.Millisecond
-	// Reports at these intervals tell how much others send.
+	// Intervals between reports from which the rate of other owners' requests is estimated.
 	minReportInterval = 200 * time.Millisecond
 	maxReportInterval = 5 * time.Second
-	// othersMemory is the share of the newest interval in what others send.
-	othersMemory = 0.5
-	minService   = 10 // ms
+	// othersLearningRate is the weight of the newest interval in that rate.
+	othersLearningRate = 0.5
+	minServiceMs       = 10 // lower bound of the mean service time
 )
 
-// amount is work at an endpoint: requests of the group's mean service time, and
-// milliseconds of prefill.
+// amount is work at an endpoint: requests of the group's mean service time, and milliseconds of
+// prefill.
 type amount struct {
-	requests float64
-	prefill  float64
+	requests  float64
+	prefillMs float64
 }
 
-// arrivals are the decisions of one tick.
+// arrivals is the work placed by own decisions within one tick.
 type arrivals struct {
 	tick int64
 	sum  amount
 }
 
-// occupancy estimates the work at one endpoint between its load reports. A
-// report is up to an interval old. Taken as it is, every decision of that
-// interval sees the same idle endpoint and goes there as one herd, and a queue
-// that was reported keeps all away long after it has drained; the load then
-// swings from endpoint to endpoint each interval.
+// occupancy estimates the work at one endpoint between its load reports. A report may be a whole
+// interval old. If it were used as it is, every decision of that interval would see the same idle
+// endpoint and all would go there, and a reported queue would keep requests away long after it
+// has drained; the load would swing from endpoint to endpoint each interval.
 //
-// So the endpoint is followed as a queue with so many places: from each report
-// on, this process's own decisions are added when they were made, others' work at
-// the rate seen between the last two reports, and requests leave at the rate that
-// the places in use allow.
+// The endpoint is therefore modelled as a queue with a number of servers, the running slots. From
+// each report on, own decisions are added at the time they were made, other owners' requests at
+// the rate seen between the last two reports, and requests leave at the rate that the slots in
+// use allow.
 type occupancy struct {
-	value    amount
-	at       time.Duration
-	others   float64 // requests a millisecond
-	reported float64 // requests in the last report
-	reportAt time.Duration
-	known    bool // there was a report
-	history  [arrivalTicks]arrivals
+	estimate         amount
+	at               time.Duration
+	othersRate       float64 // requests per millisecond from other owners
+	reportedRequests float64 // requests in the last report
+	reportAt         time.Duration
+	hasReport        bool
+	history          [arrivalTicks]arrivals
 }
 
-// advance moves the estimate to now, with places of service milliseconds a
-// request.
-func (o *occupancy) advance(now time.Duration, places, service float64) {
+// advance moves the estimate to now. capacity is the number of running slots, serviceMs the mean
+// service time.
+func (o *occupancy) advance(now time.Duration, capacity, serviceMs float64) {
 	elapsed := ms(now - o.at)
 	if elapsed <= 0 {
 		return
 	}
 	o.at = now
-	o.value.prefill = max(0, o.value.prefill-elapsed)
-	o.value.requests = after(o.value.requests, elapsed, o.others, places, max(service, minService))
+	o.estimate.prefillMs = max(0, o.estimate.prefillMs-elapsed)
+	o.estimate.requests = requestsAfter(o.estimate.requests, elapsed, o.othersRate, capacity, max(serviceMs, minServiceMs))
 }
 
-// after returns how many of n requests are there after elapsed milliseconds.
-// While all places are taken they leave one after another, then each at the end
-// of its service.
-func after(n, elapsed, arriving, places, service float64) float64 {
-	if n > places {
-		drain := places/service - arriving
-		if drain <= 0 || (n-places)/drain >= elapsed {
-			return n - drain*elapsed
+// requestsAfter returns how many requests are present after elapsed milliseconds. While all slots
+// are taken they leave at a constant rate, after that exponentially.
+func requestsAfter(requests, elapsed, arriving, capacity, serviceMs float64) float64 {
+	if requests > capacity {
+		drain := capacity/serviceMs - arriving
+		if drain <= 0 || (requests-capacity)/drain >= elapsed {
+			return requests - drain*elapsed
 		}
-		elapsed -= (n - places) / drain
-		n = places
+		elapsed -= (requests - capacity) / drain
+		requests = capacity
 	}
-	steady := arriving * service
-	return steady + (n-steady)*math.Exp(-elapsed/service)
+	steady := arriving * serviceMs
+	return steady + (requests-steady)*math.Exp(-elapsed/serviceMs)
 }
 
-// add notes a decision of this process.
+// add records a decision of this process.
 func (o *occupancy) add(now time.Duration, v amount) {
-	o.value.requests += v.requests
-	o.value.prefill += v.prefill
+	o.estimate.requests += v.requests
+	o.estimate.prefillMs += v.prefillMs
 	tick := int64(now / arrivalTick)
 	a := &o.history[tick%arrivalTicks]
 	if a.tick != tick {
 		*a = arrivals{tick: tick}
 	}
 	a.sum.requests += v.requests
-	a.sum.prefill += v.prefill
+	a.sum.prefillMs += v.prefillMs
 }
 
-// report takes a load report as of reportAt; one that is known already is
-// ignored.
-func (o *occupancy) report(now, reportAt time.Duration, v amount, places, service float64) {
-	if o.known && reportAt <= o.reportAt+time.Millisecond {
+// report applies a load report made at reportAt; one that is already known is ignored.
+func (o *occupancy) report(now, reportAt time.Duration, v amount, capacity, serviceMs float64) {
+	if o.hasReport && reportAt <= o.reportAt+time.Millisecond {
 		return
 	}
-	o.learnOthers(reportAt, v.requests, places, max(service, minService))
-	o.known = true
-	o.reported = v.requests
+	o.learnOthers(reportAt, v.requests, capacity, max(serviceMs, minServiceMs))
+	o.hasReport = true
+	o.reportedRequests = v.requests
 	o.reportAt = reportAt
-	o.value = v
+	o.estimate = v
 	o.at = max(0, reportAt)
-	o.replay(now, places, service)
+	o.replay(now, capacity, serviceMs)
 }
 
-// replay adds the decisions since the report, when they were made.
-func (o *occupancy) replay(now time.Duration, places, service float64) {
+// replay re-applies the decisions since the report at the times they were made.
+func (o *occupancy) replay(now time.Duration, capacity, serviceMs float64) {
 	last := int64(now / arrivalTick)
 	first := max(0, int64((o.reportAt-transit)/arrivalTick)+1, last-arrivalTicks+1)
 	for tick := first; tick <= last; tick++ {
@@ -119,27 +116,27 @@
 		if a.tick != tick || a.sum.requests == 0 {
 			continue
 		}
-		o.advance(time.Duration(tick)*arrivalTick, places, service)
-		o.value.requests += a.sum.requests
-		o.value.prefill += a.sum.prefill
+		o.advance(time.Duration(tick)*arrivalTick, capacity, serviceMs)
+		o.estimate.requests += a.sum.requests
+		o.estimate.prefillMs += a.sum.prefillMs
 	}
-	o.advance(now, places, service)
+	o.advance(now, capacity, serviceMs)
 }
 
-// learnOthers sets the rate at which others send, from what came between two
-// reports beyond this process's own decisions.
-func (o *occupancy) learnOthers(reportAt time.Duration, requests, places, service float64) {
+// learnOthers updates the rate of other owners' requests from the arrivals between two reports
+// that own decisions don't account for.
+func (o *occupancy) learnOthers(reportAt time.Duration, requests, capacity, serviceMs float64) {
 	interval := reportAt - o.reportAt
-	if !o.known || interval < minReportInterval || interval > maxReportInterval {
+	if !o.hasReport || interval < minReportInterval || interval > maxReportInterval {
 		return
 	}
-	left := min(places, (o.reported+requests)/2) / service * ms(interval)
-	came := requests - o.reported + left - o.sent(o.reportAt, reportAt)
-	o.others += othersMemory * (max(0, came)/ms(interval) - o.others)
+	completed := min(capacity, (o.reportedRequests+requests)/2) / serviceMs * ms(interval)
+	arrived := requests - o.reportedRequests + completed - o.ownArrivals(o.reportAt, reportAt)
+	o.othersRate += othersLearningRate * (max(0, arrived)/ms(interval) - o.othersRate)
 }
 
-// sent counts own decisions between two reports.
-func (o *occupancy) sent(from, until time.Duration) float64 {
+// ownArrivals counts the requests placed by own decisions between two reports.
+func (o *occupancy) ownArrivals(from, until time.Duration) float64 {
 	sum := 0.0
 	for i := range o.history {
 		a := &o.history[i]
--- a/internal/route/owner.go
+++ b/internal/route/owner.go
@@ -6,9 +6,9 @@
 	"skylarklead/internal/prefix"
 )
 
-// OwnerKey is the rendezvous key of a request. It is the hash of the first
-// level, so that one owner sees all the prefixes nested in it; a request with no
-// level is keyed by its organisation and model.
+// OwnerKey is the rendezvous key of a request. It is the hash of the first level, so that one
+// owner sees all the prefixes nested in it. A request without levels is keyed by its organisation
+// and model.
 func OwnerKey(organisation, model string, levels []prefix.Level) uint64 {
 	if len(levels) > 0 {
 		return uint64(levels[0].Hash)
--- a/internal/route/peers.go
+++ b/internal/route/peers.go
@@ -6,84 +6,84 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is what an entry has at a replica.
+// Load is the load of one or more entries at a replica.
 type Load struct {
-	// PrefillTokens is how many tokens of prompts are not yet read.
+	// PrefillTokens is the number of prompt tokens not yet prefilled.
 	PrefillTokens float64
-	// Running is how many requests are there.
+	// Running is the number of requests in flight.
 	Running int
-	// AddedTokens counts the tokens that the entry has sent there to be read and kept, in
-	// TakenUnit; it wraps around.
+	// AddedTokens counts the tokens added to the replica's cache, in AddedTokensUnit; it wraps
+	// around.
 	AddedTokens uint16
 }
 
-// AddedTokensUnit is the unit of Load.Taken, in tokens: small against a prompt, and large
-// enough that a replica takes minutes to wrap the count around.
+// AddedTokensUnit is the unit of Load.AddedTokens, in tokens: small compared with a prompt, and
+// large enough that the count of a replica takes minutes to wrap around.
 const AddedTokensUnit = 64
 
-// ReplicaKey stands for a replica's ID where entries tell each other of it.
+// ReplicaKey is the hash that identifies a replica in messages between entries.
 func ReplicaKey(id string) uint64 { return xxhash.Sum64String(id) }
 
-// Peers is what other direct entries say that they have at the replicas. Each of
-// them places requests by itself; without their word two that pick the same idle
-// replica at the same moment, and all that follow them, queue there while others
-// stand idle. It is pure.
+// PeerLoads sums up the loads that other direct entries report at the replicas. Each entry
+// dispatches by itself: without these reports, two entries that pick the same idle replica at the
+// same moment, and all that follow them, would queue there while other replicas are idle.
 //
-// Invariant: words of one peer are taken in the order in which they were sent.
-type Peers struct {
-	fresh time.Duration
-	known map[string]*peerWord
-	// sums has what all peers that were heard lately have at each replica, heard how many
-	// those are. A choice looks at each replica; adding up the words of all peers for each
-	// would cost it entries times replicas.
-	sums  map[uint64]Load
-	heard int
-	// swept is when words were last looked at for their age.
-	swept time.Duration
+// Invariant: the reports of one peer are applied in the order in which they were sent.
+type PeerLoads struct {
+	ttl    time.Duration
+	byPeer map[string]*peerReport
+	// sums is the load of all peers with a fresh report at each replica, freshCount the number of
+	// those peers. Each pick looks at every replica; adding up the reports then would cost it
+	// entries times replicas.
+	sums       map[uint64]Load
+	freshCount int
+	// sweptAt is when the reports were last checked for their age.
+	sweptAt time.Duration
 }
 
-type peerWord struct {
+// peerReport is the last load report received from a peer.
+type peerReport struct {
 	epoch, seq uint64
-	at         time.Duration
+	receivedAt time.Duration
 	loads      map[uint64]Load
-	// taken is the latest count of each replica that any word of the epoch had: a word
-	// tells only of those at which something has changed.
-	taken map[uint64]uint16
-	// counted is set while the word is part of the sums, domain where it is a part of another
+	// addedTokens is the latest count for each replica in any report of the epoch: a report
+	// contains only the replicas at which something has changed.
+	addedTokens map[uint64]uint16
+	// included is set while the report is part of the sums, isDomain if it is a part of another
 	// failure domain's digest.
-	counted, domain bool
+	included, isDomain bool
 }
 
-// sweepPeers is the least time between looks for words that are no longer fresh: a
-// fraction of the pause between words.
-const sweepPeers = 20 * time.Millisecond
+// sweepInterval is the least time between checks for expired reports: a fraction of the interval
+// between a peer's messages.
+const sweepInterval = 20 * time.Millisecond
 
-// NewPeers returns an empty picture; a peer's word counts for as long as fresh.
-func NewPeers(fresh time.Duration) *Peers {
-	return &Peers{fresh: fresh, known: make(map[string]*peerWord), sums: make(map[uint64]Load)}
+// NewPeerLoads returns an empty PeerLoads. A report counts for as long as ttl.
+func NewPeerLoads(ttl time.Duration) *PeerLoads {
+	return &PeerLoads{ttl: ttl, byPeer: make(map[string]*peerReport), sums: make(map[uint64]Load)}
 }
 
-// Take takes a peer's word on its loads, by ReplicaKey, and reports whether it was news.
-// Of one epoch only a later one replaces an earlier one. took is called with the tokens
-// that a replica took from the peer since its word before.
-func (p *Peers) Take(peer string, epoch, seq uint64, loads map[uint64]Load, now time.Duration, took func(replica uint64, tokens float64)) bool {
-	return p.take(peer, &peerWord{epoch: epoch, seq: seq, at: now, loads: loads}, took)
+// Update applies a peer's load report, keyed by ReplicaKey, and reports whether it was newer than
+// the one before. Within an epoch only a higher seq replaces a report. onAdded is called with the
+// tokens added to each replica since the peer's report before.
+func (p *PeerLoads) Update(peer string, epoch, seq uint64, loads map[uint64]Load, now time.Duration, onAdded func(replica uint64, tokens float64)) bool {
+	return p.update(peer, &peerReport{epoch: epoch, seq: seq, receivedAt: now, loads: loads}, onAdded)
 }
 
-// TakeDomain takes a part of another failure domain's digest likewise.
-func (p *Peers) TakeDomain(part string, epoch, seq uint64, loads map[uint64]Load, now time.Duration, took func(replica uint64, tokens float64)) bool {
-	return p.take(part, &peerWord{epoch: epoch, seq: seq, at: now, loads: loads, domain: true}, took)
+// UpdateDomain applies one part of another failure domain's digest, as Update does.
+func (p *PeerLoads) UpdateDomain(part string, epoch, seq uint64, loads map[uint64]Load, now time.Duration, onAdded func(replica uint64, tokens float64)) bool {
+	return p.update(part, &peerReport{epoch: epoch, seq: seq, receivedAt: now, loads: loads, isDomain: true}, onAdded)
 }
 
-// direct sums up what the peers heard lately tell of themselves.
-func (p *Peers) direct(now time.Duration) map[uint64]Load {
+// directSums sums up the fresh reports of peers, digests of other failure domains left out.
+func (p *PeerLoads) directSums(now time.Duration) map[uint64]Load {
 	p.sweep(now)
 	sums := make(map[uint64]Load, len(p.sums))
-	for _, w := range p.known {
-		if !w.counted || w.domain {
+	for _, report := range p.byPeer {
+		if !report.included || report.isDomain {
 			continue
 		}
-		for replica, l := range w.loads {
+		for replica, l := range report.loads {
 			sum := sums[replica]
 			sums[replica] = Load{PrefillTokens: sum.PrefillTokens + l.PrefillTokens, Running: sum.Running + l.Running}
 		}
@@ -91,92 +91,92 @@
 	return sums
 }
 
-func (p *Peers) take(peer string, news *peerWord, took func(replica uint64, tokens float64)) bool {
-	epoch, seq, loads := news.epoch, news.seq, news.loads
-	w := p.known[peer]
-	if w != nil && w.epoch == epoch && seq <= w.seq {
+func (p *PeerLoads) update(peer string, report *peerReport, onAdded func(replica uint64, tokens float64)) bool {
+	epoch, seq, loads := report.epoch, report.seq, report.loads
+	last := p.byPeer[peer]
+	if last != nil && last.epoch == epoch && seq <= last.seq {
 		return false
 	}
-	var taken map[uint64]uint16
-	if w != nil && w.epoch == epoch {
-		taken = w.taken
+	var addedTokens map[uint64]uint16
+	if last != nil && last.epoch == epoch {
+		addedTokens = last.addedTokens
 	} else {
-		taken = make(map[uint64]uint16, len(loads))
+		addedTokens = make(map[uint64]uint16, len(loads))
 	}
 	for replica, l := range loads {
-		if before, known := taken[replica]; known {
-			took(replica, float64(l.AddedTokens-before)*AddedTokensUnit)
+		if before, known := addedTokens[replica]; known {
+			onAdded(replica, float64(l.AddedTokens-before)*AddedTokensUnit)
 		}
-		taken[replica] = l.AddedTokens
+		addedTokens[replica] = l.AddedTokens
 	}
-	if w != nil {
-		p.discount(w)
+	if last != nil {
+		p.exclude(last)
 	}
-	w = news
-	w.taken = taken
-	p.known[peer] = w
-	p.count(w)
+	last = report
+	last.addedTokens = addedTokens
+	p.byPeer[peer] = last
+	p.include(last)
 	return true
 }
 
-func (p *Peers) count(w *peerWord) {
-	for replica, l := range w.loads {
+func (p *PeerLoads) include(report *peerReport) {
+	for replica, l := range report.loads {
 		sum := p.sums[replica]
 		p.sums[replica] = Load{PrefillTokens: sum.PrefillTokens + l.PrefillTokens, Running: sum.Running + l.Running}
 	}
-	w.counted = true
-	p.heard++
+	report.included = true
+	p.freshCount++
 }
 
-func (p *Peers) discount(w *peerWord) {
-	if !w.counted {
+func (p *PeerLoads) exclude(report *peerReport) {
+	if !report.included {
 		return
 	}
-	w.counted = false
-	p.heard--
-	for replica, l := range w.loads {
+	report.included = false
+	p.freshCount--
+	for replica, l := range report.loads {
 		sum := p.sums[replica]
 		sum.Running -= l.Running
 		sum.PrefillTokens = max(0, sum.PrefillTokens-l.PrefillTokens)
 		if sum.Running <= 0 {
-			delete(p.sums, replica) // nothing runs there; what is left is rounding
+			delete(p.sums, replica) // nothing is in flight there; the remainder is a rounding error
 			continue
 		}
 		p.sums[replica] = sum
 	}
 }
 
-// sweep takes words that are no longer fresh out of the sums.
-func (p *Peers) sweep(now time.Duration) {
-	if now-p.swept < sweepPeers && now >= p.swept {
+// sweep takes expired reports out of the sums.
+func (p *PeerLoads) sweep(now time.Duration) {
+	if now-p.sweptAt < sweepInterval && now >= p.sweptAt {
 		return
 	}
-	p.swept = now
-	for _, w := range p.known {
-		if now-w.at > p.fresh {
-			p.discount(w)
+	p.sweptAt = now
+	for _, report := range p.byPeer {
+		if now-report.receivedAt > p.ttl {
+			p.exclude(report)
 		}
 	}
 }
 
-// Load is what all peers heard lately have at a replica.
-func (p *Peers) Load(replica uint64, now time.Duration) Load {
+// Load returns the load of all peers with a fresh report at a replica.
+func (p *PeerLoads) Load(replica uint64, now time.Duration) Load {
 	p.sweep(now)
 	return p.sums[replica]
 }
 
-// Heard is how many peers were heard lately.
-func (p *Peers) Heard(now time.Duration) int {
+// FreshPeers returns the number of peers with a fresh report; each part of a digest counts as one.
+func (p *PeerLoads) FreshPeers(now time.Duration) int {
 	p.sweep(now)
-	return p.heard
+	return p.freshCount
 }
 
-// Forget drops peers that haven't been heard for long.
-func (p *Peers) Forget(before time.Duration) {
-	for id, w := range p.known {
-		if w.at < before {
-			p.discount(w)
-			delete(p.known, id)
+// Forget drops peers whose last report was received before a time.
+func (p *PeerLoads) Forget(before time.Duration) {
+	for id, report := range p.byPeer {
+		if report.receivedAt < before {
+			p.exclude(report)
+			delete(p.byPeer, id)
 		}
 	}
 }
--- a/internal/route/property_test.go
+++ b/internal/route/property_test.go
@@ -13,7 +13,7 @@
 	"skylarklead/internal/protocol"
 )
 
-// fleet is a group whose endpoints change under the router.
+// fleet is a group whose endpoints change while the router runs.
 type fleet struct {
 	router    *Router
 	rng       *rand.Rand
@@ -30,12 +30,12 @@
 	return f
 }
 
-// forget voids an endpoint, as a crash or a restart does.
-func (f *fleet) forget(i int) { f.held[f.endpoints[i].ID] = map[prefix.Hash]bool{} }
+// forget empties an endpoint's cache, as a crash or a restart does.
+func (f *fleet) clearCache(i int) { f.held[f.endpoints[i].ID] = map[prefix.Hash]bool{} }
 
 func drawQuery(t *rapid.T) *Query {
 	organisation := rapid.IntRange(1, 3).Draw(t, "organisation")
-	charter := rapid.IntRange(0, 5).Draw(t, "charter")
+	document := rapid.IntRange(0, 5).Draw(t, "charter")
 	q := &Query{Ask: protocol.Ask{
 		Organisation: fmt.Sprint("o", organisation),
 		Model:        "m",
@@ -44,15 +44,15 @@
 		MaxTokens:    rapid.IntRange(1, 400).Draw(t, "max"),
 		Levels: []prefix.Level{
 			{Hash: prefix.Hash(organisation), Tokens: 2000},
-			{Hash: prefix.Hash(organisation*100 + charter), Tokens: 4000},
-			{Hash: prefix.Hash(organisation*10000 + charter*100 + rapid.IntRange(0, 20).Draw(t, "case")), Tokens: 4500},
+			{Hash: prefix.Hash(organisation*100 + document), Tokens: 4000},
+			{Hash: prefix.Hash(organisation*10000 + document*100 + rapid.IntRange(0, 20).Draw(t, "case")), Tokens: 4500},
 		},
 	}}
 	q.Levels = q.Levels[:rapid.IntRange(0, 3).Draw(t, "levels")]
 	return q
 }
 
-// checkTable compares the table's accounts with its nodes.
+// checkTable compares the table's LRU list and cache shares with its nodes.
 func checkTable(t *rapid.T, table *Table) {
 	shares := map[shareKey]int{}
 	count, last := 0, none
@@ -64,14 +64,14 @@
 		last = n
 		count++
 		for h := node.holders; h != none; h = table.holders[h].next {
-			own := int(table.holders[h].tokens - node.parent)
+			own := int(table.holders[h].tokens - node.parentTokens)
 			if own > 0 {
-				shares[shareKey{node.owner, table.holders[h].slot}] += own
+				shares[shareKey{node.organisation, table.holders[h].slot}] += own
 			}
 		}
 	}
-	if count != len(table.index) || count > table.params.MaxNodes || last != table.oldest {
-		t.Fatalf("%d nodes listed, %d indexed, bound %d", count, len(table.index), table.params.MaxNodes)
+	if count != len(table.index) || count > table.params.MaxLevels || last != table.oldest {
+		t.Fatalf("%d nodes listed, %d indexed, bound %d", count, len(table.index), table.params.MaxLevels)
 	}
 	if len(shares) != len(table.shares) {
 		t.Fatalf("shares %v, want %v", table.shares, shares)
@@ -86,7 +86,7 @@
 func TestRouterUnderChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 6).Draw(t, "endpoints"), Params{
-			MaxNodes:                rapid.IntRange(4, 60).Draw(t, "nodes"),
+			MaxLevels:               rapid.IntRange(4, 60).Draw(t, "nodes"),
 			TransferTokensPerSecond: rapid.SampledFrom([]float64{0, 200000}).Draw(t, "transfer"),
 		})
 		index := rapid.IntRange(0, len(f.endpoints)-1)
@@ -111,19 +111,19 @@
 			"crash": func(t *rapid.T) {
 				i := index.Draw(t, "endpoint")
 				f.endpoints[i].Load.Incarnation += "x"
-				f.forget(i)
+				f.clearCache(i)
 				executor = ""
 			},
 			"restart": func(t *rapid.T) {
 				i := index.Draw(t, "endpoint")
 				f.endpoints[i].Epoch += 100
-				f.forget(i)
+				f.clearCache(i)
 				executor = ""
 			},
 			"gone": func(t *rapid.T) {
 				i := index.Draw(t, "endpoint")
 				f.router.RemoveEndpoint(f.endpoints[i].ID)
-				f.forget(i)
+				f.clearCache(i)
 				executor = ""
 			},
 			"flip": func(t *rapid.T) {
@@ -143,18 +143,18 @@
 	})
 }
 
-// decide checks that the executor can run q and that nothing is predicted of a
-// void engine.
+// decide checks that the executor can run q and that no tokens are predicted at an engine that
+// has lost them.
 func (f *fleet) decide(t *rapid.T, q *Query) string {
 	got := f.router.Decide(f.now, f.rng, q, f.endpoints)
-	usable := usable(q, f.endpoints)
+	runnable := usableEndpoints(q, f.endpoints)
 	if got.Refusal != nil {
-		if len(usable) > 0 {
-			t.Fatalf("refused although %d could run it: %+v", len(usable), got.Refusal)
+		if len(runnable) > 0 {
+			t.Fatalf("refused although %d could run it: %+v", len(runnable), got.Refusal)
 		}
 		return ""
 	}
-	if !slices.Contains(ids(usable), got.Executor) || got.Candidates[0].Endpoint != got.Executor {
+	if !slices.Contains(endpointIDs(runnable), got.Executor) || got.Candidates[0].Endpoint != got.Executor {
 		t.Fatalf("executor %s, candidates %+v", got.Executor, got.Candidates)
 	}
 	if got.PredictedCached > q.PromptTokens {
@@ -163,8 +163,8 @@
 	for _, l := range q.Levels {
 		for i := range f.endpoints {
 			id := f.endpoints[i].ID
-			if id != got.Executor && f.router.Table().Holds(f.now, id, l.Hash) > 0 && !f.held[id][l.Hash] {
-				t.Fatalf("%s is believed to hold a block that its engine never had", id)
+			if id != got.Executor && f.router.Table().CachedTokens(f.now, id, l.Hash) > 0 && !f.held[id][l.Hash] {
+				t.Fatalf("%s is expected to hold a block that its engine never had", id)
 			}
 		}
 		if got.PredictedCached == l.Tokens && !f.held[got.Executor][l.Hash] {
--- a/internal/route/residency.go
+++ b/internal/route/residency.go
@@ -6,8 +6,8 @@
 	"skylarklead/internal/prefix"
 )
 
-// decided notes that the levels will be resident at slot s.
-func (t *Table) decided(now time.Duration, organisation uint64, levels []prefix.Level, s uint16) {
+// recordDecision predicts that the levels will be resident at slot s.
+func (t *Table) recordDecision(now time.Duration, organisation uint64, levels []prefix.Level, s uint16) {
 	t.sweep(now)
 	parent := 0
 	for _, l := range levels {
@@ -17,18 +17,17 @@
 		if h := t.find(n, s); h == nil || !h.confirmed || int(h.tokens) < l.Tokens {
 			t.setHolder(now, n, s, l.Tokens, false)
 		}
-		t.find(n, s).decided = millis(now)
+		t.find(n, s).decidedAt = millis(now)
 	}
 }
 
 func millis(now time.Duration) uint32 { return uint32(now / time.Millisecond) }
 
-// sweepNodes is how many of the oldest nodes one decision looks at.
+// sweepNodes is how many of the oldest nodes one decision examines.
 const sweepNodes = 4
 
-// sweep forgets the oldest nodes that nobody holds any more. Left in place they
-// would count against their organisation's share of caches that no longer hold
-// them.
+// sweep evicts the oldest nodes that have no holder left. Otherwise they would still count
+// against their organisation's share of caches that no longer hold them.
 func (t *Table) sweep(now time.Duration) {
 	for range sweepNodes {
 		n := t.oldest
@@ -43,7 +42,7 @@
 	}
 }
 
-// expire removes the holders of a node that no longer count.
+// expire removes the holders of a node whose TTL has passed.
 func (t *Table) expire(now time.Duration, n int32) {
 	for h := t.nodes[n].holders; h != none; {
 		next := t.holders[h].next
@@ -54,8 +53,8 @@
 	}
 }
 
-// held reports whether any slot holds a node.
-func (t *Table) held(now time.Duration, n int32) bool {
+// isHeld reports whether a node has a live holder.
+func (t *Table) isHeld(now time.Duration, n int32) bool {
 	for h := t.nodes[n].holders; h != none; h = t.holders[h].next {
 		if t.live(now, &t.holders[h]) {
 			return true
@@ -73,8 +72,8 @@
 	return nil
 }
 
-// finished confirms that an engine has just computed or read the levels.
-func (t *Table) finished(now time.Duration, organisation uint64, levels []prefix.Level, s uint16) {
+// confirm records that an engine has just computed the levels or read them from its cache.
+func (t *Table) confirm(now time.Duration, organisation uint64, levels []prefix.Level, s uint16) {
 	parent := 0
 	for _, l := range levels {
 		n := t.touch(organisation, l, parent)
@@ -83,9 +82,9 @@
 	}
 }
 
-// advertised takes an endpoint's word on levels that the table knows. Unknown
-// ones are added too, so that a restarted owner learns what its group holds.
-func (t *Table) advertised(now time.Duration, s uint16, a Advertisement) {
+// applyAdvertisement updates the holders of the advertised levels. Levels not yet in the table
+// are added, so that a restarted owner learns what its group holds.
+func (t *Table) applyAdvertisement(now time.Duration, s uint16, a Advertisement) {
 	if a.Full {
 		for n := t.newest; n != none; n = t.nodes[n].next {
 			t.withdraw(now, n, s)
@@ -105,22 +104,22 @@
 	}
 }
 
-// withdraw takes a slot's word that it doesn't hold a node, unless a request for
-// it was sent there a moment ago: the report is then older than the request,
-// which brings the blocks back. Taking it would send the next request for a new
-// prefix to another engine, which would compute it a second time.
+// withdraw removes a slot from a node's holders after a report that it does not hold it. If a
+// request for the node was sent there within decisionGrace, the report may be older than the
+// request, which brings the blocks back: the holder then stays, unconfirmed. Removing it would
+// send the next request for a new prefix to another engine, which would compute it a second time.
 func (t *Table) withdraw(now time.Duration, n int32, s uint16) {
 	h := t.find(n, s)
 	if h == nil {
 		return
 	}
-	if time.Duration(millis(now)-h.decided)*time.Millisecond < freshDecision && h.decided > 0 {
+	if time.Duration(millis(now)-h.decidedAt)*time.Millisecond < decisionGrace && h.decidedAt > 0 {
 		h.confirmed = false
 		return
 	}
 	t.setHolder(now, n, s, 0, false)
 }
 
-// freshDecision is how long a decision stands against a report to the contrary:
-// the age of a report and the time to compute a prompt.
-const freshDecision = 2500 * time.Millisecond
+// decisionGrace is how long a decision outweighs a report to the contrary: the age of a report
+// plus the time to compute a prompt.
+const decisionGrace = 2500 * time.Millisecond
--- a/internal/route/residents.go
+++ b/internal/route/residents.go
@@ -6,42 +6,43 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// holding is a replica that a level was sent to.
-type holding struct {
-	at time.Duration
-	// read is set once the replica has read it, so that others can fetch it there.
-	read bool
-	// mark is how many tokens the replica had taken in by then.
-	mark float64
+// placementRecord records that a level was sent to a replica.
+type placementRecord struct {
+	recordedAt time.Duration
+	// prefilled is set once the replica has computed the level, so that others can fetch it
+	// there.
+	prefilled bool
+	// addedTokens is the replica's total of added tokens at that time.
+	addedTokens float64
 }
 
 // levelHolders are the replicas that a level was sent to, by ReplicaKey.
-type levelHolders map[uint64]holding
+type levelHolders map[uint64]placementRecord
 
-// residents is which levels are believed to be in which replicas' caches, by what was
-// sent there. Engines drop what was used least lately once their memory is full, so a
-// level stays until the replica has taken in as many tokens as cached parts have room
-// for. A time in its place holds for one load only: the same engine keeps a level for
-// three seconds when it is busy and for thirty when it is not.
-type residents struct {
-	knownFor time.Duration
-	levels   *lru.Cache[uint64, levelHolders]
-	// taken is how many tokens each replica took in, as far as heard.
-	taken map[uint64]float64
-	// emptied is when each replica last lost all that it held.
-	emptied map[uint64]time.Duration
+// prefixResidency estimates which levels are in which replicas' caches, from what was sent there.
+// Engines evict the least recently used blocks once their memory is full, so a level counts as
+// resident until as many tokens have been added to the replica as its cache has room for. A time
+// limit instead would fit one load only: the same engine keeps a level for three seconds when
+// busy and for thirty when not.
+type prefixResidency struct {
+	ttl    time.Duration
+	levels *lru.Cache[uint64, levelHolders]
+	// addedTokens is the known total of tokens added to each replica's cache.
+	addedTokens map[uint64]float64
+	// clearedAt is when each replica last lost its cache.
+	clearedAt map[uint64]time.Duration
 }
 
-func newResidents(known int, knownFor time.Duration) *residents {
+func newPrefixResidency(known int, knownFor time.Duration) *prefixResidency {
 	levels, err := lru.New[uint64, levelHolders](known)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
-	return &residents{knownFor: knownFor, levels: levels, taken: map[uint64]float64{}, emptied: map[uint64]time.Duration{}}
+	return &prefixResidency{ttl: knownFor, levels: levels, addedTokens: map[uint64]float64{}, clearedAt: map[uint64]time.Duration{}}
 }
 
-// holders returns the replicas that each level was sent to.
-func (r *residents) holders(levels []PrefixLevel) []levelHolders {
+// holders returns, for each level, the replicas that it was sent to.
+func (r *prefixResidency) holders(levels []PrefixLevel) []levelHolders {
 	if len(levels) == 0 {
 		return nil
 	}
@@ -52,37 +53,38 @@
 	return list
 }
 
-// stays reports whether a level is believed to be where it was sent still, given the
-// room for cached parts there, in tokens.
-func (r *residents) stays(now time.Duration, replica uint64, h holding, room float64) bool {
-	if now-h.at > r.knownFor {
+// resident reports whether a level sent to a replica is expected to be still in its cache.
+// capacity is the number of tokens that cached prefixes may take there.
+func (r *prefixResidency) resident(now time.Duration, replica uint64, placed placementRecord, capacity float64) bool {
+	if now-placed.recordedAt > r.ttl {
 		return false
 	}
-	if emptied, ok := r.emptied[replica]; ok && h.at <= emptied {
+	if cleared, ok := r.clearedAt[replica]; ok && placed.recordedAt <= cleared {
 		return false
 	}
-	return r.taken[replica]-h.mark < room
+	return r.addedTokens[replica]-placed.addedTokens < capacity
 }
 
-// took counts tokens that a replica has taken in.
-func (r *residents) took(replica uint64, tokens float64) { r.taken[replica] += tokens }
+// addTokens counts tokens added to a replica's cache.
+func (r *prefixResidency) addTokens(replica uint64, tokens float64) { r.addedTokens[replica] += tokens }
 
-func (r *residents) hold(level, replica uint64, read bool, now time.Duration) {
-	holders, ok := r.levels.Get(level)
+func (r *prefixResidency) record(level, replica uint64, prefilled bool, now time.Duration) {
+	replicas, ok := r.levels.Get(level)
 	if !ok {
-		holders = make(levelHolders, 1)
-		r.levels.Add(level, holders)
+		replicas = make(levelHolders, 1)
+		r.levels.Add(level, replicas)
 	}
-	before := holders[replica]
-	emptied, ok := r.emptied[replica]
-	read = read || before.read && !(ok && before.at <= emptied)
-	holders[replica] = holding{at: now, read: read, mark: r.taken[replica]}
+	previous := replicas[replica]
+	cleared, ok := r.clearedAt[replica]
+	prefilled = prefilled || previous.prefilled && !(ok && previous.recordedAt <= cleared)
+	replicas[replica] = placementRecord{recordedAt: now, prefilled: prefilled, addedTokens: r.addedTokens[replica]}
 }
 
-func (r *residents) empty(replica uint64, now time.Duration) { r.emptied[replica] = now }
+func (r *prefixResidency) clear(replica uint64, now time.Duration) { r.clearedAt[replica] = now }
 
-// gone forgets a replica that doesn't come back: what it held is never asked for.
-func (r *residents) gone(replica uint64) {
-	delete(r.taken, replica)
-	delete(r.emptied, replica)
+// removeReplica drops the state of a replica that will not return. Its placement records can
+// stay, since nobody asks for that replica again.
+func (r *prefixResidency) removeReplica(replica uint64) {
+	delete(r.addedTokens, replica)
+	delete(r.clearedAt, replica)
 }
--- a/internal/route/router.go
+++ b/internal/route/router.go
@@ -9,56 +9,56 @@
 
 // Router decides for the prefixes that its process owns.
 type Router struct {
-	params  Params
-	table   *Table
-	scratch []candidate
-	cached  []int32 // by slot, tokens of this query
-	key     int32   // the node that binds this query, or none
-	flights flights
-	// output is the mean expected output of the group's requests in tokens,
-	// outputShare the mean of output over the most allowed; 0 is not known.
+	params       Params
+	table        *Table
+	candidates   []candidate
+	cachedBySlot []int32 // by slot, cached tokens of the current query's prompt
+	boundNode    int32   // node whose holder set binds the current query, or none
+	serviceLoads serviceLoads
+	// output is the mean expected output of the group's requests in tokens, outputShare the mean
+	// ratio of output to the maximum allowed; 0 if not known yet.
 	output      float64
 	outputShare float64
 }
 
-// NewRouter returns a Router that knows nothing yet.
+// NewRouter returns a Router with an empty table.
 func NewRouter(p Params) *Router {
 	r := &Router{params: p.withDefaults()}
 	r.table = newTable(&r.params)
-	r.flights = make(flights)
+	r.serviceLoads = make(serviceLoads)
 	return r
 }
 
 // Table returns the router's table, for explanations and tests.
 func (r *Router) Table() *Table { return r.table }
 
-// RequestFinished takes the engine's own account of a request: what it had cached, and
-// that it now holds the whole prompt.
+// RequestFinished records that the engine now holds the whole prompt of a request that it has
+// run. An outcome of another epoch of the endpoint is ignored.
 func (r *Router) RequestFinished(now time.Duration, f Outcome) {
 	s, ok := r.table.bySlot[f.Endpoint]
 	if !ok || r.table.slots[s].epoch != f.Epoch || !f.Ran {
 		return
 	}
-	r.table.finished(now, OrganisationHash(f.Organisation), f.Levels, s)
+	r.table.confirm(now, OrganisationHash(f.Organisation), f.Levels, s)
 }
 
-// ApplyAdvertisement takes an endpoint's word on what its engine holds.
+// ApplyAdvertisement updates the table with what an endpoint reports as resident.
 func (r *Router) ApplyAdvertisement(now time.Duration, a Advertisement) {
 	s := r.table.slotOf(a.Endpoint)
 	r.table.identify(s, a.Epoch, a.Incarnation, a.Version)
-	r.table.advertised(now, s, a)
+	r.table.applyAdvertisement(now, s, a)
 }
 
-// RemoveEndpoint forgets an endpoint.
+// RemoveEndpoint drops all state of an endpoint.
 func (r *Router) RemoveEndpoint(endpoint string) {
 	if s, ok := r.table.bySlot[endpoint]; ok {
-		r.flights.dropSlot(s)
+		r.serviceLoads.dropSlot(s)
 	}
-	r.table.gone(endpoint)
+	r.table.removeEndpoint(endpoint)
 }
 
-// learnOutput takes the mean expected output, and its share of the most allowed,
-// from a load summary.
+// learnOutput updates the mean expected output, and its ratio to the maximum allowed, from a load
+// summary.
 func (r *Router) learnOutput(l *protocol.Load) {
 	if l.OutputShare > 0 {
 		learn(&r.outputShare, l.OutputShare)
@@ -72,13 +72,13 @@
 	if *value == 0 {
 		*value = newest
 	}
-	*value += outputMemory * (newest - *value)
+	*value += outputLearningRate * (newest - *value)
 }
 
-// outputMemory is the share of the newest load summary in what is learnt.
-const outputMemory = 0.02
+// outputLearningRate is the weight of the newest load summary in the running means.
+const outputLearningRate = 0.02
 
-// expectedOutput is how many tokens q will probably generate.
+// expectedOutput estimates how many tokens q will generate.
 func (r *Router) expectedOutput(q *Query) float64 {
 	share := r.outputShare
 	if share == 0 {
@@ -87,53 +87,53 @@
 	return share * float64(q.MaxTokens)
 }
 
-// defaultOutputShare is used until an endpoint has told one.
+// defaultOutputShare is used until a load summary has reported a ratio.
 const defaultOutputShare = 0.5
 
-// flight is an organisation's requests in service at one endpoint, decaying with
-// their mean service time.
-type flight struct {
-	requests float64
-	service  float64 // ms
-	at       time.Duration
+// serviceLoad is an estimate of the requests that an organisation has in service at one endpoint.
+// It decays with their mean service time.
+type serviceLoad struct {
+	requests  float64
+	serviceMs float64
+	at        time.Duration
 }
 
-// flights are by organisation and slot.
-type flights map[shareKey]flight
+// serviceLoads is keyed by organisation and slot.
+type serviceLoads map[shareKey]serviceLoad
 
-// maxFlights bounds the map; beyond it those that have ended are forgotten.
-const maxFlights = 8192
+// maxServiceLoads bounds the map; beyond it entries that have decayed away are removed.
+const maxServiceLoads = 8192
 
-func (f flights) read(now time.Duration, k shareKey) float64 {
-	v, ok := f[k]
+func (l serviceLoads) estimate(now time.Duration, k shareKey) float64 {
+	load, ok := l[k]
 	if !ok {
 		return 0
 	}
-	return v.requests * math.Exp(-ms(max(0, now-v.at))/v.service)
+	return load.requests * math.Exp(-ms(max(0, now-load.at))/load.serviceMs)
 }
 
-func (f flights) add(now time.Duration, k shareKey, service float64) {
-	if len(f) >= maxFlights {
-		f.sweep(now)
+func (l serviceLoads) add(now time.Duration, k shareKey, serviceMs float64) {
+	if len(l) >= maxServiceLoads {
+		l.sweep(now)
 	}
-	f[k] = flight{f.read(now, k) + 1, max(1, service), now}
+	l[k] = serviceLoad{l.estimate(now, k) + 1, max(1, serviceMs), now}
 }
 
-func (f flights) sweep(now time.Duration) {
-	for k := range f {
-		if f.read(now, k) < endedFlight {
-			delete(f, k)
+func (l serviceLoads) sweep(now time.Duration) {
+	for k := range l {
+		if l.estimate(now, k) < minServiceLoad {
+			delete(l, k)
 		}
 	}
 }
 
-// endedFlight is the expected number of requests below which none is left.
-const endedFlight = 0.05
+// minServiceLoad is the expected number of requests below which an entry is removed.
+const minServiceLoad = 0.05
 
-func (f flights) dropSlot(s uint16) {
-	for k := range f {
+func (l serviceLoads) dropSlot(s uint16) {
+	for k := range l {
 		if k.slot == s {
-			delete(f, k)
+			delete(l, k)
 		}
 	}
 }
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -8,119 +8,117 @@
 	"skylarklead/internal/protocol"
 )
 
-// score sets the expected milliseconds to first token at each candidate, with
-// what the placement costs others.
+// score sets the cost of each candidate: the expected milliseconds to the first token, plus what
+// the placement costs other requests.
 func (r *Router) score(now time.Duration, q *Query, endpoints []Endpoint) {
-	owner := OrganisationHash(q.Organisation)
-	for i := range r.scratch {
-		c := &r.scratch[i]
+	organisation := OrganisationHash(q.Organisation)
+	for i := range r.candidates {
+		c := &r.candidates[i]
 		if c.excluded == "" {
-			r.scoreOne(now, q, owner, c, &endpoints[c.endpoint])
+			r.scoreOne(now, q, organisation, c, &endpoints[c.endpoint])
 		}
 	}
 }
 
-func (r *Router) scoreOne(now time.Duration, q *Query, owner uint64, c *candidate, e *Endpoint) {
+func (r *Router) scoreOne(now time.Duration, q *Query, organisation uint64, c *candidate, e *Endpoint) {
 	p := &r.params
-	k := shareKey{owner, c.slot}
-	uncached := float64(q.PromptTokens - c.cached)
-	c.wait = r.wait(now, q, k, e)
-	c.copying = uncached * (r.prefillMs() + r.evictionPrice(now, k, e))
-	c.score = c.wait + c.copying
+	k := shareKey{organisation, c.slot}
+	uncached := float64(q.PromptTokens - c.cachedTokens)
+	c.waitMs = r.wait(now, q, k, e)
+	c.copyCostMs = uncached * (r.prefillMs() + r.evictionPrice(now, k, e))
+	c.score = c.waitMs + c.copyCostMs
 	if q.FailureDomain != "" && e.FailureDomain != q.FailureDomain {
-		c.score += 2 * ms(p.CrossingCost)
+		c.score += 2 * ms(p.CrossDomainDelay)
 	}
-	held := r.table.shares[k]
-	c.full = !c.holder && float64(held)+uncached > p.MaxShare*r.cacheTokens(e)
+	shareTokens := r.table.shares[k]
+	c.overShare = !c.isHolder && float64(shareTokens)+uncached > p.MaxShare*r.cacheTokens(e)
 }
 
-// prefillMs is the engine time of computing one prompt token.
+// prefillMs is the engine time to compute one prompt token.
 func (r *Router) prefillMs() float64 { return 1000 / r.params.PrefillTokensPerSecond }
 
-// wait estimates the milliseconds until a place is free and the prefill before
-// it is done. Below the number of places it is a small cost that rises with the
-// places taken: others' work that this process doesn't know of may take the rest.
+// wait estimates the milliseconds until a running slot is free and the prefill ahead is done.
+// While there are free slots it is a small cost that rises with the slots taken, since other
+// owners may have sent requests that are not reported yet.
 func (r *Router) wait(now time.Duration, q *Query, k shareKey, e *Endpoint) float64 {
-	places, service := r.params.openPlaces(), r.meanServiceMs(q)
+	capacity, serviceMs := r.params.openCapacity(), r.meanServiceMs(q)
 	o := &r.table.slots[k.slot].occupancy
 	if e.HasLoad {
-		o.report(now, now-e.LoadAge, r.reported(&e.Load), places, service)
+		o.report(now, now-e.LoadAge, r.reportedWork(&e.Load), capacity, serviceMs)
 	}
-	o.advance(now, places, service)
-	turn := service / places
-	use := min(1, o.value.requests/places)
-	rising := turn * use * use * use
-	if r.light(now, k, e) {
-		return rising + lightPrefill(o.value, e) + turn*max(0, min(1, o.value.requests+1-places))
+	o.advance(now, capacity, serviceMs)
+	releaseInterval := serviceMs / capacity
+	utilisation := min(1, o.estimate.requests/capacity)
+	contention := releaseInterval * utilisation * utilisation * utilisation
+	if r.isLight(now, k, e) {
+		return contention + lightPrefill(o.estimate, e) + releaseInterval*max(0, min(1, o.estimate.requests+1-capacity))
 	}
-	return rising + o.value.prefill + turn*max(0, o.value.requests+1-places)
+	return contention + o.estimate.prefillMs + releaseInterval*max(0, o.estimate.requests+1-capacity)
 }
 
-// lightPrefill is the prefill before a request of an organisation that uses little.
-// Engines compute prompts one after another and let it pass those of heavy
-// organisations only. Taken for a share of the backlog where nobody is heavy, as
-// after a crash, when everybody's prompts are computed anew, a holder with half a
-// second of prompts before it looks better than an idle engine that needs a tenth
-// of one to compute the prefix: all that it binds queues there.
+// lightPrefill is the prefill ahead of a request of an organisation with little load. Engines
+// compute prompts one after another and let such a request overtake only those of heavy
+// organisations. After a crash everybody's prompts are recomputed and no organisation is heavy:
+// the whole backlog then counts. If only a share of it counted, a holder with half a second of
+// prompts ahead would look better than an idle engine that needs a tenth of a second to compute
+// the prefix, and all requests bound to that prefix would queue there.
 func lightPrefill(v amount, e *Endpoint) float64 {
 	if len(e.Load.Heavy) == 0 {
-		return v.prefill
+		return v.prefillMs
 	}
-	return v.prefill / max(1, v.requests)
+	return v.prefillMs / max(1, v.requests)
 }
 
-// reported is the work of a load summary, in requests of mean output.
-func (r *Router) reported(l *protocol.Load) amount {
+// reported is the work in a load summary, in requests of mean output.
+func (r *Router) reportedWork(l *protocol.Load) amount {
 	requests := float64(l.Running + l.Queued)
 	if r.output > 0 {
 		requests = float64(l.DecodeTokens) / r.output
 	}
-	return amount{requests: requests, prefill: float64(l.QueuedTokens) * r.prefillMs()}
+	return amount{requests: requests, prefillMs: float64(l.QueuedTokens) * r.prefillMs()}
 }
 
-// openPlaces is how many places are not reserved for organisations that use
-// little.
-func (p *Params) openPlaces() float64 {
+// openCapacity is the number of running slots not reserved for organisations with little load.
+func (p *Params) openCapacity() float64 {
 	return max(1, math.Floor(float64(p.MaxRunning)*(1-p.SmallReserve)))
 }
 
-// serviceMs is how long q will take a place.
+// serviceMs is how long q is expected to occupy a running slot.
 func (r *Router) serviceMs(q *Query) float64 {
-	return max(minService, r.expectedOutput(q)*ms(r.params.DecodeTokenTime))
+	return max(minServiceMs, r.expectedOutput(q)*ms(r.params.DecodeTokenTime))
 }
 
-// meanServiceMs is the mean over the group's requests, of q if there is none.
+// meanServiceMs is the mean service time of the group's requests, or that of q if it isn't known.
 func (r *Router) meanServiceMs(q *Query) float64 {
 	if r.output == 0 {
 		return r.serviceMs(q)
 	}
-	return max(minService, r.output*ms(r.params.DecodeTokenTime))
+	return max(minServiceMs, r.output*ms(r.params.DecodeTokenTime))
 }
 
-// light reports whether an organisation waits for a place at most: it takes a
-// reserved one or the next that is free, and its prompts are computed first. It
-// does unless the endpoint has told that it has more than its share there, or has
-// half of the places by what was sent since. Without this a small organisation
-// would be sent away from the holder of its prefix by a backlog that it never has
-// to wait for.
-func (r *Router) light(now time.Duration, k shareKey, e *Endpoint) bool {
-	if slices.Contains(e.Load.Heavy, k.owner) {
+// isLight reports whether an organisation waits at most for one running slot: it gets a reserved
+// slot or the next free one, and its prompts are computed first. That holds unless the endpoint
+// reports it as heavy, or the requests that this owner sent there for it are estimated to take half
+// of the slots. Without this case, a backlog that a small organisation never has to wait for would
+// move its requests away from the holder of their prefix.
+func (r *Router) isLight(now time.Duration, k shareKey, e *Endpoint) bool {
+	if slices.Contains(e.Load.Heavy, k.organisation) {
 		return false
 	}
-	return r.flights.read(now, k) < float64(r.params.MaxRunning)/2
+	return r.serviceLoads.estimate(now, k) < float64(r.params.MaxRunning)/2
 }
 
-// evictionPrice is the harm, in milliseconds for each token stored, of evicting
-// what the engine holds: the prefill that an evicted token would have saved
-// within the horizon, weighted by how full the cache is. It rises with the share
-// of the cache that the organisation already has, so that a hot one's cases stay
-// where they are and don't fill every cache that holds its charters.
+// evictionPrice is the cost of evicting cached blocks, in milliseconds for each token stored: the
+// prefill that an evicted token would have saved within CacheHorizon, weighted by how full the
+// cache is. It rises with the share of the cache that the organisation already has, so that a
+// busy organisation's requests stay where they are cached and don't fill every cache that holds
+// its prefixes.
 func (r *Router) evictionPrice(now time.Duration, k shareKey, e *Endpoint) float64 {
 	p := &r.params
 	pressure := 1.0
 	if e.Load.CacheTotal > 0 {
 		used := float64(e.Load.CacheUsed) / float64(e.Load.CacheTotal)
-		pressure = min(1, max(0, (used-freeCache)/(1-freeCache)))
+		pressure = min(1, max(0, (used-evictionThreshold)/(1-evictionThreshold)))
 	}
 	if pressure == 0 {
 		return 0
@@ -128,18 +126,18 @@
 	total := r.cacheTokens(e)
 	rate := r.table.slots[k.slot].served.rate(now, p.HeatHalfLife)
 	hits := min(1, rate/total*p.CacheHorizon.Seconds())
-	share := float64(r.table.shares[k]) / (p.MaxShare * total)
-	return pressure * (hits + crowding*max(0, share-0.5)) * r.prefillMs()
+	shareUsed := float64(r.table.shares[k]) / (p.MaxShare * total)
+	return pressure * (hits + crowdingSlope*max(0, shareUsed-0.5)) * r.prefillMs()
 }
 
-// crowding is how steeply the price rises with the share beyond half of what is
-// allowed: at the whole of it a token costs twice more than its prefill.
-const crowding = 4
+// crowdingSlope is how steeply the price rises with the share beyond half of MaxShare: at
+// MaxShare it adds twice the token's prefill.
+const crowdingSlope = 4
 
-// freeCache is the used share below which storing evicts nothing.
-const freeCache = 0.8
+// evictionThreshold is the used fraction of a cache below which storing evicts nothing.
+const evictionThreshold = 0.8
 
-// cacheTokens is the size of an endpoint's cache.
+// cacheTokens is the size of an endpoint's cache in tokens.
 func (r *Router) cacheTokens(e *Endpoint) float64 {
 	if e.Load.CacheTotal > 0 {
 		return float64(e.Load.CacheTotal)
@@ -147,8 +145,8 @@
 	return float64(r.params.CacheTokens)
 }
 
-// engineMs is a request's engine time in milliseconds, uncached prompt tokens
-// and expected output together.
+// engineMs is a request's engine time in milliseconds: prefill of the uncached prompt tokens and
+// decode of the expected output.
 func (r *Router) engineMs(q *Query, cached int) float64 {
 	return float64(q.PromptTokens-cached)*r.prefillMs() + r.expectedOutput(q)*ms(r.params.DecodeTokenTime)
 }
--- a/internal/route/score_test.go
+++ b/internal/route/score_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// scored returns what the router thinks of the first endpoint for a new charter.
+// scored returns the first endpoint's candidate for a query with a new prefix.
 func scored(r *Router, now time.Duration, endpoints []Endpoint) candidate {
 	q := query(50)
 	r.filter(q, endpoints)
 	r.findCached(now, q)
 	r.score(now, q, endpoints)
-	return r.scratch[0]
+	return r.candidates[0]
 }
 
 func TestScoreRisesWith(t *testing.T) {
@@ -22,21 +22,21 @@
 		change func(r *Router, e *Endpoint)
 		part   func(candidate) float64
 	}{
-		{"places taken", func(_ *Router, e *Endpoint) { e.Load.Running = 12 },
-			func(c candidate) float64 { return c.wait }},
+		{"running slots taken", func(_ *Router, e *Endpoint) { e.Load.Running = 12 },
+			func(c candidate) float64 { return c.waitMs }},
 		{"a backlog, if the organisation is heavy there", func(_ *Router, e *Endpoint) {
 			e.Load.Queued = 100
 			e.Load.Heavy = []uint64{huon}
-		}, func(c candidate) float64 { return c.wait - 500 }},
+		}, func(c candidate) float64 { return c.waitMs - 500 }},
 		{"prompts to be computed", func(_ *Router, e *Endpoint) { e.Load.QueuedTokens = 2000 },
-			func(c candidate) float64 { return c.wait }},
-		{"what is served from that cache", func(r *Router, _ *Endpoint) {
+			func(c candidate) float64 { return c.waitMs }},
+		{"tokens served from that cache", func(r *Router, _ *Endpoint) {
 			r.table.slots[0].served.add(now, r.params.HeatHalfLife, 1e6)
-		}, func(c candidate) float64 { return c.copying }},
+		}, func(c candidate) float64 { return c.copyCostMs }},
 		{"the organisation's share of that cache", func(r *Router, _ *Endpoint) {
 			r.table.shares[shareKey{huon, 0}] = int(0.9 * r.params.MaxShare * float64(r.params.CacheTokens))
-		}, func(c candidate) float64 { return c.copying }},
-		{"the crossing", func(_ *Router, e *Endpoint) { e.FailureDomain = "kingston-b" },
+		}, func(c candidate) float64 { return c.copyCostMs }},
+		{"crossing failure domains", func(_ *Router, e *Endpoint) { e.FailureDomain = "kingston-b" },
 			func(c candidate) float64 { return c.score }},
 	}
 	for _, tt := range tests {
@@ -50,8 +50,8 @@
 			r.filter(q, endpoints)
 			r.findCached(now, q)
 			r.score(now, q, endpoints)
-			if got, was := tt.part(r.scratch[0]), tt.part(calm); got <= was || got <= 0 {
-				t.Errorf("%.1f, %.1f without", got, was)
+			if got, was := tt.part(r.candidates[0]), tt.part(calm); got <= was || got <= 0 {
+				t.Errorf("%.1f, want more than the %.1f without", got, was)
 			}
 		})
 	}
@@ -59,18 +59,17 @@
 
 func TestOverItsShareIsFull(t *testing.T) {
 	r, endpoints := NewRouter(Params{}), group(1)
-	if scored(r, 0, endpoints).full {
-		t.Fatal("full with nothing there")
+	if scored(r, 0, endpoints).overShare {
+		t.Fatal("over its share with nothing cached")
 	}
 	r.table.shares[shareKey{OrganisationHash("huon"), 0}] = int(DefaultMaxShare * DefaultCacheTokens)
-	if !scored(r, 0, endpoints).full {
-		t.Error("not full at its share")
+	if !scored(r, 0, endpoints).overShare {
+		t.Error("not over its share with the share used up")
 	}
 }
 
-// Symptom: after a prefix has cooled its copies all stay in use.
-// Sequence: it is held by more endpoints than it is to have.
-// Cause: every holder goes on being chosen.
+// Guards against copies of a prefix that all stay in use after it has cooled: more endpoints hold
+// it than it needs, and every holder is still chosen.
 func TestSpareHoldersAreLeftOut(t *testing.T) {
 	r, rng, endpoints := NewRouter(Params{}), newRand(), group(8)
 	q := query(1)
@@ -92,17 +91,16 @@
 	o.report(time.Second, time.Second, amount{requests: 4}, 16, 1e6)
 	o.add(time.Second, amount{requests: 1})
 	o.report(time.Second+time.Millisecond, time.Second, amount{requests: 4}, 16, 1e6)
-	if o.value.requests < 4.9 {
-		t.Errorf("%.1f requests, the decision since the report is forgotten", o.value.requests)
+	if o.estimate.requests < 4.9 {
+		t.Errorf("%.1f requests: the decision since the report was lost", o.estimate.requests)
 	}
 }
 
-// Symptom: after a crash one endpoint computes prompts for half a second while
-// others are idle, and the tail of the first token is at the end of its queue.
-// Sequence: what the crashed engine held is placed at one endpoint; all that is
-// bound to it follows before it is computed.
-// Cause: an organisation within its share counts a share of the prompts before its
-// own as its wait, though it passes those of heavy organisations only.
+// Guards against one endpoint that computes prompts for half a second after a crash while others
+// are idle, with the slowest first tokens at the end of its queue: the lost prefix is placed at
+// one endpoint, and all requests bound to it follow before it is computed. An organisation within
+// its share must not count only a share of the prompts ahead as its wait, since it overtakes only
+// those of heavy organisations.
 func TestLightOrganisationWaitsForTheOthersLikeIt(t *testing.T) {
 	const other = 7
 	tests := []struct {
@@ -122,7 +120,7 @@
 			l.Running, l.DecodeTokens, l.QueuedTokens, l.Heavy = 8, 800, 10000, tt.heavy
 			got := r.Decide(2*time.Second, rng, q, endpoints)
 			if got.Executor != tt.want {
-				t.Errorf("%s for %q, want %s", got.Executor, got.Reason, tt.want)
+				t.Errorf("executor %s for reason %q, want %s", got.Executor, got.Reason, tt.want)
 			}
 		})
 	}
--- a/internal/route/storedelay.go
+++ b/internal/route/storedelay.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// storeDelays is by how much requests lately began later for fetching from each store of
-// kept cache.
+// storeDelays tracks by how much fetches from each KV store have recently delayed requests.
 //
-// A store sends one prefix after the other. Near its limit, a burst leaves a queue that
-// never drains: each fetch waits for a second or two, the callers come late, and all keep
-// asking. It is seen as requests with a store as source that begin after 900 ms where those
-// with a replica do after 140, for as long as the load lasts; engines read the same in 40
-// to 60. So as many requests as keep the delay bearable fetch, the others read.
+// A store sends one prefix after another. Near its limit, a burst leaves a queue that never
+// drains: each fetch waits for a second or two, requests are late, and all keep asking. Requests
+// that fetch from a store then start after 900 ms, those that fetch from a replica after 140, for
+// as long as the load lasts; engines prefill the same prefix in 40 to 60. So only as many requests
+// fetch as keep the delay bearable; the others prefill.
 type storeDelays struct {
-	known map[string]*storeDelay
+	byStore map[string]*storeDelay
 }
 
 type storeDelay struct {
@@ -24,38 +23,38 @@
 }
 
 const (
-	// storeLearning is the weight of the latest fetch, storeHalfLife how fast a delay is
-	// forgotten: a store that nobody asks drains its queue within the two seconds that a
+	// storeLearningRate is the weight of the latest fetch. storeDelayHalfLife is how fast a delay
+	// is forgotten: a store without new requests drains its queue within the two seconds that a
 	// fetch may wait.
-	storeLearning = 0.2
-	storeHalfLife = time.Second
+	storeLearningRate  = 0.2
+	storeDelayHalfLife = time.Second
 )
 
-// fetched takes by how much a request began later than its reading explains, in
-// milliseconds.
-func (s *storeDelays) fetched(store string, ms float64, now time.Duration) {
-	d := s.known[store]
+// observe records a request that fetched from a store and started delayMs later than its own
+// prefill explains.
+func (s *storeDelays) observe(store string, delayMs float64, now time.Duration) {
+	d := s.byStore[store]
 	if d == nil {
 		d = &storeDelay{}
-		s.known[store] = d
+		s.byStore[store] = d
 	}
 	before := s.delay(store, now)
-	d.ms, d.at = before+storeLearning*(max(0, ms)-before), now
+	d.ms, d.at = before+storeLearningRate*(max(0, delayMs)-before), now
 }
 
-// delay is what a fetch is expected to take, in milliseconds.
+// delay is the expected extra delay of a fetch, in milliseconds.
 func (s *storeDelays) delay(store string, now time.Duration) float64 {
-	d := s.known[store]
+	d := s.byStore[store]
 	if d == nil {
 		return 0
 	}
-	return d.ms * math.Exp2(-float64(now-d.at)/float64(storeHalfLife))
+	return d.ms * math.Exp2(-float64(now-d.at)/float64(storeDelayHalfLife))
 }
 
-// bears draws whether a request may fetch from a store where a delay of most milliseconds
-// is bearable, 0 for any. Of those that ask, the part is let through that brings the
-// delay back to it.
-func (s *storeDelays) bears(store string, most float64, now time.Duration, rng *rand.Rand) bool {
+// allowFetch decides at random whether a request may fetch from a store if a delay of maxDelayMs
+// is acceptable, 0 for any. It lets through the fraction of requests that brings the delay back
+// to that bound.
+func (s *storeDelays) allowFetch(store string, maxDelayMs float64, now time.Duration, rng *rand.Rand) bool {
 	delay := s.delay(store, now)
-	return most <= 0 || delay <= most || rng.Float64() < most/delay
+	return maxDelayMs <= 0 || delay <= maxDelayMs || rng.Float64() < maxDelayMs/delay
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -11,46 +11,46 @@
 
 const none int32 = -1
 
-// node is one level that the table knows. Nodes form an LRU list.
+// node is a known level. The nodes form an LRU list.
 type node struct {
-	hash    prefix.Hash
-	owner   uint64 // hash of the organisation, for its share of a cache
-	tokens  int32
-	parent  int32 // tokens of the level it is nested in
-	holders int32 // first holder
-	prev    int32
-	next    int32
+	hash         prefix.Hash
+	organisation uint64 // hash of the organisation, for its share of a cache; 0 if not known
+	tokens       int32
+	parentTokens int32 // length of the level that it is nested in
+	holders      int32 // index of the first holder, or none
+	prev         int32
+	next         int32
 }
 
-// holder says that the engine of a slot holds tokens of a node in a row.
+// holder records that the engine of a slot holds the first tokens of a node.
 type holder struct {
-	at        uint32 // milliseconds, when confirmed or predicted
-	decided   uint32 // milliseconds, when a request was last sent there
-	tokens    int32
-	next      int32
-	slot      uint16
-	confirmed bool
+	recordedAt uint32 // milliseconds, when confirmed or predicted
+	decidedAt  uint32 // milliseconds, when a request was last sent there; 0 for never
+	tokens     int32
+	next       int32
+	slot       uint16
+	confirmed  bool
 }
 
-// slot is one endpoint that the table knows.
+// slot is the state of one endpoint. Its index in Table.slots identifies it.
 type slot struct {
 	id          string
 	epoch       protocol.Epoch
 	incarnation string
 	version     string
-	known       bool
+	identified  bool
 	occupancy   occupancy
-	served      meter // tokens served from its cache
+	served      decayedSum // prompt tokens served from its cache
 }
 
-// shareKey names an organisation's share of one slot's cache.
+// shareKey identifies an organisation's share of one slot's cache.
 type shareKey struct {
-	owner uint64
-	slot  uint16
+	organisation uint64
+	slot         uint16
 }
 
-// Table is which endpoint holds which level, as its owner has learnt it. It
-// forgets the least recently used levels beyond its bound.
+// Table records which endpoint holds which level. Beyond its bound the least recently used levels
+// are evicted.
 type Table struct {
 	index   map[prefix.Hash]int32
 	nodes   []node
@@ -81,11 +81,11 @@
 	}
 }
 
-// Len returns the number of levels known.
+// Len returns the number of levels in the table.
 func (t *Table) Len() int { return len(t.index) }
 
-// Holds returns how many tokens of a level the endpoint is believed to hold.
-func (t *Table) Holds(now time.Duration, endpoint string, hash prefix.Hash) int {
+// CachedTokens returns how many tokens of a level the endpoint is expected to hold.
+func (t *Table) CachedTokens(now time.Duration, endpoint string, hash prefix.Hash) int {
 	s, known := t.bySlot[endpoint]
 	n, found := t.index[hash]
 	if !known || !found {
@@ -99,17 +99,17 @@
 	return 0
 }
 
-// live reports whether a holder still counts at now.
+// live reports whether a holder has not expired at now.
 func (t *Table) live(now time.Duration, h *holder) bool {
-	life := t.params.PredictionLife
+	life := t.params.PredictionTTL
 	if h.confirmed {
-		life = t.params.ConfirmedLife
+		life = t.params.ConfirmedTTL
 	}
-	age := millis(now) - h.at
+	age := millis(now) - h.recordedAt
 	return time.Duration(age)*time.Millisecond <= life
 }
 
-// OrganisationHash names an organisation in load summaries and shares.
+// OrganisationHash returns the key of an organisation in load summaries and cache shares.
 func OrganisationHash(organisation string) uint64 { return xxhash.Sum64String(organisation) }
 
 func (t *Table) slotOf(endpoint string) uint16 {
@@ -131,41 +131,40 @@
 	return s
 }
 
-// identify notes which process and engine answer for an endpoint. Anything
-// learnt from another epoch, engine incarnation or weights version is void: the
-// blocks are gone with the engine, or belong to other weights. Without this a
-// restarted engine would keep attracting its old prefixes and recompute them
-// all, which shows as predicted cached tokens far above the actual ones.
+// identify records the process epoch, engine incarnation and weights version of an endpoint. If
+// any has changed, all state of the slot is dropped: the blocks are gone with the engine, or
+// belong to other weights. Otherwise a restarted engine would keep attracting its former prefixes
+// and recompute them all, which shows as predicted cached tokens far above the actual ones.
 func (t *Table) identify(s uint16, epoch protocol.Epoch, incarnation, version string) {
-	l := &t.slots[s]
-	// What was placed before the first word of an endpoint may have gone to an
-	// engine that has crashed since, and its first word can't tell. The same
+	state := &t.slots[s]
+	// Requests placed before the first report of an endpoint may have gone to an engine that has
+	// crashed since, and the first report can't tell. So it clears the slot too; the same
 	// heartbeat advertises what the engine does hold.
-	firstWord := l.incarnation == "" && incarnation != ""
-	changed := l.known && (l.epoch != epoch || firstWord ||
-		differs(l.incarnation, incarnation) || differs(l.version, version))
+	firstReport := state.incarnation == "" && incarnation != ""
+	changed := state.identified && (state.epoch != epoch || firstReport ||
+		differs(state.incarnation, incarnation) || differs(state.version, version))
 	if changed {
 		t.dropSlot(s)
-		l.occupancy = occupancy{}
-		l.served = meter{}
-		l.incarnation = ""
-		l.version = ""
+		state.occupancy = occupancy{}
+		state.served = decayedSum{}
+		state.incarnation = ""
+		state.version = ""
 	}
-	l.known = true
-	l.epoch = epoch
+	state.identified = true
+	state.epoch = epoch
 	if incarnation != "" {
-		l.incarnation = incarnation
+		state.incarnation = incarnation
 	}
 	if version != "" {
-		l.version = version
+		state.version = version
 	}
 }
 
-// differs reports that two names are known and not the same.
+// differs reports whether both names are known and not equal.
 func differs(a, b string) bool { return a != "" && b != "" && a != b }
 
-// gone forgets an endpoint.
-func (t *Table) gone(endpoint string) {
+// removeEndpoint drops the state of an endpoint and frees its slot.
+func (t *Table) removeEndpoint(endpoint string) {
 	s, ok := t.bySlot[endpoint]
 	if !ok {
 		return
@@ -182,7 +181,7 @@
 	}
 }
 
-// setHolder notes that slot s holds tokens of node n; 0 removes it.
+// setHolder records that slot s holds the first tokens of node n; 0 tokens removes it.
 func (t *Table) setHolder(now time.Duration, n int32, s uint16, tokens int, confirmed bool) {
 	link := &t.nodes[n].holders
 	for *link != none && t.holders[*link].slot != s {
@@ -198,17 +197,17 @@
 		link = &t.nodes[n].holders
 	}
 	h := &t.holders[*link]
-	t.account(n, s, tokens-int(h.tokens), int(h.tokens))
+	t.adjustShare(n, s, tokens-int(h.tokens), int(h.tokens))
 	if tokens == 0 {
-		free := *link
+		freed := *link
 		*link = h.next
 		h.next = t.freeHolder
-		t.freeHolder = free
+		t.freeHolder = freed
 		return
 	}
 	h.tokens = int32(tokens)
 	h.confirmed = confirmed
-	h.at = millis(now)
+	h.recordedAt = millis(now)
 }
 
 func (t *Table) newHolder() int32 {
@@ -220,14 +219,14 @@
 	return int32(len(t.holders) - 1)
 }
 
-// account moves an organisation's share of a slot's cache by a change of delta
-// tokens of a node, of which only what is beyond its parent is its own.
-func (t *Table) account(n int32, s uint16, delta, before int) {
-	own := max(0, before+delta-int(t.nodes[n].parent)) - max(0, before-int(t.nodes[n].parent))
+// adjustShare updates the organisation's share of a slot's cache when the tokens held of a node
+// change by delta from before. Only tokens beyond the parent level count.
+func (t *Table) adjustShare(n int32, s uint16, delta, before int) {
+	own := max(0, before+delta-int(t.nodes[n].parentTokens)) - max(0, before-int(t.nodes[n].parentTokens))
 	if own == 0 {
 		return
 	}
-	k := shareKey{t.nodes[n].owner, s}
+	k := shareKey{t.nodes[n].organisation, s}
 	t.shares[k] += own
 	if t.shares[k] <= 0 {
 		delete(t.shares, k)
