--- a/internal/cachemap/bench_test.go
+++ b/internal/cachemap/bench_test.go
@@ -7,16 +7,16 @@
 	"skylarklead/internal/prefix"
 )
 
-// blockHash spreads hashes as the chain does.
+// blockHash distributes hashes as a chain of block hashes does.
 func blockHash(i int) prefix.Hash { return prefix.Hash(uint64(i+1) * 0x9E3779B97F4A7C15) }
 
-func filled(blocks int) *View {
-	p := New(Params{})
-	p.Connected(1)
+func newFilledView(blocks int) *View {
+	v := New(Params{})
+	v.Connected(1)
 	for i := range blocks {
-		p.Apply(0, stored(uint64(i+1), blockHash(i)))
+		v.Apply(0, stored(uint64(i+1), blockHash(i)))
 	}
-	return p
+	return v
 }
 
 func heapBytes() uint64 {
@@ -28,27 +28,27 @@
 }
 
 func BenchmarkApplyEvent(b *testing.B) {
-	p := filled(23000)
-	seq := p.NextSeq()
+	v := newFilledView(23000)
+	seq := v.NextSeq()
 	hashes := make([]prefix.Hash, 1)
 	kinds := [...]Kind{Removed, Stored}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		hashes[0] = blockHash(i / 2 % 23000)
-		p.Apply(0, Event{Seq: seq, Incarnation: "i1", Weights: "w1", Kind: kinds[i%2], Hashes: hashes})
+		v.Apply(0, Event{Seq: seq, Incarnation: "i1", Weights: "w1", Kind: kinds[i%2], Hashes: hashes})
 		seq++
 	}
 }
 
 func BenchmarkResident(b *testing.B) {
-	p := filled(23000)
+	v := newFilledView(23000)
 	chain := make([]prefix.Hash, 256)
 	for i := range chain {
 		chain[i] = blockHash(i)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Resident(chain)
+		v.Resident(chain)
 	}
 }
 
@@ -57,9 +57,9 @@
 	var bytes uint64
 	for b.Loop() {
 		before := heapBytes()
-		p := filled(blocks)
+		v := newFilledView(blocks)
 		bytes = heapBytes() - before
-		runtime.KeepAlive(p)
+		runtime.KeepAlive(v)
 	}
 	b.ReportMetric(float64(bytes)/blocks, "bytes/block")
 }
--- a/internal/cachemap/doc.go
+++ b/internal/cachemap/doc.go
@@ -1,13 +1,12 @@
-// Package cachemap is the picture that an endpoint process has of its engine's
-// prefix cache, built from the engine's cache events.
+// Package cachemap tracks what an engine's prefix cache holds, as seen by its endpoint process.
+// The view is built from the engine's cache events.
 //
-// Events come late and with gaps. A gap makes all that was confirmed before it
-// doubtful and asks for the events again (picture.go). What no replay can fill
-// ages out unless something confirms it: a later event, or an answer's own count
-// of cached tokens. Entries of another engine incarnation or weights version are
-// void at once. Levels that requests have named are tracked, so that their
-// residency can be advertised to their owners (roots.go).
+// Events arrive late and with gaps. A gap makes all blocks confirmed before it stale, and the
+// missing events are requested again (picture.go). If no replay can bring them, stale blocks
+// expire unless a later event or an answer's count of cached tokens confirms them. Blocks of
+// another engine incarnation or weights version are dropped at once. Levels named by requests are
+// tracked, so that their residency can be advertised to their owners (roots.go).
 //
-// The package is pure: events in, actions out, time passed in. A Picture is not
+// The package does no I/O: events go in, actions come out, and time is passed in. A View is not
 // safe for concurrent use.
 package cachemap
--- a/internal/cachemap/doubt.go
+++ b/internal/cachemap/doubt.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// doubt is a gap in the events: blocks last confirmed before it may be gone.
-type doubt struct {
+// gap is a run of missing events. Blocks last confirmed before it may have been evicted.
+type gap struct {
 	from, last uint64 // the missing sequence numbers
 	before     Revision
-	until      time.Duration
-	// unfillable is set when the engine no longer has the missing events. The
-	// doubt then only ends by ageing out with the blocks that it is on.
+	expiresAt  time.Duration
+	// unfillable is set if the engine no longer has the missing events. The gap then ends only
+	// when it expires, together with the blocks confirmed before it.
 	unfillable bool
 }
 
-// maxDoubts bounds the gaps remembered; beyond it the oldest two become one.
-const maxDoubts = 16
+// maxGaps bounds the gaps remembered; beyond it the oldest two are merged.
+const maxGaps = 16
 
-// doubts are the gaps that nothing has made up for yet, oldest first.
-type doubts struct{ list []doubt }
+// gaps are the gaps not filled by a replay so far, oldest first.
+type gaps struct{ list []gap }
 
-func (d *doubts) cast(n doubt) {
-	for i := range d.list {
-		old := &d.list[i]
-		if old.unfillable || old.from != n.from {
+func (g *gaps) add(added gap) {
+	for i := range g.list {
+		known := &g.list[i]
+		if known.unfillable || known.from != added.from {
 			continue
 		}
-		if n.unfillable {
-			d.list = slices.Delete(d.list, i, i+1)
+		if added.unfillable {
+			g.list = slices.Delete(g.list, i, i+1)
 			break
 		}
-		old.last = max(old.last, n.last)
+		known.last = max(known.last, added.last)
 		return
 	}
-	d.list = append(d.list, n)
-	if len(d.list) > maxDoubts {
-		d.merge()
+	g.list = append(g.list, added)
+	if len(g.list) > maxGaps {
+		g.mergeOldest()
 	}
 }
 
-// merge makes the oldest two doubts one that is on the blocks of both and ages
-// out with the first, so it never keeps a block longer than either would.
-func (d *doubts) merge() {
-	d.list[1].until = min(d.list[0].until, d.list[1].until)
-	d.list[1].unfillable = true
-	d.list = slices.Delete(d.list, 0, 1)
+// mergeOldest merges the oldest two gaps into one that covers the blocks of both and expires with
+// the first of them, so that no block stays longer than with either gap alone.
+func (g *gaps) mergeOldest() {
+	g.list[1].expiresAt = min(g.list[0].expiresAt, g.list[1].expiresAt)
+	g.list[1].unfillable = true
+	g.list = slices.Delete(g.list, 0, 1)
 }
 
-// settle ends the doubts whose events have all come: the replay is the evidence.
-func (d *doubts) settle(next uint64) {
-	d.list = slices.DeleteFunc(d.list, func(x doubt) bool { return !x.unfillable && x.last < next })
+// removeReplayed removes the gaps whose events have all arrived.
+func (g *gaps) removeReplayed(next uint64) {
+	g.list = slices.DeleteFunc(g.list, func(missing gap) bool { return !missing.unfillable && missing.last < next })
 }
 
-// expire ends the doubts that have lasted too long and returns the mark before
-// which their blocks must be dropped, or 0.
-func (d *doubts) expire(now time.Duration) Revision {
-	var bound Revision
-	d.list = slices.DeleteFunc(d.list, func(x doubt) bool {
-		if now < x.until {
+// expire removes the gaps whose time has passed and returns the revision before which blocks must
+// be dropped, or 0.
+func (g *gaps) expire(now time.Duration) Revision {
+	var staleBefore Revision
+	g.list = slices.DeleteFunc(g.list, func(missing gap) bool {
+		if now < missing.expiresAt {
 			return false
 		}
-		bound = max(bound, x.before)
+		staleBefore = max(staleBefore, missing.before)
 		return true
 	})
-	return bound
+	return staleBefore
 }
 
-// bound is the mark before which blocks are in doubt, or 0.
-func (d *doubts) bound() Revision {
-	var bound Revision
-	for _, x := range d.list {
-		bound = max(bound, x.before)
+// staleBefore is the revision before which blocks are stale, or 0.
+func (g *gaps) staleBefore() Revision {
+	var revision Revision
+	for _, missing := range g.list {
+		revision = max(revision, missing.before)
 	}
-	return bound
+	return revision
 }
 
-func (d *doubts) clear() { d.list = d.list[:0] }
+func (g *gaps) clear() { g.list = g.list[:0] }
--- a/internal/cachemap/picture.go
+++ b/internal/cachemap/picture.go
@@ -7,315 +7,317 @@
 	"skylarklead/internal/prefix"
 )
 
-// identity names whose blocks a picture is of.
+// identity identifies the engine process and weights that the blocks belong to.
 type identity struct {
 	incarnation string
 	weights     string
 }
 
-// Revision is a moment in a picture's history.
+// Revision counts the changes of a View; it orders them and the requests to the engine.
 type Revision uint64
 
-// View is what an engine is believed to hold.
+// View is the expected content of an engine's prefix cache.
 type View struct {
 	params Params
-	// blocks has for each resident block when it was last confirmed.
+	// blocks has the resident blocks, each with the revision at which it was last confirmed.
 	blocks map[prefix.Hash]Revision
-	roots  roots
-	doubts doubts
-	stream stream
+	levels levelTracker
+	gaps   gaps
+	stream eventStream
 
 	identity identity
-	// since is when identity was learnt, weightsSeq the event that showed its
-	// weights. With observed set, a load report or an answer showed them, and
-	// before are the weights until then.
-	since      time.Duration
-	weightsSeq uint64
-	observed   bool
-	before     string
-	retired    []string // past incarnations
-
-	clock     Revision
-	voidedAt  Revision
-	removedAt Revision
+	// identifiedAt is when identity became known, weightsSeq the event that showed its weights.
+	// If identityObserved is set, a load report or an answer showed them, and previousWeights are
+	// those before.
+	identifiedAt        time.Duration
+	weightsSeq          uint64
+	identityObserved    bool
+	previousWeights     string
+	retiredIncarnations []string
+
+	// revision is the current one, resetRevision that of the last reset, removedRevision that of the
+	// last change that may have removed blocks.
+	revision        Revision
+	resetRevision   Revision
+	removedRevision Revision
 }
 
-// maxRetired bounds the incarnations remembered as past.
+// maxRetired bounds the past incarnations remembered.
 const maxRetired = 8
 
-// New returns an empty Picture.
+// New returns an empty View.
 func New(p Params) *View {
 	p = p.withDefaults()
 	return &View{
 		params: p,
 		blocks: make(map[prefix.Hash]Revision),
-		roots:  newRoots(p.MaxLevels),
-		stream: stream{next: 1},
+		levels: newLevelTracker(p.MaxLevels),
+		stream: eventStream{next: 1},
 	}
 }
 
-// NextSeq is the sequence number to open the event stream from.
-func (p *View) NextSeq() uint64 { return p.stream.next }
+// NextSeq is the sequence number from which to open the event stream.
+func (v *View) NextSeq() uint64 { return v.stream.next }
 
-// Connected notes that the event stream was opened at from: Next, or a Resync's
-// From. The first event that follows is the first that the engine still has.
-func (p *View) Connected(from uint64) { p.stream.connect(from) }
+// Connected records that the event stream was opened at from, which is NextSeq or a Resync's
+// From. The next event is the first one from there that the engine still has.
+func (v *View) Connected(from uint64) { v.stream.connect(from) }
 
-// Apply takes one event of the stream.
-func (p *View) Apply(now time.Duration, e Event) []Action {
-	past, ok := p.identify(now, e)
-	if !ok {
+// Apply applies one event of the stream.
+func (v *View) Apply(now time.Duration, e Event) []Action {
+	pastWeights, live := v.identify(now, e)
+	if !live {
 		return nil
 	}
-	p.Tick(now)
-	step := p.stream.take(e.Seq)
+	v.Tick(now)
+	step := v.stream.classify(e.Seq)
 	switch step.kind {
 	case stepDuplicate:
 		return nil
 	case stepGap:
-		return p.gap(now, e, step)
+		return v.handleGap(now, e, step)
 	case stepSkip:
-		p.cast(now, doubt{from: step.from, last: step.last, unfillable: true})
+		v.recordGap(now, gap{from: step.from, last: step.last, unfillable: true})
 	}
-	p.clock++
-	if !past {
-		p.change(e)
+	v.revision++
+	if !pastWeights {
+		v.change(e)
 	}
-	p.doubts.settle(p.stream.next)
+	v.gaps.removeReplayed(v.stream.next)
 	return nil
 }
 
-// identify moves to a new identity if that is what e shows. It reports whether e
-// is of past weights, so that it only counts in the sequence, and whether e
-// belongs to a live incarnation at all.
-func (p *View) identify(now time.Duration, e Event) (past, ok bool) {
+// identify switches to the identity of e if it is new. pastWeights is set if e belongs to earlier
+// weights, so that only its sequence number counts; live is false if e belongs to a past
+// incarnation.
+func (v *View) identify(now time.Duration, e Event) (pastWeights, live bool) {
 	id := identity{e.Incarnation, e.Weights}
-	if id == p.identity {
-		p.observed = false
+	if id == v.identity {
+		v.identityObserved = false
 		return false, true
 	}
-	if e.Incarnation != p.identity.incarnation {
-		if slices.Contains(p.retired, e.Incarnation) {
+	if e.Incarnation != v.identity.incarnation {
+		if slices.Contains(v.retiredIncarnations, e.Incarnation) {
 			return false, false
 		}
-		p.void(now, id)
+		v.reset(now, id)
 		return false, true
 	}
-	if e.Seq < p.weightsSeq || (p.observed && e.Weights == p.before) {
+	if e.Seq < v.weightsSeq || (v.identityObserved && e.Weights == v.previousWeights) {
 		return true, true
 	}
-	if e.Seq < p.stream.next {
+	if e.Seq < v.stream.next {
 		return true, true
 	}
-	p.void(now, id)
-	p.weightsSeq = e.Seq
+	v.reset(now, id)
+	v.weightsSeq = e.Seq
 	return false, true
 }
 
-// Observe takes an engine's identity from its load report or an answer's
-// headers, as it was age ago. A new engine's events are asked for from the first.
-func (p *View) Observe(now, age time.Duration, incarnation, weights string) []Action {
+// Observe applies the engine's identity as stated by a load report or an answer's headers, age
+// ago. The events of a new incarnation are requested from the first one.
+func (v *View) Observe(now, age time.Duration, incarnation, weights string) []Action {
 	id := identity{incarnation, weights}
-	if id == p.identity || incarnation == "" || slices.Contains(p.retired, incarnation) {
+	if id == v.identity || incarnation == "" || slices.Contains(v.retiredIncarnations, incarnation) {
 		return nil
 	}
-	before := p.identity
-	if before == (identity{}) {
-		p.void(now, id)
+	previous := v.identity
+	if previous == (identity{}) {
+		v.reset(now, id)
 		return nil
 	}
-	if now-age <= p.since {
+	if now-age <= v.identifiedAt {
 		return nil
 	}
-	p.void(now, id)
-	if before.incarnation == incarnation {
-		p.observed = true
-		p.before = before.weights
+	v.reset(now, id)
+	if previous.incarnation == incarnation {
+		v.identityObserved = true
+		v.previousWeights = previous.weights
 		return nil
 	}
-	p.stream.asked = true
-	return []Action{Resync{From: p.stream.next}}
+	v.stream.resyncPending = true
+	return []Action{Resync{From: v.stream.next}}
 }
 
-// void empties the picture for a new identity. An engine that came back holds
-// nothing of what it had, and blocks of other weights must not be used; a picture
-// that kept them would draw requests here for nothing.
-func (p *View) void(now time.Duration, id identity) {
-	if p.identity.incarnation != id.incarnation && p.identity.incarnation != "" {
-		p.retire(p.identity.incarnation)
-		p.stream.restart()
-		p.weightsSeq = 0
+// reset empties the view for a new identity. A restarted engine has lost its cache, and blocks of
+// other weights must not be used; a view that kept them would attract requests for nothing.
+func (v *View) reset(now time.Duration, id identity) {
+	if v.identity.incarnation != id.incarnation && v.identity.incarnation != "" {
+		v.retire(v.identity.incarnation)
+		v.stream.reset()
+		v.weightsSeq = 0
 	}
-	p.identity = id
-	p.since = now
-	p.observed = false
-	p.clear()
-	p.clock++
-	p.voidedAt = p.clock
+	v.identity = id
+	v.identifiedAt = now
+	v.identityObserved = false
+	v.clear()
+	v.revision++
+	v.resetRevision = v.revision
 }
 
-func (p *View) retire(incarnation string) {
-	p.retired = append(p.retired, incarnation)
-	if len(p.retired) > maxRetired {
-		p.retired = slices.Delete(p.retired, 0, 1)
+func (v *View) retire(incarnation string) {
+	v.retiredIncarnations = append(v.retiredIncarnations, incarnation)
+	if len(v.retiredIncarnations) > maxRetired {
+		v.retiredIncarnations = slices.Delete(v.retiredIncarnations, 0, 1)
 	}
 }
 
-// gap handles an event that came before its predecessors. Removals are taken at
-// once, since claiming less is always safe; what was stored waits for the replay,
-// which brings it again in its order.
-func (p *View) gap(now time.Duration, e Event, s step) []Action {
-	p.clock++
+// handleGap handles an event whose predecessors are missing. Removals are applied at once, since
+// reporting fewer blocks is always safe. Stored blocks wait for the replay, which contains this
+// event again in its order.
+func (v *View) handleGap(now time.Duration, e Event, missing step) []Action {
+	v.revision++
 	switch e.Kind {
 	case Removed:
-		p.removeAll(e.Hashes)
+		v.removeAll(e.Hashes)
 	case Cleared:
-		p.clearBlocks()
+		v.clearBlocks()
 	}
-	p.cast(now, doubt{from: s.from, last: s.last})
-	if !s.ask {
+	v.recordGap(now, gap{from: missing.from, last: missing.last})
+	if !missing.resync {
 		return nil
 	}
-	return []Action{Resync{From: s.from}}
+	return []Action{Resync{From: missing.from}}
 }
 
-// cast notes doubt on all that is confirmed so far. A gap that nothing can fill
-// is no reason to doubt an empty picture.
-func (p *View) cast(now time.Duration, d doubt) {
-	if d.unfillable && len(p.blocks) == 0 {
+// recordGap makes all blocks confirmed so far stale. An unfillable gap is ignored while the view
+// is empty.
+func (v *View) recordGap(now time.Duration, missing gap) {
+	if missing.unfillable && len(v.blocks) == 0 {
 		return
 	}
-	p.clock++
-	d.before = p.clock
-	d.until = now + p.params.StaleTTL
-	p.doubts.cast(d)
+	v.revision++
+	missing.before = v.revision
+	missing.expiresAt = now + v.params.StaleTTL
+	v.gaps.add(missing)
 }
 
 // change applies an event that is in order.
-func (p *View) change(e Event) {
+func (v *View) change(e Event) {
 	switch e.Kind {
 	case Stored:
 		for _, h := range e.Hashes {
-			p.store(h, p.clock)
+			v.store(h, v.revision)
 		}
 	case Removed:
-		p.removeAll(e.Hashes)
+		v.removeAll(e.Hashes)
 	case Cleared:
-		p.clear()
+		v.clear()
 	}
 }
 
-func (p *View) store(h prefix.Hash, at Revision) {
-	if _, held := p.blocks[h]; !held {
-		if len(p.blocks) >= p.params.MaxBlocks {
-			p.shrink()
+func (v *View) store(h prefix.Hash, revision Revision) {
+	if _, held := v.blocks[h]; !held {
+		if len(v.blocks) >= v.params.MaxBlocks {
+			v.evictOldest()
 		}
-		p.roots.changed(h)
+		v.levels.markChanged(h)
 	}
-	p.blocks[h] = at
+	v.blocks[h] = revision
 }
 
-func (p *View) removeAll(hashes []prefix.Hash) {
-	p.removedAt = p.clock
+func (v *View) removeAll(hashes []prefix.Hash) {
+	v.removedRevision = v.revision
 	for _, h := range hashes {
-		p.remove(h)
+		v.remove(h)
 	}
 }
 
-func (p *View) remove(h prefix.Hash) {
-	if _, held := p.blocks[h]; held {
-		delete(p.blocks, h)
-		p.roots.changed(h)
+func (v *View) remove(h prefix.Hash) {
+	if _, held := v.blocks[h]; held {
+		delete(v.blocks, h)
+		v.levels.markChanged(h)
 	}
 }
 
-// clear empties the picture. With nothing claimed there is nothing to doubt.
-func (p *View) clear() {
-	p.clearBlocks()
-	p.doubts.clear()
+// clear empties the view. Without blocks nothing is stale, so the gaps are dropped too.
+func (v *View) clear() {
+	v.clearBlocks()
+	v.gaps.clear()
 }
 
-func (p *View) clearBlocks() {
-	p.removedAt = p.clock
-	clear(p.blocks)
-	p.roots.allChanged()
+func (v *View) clearBlocks() {
+	v.removedRevision = v.revision
+	clear(v.blocks)
+	v.levels.markAllChanged()
 }
 
-// shrink forgets the quarter of the blocks that were confirmed longest ago.
-func (p *View) shrink() {
-	marks := make([]Revision, 0, len(p.blocks))
-	for _, m := range p.blocks {
-		marks = append(marks, m)
+// evictOldest drops the quarter of the blocks that were confirmed longest ago.
+func (v *View) evictOldest() {
+	revisions := make([]Revision, 0, len(v.blocks))
+	for _, revision := range v.blocks {
+		revisions = append(revisions, revision)
 	}
-	slices.Sort(marks)
-	p.dropBefore(marks[len(marks)/4] + 1)
+	slices.Sort(revisions)
+	v.dropBefore(revisions[len(revisions)/4] + 1)
 }
 
-func (p *View) dropBefore(bound Revision) {
-	for h, m := range p.blocks {
-		if m < bound {
-			p.remove(h)
+func (v *View) dropBefore(revision Revision) {
+	for h, confirmed := range v.blocks {
+		if confirmed < revision {
+			v.remove(h)
 		}
 	}
 }
 
-// Tick ages out doubtful blocks. Call it every second or so.
-func (p *View) Tick(now time.Duration) {
-	if bound := p.doubts.expire(now); bound > 0 {
-		p.dropBefore(bound)
+// Tick drops stale blocks that have expired. It should be called about once per second.
+func (v *View) Tick(now time.Duration) {
+	if staleBefore := v.gaps.expire(now); staleBefore > 0 {
+		v.dropBefore(staleBefore)
 	}
 }
 
-// Len returns the number of blocks believed resident.
-func (p *View) Len() int { return len(p.blocks) }
+// Len returns the number of blocks in the view.
+func (v *View) Len() int { return len(v.blocks) }
 
-// Stale reports whether an event was missed that nothing has made up for yet.
-func (p *View) Stale() bool { return p.doubts.bound() > 0 }
+// Stale reports whether events are missing that no replay has brought so far.
+func (v *View) Stale() bool { return v.gaps.staleBefore() > 0 }
 
-// Resident returns how many tokens of a chain the engine holds in a row from its
-// start, and whether any of them are in doubt.
-func (p *View) Resident(chain []prefix.Hash) (tokens int, doubtful bool) {
-	bound := p.doubts.bound()
+// Resident returns how many tokens from the start of a chain the engine holds without a gap, and
+// whether any of their blocks are stale.
+func (v *View) Resident(chain []prefix.Hash) (tokens int, stale bool) {
+	staleBefore := v.gaps.staleBefore()
 	for i, h := range chain {
-		at, held := p.blocks[h]
+		confirmed, held := v.blocks[h]
 		if !held {
-			return i * prefix.BlockTokens, doubtful
+			return i * prefix.BlockTokens, stale
 		}
-		doubtful = doubtful || at < bound
+		stale = stale || confirmed < staleBefore
 	}
-	return len(chain) * prefix.BlockTokens, doubtful
+	return len(chain) * prefix.BlockTokens, stale
 }
 
-// NextRevision returns the present moment, to be kept while a request runs.
-func (p *View) NextRevision() Revision { return p.clock + 1 }
+// NextRevision returns the revision to pass to Reconcile for a request that is sent to the engine
+// now.
+func (v *View) NextRevision() Revision { return v.revision + 1 }
 
-// Reconcile takes an answer's own count of cached tokens for a request that was
-// handed to the engine at mark. Blocks within the count were resident then;
-// those beyond it were not, but for any stored since.
-func (p *View) Reconcile(mark Revision, chain []prefix.Hash, cachedTokens int) {
-	if mark <= p.voidedAt {
+// Reconcile applies an answer's count of cached tokens for a request that was sent to the engine
+// at revision. Blocks within the count were resident then; those beyond it were not, except
+// blocks stored since.
+func (v *View) Reconcile(revision Revision, chain []prefix.Hash, cachedTokens int) {
+	if revision <= v.resetRevision {
 		return
 	}
 	cached := min(len(chain), cachedTokens/prefix.BlockTokens)
 	for _, h := range chain[:cached] {
-		p.confirm(h, mark)
+		v.confirm(h, revision)
 	}
 	for _, h := range chain[cached:] {
-		if at, held := p.blocks[h]; held && at < mark {
-			p.remove(h)
+		if confirmed, held := v.blocks[h]; held && confirmed < revision {
+			v.remove(h)
 		}
 	}
 }
 
-// confirm notes that a block was resident at mark. One that the picture lacks is
-// added only if nothing that came since may have removed it.
-func (p *View) confirm(h prefix.Hash, mark Revision) {
-	at, held := p.blocks[h]
+// confirm records that a block was resident at revision. A block missing from the view is added
+// only if no later event can have removed it.
+func (v *View) confirm(h prefix.Hash, revision Revision) {
+	confirmed, held := v.blocks[h]
 	if held {
-		p.blocks[h] = max(at, mark-1)
+		v.blocks[h] = max(confirmed, revision-1)
 		return
 	}
-	if p.removedAt < mark && p.doubts.bound() < mark {
-		p.store(h, mark-1)
+	if v.removedRevision < revision && v.gaps.staleBefore() < revision {
+		v.store(h, revision-1)
 	}
 }
--- a/internal/cachemap/roots.go
+++ b/internal/cachemap/roots.go
@@ -7,117 +7,116 @@
 	"skylarklead/internal/protocol"
 )
 
-// TrackedLevel is a tracked level with its residency. Owner is the rendezvous key of the
+// TrackedLevel is a tracked level with its residency. OwnerKey is the rendezvous key of the
 // requests that named it.
 type TrackedLevel struct {
 	OwnerKey uint64
 	Resident protocol.Resident
 }
 
-// root is a tracked level.
-type root struct {
-	level   prefix.Level
-	parent  prefix.Hash // 0 if it is the first
-	owner   uint64
-	version uint64 // when its residency last changed
+// levelState is the state of a tracked level.
+type levelState struct {
+	level    prefix.Level
+	parent   prefix.Hash // 0 for the first level
+	ownerKey uint64
+	version  uint64 // when its residency last changed; 0 if not since it is tracked
 }
 
-// roots are the levels that requests here have named, the least recently named
-// forgotten first.
-type roots struct {
+// levelTracker tracks the levels named by requests to this endpoint, in LRU order.
+type levelTracker struct {
 	max     int
 	index   map[prefix.Hash]*list.Element
-	recent  *list.List // of *root, newest first
+	lru     *list.List // of *levelState, most recently named first
 	version uint64
 }
 
-func newRoots(most int) roots {
-	return roots{max: most, index: make(map[prefix.Hash]*list.Element), recent: list.New()}
+func newLevelTracker(maxLevels int) levelTracker {
+	return levelTracker{max: maxLevels, index: make(map[prefix.Hash]*list.Element), lru: list.New()}
 }
 
-// trackOne remembers a level. One that isn't resident yet is only reported once
-// it is: its owner, who has just sent the request, must not be told that the
-// blocks are missing when they are about to be computed.
-func (r *roots) trackOne(owner uint64, l prefix.Level, parent prefix.Hash, resident bool) {
-	if at, ok := r.index[l.Hash]; ok {
-		r.recent.MoveToFront(at)
+// track adds a level or marks it as recently named. A level that isn't resident yet is reported
+// only once it is: its owner, which has just sent the request, must not learn that the blocks are
+// missing when they are about to be computed.
+func (t *levelTracker) track(ownerKey uint64, l prefix.Level, parent prefix.Hash, resident bool) {
+	if element, ok := t.index[l.Hash]; ok {
+		t.lru.MoveToFront(element)
 		return
 	}
-	if len(r.index) >= r.max {
-		last := r.recent.Back()
-		delete(r.index, last.Value.(*root).level.Hash)
-		r.recent.Remove(last)
+	if len(t.index) >= t.max {
+		oldest := t.lru.Back()
+		delete(t.index, oldest.Value.(*levelState).level.Hash)
+		t.lru.Remove(oldest)
 	}
 	var version uint64
 	if resident {
-		r.version++
-		version = r.version
+		t.version++
+		version = t.version
 	}
-	r.index[l.Hash] = r.recent.PushFront(&root{l, parent, owner, version})
+	t.index[l.Hash] = t.lru.PushFront(&levelState{l, parent, ownerKey, version})
 }
 
-// changed notes that the block h came or went.
-func (r *roots) changed(h prefix.Hash) {
-	if at, ok := r.index[h]; ok {
-		r.version++
-		at.Value.(*root).version = r.version
+// markChanged records that block h was stored or removed.
+func (t *levelTracker) markChanged(h prefix.Hash) {
+	if element, ok := t.index[h]; ok {
+		t.version++
+		element.Value.(*levelState).version = t.version
 	}
 }
 
-func (r *roots) allChanged() {
-	r.version++
-	for at := r.recent.Front(); at != nil; at = at.Next() {
-		at.Value.(*root).version = r.version
+func (t *levelTracker) markAllChanged() {
+	t.version++
+	for element := t.lru.Front(); element != nil; element = element.Next() {
+		element.Value.(*levelState).version = t.version
 	}
 }
 
-// Track remembers the levels of a request that came here. Owner is its
-// rendezvous key (route.OwnerKey).
-func (p *View) Track(owner uint64, levels []prefix.Level) {
+// Track tracks the levels of a request that arrived here. owner is its rendezvous key
+// (route.OwnerKey).
+func (v *View) Track(ownerKey uint64, levels []prefix.Level) {
 	var parent prefix.Hash
 	for _, l := range levels {
-		_, resident := p.blocks[l.Hash]
-		p.roots.trackOne(owner, l, parent, resident)
+		_, resident := v.blocks[l.Hash]
+		v.levels.track(ownerKey, l, parent, resident)
 		parent = l.Hash
 	}
 }
 
-// LevelVersion is the version to ask RootsSince for changes from now on.
-func (p *View) LevelVersion() uint64 { return p.roots.version }
+// LevelVersion is the version from which LevelsSince returns later changes.
+func (v *View) LevelVersion() uint64 { return v.levels.version }
 
-// LevelsSince returns the tracked levels whose residency has changed after a
-// version, and the version to ask from next time. A level that is not resident
-// has 0 tokens. From version 0 it is all that is resident, for a full report.
-func (p *View) LevelsSince(version uint64) (changed []TrackedLevel, next uint64) {
-	for at := p.roots.recent.Front(); at != nil; at = at.Next() {
-		r := at.Value.(*root)
-		if r.version <= version {
+// LevelsSince returns the tracked levels whose residency has changed after a version, and the
+// version for the next call. A level that is not resident has 0 tokens. For version 0 it returns
+// all resident levels, for a full report.
+func (v *View) LevelsSince(version uint64) (changed []TrackedLevel, next uint64) {
+	for element := v.levels.lru.Front(); element != nil; element = element.Next() {
+		level := element.Value.(*levelState)
+		if level.version <= version {
 			continue
 		}
-		tokens := p.rootTokens(r)
+		tokens := v.residentTokens(level)
 		if version == 0 && tokens == 0 {
-			continue // a full report lists only what is there
+			continue // a full report lists only resident levels
 		}
-		changed = append(changed, TrackedLevel{r.owner, protocol.Resident{Hash: r.level.Hash, Tokens: tokens}})
+		changed = append(changed, TrackedLevel{level.ownerKey, protocol.Resident{Hash: level.level.Hash, Tokens: tokens}})
 	}
-	return changed, p.roots.version
+	return changed, v.levels.version
 }
 
-// rootTokens is a level's length if its last block and those of the levels that
-// it is nested in are resident, else 0.
-func (p *View) rootTokens(r *root) int {
-	tokens := r.level.Tokens
-	// A malformed list of levels could name two as each other's parents; the
-	// bound keeps the walk finite then.
+// residentTokens is a level's length if its last block and those of its parents are resident,
+// else 0.
+func (v *View) residentTokens(level *levelState) int {
+	tokens := level.level.Tokens
+	// A malformed list of levels could make two levels each other's parents; the bound ends the
+	// loop then.
 	for range prefix.MaxLevels {
-		if _, held := p.blocks[r.level.Hash]; !held {
+		if _, held := v.blocks[level.level.Hash]; !held {
 			return 0
 		}
-		at, ok := p.roots.index[r.parent]
+		element, ok := v.levels.index[level.parent]
 		if !ok {
 			return tokens
 		}
-		r = at.Value.(*root)
+		level = element.Value.(*levelState)
 	}
 	return tokens
 }
--- a/internal/cachemap/stream.go
+++ b/internal/cachemap/stream.go
@@ -1,50 +1,49 @@
 package cachemap
 
-// stream follows the sequence numbers of an engine's event stream.
-type stream struct {
-	next uint64 // expected
-	// fresh is set between Connected and the first event after it, asked while
-	// a resync is wanted and not yet connected.
-	fresh bool
-	asked bool
+// eventStream tracks the sequence numbers of an engine's event stream.
+type eventStream struct {
+	next uint64 // expected sequence number
+	// awaitingFirst is set between Connected and the first event after it, resyncPending while a
+	// resync has been requested and Connected not yet called.
+	awaitingFirst bool
+	resyncPending bool
 }
 
-// stepKind is how an event stands to those before it.
+// stepKind is the position of an event relative to those before it.
 type stepKind int
 
 const (
 	stepInOrder stepKind = iota
 	stepDuplicate
-	// stepGap came before its predecessors, which a replay may still bring.
+	// stepGap: predecessors are missing that a replay may still bring.
 	stepGap
-	// stepSkip came first in a replay that lacks its predecessors: they are
-	// gone for good.
+	// stepSkip: the first event of a replay, whose missing predecessors the engine no longer has.
 	stepSkip
 )
 
-// step is a stepKind with the missing numbers, from to last, and whether to ask
-// for them.
+// step is a stepKind with the missing sequence numbers, from to last, and whether to request a
+// resync.
 type step struct {
-	kind stepKind
-	from uint64
-	last uint64
-	ask  bool
+	kind   stepKind
+	from   uint64
+	last   uint64
+	resync bool
 }
 
-func (s *stream) connect(from uint64) {
-	s.fresh = from <= s.next
-	s.asked = false
+func (s *eventStream) connect(from uint64) {
+	s.awaitingFirst = from <= s.next
+	s.resyncPending = false
 }
 
-func (s *stream) restart() {
-	*s = stream{next: 1}
+func (s *eventStream) reset() {
+	*s = eventStream{next: 1}
 }
 
-// take classifies the event with number seq. Only an event in order, or the
-// first of a replay, moves on the expected number.
-func (s *stream) take(seq uint64) step {
-	fresh := s.fresh
-	s.fresh = false
+// classify classifies the event with sequence number seq. Only an event in order, or the first of
+// a replay, advances the expected number.
+func (s *eventStream) classify(seq uint64) step {
+	isFirst := s.awaitingFirst
+	s.awaitingFirst = false
 	missing := step{from: s.next, last: seq - 1}
 	switch {
 	case seq < s.next:
@@ -52,13 +51,13 @@
 	case seq == s.next:
 		s.next++
 		return step{kind: stepInOrder}
-	case fresh:
+	case isFirst:
 		s.next = seq + 1
 		missing.kind = stepSkip
 		return missing
 	}
 	missing.kind = stepGap
-	missing.ask = !s.asked
-	s.asked = true
+	missing.resync = !s.resyncPending
+	s.resyncPending = true
 	return missing
 }
--- a/internal/cachemap/types.go
+++ b/internal/cachemap/types.go
@@ -6,7 +6,7 @@
 	"skylarklead/internal/prefix"
 )
 
-// Kind is what an event tells.
+// Kind is the kind of change that an event reports.
 type Kind string
 
 // The kinds, as engines publish them.
@@ -16,8 +16,8 @@
 	Cleared Kind = "cleared"
 )
 
-// Event is one cache event of an engine. Seq grows by one from 1 in each
-// incarnation.
+// Event is one cache event of an engine. Seq starts at 1 in each incarnation and increases by
+// one.
 type Event struct {
 	Seq         uint64
 	Incarnation string
@@ -26,28 +26,27 @@
 	Hashes      []prefix.Hash
 }
 
-// Action is what the caller must do.
+// Action is something that the caller must do.
 type Action interface{ action() }
 
-// Resync asks for the engine's events again from a sequence number. The caller
-// opens the event stream anew there and then calls Connected.
+// Resync requests the engine's events again from a sequence number. The caller reopens the event
+// stream there and then calls Connected.
 type Resync struct{ From uint64 }
 
 func (Resync) action() {}
 
-// Params bound a Picture. Zero fields take the defaults.
+// Params bound a View. Zero fields take the defaults.
 type Params struct {
-	// MaxBlocks bounds the blocks remembered.
+	// MaxBlocks bounds the blocks in the view.
 	MaxBlocks int
-	// MaxLevels bounds the levels tracked.
+	// MaxLevels bounds the tracked levels.
 	MaxLevels int
-	// StaleTTL is how long blocks that may have been removed in an unfilled
-	// gap still count as resident.
+	// StaleTTL is how long blocks that may have been removed in a gap still count as resident.
 	StaleTTL time.Duration
 }
 
-// Defaults of Params. Engines evict within seconds, so a doubtful block is not
-// believed for longer than that.
+// Defaults of Params. Engines evict within seconds, so a stale block is not kept for longer than
+// that.
 const (
 	DefaultMaxBlocks = 1 << 16
 	DefaultMaxLevels = 4096
