--- a/internal/prefix/prefix_test.go
+++ b/internal/prefix/prefix_test.go
@@ -17,7 +17,7 @@
 	}), 1, 12).Draw(t, "messages")
 }
 
-// Two prompts share exactly the hashes of the whole blocks that they share.
+// Two texts have equal hashes for exactly those whole blocks up to which they are equal.
 func TestChainSharesExactlyTheCommonBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 0, 10*BlockBytes).Draw(t, "text")
@@ -27,23 +27,22 @@
 		}
 		a, b := Chain(1, text), Chain(1, other)
 		if len(a) != len(text)/BlockBytes || len(b) != len(a) {
-			t.Fatalf("%d and %d blocks of %d bytes", len(a), len(b), len(text))
+			t.Fatalf("%d and %d blocks for texts of %d bytes", len(a), len(b), len(text))
 		}
-		same := 0
-		for same < len(text) && text[same] == other[same] {
-			same++
+		sharedBytes := 0
+		for sharedBytes < len(text) && text[sharedBytes] == other[sharedBytes] {
+			sharedBytes++
 		}
 		for i := range a {
-			if shared := (i+1)*BlockBytes <= same; (a[i] == b[i]) != shared {
-				t.Fatalf("block %d: equal %v, the texts share %d bytes", i, a[i] == b[i], same)
+			if shared := (i+1)*BlockBytes <= sharedBytes; (a[i] == b[i]) != shared {
+				t.Fatalf("block %d: equal %v, the texts share %d bytes", i, a[i] == b[i], sharedBytes)
 			}
 		}
 	})
 }
 
-// Symptom: one organisation is served from another's cache, or from past weights.
-// Sequence: both send the same text.
-// Cause: the chain starts from the same hash.
+// Guards against serving an organisation from another's cache, or from the cache of other weights,
+// when both send the same text: their chains must start from different hashes.
 func TestSaltsShareNothing(t *testing.T) {
 	text := []byte(strings.Repeat("standing instructions ", 100))
 	base := Salt{"huon", "ledger", "v1"}
@@ -63,22 +62,23 @@
 		chain := Chain(7, Flatten(messages))
 		levels := Levels(7, messages)
 		if len(levels) > MaxLevels {
-			t.Fatalf("%d levels", len(levels))
+			t.Fatalf("%d levels, want at most MaxLevels", len(levels))
 		}
-		last := 0
+		previous := 0
 		for _, l := range levels {
-			if l.Tokens <= last || l.Tokens%BlockTokens != 0 || chain[l.Tokens/BlockTokens-1] != l.Hash {
-				t.Fatalf("level %+v after %d tokens is not the chain's", l, last)
+			if l.Tokens <= previous || l.Tokens%BlockTokens != 0 || chain[l.Tokens/BlockTokens-1] != l.Hash {
+				t.Fatalf("level %+v after one of %d tokens does not match the chain", l, previous)
 			}
-			last = l.Tokens
+			previous = l.Tokens
 		}
-		if len(messages) > 1 && last > EstimateTokens(messages[:len(messages)-1]) {
-			t.Fatalf("a level of %d tokens takes in the last message", last)
+		if len(messages) > 1 && previous > EstimateTokens(messages[:len(messages)-1]) {
+			t.Fatalf("a level of %d tokens includes the last message", previous)
 		}
 	})
 }
 
-// What is new in a request must not change the levels that it is routed by.
+// The last message, which is new in each request, must not change the levels that the request is
+// routed by.
 func TestLevelsDoNotDependOnTheLastMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := append(drawMessages(t), Message{Role: "user", Content: "first"})
@@ -92,7 +92,7 @@
 
 func TestShortPromptHasNoLevels(t *testing.T) {
 	if levels := Levels(7, []Message{{"user", "hello"}}); len(levels) != 0 {
-		t.Errorf("levels %v of less than a block", levels)
+		t.Errorf("levels %v for a prompt shorter than a block", levels)
 	}
 }
 
