--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks candidates for a key by highest random weight (Thaler and Ravishankar,
-// 1996): all that know the same candidates agree on the order, and one candidate more or less moves
-// only what it is first for.
+// Package rendezvous ranks candidates for a key by rendezvous hashing, also known as highest random
+// weight hashing (Thaler and Ravishankar, 1996). Processes that know the same candidates agree on
+// the order, and adding or removing a candidate moves only the keys that it is first for.
 package rendezvous
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ranked is one ID with its weight for a key.
+// ranked is a candidate's ID with its weight for a key.
 type ranked struct {
 	id     string
 	weight uint64
 }
 
-// Order returns ids by descending rendezvous weight for key: the first is the
-// owner, the next takes over when it is gone. It does not depend on the order
-// of ids, and removing an ID moves only the keys that it was first for.
+// Order returns ids by descending rendezvous weight for key: the first is the owner, the next takes
+// over when the owner is removed. The result does not depend on the order of ids, and removing an
+// ID moves only the keys that it was first for.
 func Order(key uint64, ids []string) []string {
 	all := make([]ranked, len(ids))
 	for i, id := range ids {
@@ -33,8 +33,7 @@
 	return order
 }
 
-// First returns the first of Order(key, ids) without allocating, or "" if ids
-// is empty.
+// First returns the first of Order(key, ids) without allocating, or "" if ids is empty.
 func First(key uint64, ids []string) string {
 	var best ranked
 	for i, id := range ids {
@@ -46,8 +45,7 @@
 	return best.id
 }
 
-// compareRanked sorts by descending weight; IDs break ties so that every process
-// agrees.
+// compareRanked orders by descending weight. Ties are broken by ID, so that all processes agree.
 func compareRanked(a, b ranked) int {
 	if c := cmp.Compare(b.weight, a.weight); c != 0 {
 		return c
@@ -55,7 +53,7 @@
 	return cmp.Compare(a.id, b.id)
 }
 
-// Weight is a candidate's weight for a key.
+// Weight returns the weight of the candidate id for a key.
 func Weight(key uint64, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
