--- a/internal/attempt/bench_test.go
+++ b/internal/attempt/bench_test.go
@@ -43,8 +43,8 @@
 	b.ReportMetric(float64(bytes)/attempts, "bytes/attempt")
 }
 
-// benchRecords are claims of one process as another reads them, each settled by
-// the next batch, so many to a batch.
+// benchRecords returns the encoded claim records of one process, with batch keys each.
+// Each batch settles the claims of the one before.
 func benchRecords(b *testing.B, keys, batch int) [][]byte {
 	var records [][]byte
 	var settles []Settlement
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ExtraKind is why work is sent a second time.
+// ExtraKind says why work is sent a second time.
 type ExtraKind uint8
 
 // The kinds of extra work, which share one budget.
@@ -16,55 +16,55 @@
 	extraKinds
 )
 
-// BudgetParams size a Budget.
+// BudgetParams configures a Budget.
 type BudgetParams struct {
-	// Share is extra work as a share of requests, 0 to 1.
+	// Share is the extra work allowed per request, 0 to 1.
 	Share float64
-	// MinPerSecond is extra work allowed per second however little traffic there is.
+	// MinPerSecond is the extra work per second allowed regardless of traffic.
 	MinPerSecond float64
-	// Burst bounds what can be saved up.
+	// Burst bounds the unused extra work that accumulates.
 	Burst float64
-	// SaturationHold is how long the budget stays off for an organisation after
-	// its work was refused for lack of room.
+	// SaturationHold is how long an organisation gets no extra work after its requests
+	// were refused for lack of capacity.
 	SaturationHold time.Duration
 }
 
-// DefaultBudgetParams keep 410 entries' floors together at 41 extra requests a
-// second, 3 % of a peak of 1,300.
+// DefaultBudgetParams is the default configuration. With 410 entries the minimum rates
+// add up to 41 extra requests a second, 3 % of a peak of 1,300.
 var DefaultBudgetParams = BudgetParams{Share: 0.2, MinPerSecond: 0.1, Burst: 10, SaturationHold: 2 * time.Second}
 
-// Budget limits retries, hedges and re-sends together to a share of recent
-// requests, so that failures of one cause don't multiply into load. Over any
-// time t with n requests it allows at most Burst + Share*n + Floor*t.
+// Budget is a retry budget: it limits retries, hedges and re-sends together to a share
+// of recent requests, so that failures with a common cause don't multiply the load.
+// Over any time t with n requests it allows at most Burst + Share*n + MinPerSecond*t.
 type Budget struct {
-	params   BudgetParams
-	tokens   float64
-	at       time.Duration
-	offUntil map[string]time.Duration // by organisation
-	spent    [extraKinds]uint64
-	refused  uint64
+	params         BudgetParams
+	tokens         float64
+	refilledAt     time.Duration
+	suspendedUntil map[string]time.Duration // by organisation
+	spent          [extraKinds]uint64
+	refused        uint64
 }
 
 // NewBudget returns a full budget.
 func NewBudget(p BudgetParams) *Budget {
-	return &Budget{params: p, tokens: p.Burst, offUntil: make(map[string]time.Duration)}
+	return &Budget{params: p, tokens: p.Burst, suspendedUntil: make(map[string]time.Duration)}
 }
 
-// Resize changes the share and what can be saved up, as when others that share the
-// budget come or go.
+// Resize changes the share and the burst, for example when the number of processes
+// that share the budget changes.
 func (b *Budget) Resize(share, burst float64) {
 	b.params.Share, b.params.Burst = share, burst
 	b.tokens = min(b.tokens, burst)
 }
 
-// RecordRequest counts one request of a caller.
+// RecordRequest credits the budget for one caller request.
 func (b *Budget) RecordRequest(now time.Duration) {
 	b.refill(now)
 	b.tokens = min(b.tokens+b.params.Share, b.params.Burst)
 }
 
-// Allow takes one extra piece of an organisation's work out of the budget, or
-// refuses it.
+// Allow charges one piece of extra work of an organisation to the budget. It returns
+// false, and charges nothing, if the budget doesn't allow it.
 func (b *Budget) Allow(kind ExtraKind, organisation string, now time.Duration) bool {
 	b.refill(now)
 	if b.Suspended(organisation, now) || b.tokens < 1 {
@@ -76,37 +76,37 @@
 	return true
 }
 
-// maxOff bounds the organisations for which the budget is off.
-const maxOff = 4096
+// maxSuspended bounds the organisations in suspendedUntil.
+const maxSuspended = 4096
 
-// RecordSaturation says that an organisation's work was refused for lack of room. Its
-// extra work would then only displace its first attempts. Others go on: were the
-// budget off for all, a small organisation whose engine has crashed would be
-// refused a retry since a large one asks for more than its share.
+// RecordSaturation records that an organisation's work was refused for lack of
+// capacity. Its extra work would only displace its first attempts, so it gets none for
+// SaturationHold. Other organisations aren't affected: otherwise a small organisation
+// whose engine has crashed would be refused a retry because a large one exceeds its
+// share.
 func (b *Budget) RecordSaturation(organisation string, now time.Duration) {
-	if len(b.offUntil) >= maxOff {
-		maps.DeleteFunc(b.offUntil, func(_ string, until time.Duration) bool { return until <= now })
+	if len(b.suspendedUntil) >= maxSuspended {
+		maps.DeleteFunc(b.suspendedUntil, func(_ string, until time.Duration) bool { return until <= now })
 	}
-	if len(b.offUntil) < maxOff {
-		b.offUntil[organisation] = now + b.params.SaturationHold
+	if len(b.suspendedUntil) < maxSuspended {
+		b.suspendedUntil[organisation] = now + b.params.SaturationHold
 	}
 }
 
-// Suspended reports whether the budget is off for an organisation.
+// Suspended reports whether an organisation gets no extra work at present.
 func (b *Budget) Suspended(organisation string, now time.Duration) bool {
-	return now < b.offUntil[organisation]
+	return now < b.suspendedUntil[organisation]
 }
 
-// Spent returns how much extra work of a kind was allowed, Refused how much was
-// not.
+// Spent returns how much extra work of a kind was allowed.
 func (b *Budget) Spent(kind ExtraKind) uint64 { return b.spent[kind] }
 
-// Refused returns how often the budget said no.
+// Refused returns how often Allow returned false.
 func (b *Budget) Refused() uint64 { return b.refused }
 
 func (b *Budget) refill(now time.Duration) {
-	if now > b.at {
-		b.tokens = min(b.tokens+b.params.MinPerSecond*(now-b.at).Seconds(), b.params.Burst)
-		b.at = now
+	if now > b.refilledAt {
+		b.tokens = min(b.tokens+b.params.MinPerSecond*(now-b.refilledAt).Seconds(), b.params.Burst)
+		b.refilledAt = now
 	}
 }
--- a/internal/attempt/budget_test.go
+++ b/internal/attempt/budget_test.go
@@ -7,9 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: one failure becomes a storm: every cut stream is retried, hedged and
-// sent again, and the retries fail too.
-// Cause looked for: extra work that no share of the requests bounds.
+// Guards against retry storms: one failure cuts many streams, and every one of them is
+// retried, hedged and sent again without a bound relative to the number of requests.
 func TestBudgetBoundsExtraWork(t *testing.T) {
 	p := DefaultBudgetParams
 	organisations := rapid.SampledFrom([]string{"a", "b"})
@@ -46,10 +45,9 @@
 	})
 }
 
-// Symptom: a small organisation's request fails with the one engine that crashed.
-// Sequence: a large one is refused for its backlog; the engine of the small one's
-// request crashes.
-// Cause: the budget is off for everybody, so the request isn't run again.
+// Guards against an organisation losing its retries because of another one: a large
+// organisation is refused for its backlog, then the engine that runs a small one's
+// request crashes. The small one's request must still be retried.
 func TestRefusalsOfOneOrganisationLeaveOthersTheirRetries(t *testing.T) {
 	b := NewBudget(DefaultBudgetParams)
 	b.RecordSaturation("large", 0)
--- a/internal/attempt/claims_test.go
+++ b/internal/attempt/claims_test.go
@@ -24,7 +24,7 @@
 		o.CaughtUp(0, 0)
 		o.ApplyRecord(1, data, 0)
 		if o.Position() != 1 {
-			t.Error("a record was not passed")
+			t.Error("a record did not advance the position")
 		}
 		o.Tick(time.Hour)
 	})
--- a/internal/attempt/doc.go
+++ b/internal/attempt/doc.go
@@ -1,8 +1,8 @@
-// Package attempt decides what becomes of one request: which attempt may deliver
-// to its caller, when to resume, retry or give up, and what may truthfully be
-// said of whether it ran.
+// Package attempt holds the state machines of a single request: which attempt may
+// deliver to the caller, when to resume, retry or give up, and which outcome (run, not
+// run, unknown) may be reported.
 //
-// Everything here is pure: events come in as method calls with the time since
-// process start, actions come back as values. The owner of a value serialises
-// its calls.
+// All types are pure: events come in as method calls with the time since process
+// start, actions are returned as values. They are not safe for concurrent use; the
+// owner of a value serialises its calls.
 package attempt
--- a/internal/attempt/events.go
+++ b/internal/attempt/events.go
@@ -6,71 +6,72 @@
 	"skylarklead/internal/protocol"
 )
 
-// Event is what happens to a request at its entry.
+// Event is an input of a Plan: something that happened to a request at its entry.
 type Event interface{ event() }
 
-// DecisionReceived brings an owner's decision, or one that the entry made by itself with no
-// owner to ask.
+// DecisionReceived carries an owner's placement decision, or one that the entry made
+// itself because there was no owner to ask.
 type DecisionReceived struct{ Decision *protocol.Decision }
 
-// AskFailed: no owner answered.
+// AskFailed reports that no owner answered.
 type AskFailed struct{}
 
-// NotSent: no session to the executor could be opened, so that nothing of the
-// attempt was sent and nothing will be.
+// NotSent reports that no session to the executor could be opened: nothing of the
+// attempt was sent, and nothing will be.
 type NotSent struct{ Attempt protocol.AttemptID }
 
-// Sent: the attempt's Run is about to be written to a session with this process
-// epoch. It is reported before the write, so that the answer can't overtake it;
-// a write that fails is then a SessionLost, for the executor may have the Run.
+// Sent reports that the attempt's Run is about to be written to a session with this
+// process epoch. It is reported before the write, so that the answer can't arrive
+// first. If the write fails, SessionLost follows, because the executor may have
+// received the Run.
 type Sent struct {
 	Attempt protocol.AttemptID
 	Epoch   protocol.Epoch
 }
 
-// Started: the executor's Start came.
+// Started reports that the executor's Start was received.
 type Started struct{ Attempt protocol.AttemptID }
 
-// ChunkDelivered: the caller has every piece below Next.
+// ChunkDelivered reports that the caller has every chunk below Next.
 type ChunkDelivered struct{ Next uint64 }
 
-// Ended: the receiver took the attempt's End, sent by a process of this epoch.
+// Ended reports that the receiver accepted the attempt's End, sent by a process of
+// this epoch.
 type Ended struct {
 	Epoch protocol.Epoch
 	End   *protocol.End
 }
 
-// SessionLost: the session with the attempt's executor ended after Sent, or its
-// receiver must resume.
+// SessionLost reports that the session with the attempt's executor ended after Sent,
+// or that the receiver has to resume.
 type SessionLost struct{ Attempt protocol.AttemptID }
 
-// Resolved brings the executor's answer to Resolve.
+// Resolved carries the executor's answer to Resolve.
 type Resolved struct {
 	Epoch  protocol.Epoch
 	Answer *protocol.Resolved
 }
 
-// ResumeOpened: the Resume was sent on a new session.
+// ResumeOpened reports that the Resume was sent on a new session.
 type ResumeOpened struct{ Attempt protocol.AttemptID }
 
-// ResumeFailed: the executor couldn't be reached to resume or resolve, or, with
-// EpochGone, a new epoch answers in its place.
+// ResumeFailed reports that the executor could not be reached to resume or resolve.
+// With EpochGone, a process of a new epoch answered in its place.
 type ResumeFailed struct {
 	Attempt   protocol.AttemptID
 	EpochGone bool
 }
 
-// CallerGone: the caller hung up; CallerBack: it came back in time; GraceOver:
-// it didn't.
+// CallerGone reports that the caller disconnected.
 type CallerGone struct{}
 
-// CallerBack is told in CallerGone.
+// CallerBack reports that the caller reconnected within the grace period.
 type CallerBack struct{}
 
-// GraceExpired is told in CallerGone.
+// GraceExpired reports that the caller did not reconnect within the grace period.
 type GraceExpired struct{}
 
-// DeadlinePassed: the caller waits no longer.
+// DeadlinePassed reports that the caller's deadline has passed.
 type DeadlinePassed struct{}
 
 func (DecisionReceived) event() {}
@@ -89,18 +90,18 @@
 func (GraceExpired) event()     {}
 func (DeadlinePassed) event()   {}
 
-// Action is what a Plan asks its entry to do, in order.
+// Action is an instruction from a Plan to its entry. Actions are carried out in order.
 type Action interface{ action() }
 
-// Ask asks the owners where to run, after a wait.
+// Ask asks the owners where to run the request, after a delay.
 type Ask struct {
 	Exclude []string
 	Crashed []string
 	After   time.Duration
 }
 
-// Run sends a new attempt to Target. With FirstSeq above 0 it carries what the
-// caller already has as Partial.
+// Run sends a new attempt to Target. If FirstSeq is above 0, the chunks that the
+// caller already has are sent along as Partial.
 type Run struct {
 	Attempt    protocol.AttemptID
 	Target     protocol.Target
@@ -109,7 +110,7 @@
 	Redirected bool
 }
 
-// Resume asks the executor for the attempt again from Seq, after a wait.
+// Resume asks the executor to continue the attempt from chunk Seq, after a delay.
 type Resume struct {
 	Attempt protocol.AttemptID
 	Target  protocol.Target
@@ -117,21 +118,21 @@
 	After   time.Duration
 }
 
-// Resolve asks the executor what became of the attempt, after a wait.
+// Resolve asks the executor for the outcome of the attempt, after a delay.
 type Resolve struct {
 	Attempt protocol.AttemptID
 	Target  protocol.Target
 	After   time.Duration
 }
 
-// Cancel tells the executor that nobody waits for the attempt.
+// Cancel tells the executor that the attempt's answer is no longer needed.
 type Cancel struct {
 	Attempt protocol.AttemptID
 	Target  protocol.Target
 }
 
-// Finish is the caller's final answer: Refusal, or the attempt's own end if nil.
-// It is given at once, whatever the caller's deadline.
+// Finish is the final answer to the caller: Refusal, or the attempt's own end if
+// Refusal is nil. It is delivered at once, whatever the caller's deadline.
 type Finish struct {
 	End     *protocol.End
 	Refusal *protocol.Refusal
--- a/internal/attempt/forward.go
+++ b/internal/attempt/forward.go
@@ -2,118 +2,120 @@
 
 import "time"
 
-// DispatchFailure is why a request that was handed to a replica directly has no answer to
-// pass on.
+// DispatchFailure classifies why a request that an entry dispatched directly to a
+// replica has no answer to forward.
 type DispatchFailure uint8
 
-// The losses.
+// Values of DispatchFailure.
 const (
-	// FailureNotSent: nothing of the request left this process.
+	// FailureNotSent: no part of the request left this process.
 	FailureNotSent DispatchFailure = iota
-	// FailureNotRun: the replica says that it didn't run the request.
+	// FailureNotRun: the replica reports that it did not run the request.
 	FailureNotRun
-	// FailureUnknown: the request may have run; no answer came, or none that is one.
+	// FailureUnknown: the request may have run; no valid answer was received.
 	FailureUnknown
-	// FailureErrorResponse: the replica ran the request and answered with a failure.
+	// FailureErrorResponse: the replica ran the request and answered with an error.
 	FailureErrorResponse
 )
 
-var lossNames = [...]string{"not_sent", "not_run", "unknown", "failed"}
+var failureNames = [...]string{"not_sent", "not_run", "unknown", "failed"}
 
-// String names the loss as logs have it.
-func (l DispatchFailure) String() string { return lossNames[l] }
+// String returns the failure's name in logs.
+func (l DispatchFailure) String() string { return failureNames[l] }
 
-// DispatchSpec is what decides how often a request may be handed on.
+// DispatchSpec determines how often a request may be dispatched.
 type DispatchSpec struct {
 	Organisation string
 	// Repeatable requests may run again after an unknown outcome.
 	Repeatable bool
-	// MaxRuns is the most replicas on which it may run.
+	// MaxRuns bounds the replicas on which the request may run.
 	MaxRuns int
-	// MaxDispatches is the most replicas to which it may go, those that refuse to run
-	// it included.
+	// MaxDispatches bounds the replicas to which the request may be sent, including
+	// those that refuse to run it.
 	MaxDispatches int
-	// Deadline is when nobody waits for it any more.
+	// Deadline is when the caller stops waiting; 0 is none.
 	Deadline time.Duration
 }
 
-// DefaultMaxDispatches lets a request pass two replicas that refuse it, as during a
-// change of weights, and still run. More would multiply the arrivals at replicas
-// that are all full.
+// DefaultMaxDispatches lets a request be refused by two replicas, for example during a
+// change of weights, and still run. A higher bound would multiply the arrivals at
+// replicas that are all full.
 const DefaultMaxDispatches = 4
 
-// DispatchPlan decides what becomes of one request that an entry hands to replicas
-// itself. It is pure.
+// DispatchPlan decides, for one request that an entry dispatches to replicas itself,
+// whether to dispatch it again after a failure. It is pure.
 //
-// Invariants: tainted is never unset; a request that is tainted and not repeatable
-// is never handed on again.
+// Invariants: mayHaveRun is never reset; a request that may have run and is not
+// repeatable is never dispatched again.
 type DispatchPlan struct {
 	spec       DispatchSpec
 	budget     *Budget
 	runs       int
-	placements int
-	tainted    bool
+	dispatches int
+	mayHaveRun bool
 }
 
-// NewDispatchPlan returns the decisions for a request, with the budget of its service.
+// NewDispatchPlan returns the plan of a request, charged to the budget of its service.
 func NewDispatchPlan(spec DispatchSpec, budget *Budget) *DispatchPlan {
 	return &DispatchPlan{spec: spec, budget: budget}
 }
 
-// RetryDecision is what to do after a loss.
+// RetryDecision says what to do after a failure.
 type RetryDecision struct {
-	// Retry: hand the request to another replica.
+	// Retry: dispatch the request to another replica.
 	Retry bool
-	// NotRun, when it is not handed on again, says that it has not run and never
-	// will.
+	// NotRun, if Retry is false, says that the request has not run and never will.
 	NotRun bool
-	// Reason is why it isn't handed on again.
+	// Reason says why the request isn't dispatched again.
 	Reason string
 }
 
-// Reasons to give up.
+// Values of RetryDecision.Reason.
 const (
 	reasonNotRepeatable = "not_repeatable"
 	reasonRuns          = "attempts_used"
-	reasonPlacements    = "placements_used"
+	reasonDispatches    = "placements_used"
 	reasonBudget        = "budget_spent"
 	reasonDeadline      = "deadline"
 )
 
-// RecordDispatch counts a hand-over that is about to be written.
-func (f *DispatchPlan) RecordDispatch() { f.placements++ }
+// RecordDispatch counts a dispatch that is about to be written.
+func (f *DispatchPlan) RecordDispatch() { f.dispatches++ }
 
 // MayHaveRun reports whether the request may have run.
-func (f *DispatchPlan) MayHaveRun() bool { return f.tainted }
+func (f *DispatchPlan) MayHaveRun() bool { return f.mayHaveRun }
 
-// RecordFailure takes the outcome of the latest hand-over and says what next.
+// RecordFailure records the failure of the latest dispatch and decides what to do
+// next.
 func (f *DispatchPlan) RecordFailure(loss DispatchFailure, now time.Duration) RetryDecision {
 	kind := ExtraResend
 	if loss == FailureUnknown || loss == FailureErrorResponse {
-		f.tainted = true
+		f.mayHaveRun = true
 		f.runs++
 		kind = ExtraRetry
 	}
 	if reason := f.exhausted(loss, now); reason != "" {
-		return RetryDecision{NotRun: !f.tainted, Reason: reason}
+		return RetryDecision{NotRun: !f.mayHaveRun, Reason: reason}
 	}
-	// What was not sent costs no replica anything.
+	// A request that was not sent has cost no replica anything.
 	if loss != FailureNotSent && !f.budget.Allow(kind, f.spec.Organisation, now) {
-		return RetryDecision{NotRun: !f.tainted, Reason: reasonBudget}
+		return RetryDecision{NotRun: !f.mayHaveRun, Reason: reasonBudget}
 	}
 	return RetryDecision{Retry: true}
 }
 
+// exhausted returns why the request must not be dispatched again whatever the budget,
+// or "".
 func (f *DispatchPlan) exhausted(loss DispatchFailure, now time.Duration) string {
 	switch {
-	case f.tainted && !f.spec.Repeatable:
+	case f.mayHaveRun && !f.spec.Repeatable:
 		return reasonNotRepeatable
 	case f.runs >= f.spec.MaxRuns:
 		return reasonRuns
-	case f.placements >= f.spec.MaxDispatches && loss != FailureNotSent:
-		return reasonPlacements
-	case f.placements >= 2*f.spec.MaxDispatches:
-		return reasonPlacements
+	case f.dispatches >= f.spec.MaxDispatches && loss != FailureNotSent:
+		return reasonDispatches
+	case f.dispatches >= 2*f.spec.MaxDispatches:
+		return reasonDispatches
 	case f.spec.Deadline != 0 && now >= f.spec.Deadline:
 		return reasonDeadline
 	}
--- a/internal/attempt/forward_test.go
+++ b/internal/attempt/forward_test.go
@@ -9,30 +9,28 @@
 	"skylarklead/internal/attempt"
 )
 
-func roomyBudget() *attempt.Budget {
+func largeBudget() *attempt.Budget {
 	return attempt.NewBudget(attempt.BudgetParams{Share: 1, Burst: 100})
 }
 
-// Symptom: a payment runs twice. Sequence: the replica reads it, its connection
-// breaks before the answer, the entry hands it to another replica. Cause: an unknown
-// outcome taken for one that has not run.
+// Guards against running a payment twice: the replica reads the request, its
+// connection breaks before the answer, and an unknown outcome is treated as not run.
 func TestForwardMutatingRunsOnce(t *testing.T) {
-	f := attempt.NewDispatchPlan(attempt.DispatchSpec{MaxRuns: 3, MaxDispatches: 4}, roomyBudget())
-	f.RecordDispatch()
-	next := f.RecordFailure(attempt.FailureUnknown, 0)
+	plan := attempt.NewDispatchPlan(attempt.DispatchSpec{MaxRuns: 3, MaxDispatches: 4}, largeBudget())
+	plan.RecordDispatch()
+	next := plan.RecordFailure(attempt.FailureUnknown, 0)
 	if next.Retry || next.NotRun {
-		t.Fatalf("after an unknown outcome: %+v; want neither another try nor a promise that it didn't run", next)
+		t.Fatalf("after an unknown outcome: %+v; want neither a retry nor not_run", next)
 	}
 }
 
-// Symptom: a request is refused although a neighbour is free. Sequence: one replica
-// loads weights and says that it didn't run the request. Cause: its refusal taken
-// for the request's end.
+// Guards against refusing a request although another replica is free: a replica that
+// is loading weights reports not run, and that is treated as the request's end.
 func TestForwardGoesOnAfterRefusal(t *testing.T) {
 	for _, loss := range []attempt.DispatchFailure{attempt.FailureNotRun, attempt.FailureNotSent} {
-		f := attempt.NewDispatchPlan(attempt.DispatchSpec{MaxRuns: 1, MaxDispatches: 4}, roomyBudget())
-		f.RecordDispatch()
-		if next := f.RecordFailure(loss, 0); !next.Retry {
+		plan := attempt.NewDispatchPlan(attempt.DispatchSpec{MaxRuns: 1, MaxDispatches: 4}, largeBudget())
+		plan.RecordDispatch()
+		if next := plan.RecordFailure(loss, 0); !next.Retry {
 			t.Errorf("after %v: %+v; want another replica", loss, next)
 		}
 	}
@@ -40,35 +38,35 @@
 
 func TestForwardBounds(t *testing.T) {
 	t.Run("runs", func(t *testing.T) {
-		f := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9}, roomyBudget())
-		f.RecordDispatch()
-		if !f.RecordFailure(attempt.FailureErrorResponse, 0).Retry {
+		plan := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9}, largeBudget())
+		plan.RecordDispatch()
+		if !plan.RecordFailure(attempt.FailureErrorResponse, 0).Retry {
 			t.Fatal("no second run of two")
 		}
-		f.RecordDispatch()
-		if next := f.RecordFailure(attempt.FailureErrorResponse, 0); next.Retry || next.NotRun {
+		plan.RecordDispatch()
+		if next := plan.RecordFailure(attempt.FailureErrorResponse, 0); next.Retry || next.NotRun {
 			t.Fatalf("after two runs of two: %+v", next)
 		}
 	})
 	t.Run("deadline", func(t *testing.T) {
-		f := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9, Deadline: time.Second}, roomyBudget())
-		f.RecordDispatch()
-		if next := f.RecordFailure(attempt.FailureNotRun, time.Second); next.Retry || !next.NotRun {
+		plan := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9, Deadline: time.Second}, largeBudget())
+		plan.RecordDispatch()
+		if next := plan.RecordFailure(attempt.FailureNotRun, time.Second); next.Retry || !next.NotRun {
 			t.Fatalf("at the deadline: %+v", next)
 		}
 	})
 	t.Run("budget", func(t *testing.T) {
-		f := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9}, attempt.NewBudget(attempt.BudgetParams{}))
-		f.RecordDispatch()
-		if next := f.RecordFailure(attempt.FailureNotRun, 0); next.Retry || !next.NotRun {
-			t.Fatalf("with nothing in the budget: %+v", next)
+		plan := attempt.NewDispatchPlan(attempt.DispatchSpec{Repeatable: true, MaxRuns: 2, MaxDispatches: 9}, attempt.NewBudget(attempt.BudgetParams{}))
+		plan.RecordDispatch()
+		if next := plan.RecordFailure(attempt.FailureNotRun, 0); next.Retry || !next.NotRun {
+			t.Fatalf("with an empty budget: %+v", next)
 		}
 	})
 }
 
-// However losses fall, a request that may have run is never said not to have, one
-// that may not be repeated is handed on at most once after it may have run, and no
-// request runs more often than allowed.
+// For any sequence of failures: a request that may have run is never reported as not
+// run, a request that may not be repeated is not dispatched again once it may have
+// run, and no request runs more often than allowed.
 func TestForwardKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := attempt.DispatchSpec{
@@ -76,13 +74,13 @@
 			MaxRuns:       rapid.IntRange(1, 4).Draw(t, "runs"),
 			MaxDispatches: rapid.IntRange(1, 6).Draw(t, "placements"),
 		}
-		f := attempt.NewDispatchPlan(spec, roomyBudget())
+		plan := attempt.NewDispatchPlan(spec, largeBudget())
 		mayHaveRun, runs := false, 0
 		for {
 			if mayHaveRun && !spec.Repeatable {
-				t.Fatal("handed on though it may have run and may not be repeated")
+				t.Fatal("dispatched again although it may have run and may not be repeated")
 			}
-			f.RecordDispatch()
+			plan.RecordDispatch()
 			loss := rapid.SampledFrom([]attempt.DispatchFailure{
 				attempt.FailureNotSent, attempt.FailureNotRun, attempt.FailureUnknown, attempt.FailureErrorResponse,
 			}).Draw(t, "loss")
@@ -90,9 +88,9 @@
 				mayHaveRun = true
 				runs++
 			}
-			next := f.RecordFailure(loss, 0)
+			next := plan.RecordFailure(loss, 0)
 			if next.NotRun && mayHaveRun {
-				t.Fatal("said not to have run though it may have")
+				t.Fatal("reported as not run although it may have run")
 			}
 			if !next.Retry {
 				break
--- a/internal/attempt/once_bench_test.go
+++ b/internal/attempt/once_bench_test.go
@@ -10,13 +10,13 @@
 	"skylarklead/internal/protocol"
 )
 
-// Latencies of the log in the timed model, one way there and back.
+// Latencies of the log in this model: of an append and its answer, and of a read.
 const (
 	appendTime = 10 * time.Millisecond
 	readTime   = 2 * time.Millisecond
 )
 
-// timedLog is one process and a log with latencies, in steps of a millisecond.
+// timedLog simulates one process and a log with latencies, in steps of a millisecond.
 type timedLog struct {
 	once     *Once
 	now      time.Duration
@@ -27,7 +27,7 @@
 	waits    []time.Duration
 	refused  []time.Duration
 	appends  int
-	sendings uint64
+	runsSent uint64
 }
 
 func (l *timedLog) after(d time.Duration, f func() []OnceAction) {
@@ -62,7 +62,7 @@
 	})
 }
 
-// run sends rate new keys a second for a while, at random moments.
+// run sends rate new keys a second at random times until the given time.
 func (l *timedLog) run(rate float64, until time.Duration) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for ; l.now < until; l.now += time.Millisecond {
@@ -74,8 +74,8 @@
 			l.do(l.once.CaughtUp(l.now, l.now))
 		}
 		if rng.Float64() < rate/1000 {
-			l.sendings++
-			key := benchKey(int(l.sendings))
+			l.runsSent++
+			key := benchKey(int(l.runsSent))
 			l.started[protocol.AttemptID(key)] = l.now
 			l.do(l.once.Run(KeyedRun{Attempt: protocol.AttemptID(key), Key: key, Age: time.Millisecond}, l.now))
 		}
@@ -94,8 +94,8 @@
 	}
 }
 
-// BenchmarkClaimWait reports how long a sending waits for its claim, and appends
-// a second, by the pace of appends and the rate of keys.
+// BenchmarkClaimWait reports how long a Run waits for its claim, and the appends per
+// second, for several append intervals and key rates.
 func BenchmarkClaimWait(b *testing.B) {
 	for _, interval := range []time.Duration{0, 25 * time.Millisecond, 100 * time.Millisecond} {
 		for _, rate := range []float64{5, 100} {
@@ -115,8 +115,8 @@
 	}
 }
 
-// BenchmarkOutage reports how many of 20 sendings a second are refused in an
-// outage of 10 s, and for how long after its end.
+// BenchmarkOutage reports how many Runs are refused, at 20 Runs a second, in an outage
+// of 10 s, and for how long after its end.
 func BenchmarkOutage(b *testing.B) {
 	const from, to = 20 * time.Second, 30 * time.Second
 	var l *timedLog
@@ -129,7 +129,7 @@
 	}
 	last := l.refused[len(l.refused)-1]
 	b.ReportMetric(float64(len(l.refused)), "refused")
-	b.ReportMetric(float64(l.sendings), "sent")
+	b.ReportMetric(float64(l.runsSent), "sent")
 	b.ReportMetric((last - to).Seconds(), "s-after-end")
 	b.ReportMetric(float64(l.appends)/60, "appends/s")
 }
--- a/internal/attempt/once_model_test.go
+++ b/internal/attempt/once_model_test.go
@@ -18,11 +18,11 @@
 	UndatedTTL: 10 * time.Minute, MaxUndated: 100, MaxResultBytes: 1 << 10,
 }
 
-// worldSteps is how many things happen in one run of a model.
-const worldSteps = 150
+// modelSteps is the number of steps in one run of the model.
+const modelSteps = 150
 
-// modelLog is the platform's log: it may be down, lose answers, apply an append
-// long after its sender gave it up, and forget old records.
+// modelLog models the platform's log: it may be down, lose answers, apply an append
+// long after its sender gave up on it, and drop old records.
 type modelLog struct {
 	records [][]byte
 	times   []time.Duration
@@ -52,7 +52,7 @@
 
 type modelExecution struct {
 	Execute
-	handed bool
+	dispatched bool
 }
 
 type modelProc struct {
@@ -63,37 +63,37 @@
 	readStarted time.Duration
 }
 
-type sending struct {
+type modelRun struct {
 	key      int
 	proc     int
 	answered bool
 	ran      bool
 	notRun   bool
 	code     protocol.Code
-	// until is when it has to be decided or refused.
+	// until is when the Run has to be decided or refused.
 	until time.Duration
 }
 
-// onceWorld is a group of processes that get the same keys from many entries.
-type onceWorld struct {
-	t        *rapid.T
-	now      time.Duration
-	log      *modelLog
-	procs    []*modelProc
-	limbo    [][]byte
-	born     []time.Duration
-	dated    bool
-	runs     map[KeyDigest]int
-	sendings map[protocol.AttemptID]*sending
-	epochs   protocol.Epoch
-	attempts byte
-	more     byte
+// onceModel models a group of processes that receive the same keys from many entries.
+type onceModel struct {
+	t            *rapid.T
+	now          time.Duration
+	log          *modelLog
+	procs        []*modelProc
+	lateAppends  [][]byte
+	createdAt    []time.Duration
+	dated        bool
+	runs         map[KeyDigest]int
+	modelRuns    map[protocol.AttemptID]*modelRun
+	epochs       protocol.Epoch
+	attempts     byte
+	attemptsHigh byte
 }
 
-func newOnceWorld(t *rapid.T, procs, keys int, dated bool) *onceWorld {
-	w := &onceWorld{
+func newOnceModel(t *rapid.T, procs, keys int, dated bool) *onceModel {
+	w := &onceModel{
 		t: t, now: time.Second, log: &modelLog{oldest: 1, up: true}, dated: dated,
-		runs: map[KeyDigest]int{}, sendings: map[protocol.AttemptID]*sending{}, born: make([]time.Duration, keys),
+		runs: map[KeyDigest]int{}, modelRuns: map[protocol.AttemptID]*modelRun{}, createdAt: make([]time.Duration, keys),
 	}
 	for i := range procs {
 		w.procs = append(w.procs, &modelProc{})
@@ -104,40 +104,41 @@
 
 func procName(i int) string { return fmt.Sprintf("endpoint-%d", i) }
 
-func (w *onceWorld) start(i int) {
+func (w *onceModel) start(i int) {
 	w.epochs++
 	p := w.procs[i]
 	for _, a := range p.appends {
-		w.limbo = append(w.limbo, a.Data) // a dead process's append may still land
+		w.lateAppends = append(w.lateAppends, a.Data) // a dead process's append may still take effect
 	}
 	*p = modelProc{epoch: w.epochs, once: NewOnce(procName(i), w.epochs, testOnceParams), readStarted: w.now}
 	p.once.SetCarryForward(true)
 }
 
-func (w *onceWorld) send(proc, key int, redirected bool) {
+func (w *onceModel) send(proc, key int, redirected bool) {
 	w.attempts++
 	if w.attempts == 0 {
-		w.more++
-	}
-	a := protocol.AttemptID{w.attempts, w.more, 1}
-	// Without one, at an even attempt, a sending waits for ClaimBound.
-	patience := time.Duration(w.attempts%2) * time.Duration(w.attempts) * 20 * time.Millisecond
-	s := &sending{key: key, proc: proc, until: w.now + testOnceParams.ClaimTimeout}
-	if patience > 0 {
-		s.until = min(s.until, w.now+patience/2)
-	}
-	w.sendings[a] = s
-	r := KeyedRun{Attempt: a, Key: KeyDigest{byte(key), 1}, Fingerprint: uint64(key), CallerTimeout: patience, Redirected: redirected}
+		w.attemptsHigh++
+	}
+	a := protocol.AttemptID{w.attempts, w.attemptsHigh, 1}
+	// At even attempt numbers the caller's time-out is unknown, and the Run waits for
+	// ClaimTimeout.
+	callerTimeout := time.Duration(w.attempts%2) * time.Duration(w.attempts) * 20 * time.Millisecond
+	s := &modelRun{key: key, proc: proc, until: w.now + testOnceParams.ClaimTimeout}
+	if callerTimeout > 0 {
+		s.until = min(s.until, w.now+callerTimeout/2)
+	}
+	w.modelRuns[a] = s
+	r := KeyedRun{Attempt: a, Key: KeyDigest{byte(key), 1}, Fingerprint: uint64(key), CallerTimeout: callerTimeout, Redirected: redirected}
 	if w.dated {
-		if w.born[key] == 0 {
-			w.born[key] = w.now
+		if w.createdAt[key] == 0 {
+			w.createdAt[key] = w.now
 		}
-		r.Age = max(w.now-w.born[key], time.Millisecond)
+		r.Age = max(w.now-w.createdAt[key], time.Millisecond)
 	}
 	w.do(proc, w.procs[proc].once.Run(r, w.now))
 }
 
-func (w *onceWorld) do(i int, actions []OnceAction) {
+func (w *onceModel) do(i int, actions []OnceAction) {
 	p := w.procs[i]
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -149,15 +150,15 @@
 			w.answer(a.Attempt)
 		case Replay:
 			w.answer(a.Attempt)
-			w.mustHaveRun(w.sendings[a.Attempt].key)
+			w.mustHaveRun(w.modelRuns[a.Attempt].key)
 		case Answer:
 			w.answered(a)
 		}
 	}
 }
 
-func (w *onceWorld) answer(a protocol.AttemptID) *sending {
-	s := w.sendings[a]
+func (w *onceModel) answer(a protocol.AttemptID) *modelRun {
+	s := w.modelRuns[a]
 	if s.answered {
 		w.t.Fatalf("attempt %v answered twice", a)
 	}
@@ -165,14 +166,14 @@
 	return s
 }
 
-func (w *onceWorld) answered(a Answer) {
+func (w *onceModel) answered(a Answer) {
 	s := w.answer(a.Attempt)
 	s.code = a.End.Code
 	switch a.End.Outcome {
 	case protocol.NotRun:
 		s.notRun = true
 		if s.ran {
-			w.t.Fatalf("not_run said of a sending that ran")
+			w.t.Fatalf("not_run reported for a Run that was executed")
 		}
 	case protocol.Done:
 		w.mustHaveRun(s.key)
@@ -187,30 +188,30 @@
 	}
 }
 
-func (w *onceWorld) mustHaveRun(key int) {
+func (w *onceModel) mustHaveRun(key int) {
 	if w.runs[KeyDigest{byte(key), 1}] != 1 {
-		w.t.Fatalf("key %d is called done with %d runs", key, w.runs[KeyDigest{byte(key), 1}])
+		w.t.Fatalf("key %d is reported as done with %d runs", key, w.runs[KeyDigest{byte(key), 1}])
 	}
 }
 
-// handOver lets the back end have an execution: from here on it has run.
-func (w *onceWorld) handOver(e *modelExecution) {
-	if e.handed {
+// dispatch sends an execution to the back end. From then on it has run.
+func (w *onceModel) dispatch(e *modelExecution) {
+	if e.dispatched {
 		return
 	}
-	e.handed = true
+	e.dispatched = true
 	w.runs[e.Key]++
 	if w.runs[e.Key] > 1 {
 		w.t.Fatalf("key %v ran twice", e.Key)
 	}
-	s := w.sendings[e.Attempt]
+	s := w.modelRuns[e.Attempt]
 	s.ran = true
 	if s.notRun {
-		w.t.Fatalf("a sending ran after not_run was said of it")
+		w.t.Fatalf("a Run was executed after not_run was reported for it")
 	}
 }
 
-func (w *onceWorld) finish(i int) {
+func (w *onceModel) finish(i int) {
 	p := w.procs[i]
 	if len(p.executions) == 0 {
 		return
@@ -219,15 +220,16 @@
 	p.executions = p.executions[1:]
 	outcome := protocol.NotRun
 	var result *Result
-	if e.handed {
+	if e.dispatched {
 		outcome = rapid.SampledFrom([]protocol.Outcome{protocol.Done, protocol.Done, protocol.Unknown}).Draw(w.t, "outcome")
 		result = &Result{Chunks: [][]byte{make([]byte, 300)}}
 	}
 	w.do(i, p.once.Finished(e.Key, outcome, result, w.now))
 }
 
-// settleAppend lets one append in flight have its effect or not, and its answer.
-func (w *onceWorld) settleAppend(i int, how string) {
+// settleAppend ends one append in flight: with or without effect, and with or without
+// an answer.
+func (w *onceModel) settleAppend(i int, how string) {
 	p := w.procs[i]
 	if len(p.appends) == 0 {
 		return
@@ -245,23 +247,23 @@
 		w.log.append(a.Data, w.now)
 		w.do(i, p.once.AppendUnknown(a.Batch, w.now))
 	case "late":
-		w.limbo = append(w.limbo, a.Data)
+		w.lateAppends = append(w.lateAppends, a.Data)
 		w.do(i, p.once.AppendUnknown(a.Batch, w.now))
 	case "refused":
 		w.do(i, p.once.AppendFailed(a.Batch, 0, w.now))
 	}
 }
 
-// land lets an append that was given up take effect after all.
-func (w *onceWorld) land() {
-	if len(w.limbo) == 0 || !w.log.up {
+// applyLateAppend lets an append whose sender gave up on it take effect.
+func (w *onceModel) applyLateAppend() {
+	if len(w.lateAppends) == 0 || !w.log.up {
 		return
 	}
-	w.log.append(w.limbo[0], w.now)
-	w.limbo = w.limbo[1:]
+	w.log.append(w.lateAppends[0], w.now)
+	w.lateAppends = w.lateAppends[1:]
 }
 
-func (w *onceWorld) read(i, limit int) {
+func (w *onceModel) read(i, limit int) {
 	if !w.log.up {
 		return
 	}
@@ -281,29 +283,29 @@
 	}
 }
 
-func (w *onceWorld) advance(d time.Duration) {
+func (w *onceModel) advance(d time.Duration) {
 	w.now += d
 	w.log.expire(w.now - testOnceParams.Retention)
 	for i, p := range w.procs {
 		w.do(i, p.once.Tick(w.now))
 	}
-	for a, s := range w.sendings {
+	for a, s := range w.modelRuns {
 		k := w.procs[s.proc].once.keys[KeyDigest{byte(s.key), 1}]
-		if w.now >= s.until && k != nil && k.waits(a) {
-			w.t.Fatalf("a sending waits at %v; it was to be refused at %v", w.now, s.until)
+		if w.now >= s.until && k != nil && k.hasWaiter(a) {
+			w.t.Fatalf("a Run still waits at %v; it should have been refused at %v", w.now, s.until)
 		}
 	}
 }
 
-func (w *onceWorld) tell(i, j int) {
+func (w *onceModel) announceEpoch(i, j int) {
 	if i != j {
 		w.procs[i].once.SetPeerEpoch(procName(j), w.procs[j].epoch)
 	}
 }
 
-func (w *onceWorld) actions() map[string]func(*rapid.T) {
+func (w *onceModel) actions() map[string]func(*rapid.T) {
 	proc := func(t *rapid.T) int { return rapid.IntRange(0, len(w.procs)-1).Draw(t, "proc") }
-	key := func(t *rapid.T) int { return rapid.IntRange(0, len(w.born)-1).Draw(t, "key") }
+	key := func(t *rapid.T) int { return rapid.IntRange(0, len(w.createdAt)-1).Draw(t, "key") }
 	how := rapid.SampledFrom([]string{"ok", "ok", "answer lost", "late", "refused"})
 	return map[string]func(*rapid.T){
 		"nothing": func(*rapid.T) {},
@@ -315,11 +317,11 @@
 			w.send(proc(t), k, false)
 		},
 		"append": func(t *rapid.T) { w.settleAppend(proc(t), how.Draw(t, "how")) },
-		"land":   func(*rapid.T) { w.land() },
+		"land":   func(*rapid.T) { w.applyLateAppend() },
 		"read":   func(t *rapid.T) { w.read(proc(t), rapid.IntRange(1, 8).Draw(t, "limit")) },
 		"hand over": func(t *rapid.T) {
 			if p := w.procs[proc(t)]; len(p.executions) > 0 {
-				w.handOver(&p.executions[0])
+				w.dispatch(&p.executions[0])
 			}
 		},
 		"finish": func(t *rapid.T) { w.finish(proc(t)) },
@@ -331,7 +333,7 @@
 				w.do(i, w.procs[i].once.Drain(w.now))
 			}
 		},
-		"hear":      func(t *rapid.T) { w.tell(proc(t), proc(t)) },
+		"hear":      func(t *rapid.T) { w.announceEpoch(proc(t), proc(t)) },
 		"lose peer": func(t *rapid.T) { w.procs[proc(t)].once.SetPeerDown(procName(proc(t))) },
 		"time": func(t *rapid.T) {
 			w.advance(time.Duration(rapid.SampledFrom([]int{1, 20, 100, 500, 1200, 3500}).Draw(t, "ms")) * time.Millisecond)
@@ -344,31 +346,32 @@
 	}
 }
 
-// pump lets one process do all that it can while nothing fails.
-func (w *onceWorld) pump(i int) {
+// pump lets one process do all it can without failures.
+func (w *onceModel) pump(i int) {
 	w.settleAppend(i, "ok")
 	w.read(i, 1000)
 	for len(w.procs[i].executions) > 0 {
-		w.handOver(&w.procs[i].executions[0])
+		w.dispatch(&w.procs[i].executions[0])
 		w.finish(i)
 	}
 }
 
-// run takes worldSteps steps; each kind is as likely as often as it is listed.
-func (w *onceWorld) run(without ...string) {
+// run takes modelSteps random steps. A kind of step that is listed several times is
+// that much likelier.
+func (w *onceModel) run(without ...string) {
 	actions := w.actions()
 	kinds := []string{
 		"nothing", "send", "send", "both", "pump", "pump", "append", "append", "read", "read", "hand over", "finish",
 		"pump", "pump", "read", "land", "log", "log up", "log up", "crash", "leave", "hear", "hear", "lose peer", "time", "time", "long time",
 	}
 	kinds = slices.DeleteFunc(kinds, func(k string) bool { return slices.Contains(without, k) })
-	for range worldSteps {
+	for range modelSteps {
 		actions[rapid.SampledFrom(kinds).Draw(w.t, "step")](w.t)
 	}
 }
 
-// drain brings the log back and lets everything under way come to its end.
-func (w *onceWorld) drain() {
+// drain brings the log back up and lets everything in progress complete.
+func (w *onceModel) drain() {
 	w.log.up = true
 	for range 40 {
 		for i := range w.procs {
--- a/internal/attempt/once_test.go
+++ b/internal/attempt/once_test.go
@@ -10,57 +10,55 @@
 	"skylarklead/internal/protocol"
 )
 
-// Symptom: a payment is made twice, or one that was made is called not_run.
-// Sequence: entries send the same key at the same moment to several endpoints;
-// appends are refused, lose their answer or land long after they were given up;
-// the log goes down; processes are killed and come back; the log forgets.
-// Cause looked for: running before one's own claim was read back in order,
-// running under a claim that was released or belongs to an earlier epoch.
+// Guards against running a payment twice, or reporting not_run for one that was made.
+// Entries send the same key at the same time to several endpoints; appends are
+// refused, lose their answer or take effect after their sender gave up; the log goes
+// down and drops old records; processes are killed and restarted. Faults to detect:
+// running a key before the process has read back its own claim in order, or under a
+// claim that was released or belongs to an earlier epoch.
 func TestOnceRunsAtMostOnceAndSaysNotRunTruthfully(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newOnceWorld(t, rapid.IntRange(2, 3).Draw(t, "procs"), rapid.IntRange(1, 6).Draw(t, "keys"), rapid.Bool().Draw(t, "dated"))
+		w := newOnceModel(t, rapid.IntRange(2, 3).Draw(t, "procs"), rapid.IntRange(1, 6).Draw(t, "keys"), rapid.Bool().Draw(t, "dated"))
 		w.run()
 		w.drain()
-		for a, s := range w.sendings {
+		for a, s := range w.modelRuns {
 			k := w.procs[s.proc].once.keys[KeyDigest{byte(s.key), 1}]
-			if k != nil && k.waits(a) {
-				t.Fatalf("a sending still waits with the log up")
+			if k != nil && k.hasWaiter(a) {
+				t.Fatalf("a Run still waits although the log is up")
 			}
 		}
 	})
 }
 
-// Symptom: with the log back up, payments are still refused.
-// Cause looked for: a state left behind by an outage in which a key's claim is
-// neither queued nor in doubt.
+// Guards against refusing payments although the log is back up: an outage must not
+// leave a key's claim in a state that is neither queued nor uncertain.
 func TestOnceMakesProgressWhenTheLogIsUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newOnceWorld(t, 2, 6, false)
+		w := newOnceModel(t, 2, 6, false)
 		w.run("leave")
 		w.drain()
-		w.born = append(w.born, 0)
-		fresh := len(w.born) - 1
-		clear(w.sendings)
-		for k := range w.born {
+		w.createdAt = append(w.createdAt, 0)
+		newKey := len(w.createdAt) - 1
+		clear(w.modelRuns)
+		for k := range w.createdAt {
 			w.send(rapid.IntRange(0, len(w.procs)-1).Draw(t, "proc"), k, false)
 		}
 		w.drain()
-		w.mustHaveRun(fresh)
-		for _, s := range w.sendings {
+		w.mustHaveRun(newKey)
+		for _, s := range w.modelRuns {
 			if s.code == protocol.CodeLogUnavailable {
-				t.Fatalf("key %d is refused with the log up", s.key)
+				t.Fatalf("key %d is refused although the log is up", s.key)
 			}
 		}
 	})
 }
 
-// Symptom: a key without a date runs again an hour later.
-// Sequence: it runs; the log's retention takes its claim; every process is
-// restarted; its caller sends it again.
-// Cause looked for: nobody carried the claim forward.
+// Guards against running an undated key again after the log's retention: it runs,
+// retention removes its claim, every process restarts, and the caller sends it again.
+// The claim must have been carried forward.
 func TestOnceCarriesUndatedKeysPastRetention(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newOnceWorld(t, 2, 1, false)
+		w := newOnceModel(t, 2, 1, false)
 		w.drain()
 		w.send(0, 0, false)
 		w.drain()
@@ -80,14 +78,13 @@
 	})
 }
 
-// Symptom: a payment runs twice, at two endpoints.
-// Sequence: a claim is won for nobody and released; the release's answer is lost
-// and it is sent again; the same process claims the key anew and runs it; the
-// first release lands; another endpoint claims the key.
-// Cause: a release that names no claim frees whatever claim stands.
+// Guards against a payment that runs at two endpoints. A claim without a waiting Run
+// is released; the answer to the release is lost, and it is sent again; the same
+// process claims the key anew and runs it; then the first release takes effect, and
+// another endpoint claims the key. The release must free only the claim that it names.
 func TestOnceReleaseThatLandsTwiceFreesOneClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newOnceWorld(t, 2, 1, false)
+		w := newOnceModel(t, 2, 1, false)
 		w.drain()
 		w.send(0, 0, false)
 		w.procs[0].once.Withdraw(KeyDigest{0, 1}, protocol.AttemptID{1, 0, 1})
@@ -102,7 +99,7 @@
 		w.send(0, 0, false)
 		w.drain()
 		w.mustHaveRun(0)
-		w.land()
+		w.applyLateAppend()
 		w.drain()
 		w.send(1, 0, false)
 		w.drain()
@@ -115,48 +112,48 @@
 	o.CaughtUp(0, 0)
 	old := o.Run(KeyedRun{Attempt: protocol.AttemptID{1}, Key: KeyDigest{1}, Age: time.Minute}, 0)
 	if got := old[0].(Answer).End; got.Code != protocol.CodeKeyTooOld || got.Outcome != protocol.Unknown {
-		t.Errorf("an old key: got %+v", got)
+		t.Errorf("key beyond the age limit: got %+v", got)
 	}
 	o.Run(KeyedRun{Attempt: protocol.AttemptID{2}, Key: KeyDigest{2}, Fingerprint: 7}, 0)
 	other := o.Run(KeyedRun{Attempt: protocol.AttemptID{3}, Key: KeyDigest{2}, Fingerprint: 8}, 0)
 	if got := other[0].(Answer).End; got.Code != protocol.CodeKeyConflict || got.Outcome != protocol.NotRun {
-		t.Errorf("a key with another body: got %+v", got)
+		t.Errorf("key reused with another request: got %+v", got)
 	}
 	late := o.Tick(testOnceParams.ClaimTimeout)
 	if got := late[0].(Answer).End; got.Code != protocol.CodeLogUnavailable || got.Outcome != protocol.NotRun || got.RetryAfterMs == 0 {
-		t.Errorf("no answer from the log: got %+v", got)
+		t.Errorf("log did not answer: got %+v", got)
 	}
 }
 
-// Symptom: payments are refused in an outage that is over before their callers
-// would have given up, or wait in vain for all of a long one.
-// Cause: one fixed wait for slow logs, short outages and long ones.
+// Guards against a single fixed wait for slow logs, short outages and long ones: it
+// refuses payments in an outage that ends before their callers would have given up, or
+// lets them wait in vain through all of a long one.
 func TestOnceWaitsAsLongAsItHelps(t *testing.T) {
 	const s, ms = time.Second, time.Millisecond
 	for _, c := range []struct {
-		name             string
-		fails, came      time.Duration
-		patience, refuse time.Duration
+		name                     string
+		failsAt, arrives         time.Duration
+		callerTimeout, refusedAt time.Duration
 	}{
 		{"slow log", 0, 10 * s, 0, 10*s + testOnceParams.ClaimTimeout},
-		{"slow log, impatient caller", 0, 10 * s, 600 * ms, 10*s + 300*ms},
+		{"slow log, short caller time-out", 0, 10 * s, 600 * ms, 10*s + 300*ms},
 		{"outage begins while it waits", 10*s + 100*ms, 10 * s, 0, 11*s + 600*ms},
-		{"came early in an outage", 10 * s, 10*s + 100*ms, 0, 11*s + 500*ms},
-		{"came late in an outage", 10 * s, 13 * s, 0, 13*s + 500*ms},
-		{"outage, impatient caller", 10 * s, 13 * s, 200 * ms, 13*s + 100*ms},
+		{"arrives early in an outage", 10 * s, 10*s + 100*ms, 0, 11*s + 500*ms},
+		{"arrives late in an outage", 10 * s, 13 * s, 0, 13*s + 500*ms},
+		{"outage, short caller time-out", 10 * s, 13 * s, 200 * ms, 13*s + 100*ms},
 	} {
 		o := NewOnce("endpoint-0", 1, testOnceParams)
-		o.CaughtUp(c.came, c.came)
+		o.CaughtUp(c.arrives, c.arrives)
 		fail := func(now time.Duration) {
 			batch := o.Run(KeyedRun{Attempt: protocol.AttemptID{9}, Key: KeyDigest{9}}, now)[0].(AppendClaims).Batch
 			o.AppendFailed(batch, time.Hour, now)
 		}
-		r := KeyedRun{Attempt: protocol.AttemptID{1}, Key: KeyDigest{1}, CallerTimeout: c.patience}
-		if c.fails != 0 && c.fails <= c.came {
-			fail(c.fails)
-			o.Run(r, c.came)
-		} else if out := o.Run(r, c.came); c.fails != 0 {
-			o.AppendFailed(out[0].(AppendClaims).Batch, time.Hour, c.fails)
+		r := KeyedRun{Attempt: protocol.AttemptID{1}, Key: KeyDigest{1}, CallerTimeout: c.callerTimeout}
+		if c.failsAt != 0 && c.failsAt <= c.arrives {
+			fail(c.failsAt)
+			o.Run(r, c.arrives)
+		} else if out := o.Run(r, c.arrives); c.failsAt != 0 {
+			o.AppendFailed(out[0].(AppendClaims).Batch, time.Hour, c.failsAt)
 		}
 		refused := func(now time.Duration) bool {
 			return slices.ContainsFunc(o.Tick(now), func(a OnceAction) bool {
@@ -164,10 +161,10 @@
 				return ok && answer.Attempt == r.Attempt && answer.End.Code == protocol.CodeLogUnavailable
 			})
 		}
-		if refused(c.refuse - 1) {
-			t.Errorf("%s: refused before %v", c.name, c.refuse)
-		} else if !refused(c.refuse) {
-			t.Errorf("%s: not refused at %v", c.name, c.refuse)
+		if refused(c.refusedAt - 1) {
+			t.Errorf("%s: refused before %v", c.name, c.refusedAt)
+		} else if !refused(c.refusedAt) {
+			t.Errorf("%s: not refused at %v", c.name, c.refusedAt)
 		}
 	}
 }
--- a/internal/attempt/plan.go
+++ b/internal/attempt/plan.go
@@ -9,46 +9,47 @@
 	"skylarklead/internal/protocol"
 )
 
-// PlanSpec is what a plan has to know of its request.
+// PlanSpec holds the properties of a request that a Plan depends on.
 type PlanSpec struct {
-	// Organisation is whose request it is.
+	// Organisation is the customer that the request belongs to.
 	Organisation string
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// Keyed requests have an idempotency key: they aren't repeatable, but may be
-	// sent more than once, for the claims let one of the sendings run.
+	// Keyed requests have an idempotency key. They aren't repeatable, but may be sent
+	// more than once, since the claims let only one of the attempts run.
 	Keyed bool
-	// Continuable answers can be gone on with from what the caller already has.
-	// Completions are; a plain service's answer isn't, for a second run may
-	// answer in other bytes.
+	// Continuable answers can be continued by another run from what the caller already
+	// has. That holds for completions, but not for the answer of a plain service,
+	// because a second run may answer with different bytes.
 	Continuable bool
 }
 
-// PlanParams bound a plan's efforts.
+// PlanParams bounds the attempts and waits of a Plan.
 type PlanParams struct {
 	// MaxAsks bounds how often owners are asked in a row without an answer.
 	MaxAsks int
 	// MaxRuns bounds the attempts of one request.
 	MaxRuns int
-	// MaxCrashes is how many engines one request may crash before it is given up,
-	// as in PoisonParams.Limit.
+	// MaxCrashes is the number of engines that one request may crash before it is
+	// given up, as PoisonParams.MaxCrashes.
 	MaxCrashes int
-	// ResumeTries bounds tries in a row to reach the executor of a repeatable
-	// request before it is run elsewhere; ResolveTries those of one that isn't.
+	// ResumeTries bounds consecutive tries to reach the executor of a repeatable
+	// request before the request is run elsewhere. ResolveTries bounds those for a
+	// request that isn't repeatable.
 	ResumeTries  int
 	ResolveTries int
-	// Backoff is the first wait between tries; it doubles, with jitter.
-	Backoff time.Duration
-	// MaxBackoff bounds it.
+	// Backoff is the wait before the second try. It doubles with each try, with
+	// jitter, up to MaxBackoff.
+	Backoff    time.Duration
 	MaxBackoff time.Duration
-	// RetryAfter is what callers are told when nothing better is known.
+	// RetryAfter is the Retry-After of refusals for which no better value is known.
 	RetryAfter time.Duration
-	// GivenUpRetryAfter is when a caller may come back with a request given up here.
+	// GivenUpRetryAfter is the Retry-After of a request that was given up.
 	GivenUpRetryAfter time.Duration
 }
 
-// DefaultPlanParams resolve for about 13 s, longer than a peer's freeze takes
-// to be noticed.
+// DefaultPlanParams resolves for about 13 s, which is longer than it takes to detect a
+// frozen peer.
 var DefaultPlanParams = PlanParams{
 	MaxAsks: 4, MaxRuns: 4, MaxCrashes: DefaultPoisonParams.MaxCrashes, ResumeTries: 2, ResolveTries: 10,
 	Backoff: 50 * time.Millisecond, MaxBackoff: 2 * time.Second,
@@ -66,69 +67,70 @@
 	phaseFinal
 )
 
-// Plan is the entry's state of one request.
+// Plan is the state machine of one request at its entry.
 //
-// Invariants: at most one attempt is live; tainted is set once some earlier
-// attempt may have run, and then no answer says not_run; a request that isn't
-// repeatable has no second attempt unless the first is known not to have run.
+// Invariants: at most one attempt is live. mayHaveRun is set once an earlier attempt
+// may have run, and from then on no answer says not_run. A request that is neither
+// repeatable nor keyed has no second attempt unless the first is known not to have
+// run.
 type Plan struct {
-	spec    PlanSpec
-	params  PlanParams
-	budget  *Budget
-	rng     *rand.Rand
-	phase   phase
-	attempt protocol.AttemptID
-	target  protocol.Target
-	sent    bool
-	started bool
-	tainted bool
-	// ran is set once an executor has said that an attempt is done.
-	ran bool
+	spec       PlanSpec
+	params     PlanParams
+	budget     *Budget
+	rng        *rand.Rand
+	phase      phase
+	attempt    protocol.AttemptID
+	target     protocol.Target
+	sent       bool
+	started    bool
+	mayHaveRun bool
+	// confirmedDone is set once an executor has reported that an attempt is done.
+	confirmedDone bool
 	// redirected is set while the live attempt follows a redirect.
-	redirected bool
-	suspect    bool
-	away       bool
-	next       uint64
-	asks       int
-	runs       int
-	tries      int
-	exclude    []string
-	crashed    []string
+	redirected       bool
+	suspect          bool
+	callerGone       bool
+	next             uint64
+	asks             int
+	runs             int
+	tries            int
+	exclude          []string
+	crashedEndpoints []string
 }
 
-// NewPlan returns the plan of one request. rng also draws the attempt IDs, so
-// its seed has to be unpredictable and unique in the fleet.
+// NewPlan returns the plan of one request. rng also generates the attempt IDs, so its
+// seed has to be unpredictable and unique in the fleet.
 func NewPlan(spec PlanSpec, params PlanParams, budget *Budget, rng *rand.Rand) *Plan {
 	return &Plan{spec: spec, params: params, budget: budget, rng: rng}
 }
 
-// Begin counts the request and asks for its executor.
+// Begin counts the request in the budget and asks for an executor.
 func (p *Plan) Begin(now time.Duration) []Action {
 	p.budget.RecordRequest(now)
 	return p.ask(0)
 }
 
-// Final reports whether the caller has its final answer.
+// Final reports whether the final answer has been given.
 func (p *Plan) Final() bool { return p.phase == phaseFinal }
 
-// Attempt is the live attempt.
+// Attempt is the ID of the live attempt.
 func (p *Plan) Attempt() protocol.AttemptID { return p.attempt }
 
-// Step takes one event. Events of other attempts than the live one, and those
-// after the final answer, change nothing.
+// Step applies one event. Events of an attempt that is not live, and events after the
+// final answer, have no effect.
 func (p *Plan) Step(ev Event, now time.Duration) []Action {
 	if p.phase == phaseFinal {
 		return nil
 	}
 	switch e := ev.(type) {
 	case DecisionReceived:
-		return p.asked(e.Decision, now)
+		return p.decisionReceived(e.Decision, now)
 	case AskFailed:
 		return p.askFailed()
 	case NotSent:
 		return p.notSent(e, now)
 	case Sent:
-		p.noteSent(e)
+		p.recordSent(e)
 	case Started:
 		p.started = p.started || p.isLive(e.Attempt)
 	case ChunkDelivered:
@@ -144,11 +146,11 @@
 	case ResumeFailed:
 		return p.resumeFailed(e, now)
 	case CallerGone:
-		p.away = true
+		p.callerGone = true
 	case CallerBack:
-		p.away = false
+		p.callerGone = false
 	case GraceExpired:
-		return p.graceOver()
+		return p.graceExpired()
 	case DeadlinePassed:
 		return p.abandon(protocol.CodeDeadline, "the deadline has passed")
 	}
@@ -160,22 +162,22 @@
 func (p *Plan) ask(after time.Duration) []Action {
 	p.phase = phaseAsking
 	p.asks++
-	return []Action{Ask{Exclude: slices.Clone(p.exclude), Crashed: slices.Clone(p.crashed), After: after}}
+	return []Action{Ask{Exclude: slices.Clone(p.exclude), Crashed: slices.Clone(p.crashedEndpoints), After: after}}
 }
 
-func (p *Plan) asked(d *protocol.Decision, now time.Duration) []Action {
+func (p *Plan) decisionReceived(d *protocol.Decision, now time.Duration) []Action {
 	if p.phase != phaseAsking {
 		return nil
 	}
 	if d.Refusal != nil {
-		p.noteSaturation(d.Refusal.Code, now)
+		p.recordSaturation(d.Refusal.Code, now)
 		if d.Refusal.Code == protocol.CodeNoEndpoint && p.asks < p.params.MaxAsks {
-			// In a rolling restart a request can meet each endpoint while that one
-			// is away: one left, the next one leaves, the last has no engine yet.
-			// Its caller would be refused though the first is back. Asking has no
-			// effect, so it is asked again, about all of them.
+			// In a rolling restart a request can meet each endpoint while it is
+			// unavailable: one is draining, the next one starts to drain, the last has
+			// no engine yet. The caller would be refused although the first is back by
+			// then. Asking has no side effect, so all endpoints are asked about again.
 			p.exclude = nil
-			return p.ask(p.wait(p.asks))
+			return p.ask(p.backoff(p.asks))
 		}
 		return p.refuse(d.Refusal.Code, d.Refusal.Message, millis(d.Refusal.RetryAfterMs))
 	}
@@ -191,7 +193,7 @@
 	if p.asks >= p.params.MaxAsks {
 		return p.refuse(protocol.CodeNoEndpoint, "no owner answered", p.params.RetryAfter)
 	}
-	return p.ask(p.wait(p.asks))
+	return p.ask(p.backoff(p.asks))
 }
 
 func (p *Plan) run(target protocol.Target, redirected bool) []Action {
@@ -215,10 +217,10 @@
 	if p.phase != phaseSending || e.Attempt != p.attempt {
 		return nil
 	}
-	return p.elsewhere(protocol.CodeNoEndpoint, "the executor can't be reached", 0, ExtraResend, now)
+	return p.retryElsewhere(protocol.CodeNoEndpoint, "the executor can't be reached", 0, ExtraResend, now)
 }
 
-func (p *Plan) noteSent(e Sent) {
+func (p *Plan) recordSent(e Sent) {
 	if p.phase == phaseSending && e.Attempt == p.attempt {
 		p.phase = phaseRunning
 		p.sent = true
@@ -226,10 +228,10 @@
 	}
 }
 
-// elsewhere runs the request at another endpoint if the budget, the bound on
-// attempts and what the caller already has allow it. The live attempt is known
-// not to run, or the request is repeatable.
-func (p *Plan) elsewhere(code protocol.Code, message string, retryAfter time.Duration, kind ExtraKind, now time.Duration) []Action {
+// retryElsewhere runs the request at another endpoint if the budget, the bound on
+// attempts and what the caller already has allow it. The live attempt must be known
+// not to run, or the request must be repeatable or keyed.
+func (p *Plan) retryElsewhere(code protocol.Code, message string, retryAfter time.Duration, kind ExtraKind, now time.Duration) []Action {
 	if p.target.Endpoint != "" && !slices.Contains(p.exclude, p.target.Endpoint) {
 		p.exclude = append(p.exclude, p.target.Endpoint)
 	}
@@ -245,8 +247,8 @@
 func (p *Plan) abandon(code protocol.Code, message string) []Action {
 	var actions []Action
 	if p.phase != phaseAsking {
-		// Also while sending: the entry may be just about to write the Run.
-		p.tainted = true
+		// This includes the sending phase: the entry may be about to write the Run.
+		p.mayHaveRun = true
 	}
 	if p.phase != phaseAsking && p.spec.Repeatable {
 		actions = append(actions, Cancel{Attempt: p.attempt, Target: p.target})
@@ -254,24 +256,25 @@
 	return append(actions, p.refuse(code, message, 0)...)
 }
 
-// graceOver cancels what nobody waits for. A call that may not be repeated runs
-// to its end: cancelling it would leave its outcome unknown for good.
-func (p *Plan) graceOver() []Action {
-	if !p.away {
+// graceExpired ends a request whose caller did not come back. A call that may not be
+// repeated still runs to its end, because cancelling it would leave its outcome
+// unknown for good.
+func (p *Plan) graceExpired() []Action {
+	if !p.callerGone {
 		return nil
 	}
 	return p.abandon(protocol.CodeCanceled, "the caller has gone")
 }
 
-// refuse gives the final answer. It says not_run only if no attempt may have
-// run and the caller has nothing of an answer; done if the answer was lost after
-// an executor had said so.
+// refuse gives the final answer. It says not_run only if no attempt may have run and
+// the caller has received no part of an answer, and done if an executor had reported
+// that before the answer was lost.
 func (p *Plan) refuse(code protocol.Code, message string, retryAfter time.Duration) []Action {
 	ran := protocol.NotRun
-	if p.tainted || p.next > 0 {
+	if p.mayHaveRun || p.next > 0 {
 		ran = protocol.Unknown
 	}
-	if p.ran {
+	if p.confirmedDone {
 		ran = protocol.Done
 	}
 	if ran != protocol.NotRun && code == protocol.CodeNotRun {
@@ -285,15 +288,15 @@
 	return []Action{Finish{End: end, Refusal: refusal}}
 }
 
-func (p *Plan) noteSaturation(code protocol.Code, now time.Duration) {
+func (p *Plan) recordSaturation(code protocol.Code, now time.Duration) {
 	if code == protocol.CodeOverloaded {
 		p.budget.RecordSaturation(p.spec.Organisation, now)
 	}
 }
 
-// wait is the backoff before try n, counted from 1, with jitter so that many
-// requests that failed together don't come back together.
-func (p *Plan) wait(n int) time.Duration {
+// backoff returns the wait before try n, counted from 1. Jitter keeps requests that
+// failed together from being retried together.
+func (p *Plan) backoff(n int) time.Duration {
 	d := min(p.params.Backoff<<min(n-1, 16), p.params.MaxBackoff)
 	return d/2 + time.Duration(p.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/attempt/plan_test.go
+++ b/internal/attempt/plan_test.go
@@ -10,12 +10,11 @@
 	"skylarklead/internal/protocol"
 )
 
-// Symptom: a payment is made twice; a request that ran is called not_run; a
-// caller waits for ever.
-// Sequence: sessions are cut before and after a Run arrives, its answer is lost
-// or doubled, executors restart, redirect, crash, can't be reached; the caller
-// hangs up or its deadline passes.
-// Cause looked for: taking silence, or another epoch's word, for not_run.
+// Guards against a payment that is made twice, a request that ran and is reported as
+// not_run, and a caller that never gets an answer. Sessions are cut before and after a
+// Run arrives, its answer is lost or duplicated, executors restart, redirect, crash or
+// are unreachable, and the caller disconnects or its deadline passes. Fault to detect:
+// treating silence, or the answer of another epoch, as not_run.
 func TestPlanOutcomesAreTrue(t *testing.T) {
 	kinds := []string{
 		"nothing", "act", "act", "act", "news", "news", "lost news", "double news", "receive", "receive", "receive",
@@ -23,7 +22,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		spec := rapid.SampledFrom([]PlanSpec{{Continuable: true}, {Repeatable: true, Continuable: true}, {Keyed: true}}).Draw(t, "spec")
-		w := newPlanWorld(t, spec)
+		w := newPlanModel(t, spec)
 		for range 60 {
 			w.step(rapid.SampledFrom(kinds).Draw(t, "step"), rapid.IntRange(0, 9).Draw(t, "luck"))
 			w.check(spec)
@@ -51,10 +50,9 @@
 	}
 }
 
-// Symptom: a payment whose executor was killed is answered unknown_outcome although
-// it had run and that is on the log, or had not been claimed at all.
-// Sequence: the executor is killed; the entry learns that its epoch is gone.
-// Cause: a keyed request given up at the first loss, with the claims not asked.
+// Guards against unknown_outcome for a payment whose executor was killed, although the
+// log shows that it ran, or it was never claimed: after the loss of an executor a
+// keyed request has to be sent again, so that the claims are consulted.
 func TestPlanSendsAKeyedRequestAgainAfterALoss(t *testing.T) {
 	p := NewPlan(PlanSpec{Keyed: true}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 	p.Begin(0)
@@ -68,7 +66,7 @@
 	p.Step(Sent{Attempt: again.Attempt, Epoch: 1}, 0)
 	refused := &protocol.End{Attempt: again.Attempt, Outcome: protocol.NotRun, Code: protocol.CodeLogUnavailable}
 	if f := p.Step(Ended{Epoch: 1, End: refused}, 0)[0].(Finish); f.Refusal.Ran != protocol.Unknown {
-		t.Errorf("the first sending may have run, but %s is said", f.Refusal.Ran)
+		t.Errorf("the first attempt may have run, but %s is reported", f.Refusal.Ran)
 	}
 }
 
@@ -89,17 +87,16 @@
 		p.Step(Resolved{Epoch: 1, Answer: &test.answer}, 0)
 		f := p.Step(ResumeFailed{Attempt: run.Attempt, EpochGone: true}, 0)[0].(Finish)
 		if f.Refusal.Ran != test.want {
-			t.Errorf("after %+v: %s is said, want %s", test.answer, f.Refusal.Ran, test.want)
+			t.Errorf("after %+v: %s is reported, want %s", test.answer, f.Refusal.Ran, test.want)
 		}
 	}
 }
 
-// Symptom: a payment is called not_run and was made.
-// Sequence: its executor is killed while it runs it; the process that comes back
-// at the same address says not_run of an attempt that it has never seen.
-// Cause: an end taken without a look at the epoch that speaks.
+// Guards against reporting not_run for a payment that was made: its executor is killed
+// while running it, and the process restarted at the same address reports not_run for
+// an attempt that it has never seen. The epoch of an End has to be checked.
 func TestPlanDoesNotBelieveAnotherEpoch(t *testing.T) {
-	for name, word := range map[string]func(protocol.AttemptID) Event{
+	for name, answer := range map[string]func(protocol.AttemptID) Event{
 		"an end": func(a protocol.AttemptID) Event {
 			return Ended{Epoch: 2, End: &protocol.End{Attempt: a, Outcome: protocol.NotRun}}
 		},
@@ -112,16 +109,15 @@
 		run := p.Step(DecisionReceived{Decision: &protocol.Decision{}}, 0)[0].(Run)
 		p.Step(Sent{Attempt: run.Attempt, Epoch: 1}, 0)
 		p.Step(SessionLost{Attempt: run.Attempt}, 0)
-		out := p.Step(word(run.Attempt), 0)
+		out := p.Step(answer(run.Attempt), 0)
 		if f, ok := out[0].(Finish); !ok || f.Refusal.Ran != protocol.Unknown || f.Refusal.Code != protocol.CodeUnknownOutcome {
 			t.Errorf("%s: got %+v", name, out)
 		}
 	}
 }
 
-// Symptom: a caller waits until its deadline for an executor that is gone.
-// Sequence: its host is lost; nothing answers at its address any more.
-// Cause: tries to resolve or resume without a bound.
+// Guards against a caller that waits until its deadline for an executor whose host is
+// lost: the tries to resolve or resume have to be bounded.
 func TestPlanStopsTryingToReachALostExecutor(t *testing.T) {
 	for _, test := range []struct {
 		repeatable bool
@@ -149,8 +145,8 @@
 	}
 }
 
-// Symptom: one request goes round all endpoints of a group that drain or fail.
-// Cause: a budget that has saved up, and no bound for the one request.
+// Guards against a request that is tried at every endpoint of a group that drains or
+// fails: a full budget alone doesn't bound the runs of one request.
 func TestPlanBoundsTheRunsOfOneRequest(t *testing.T) {
 	p := NewPlan(PlanSpec{Repeatable: true}, DefaultPlanParams, NewBudget(DefaultBudgetParams), rand.New(rand.NewPCG(1, 1)))
 	out := p.Begin(0)
--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -8,49 +8,51 @@
 	"skylarklead/internal/protocol"
 )
 
-// PoisonParams bound what one request may do to the engines.
+// PoisonParams configures a PoisonTracker.
 type PoisonParams struct {
-	// MaxCrashes is the strikes at which a request is given up, 2 or more. It runs
-	// alone from one strike less on, so that the last crash is conclusive.
+	// MaxCrashes is the number of counted crashes at which a request is given up, 2 or
+	// more. With one crash less it runs exclusively, so that the last crash is
+	// conclusive.
 	MaxCrashes int
-	// Pardons is how often a completion clears a request's strikes. Without a
+	// MaxClears is how often a completion resets a request's crash count. Without a
 	// bound, a request that crashes every other engine would go on for ever.
-	Pardons uint32
-	// Memory is how long a strike is remembered after the last crash.
-	Memory time.Duration
-	// AloneWait is how long a waiting suspect holds back others, AloneGap how
-	// long they run freely after a suspect has ended. A crash makes suspects of
-	// all that it cut off; without a gap they would take an engine one after the
-	// other while everybody else waits.
-	AloneWait time.Duration
-	AloneGap  time.Duration
-	// Max bounds the fingerprints remembered.
-	Max int
-	// Beat bounds the strikes in one heartbeat.
-	Beat int
+	MaxClears uint32
+	// TTL is how long a request's crashes are remembered after the last one.
+	TTL time.Duration
+	// ExclusiveWait is how long a waiting suspect blocks other requests. ExclusiveGap
+	// is how long others run without restriction after a suspect has ended. A crash
+	// makes suspects of all requests that were running; without a gap they would
+	// occupy an engine one after another while all others wait.
+	ExclusiveWait time.Duration
+	ExclusiveGap  time.Duration
+	// MaxEntries bounds the fingerprints remembered.
+	MaxEntries int
+	// MaxPerHeartbeat bounds the strikes in one heartbeat.
+	MaxPerHeartbeat int
 }
 
-// DefaultPoisonParams remember for an hour.
+// DefaultPoisonParams remembers crashes for an hour.
 var DefaultPoisonParams = PoisonParams{
-	MaxCrashes: 3, Pardons: 2, Memory: time.Hour,
-	AloneWait: 30 * time.Second, AloneGap: 5 * time.Second, Max: 4096, Beat: 32,
+	MaxCrashes: 3, MaxClears: 2, TTL: time.Hour,
+	ExclusiveWait: 30 * time.Second, ExclusiveGap: 5 * time.Second, MaxEntries: 4096, MaxPerHeartbeat: 32,
 }
 
-// ExclusiveFrom is the strikes from which on a request runs alone. With Limit at 2,
-// every request that a crash cut off would take an engine for itself, though
-// nearly all crashes have another cause: a restart of half a group then holds up
-// everybody for seconds. One strike more costs a deadly request one more crash.
+// ExclusiveFrom is the crash count from which on a request runs exclusively. With
+// MaxCrashes at 2, every request that was running during a crash would occupy an
+// engine alone, although nearly all crashes have another cause: a restart of half a
+// group would then delay all requests for seconds. The price of a higher bound is one
+// more crash by a poison request.
 func (p PoisonParams) ExclusiveFrom() int { return p.MaxCrashes - 1 }
 
-// VerdictKind is how a request may run.
+// VerdictKind says how a request may run.
 type VerdictKind uint8
 
-// The verdicts.
+// Values of VerdictKind.
 const (
 	// VerdictClear: it runs beside others.
 	VerdictClear VerdictKind = iota
-	// VerdictExclusive: it has been running when engines crashed; nothing may run beside it,
-	// so that one more crash is conclusive.
+	// VerdictExclusive: it was running when engines crashed. No other request may run
+	// beside it, so that one more crash is conclusive.
 	VerdictExclusive
 	// VerdictGivenUp: it is not run again for RetryAfter.
 	VerdictGivenUp
@@ -58,10 +60,10 @@
 
 var verdictNames = [...]string{"clear", "alone", "given_up"}
 
-// String names the verdict as decision records have it.
+// String returns the verdict's name in decision records.
 func (k VerdictKind) String() string { return verdictNames[k] }
 
-// Verdict is what a Poison says of a request.
+// Verdict is the result of Judge.
 type Verdict struct {
 	Kind       VerdictKind
 	RetryAfter time.Duration
@@ -75,54 +77,54 @@
 	}
 }
 
-// suspicion is what is held against one fingerprint.
+// crashRecord holds the crashes counted against one fingerprint.
 //
-// Invariant: (generation, count) only grows in lexical order, and givenUp is
-// never unset, until the whole is forgotten after PoisonParams.Memory.
-type suspicion struct {
+// Invariant: (generation, count) only grows in lexical order, and givenUp is never
+// reset, until the record is removed after PoisonParams.TTL.
+type crashRecord struct {
 	count      int
 	generation uint32
 	givenUp    bool
-	struck     time.Duration
-	changed    time.Duration
+	lastCrash  time.Duration
+	changedAt  time.Duration
 }
 
 // PoisonTracker remembers which requests were running when engines crashed. Every
-// endpoint process of a group has one: it judges as an owner, guards its own
-// engine as an executor, and merges what its peers' heartbeats tell.
+// endpoint process of a group has one: as an owner it judges requests, as an executor
+// it protects its own engine, and it merges the strikes in its peers' heartbeats.
 //
-// Bound: with the strikes heard by all, a request that crashes every engine it
-// runs on crashes Limit of them in Memory: Limit-1 crashes shared with whatever
-// ran beside it, and one alone. Copies that already ran on k other engines when
-// one of the shared crashes happened, and owners that have not heard of it yet,
-// add at most one crash each, for each of the Limit-1. A request that sometimes completes crashes at most
-// Pardons more.
+// Bound: if all peers receive the strikes, a request that crashes every engine it runs
+// on crashes MaxCrashes of them within TTL: MaxCrashes-1 in crashes shared with
+// whatever ran beside it, and one while running exclusively. Copies that were already
+// running on k other engines during one of the shared crashes, and owners that have
+// not received it yet, add at most one crash each, for each of the MaxCrashes-1. A
+// request that sometimes completes crashes at most MaxClears more.
 type PoisonTracker struct {
-	params  PoisonParams
-	known   map[uint64]*suspicion
-	running map[uint64]int
-	total   int
-	// lost counts the runs that a crash took and that Ended has yet to be told
-	// of, by fingerprint.
-	lost map[uint64]int
-	// waiting has the suspects that asked to run, and since when.
-	waiting map[uint64]time.Duration
-	// freeUntil is the end of the gap after a suspect's run.
-	freeUntil time.Duration
-	cursor    uint64
+	params       PoisonParams
+	records      map[uint64]*crashRecord
+	running      map[uint64]int
+	runningTotal int
+	// lostRuns counts, by fingerprint, the runs that a crash ended and for which
+	// RecordEnd has not been called yet.
+	lostRuns map[uint64]int
+	// waitingSuspects holds the suspects that asked to run, and since when.
+	waitingSuspects map[uint64]time.Duration
+	// gapUntil is the end of the gap after a suspect's run.
+	gapUntil time.Duration
+	cursor   uint64
 }
 
-// NewPoisonTracker returns an empty memory.
+// NewPoisonTracker returns an empty tracker.
 func NewPoisonTracker(p PoisonParams) *PoisonTracker {
-	return &PoisonTracker{params: p, known: map[uint64]*suspicion{}, running: map[uint64]int{}, lost: map[uint64]int{}, waiting: map[uint64]time.Duration{}}
+	return &PoisonTracker{params: p, records: map[uint64]*crashRecord{}, running: map[uint64]int{}, lostRuns: map[uint64]int{}, waitingSuspects: map[uint64]time.Duration{}}
 }
 
-// Judge tells how a request may run.
+// Judge returns how a request may run.
 func (p *PoisonTracker) Judge(fingerprint uint64, now time.Duration) Verdict {
-	s := p.live(fingerprint, now)
+	s := p.recent(fingerprint, now)
 	switch {
 	case s != nil && s.givenUp:
-		return Verdict{Kind: VerdictGivenUp, RetryAfter: s.struck + p.params.Memory - now}
+		return Verdict{Kind: VerdictGivenUp, RetryAfter: s.lastCrash + p.params.TTL - now}
 	case s != nil && s.count >= p.params.ExclusiveFrom():
 		return Verdict{Kind: VerdictExclusive}
 	default:
@@ -130,64 +132,64 @@
 	}
 }
 
-// StartDecision is whether an executor may hand a request to its engine now.
+// StartDecision says whether an executor may send a request to its engine now.
 type StartDecision uint8
 
-// The gate's answers.
+// Values of StartDecision.
 const (
-	// StartNow: it is counted as running; call Ended when it no longer is.
+	// StartNow: it is counted as running; call RecordEnd when it no longer is.
 	StartNow StartDecision = iota
-	// StartWait: ask again when something has ended.
+	// StartWait: ask again when another request has ended.
 	StartWait
 	// StartRefused: it was given up.
 	StartRefused
 )
 
-// Start asks to hand a request to this process's engine. A suspect waits until
-// nothing runs, and holds back everything else until it has ended, was withdrawn
-// or has waited for AloneWait. Two copies of one request count as two.
+// Start asks to send a request to this process's engine. A suspect waits until nothing
+// runs, and blocks all other requests until it has ended, was withdrawn or has waited
+// for ExclusiveWait. Two copies of one request count as two.
 func (p *PoisonTracker) Start(fingerprint uint64, now time.Duration) StartDecision {
 	switch p.Judge(fingerprint, now).Kind {
 	case VerdictGivenUp:
-		delete(p.waiting, fingerprint)
+		delete(p.waitingSuspects, fingerprint)
 		return StartRefused
 	case VerdictExclusive:
-		if p.total > 0 {
-			if _, ok := p.waiting[fingerprint]; !ok {
-				p.waiting[fingerprint] = now
+		if p.runningTotal > 0 {
+			if _, ok := p.waitingSuspects[fingerprint]; !ok {
+				p.waitingSuspects[fingerprint] = now
 			}
 			return StartWait
 		}
-		delete(p.waiting, fingerprint)
+		delete(p.waitingSuspects, fingerprint)
 	default:
-		delete(p.waiting, fingerprint)
-		if p.heldBack(now) || p.aloneRuns(now) {
+		delete(p.waitingSuspects, fingerprint)
+		if p.blockedBySuspect(now) || p.suspectRunning(now) {
 			return StartWait
 		}
 	}
 	p.running[fingerprint]++
-	p.total++
+	p.runningTotal++
 	return StartNow
 }
 
-// Withdraw says that a request that had to wait waits no longer.
-func (p *PoisonTracker) Withdraw(fingerprint uint64) { delete(p.waiting, fingerprint) }
+// Withdraw records that a waiting request no longer waits.
+func (p *PoisonTracker) Withdraw(fingerprint uint64) { delete(p.waitingSuspects, fingerprint) }
 
-func (p *PoisonTracker) heldBack(now time.Duration) bool {
-	if now < p.freeUntil {
+func (p *PoisonTracker) blockedBySuspect(now time.Duration) bool {
+	if now < p.gapUntil {
 		return false
 	}
-	for f, since := range p.waiting {
-		if now-since < p.params.AloneWait {
+	for f, since := range p.waitingSuspects {
+		if now-since < p.params.ExclusiveWait {
 			return true
 		}
-		delete(p.waiting, f) // whoever asked for it is gone, or gave up
+		delete(p.waitingSuspects, f) // its caller is gone or has given up
 	}
 	return false
 }
 
-func (p *PoisonTracker) aloneRuns(now time.Duration) bool {
-	if p.total != 1 {
+func (p *PoisonTracker) suspectRunning(now time.Duration) bool {
+	if p.runningTotal != 1 {
 		return false
 	}
 	for f := range p.running {
@@ -196,57 +198,57 @@
 	return false
 }
 
-// RecordEnd says that a request is no longer at the engine; it is called once for
-// each GateOpen, also for what a crash took. completed clears the strikes.
+// RecordEnd records that a request is no longer at the engine. It is called once for
+// each StartNow, including runs that a crash ended. completed resets the crash count.
 func (p *PoisonTracker) RecordEnd(fingerprint uint64, completed bool, now time.Duration) {
-	if p.lost[fingerprint] > 0 {
-		// The end of a run before the crash. Taken for that of a copy started
-		// since, it would let others start beside a suspect.
-		if p.lost[fingerprint]--; p.lost[fingerprint] == 0 {
-			delete(p.lost, fingerprint)
+	if p.lostRuns[fingerprint] > 0 {
+		// This is the end of a run before the crash. Counted as the end of a copy
+		// started since, it would let others start beside a suspect.
+		if p.lostRuns[fingerprint]--; p.lostRuns[fingerprint] == 0 {
+			delete(p.lostRuns, fingerprint)
 		}
 		return
 	}
 	if p.running[fingerprint] == 0 {
 		return
 	}
-	if p.aloneRuns(now) {
-		p.freeUntil = now + p.params.AloneGap
+	if p.suspectRunning(now) {
+		p.gapUntil = now + p.params.ExclusiveGap
 	}
-	p.total--
+	p.runningTotal--
 	if p.running[fingerprint]--; p.running[fingerprint] == 0 {
 		delete(p.running, fingerprint)
 	}
-	s := p.live(fingerprint, now)
-	if !completed || s == nil || s.givenUp || s.count == 0 || s.generation >= p.params.Pardons {
+	s := p.recent(fingerprint, now)
+	if !completed || s == nil || s.givenUp || s.count == 0 || s.generation >= p.params.MaxClears {
 		return
 	}
 	s.generation++
 	s.count = 0
-	s.changed = now
+	s.changedAt = now
 }
 
-// RecordCrash says that this process's engine was lost with all that it ran. Only a
-// request that ran alone gets the last strike: one that happened to run beside
-// different culprits must not be given up in their place.
+// RecordCrash records that this process's engine was lost with all requests that it
+// ran. Only a request that ran alone gets the last strike: one that happened to run
+// beside several culprits must not be given up in their place.
 func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.Strike {
-	alone := p.total == 1
+	ranAlone := p.runningTotal == 1
 	strikes := make([]protocol.Strike, 0, len(p.running))
 	for f, n := range p.running {
-		p.lost[f] += n
-		s := p.live(f, now)
+		p.lostRuns[f] += n
+		s := p.recent(f, now)
 		if s == nil {
-			s = p.remember(f, now)
+			s = p.addRecord(f, now)
 		}
-		if s.count < p.params.ExclusiveFrom() || alone {
+		if s.count < p.params.ExclusiveFrom() || ranAlone {
 			s.count++
 		}
 		s.givenUp = s.givenUp || s.count >= p.params.MaxCrashes
-		s.struck, s.changed = now, now
-		strikes = append(strikes, s.strike(f, now))
+		s.lastCrash, s.changedAt = now, now
+		strikes = append(strikes, s.toStrike(f, now))
 	}
 	clear(p.running)
-	p.total = 0
+	p.runningTotal = 0
 	slices.SortFunc(strikes, func(a, b protocol.Strike) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return strikes
 }
--- a/internal/attempt/poison_strikes.go
+++ b/internal/attempt/poison_strikes.go
@@ -8,115 +8,116 @@
 	"skylarklead/internal/protocol"
 )
 
-// Merge merges a peer's strikes. Merging is idempotent and in any order.
+// Merge merges a peer's strikes. It is idempotent and independent of order.
 func (p *PoisonTracker) Merge(strikes []protocol.Strike, now time.Duration) {
-	for _, h := range strikes {
-		struck := now - millis(max(h.AgeMs, 0))
-		if now-struck >= p.params.Memory {
+	for _, strike := range strikes {
+		crashedAt := now - millis(max(strike.AgeMs, 0))
+		if now-crashedAt >= p.params.TTL {
 			continue
 		}
-		s := p.live(h.Fingerprint, now)
+		s := p.recent(strike.Fingerprint, now)
 		if s == nil {
-			s = p.remember(h.Fingerprint, now)
-			s.struck = struck
+			s = p.addRecord(strike.Fingerprint, now)
+			s.lastCrash = crashedAt
 		}
-		s.merge(h, struck, now)
+		s.merge(strike, crashedAt, now)
 	}
 }
 
-func (s *suspicion) merge(h protocol.Strike, struck, now time.Duration) {
-	newer := h.Generation > s.generation || h.Generation == s.generation && h.Count > s.count
+func (s *crashRecord) merge(strike protocol.Strike, crashedAt, now time.Duration) {
+	newer := strike.Generation > s.generation || strike.Generation == s.generation && strike.Count > s.count
 	if newer {
-		s.generation, s.count = h.Generation, h.Count
+		s.generation, s.count = strike.Generation, strike.Count
 	}
-	if newer || h.GivenUp && !s.givenUp {
-		s.changed = now
-		s.struck = max(s.struck, struck)
+	if newer || strike.GivenUp && !s.givenUp {
+		s.changedAt = now
+		s.lastCrash = max(s.lastCrash, crashedAt)
 	}
-	s.givenUp = s.givenUp || h.GivenUp
+	s.givenUp = s.givenUp || strike.GivenUp
 }
 
-// HeartbeatStrikes returns what to put into the next heartbeat: the latest changes first,
-// then the others in turn, so that a peer that missed some gets them again.
+// HeartbeatStrikes returns the strikes for the next heartbeat: the latest changes
+// first, then the others in rotation, so that a peer that missed some receives them
+// again.
 func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.Strike {
 	p.sweep(now)
-	if len(p.known) == 0 {
+	if len(p.records) == 0 {
 		return nil
 	}
-	fingerprints := make([]uint64, 0, len(p.known))
-	for f := range p.known {
+	fingerprints := make([]uint64, 0, len(p.records))
+	for f := range p.records {
 		fingerprints = append(fingerprints, f)
 	}
 	slices.SortFunc(fingerprints, func(a, b uint64) int {
-		return cmp.Or(cmp.Compare(p.known[b].changed, p.known[a].changed), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(p.records[b].changedAt, p.records[a].changedAt), cmp.Compare(a, b))
 	})
-	if fresh := p.params.Beat / 2; len(fingerprints) > p.params.Beat {
-		rest := fingerprints[fresh:]
-		slices.Sort(rest)
-		at, _ := slices.BinarySearch(rest, p.cursor+1)
-		rest = slices.Concat(rest[at:], rest[:at])[:p.params.Beat-fresh]
-		p.cursor = rest[len(rest)-1]
-		fingerprints = slices.Concat(fingerprints[:fresh], rest)
+	if newest := p.params.MaxPerHeartbeat / 2; len(fingerprints) > p.params.MaxPerHeartbeat {
+		others := fingerprints[newest:]
+		slices.Sort(others)
+		at, _ := slices.BinarySearch(others, p.cursor+1)
+		others = slices.Concat(others[at:], others[:at])[:p.params.MaxPerHeartbeat-newest]
+		p.cursor = others[len(others)-1]
+		fingerprints = slices.Concat(fingerprints[:newest], others)
 	}
 	strikes := make([]protocol.Strike, len(fingerprints))
 	for i, f := range fingerprints {
-		strikes[i] = p.known[f].strike(f, now)
+		strikes[i] = p.records[f].toStrike(f, now)
 	}
 	return strikes
 }
 
-func (s *suspicion) strike(fingerprint uint64, now time.Duration) protocol.Strike {
+func (s *crashRecord) toStrike(fingerprint uint64, now time.Duration) protocol.Strike {
 	return protocol.Strike{
 		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
-		Generation: s.generation, AgeMs: (now - s.struck).Milliseconds(),
+		Generation: s.generation, AgeMs: (now - s.lastCrash).Milliseconds(),
 	}
 }
 
-// live returns a suspicion that is not too old.
-func (p *PoisonTracker) live(fingerprint uint64, now time.Duration) *suspicion {
-	s, ok := p.known[fingerprint]
-	if !ok || now-s.struck >= p.params.Memory {
+// recent returns a record that has not expired.
+func (p *PoisonTracker) recent(fingerprint uint64, now time.Duration) *crashRecord {
+	s, ok := p.records[fingerprint]
+	if !ok || now-s.lastCrash >= p.params.TTL {
 		return nil
 	}
 	return s
 }
 
-func (p *PoisonTracker) remember(fingerprint uint64, now time.Duration) *suspicion {
-	if len(p.known) >= p.params.Max {
+func (p *PoisonTracker) addRecord(fingerprint uint64, now time.Duration) *crashRecord {
+	if len(p.records) >= p.params.MaxEntries {
 		p.sweep(now)
 		p.evict()
 	}
-	s := &suspicion{struck: now, changed: now}
-	p.known[fingerprint] = s
+	s := &crashRecord{lastCrash: now, changedAt: now}
+	p.records[fingerprint] = s
 	return s
 }
 
 func (p *PoisonTracker) sweep(now time.Duration) {
-	for f, s := range p.known {
-		if now-s.struck >= p.params.Memory {
-			delete(p.known, f)
+	for f, s := range p.records {
+		if now-s.lastCrash >= p.params.TTL {
+			delete(p.records, f)
 		}
 	}
 }
 
-// evict makes room by forgetting the oldest suspicion, given-up ones last.
+// evict makes room by removing the oldest record, given-up ones last.
 func (p *PoisonTracker) evict() {
-	if len(p.known) < p.params.Max {
+	if len(p.records) < p.params.MaxEntries {
 		return
 	}
 	var oldest uint64
-	var at *suspicion
-	for f, s := range p.known {
-		if at == nil || s.before(at) {
+	var at *crashRecord
+	for f, s := range p.records {
+		if at == nil || s.evictBefore(at) {
 			oldest, at = f, s
 		}
 	}
-	delete(p.known, oldest)
+	delete(p.records, oldest)
 }
 
-func (s *suspicion) before(t *suspicion) bool {
+func (s *crashRecord) evictBefore(t *crashRecord) bool {
 	if s.givenUp != t.givenUp {
 		return t.givenUp
 	}
-	return s.struck < t.struck
+	return s.lastCrash < t.lastCrash
 }
--- a/internal/attempt/poison_test.go
+++ b/internal/attempt/poison_test.go
@@ -9,58 +9,58 @@
 	"skylarklead/internal/protocol"
 )
 
-// Fingerprints of the model: the first two crash every engine that runs them,
-// the third every other one, the rest are innocent.
+// Fingerprints of the model: the first two crash every engine that runs them, the
+// third crashes every other one, the rest are harmless.
 const (
-	deadly      = 0
-	deadlyToo   = 1
-	flaky       = 2
-	innocents   = 3
-	modelPrints = 8
+	alwaysCrashes    = 0
+	alsoCrashes      = 1
+	sometimesCrashes = 2
+	firstHarmless    = 3
+	modelRequests    = 8
 )
 
-// poisonWorld is a group of endpoint processes, each before its engine. Each
-// judges for itself; what they tell one another may be late.
-type poisonWorld struct {
-	t       *rapid.T
-	now     time.Duration
-	group   []*PoisonTracker
-	engines []map[uint64]int
-	news    []modelNews
-	crashes map[uint64]int
-	local   []map[uint64]int
-	flips   int
-	late    []lateEnd
+// poisonModel models a group of endpoint processes, each with its engine. Each process
+// judges by itself; the strikes that they exchange may be delayed.
+type poisonModel struct {
+	t             *rapid.T
+	now           time.Duration
+	group         []*PoisonTracker
+	engines       []map[uint64]int
+	inTransit     []strikeMessage
+	crashes       map[uint64]int
+	crashesAt     []map[uint64]int
+	sometimesRuns int
+	lateEnds      []lateEnd
 }
 
-// lateEnd is the end of a run that a crash took, told some time after.
+// lateEnd is the end of a run that a crash ended, reported some time after the crash.
 type lateEnd struct {
 	endpoint    int
 	fingerprint uint64
 }
 
-type modelNews struct {
+type strikeMessage struct {
 	to      int
 	strikes []protocol.Strike
 }
 
-func newPoisonWorld(t *rapid.T, n int) *poisonWorld {
-	w := &poisonWorld{t: t, now: time.Second, crashes: map[uint64]int{}}
+func newPoisonModel(t *rapid.T, n int) *poisonModel {
+	w := &poisonModel{t: t, now: time.Second, crashes: map[uint64]int{}}
 	for range n {
 		w.group = append(w.group, NewPoisonTracker(DefaultPoisonParams))
 		w.engines = append(w.engines, map[uint64]int{})
-		w.local = append(w.local, map[uint64]int{})
+		w.crashesAt = append(w.crashesAt, map[uint64]int{})
 	}
 	return w
 }
 
-func (w *poisonWorld) start(i int, f uint64) {
+func (w *poisonModel) start(i int, f uint64) {
 	before, suspect := w.running(i), w.suspectAlone(i)
 	if w.group[i].Start(f, w.now) != StartNow {
 		return
 	}
 	if suspect {
-		w.t.Fatalf("a request was started beside a suspect that ran alone")
+		w.t.Fatalf("a request was started beside a suspect that runs exclusively")
 	}
 	if w.group[i].Judge(f, w.now).Kind == VerdictExclusive && before > 0 {
 		w.t.Fatalf("a suspect was started beside %d others", before)
@@ -68,7 +68,7 @@
 	w.engines[i][f]++
 }
 
-func (w *poisonWorld) running(i int) int {
+func (w *poisonModel) running(i int) int {
 	n := 0
 	for _, c := range w.engines[i] {
 		n += c
@@ -76,26 +76,27 @@
 	return n
 }
 
-// suspectAlone reports whether an endpoint takes its engine to run one request
-// that is a suspect. By the world's own count there are other cases: told of the
-// end of a run that a crash took after that of the next one, it mistakes the two.
-func (w *poisonWorld) suspectAlone(i int) bool {
+// suspectAlone reports whether an endpoint assumes that its engine runs a single
+// suspect. The model's own count can differ: if the end of a run before a crash is
+// reported after the end of the next run of the same request, the endpoint takes one
+// for the other.
+func (w *poisonModel) suspectAlone(i int) bool {
 	p := w.group[i]
 	for f := range p.running {
-		return p.total == 1 && p.Judge(f, w.now).Kind != VerdictClear
+		return p.runningTotal == 1 && p.Judge(f, w.now).Kind != VerdictClear
 	}
 	return false
 }
 
-// end lets a request end as is its nature.
-func (w *poisonWorld) end(i int, f uint64) {
+// end ends a request according to its kind.
+func (w *poisonModel) end(i int, f uint64) {
 	if w.engines[i][f] == 0 {
 		return
 	}
-	if f == flaky {
-		w.flips++
+	if f == sometimesCrashes {
+		w.sometimesRuns++
 	}
-	if f == deadly || f == deadlyToo || f == flaky && w.flips%2 == 1 {
+	if f == alwaysCrashes || f == alsoCrashes || f == sometimesCrashes && w.sometimesRuns%2 == 1 {
 		w.crash(i, f)
 		return
 	}
@@ -103,38 +104,38 @@
 	w.group[i].RecordEnd(f, true, w.now)
 }
 
-func (w *poisonWorld) crash(i int, culprit uint64) {
+func (w *poisonModel) crash(i int, culprit uint64) {
 	w.crashes[culprit]++
-	w.local[i][culprit]++
+	w.crashesAt[i][culprit]++
 	strikes := w.group[i].RecordCrash(w.now)
-	for f := range uint64(modelPrints) {
+	for f := range uint64(modelRequests) {
 		for range w.engines[i][f] {
-			w.late = append(w.late, lateEnd{i, f})
+			w.lateEnds = append(w.lateEnds, lateEnd{i, f})
 		}
 	}
 	clear(w.engines[i])
 	for to := range w.group {
 		if to != i {
-			w.news = append(w.news, modelNews{to, strikes})
+			w.inTransit = append(w.inTransit, strikeMessage{to, strikes})
 		}
 	}
 }
 
-func (w *poisonWorld) endLate() {
-	if len(w.late) > 0 {
-		w.group[w.late[0].endpoint].RecordEnd(w.late[0].fingerprint, false, w.now)
-		w.late = w.late[1:]
+func (w *poisonModel) endLate() {
+	if len(w.lateEnds) > 0 {
+		w.group[w.lateEnds[0].endpoint].RecordEnd(w.lateEnds[0].fingerprint, false, w.now)
+		w.lateEnds = w.lateEnds[1:]
 	}
 }
 
-func (w *poisonWorld) hear(n int) {
-	if n < len(w.news) {
-		w.group[w.news[n].to].Merge(w.news[n].strikes, w.now)
-		w.news = append(w.news[:n:n], w.news[n+1:]...)
+func (w *poisonModel) deliver(n int) {
+	if n < len(w.inTransit) {
+		w.group[w.inTransit[n].to].Merge(w.inTransit[n].strikes, w.now)
+		w.inTransit = append(w.inTransit[:n:n], w.inTransit[n+1:]...)
 	}
 }
 
-func (w *poisonWorld) beat(from int) {
+func (w *poisonModel) heartbeat(from int) {
 	strikes := w.group[from].HeartbeatStrikes(w.now)
 	for to := range w.group {
 		if to != from {
@@ -143,9 +144,9 @@
 	}
 }
 
-func (w *poisonWorld) step() {
+func (w *poisonModel) step() {
 	i := rapid.IntRange(0, len(w.group)-1).Draw(w.t, "endpoint")
-	f := uint64(rapid.IntRange(0, modelPrints-1).Draw(w.t, "request"))
+	f := uint64(rapid.IntRange(0, modelRequests-1).Draw(w.t, "request"))
 	switch rapid.SampledFrom([]string{"nothing", "start", "start", "start", "end", "end", "late end", "late end", "late end", "beat", "hear", "withdraw", "time"}).Draw(w.t, "step") {
 	case "start":
 		w.start(i, f)
@@ -154,9 +155,9 @@
 	case "late end":
 		w.endLate()
 	case "beat":
-		w.beat(i)
+		w.heartbeat(i)
 	case "hear":
-		w.hear(rapid.IntRange(0, 3).Draw(w.t, "which"))
+		w.deliver(rapid.IntRange(0, 3).Draw(w.t, "which"))
 	case "withdraw":
 		w.group[i].Withdraw(f)
 	case "time":
@@ -164,154 +165,151 @@
 	}
 }
 
-// Symptom: one request takes down engine after engine, or an innocent one is
-// refused for an hour in its place.
-// Sequence: two requests crash each engine that runs them, one every other; their
-// callers and those of innocent ones send them again and again to any endpoint;
-// news of crashes comes late, in any order, or only by heartbeats.
-// Cause looked for: strikes that are lost, cleared without a bound, or counted
-// against what ran beside the culprit.
+// Guards against one request that takes down engine after engine, and against a
+// harmless one that is refused for an hour in its place. Two requests crash every
+// engine that runs them, one every other; they and harmless ones are sent again and
+// again to any endpoint; strikes arrive late, in any order, or only in heartbeats.
+// Faults to detect: strikes that are lost, reset without a bound, or counted against
+// requests that ran beside the culprit.
 func TestPoisonIsBoundedAndInnocentsAreNotGivenUp(t *testing.T) {
 	p := DefaultPoisonParams
 	rapid.Check(t, func(t *rapid.T) {
-		w := newPoisonWorld(t, 4)
+		w := newPoisonModel(t, 4)
 		for range 300 {
 			w.step()
 		}
 		for i := range w.group {
-			for f := uint64(innocents); f < modelPrints; f++ {
+			for f := uint64(firstHarmless); f < modelRequests; f++ {
 				if w.group[i].Judge(f, w.now).Kind == VerdictGivenUp {
-					t.Fatalf("innocent request %d is given up at endpoint %d", f, i)
+					t.Fatalf("harmless request %d is given up at endpoint %d", f, i)
 				}
 			}
-			if n := w.local[i][deadly]; n > p.MaxCrashes {
-				t.Fatalf("%d crashes by one request at one endpoint, even unheard", n)
+			if n := w.crashesAt[i][alwaysCrashes]; n > p.MaxCrashes {
+				t.Fatalf("%d crashes by one request at one endpoint, even without strikes from its peers", n)
 			}
-			if n := w.local[i][flaky]; n > p.MaxCrashes+int(p.Pardons) {
+			if n := w.crashesAt[i][sometimesCrashes]; n > p.MaxCrashes+int(p.MaxClears) {
 				t.Fatalf("%d crashes at one endpoint by a request that sometimes completes", n)
 			}
 		}
 	})
 }
 
-// Symptom: copies of one request sent to many endpoints at once crash them all
-// again and again.
-// Bound: engines that ran a copy when the first one crashed, and Limit-1 more.
+// Guards against copies of one request, sent to many endpoints at once, that crash all
+// of them repeatedly. Bound: the engines that ran a copy at the first crash, and
+// MaxCrashes-1 more.
 func TestPoisonCrashesOverTheGroupWhenStrikesAreHeard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newPoisonWorld(t, 5)
+		w := newPoisonModel(t, 5)
 		copies := rapid.IntRange(1, 5).Draw(t, "copies")
 		for i := range copies {
-			w.start(i, deadly)
+			w.start(i, alwaysCrashes)
 		}
 		for range 100 {
 			i := rapid.IntRange(0, 4).Draw(t, "endpoint")
 			if rapid.Bool().Draw(t, "end") {
-				w.end(i, deadly)
-			} else if w.crashes[deadly] > 0 {
-				// Suspects have one owner, who sends them to one executor.
-				w.start(0, deadly)
+				w.end(i, alwaysCrashes)
+			} else if w.crashes[alwaysCrashes] > 0 {
+				// A suspect has one owner, which sends it to one executor.
+				w.start(0, alwaysCrashes)
 			}
 			w.endLate()
-			for len(w.news) > 0 {
-				w.hear(0)
+			for len(w.inTransit) > 0 {
+				w.deliver(0)
 			}
 		}
-		if limit := copies + DefaultPoisonParams.MaxCrashes - 1; w.crashes[deadly] > limit {
-			t.Fatalf("%d crashes with %d copies at first", w.crashes[deadly], copies)
+		if limit := copies + DefaultPoisonParams.MaxCrashes - 1; w.crashes[alwaysCrashes] > limit {
+			t.Fatalf("%d crashes with %d initial copies", w.crashes[alwaysCrashes], copies)
 		}
 	})
 }
 
-// Symptom: a request given up once is refused for ever.
-// Sequence: peers tell one another of it until long after.
-// Cause: news that don't age.
+// Guards against a request that is refused for ever because peers keep sending each
+// other its strikes: strikes must age.
 func TestStrikesPassedToAndFroExpire(t *testing.T) {
-	w := newPoisonWorld(nil, 3)
+	w := newPoisonModel(nil, 3)
 	for range DefaultPoisonParams.MaxCrashes {
-		w.start(0, deadly)
-		w.crash(0, deadly)
+		w.start(0, alwaysCrashes)
+		w.crash(0, alwaysCrashes)
 		w.endLate()
 	}
 	w.now += 30 * time.Second
-	w.beat(0)
-	v := w.group[1].Judge(deadly, w.now)
-	if v.Kind != VerdictGivenUp || v.RetryAfter <= 0 || v.RetryAfter > DefaultPoisonParams.Memory {
-		t.Fatalf("given up by a peer: %+v", v)
+	w.heartbeat(0)
+	v := w.group[1].Judge(alwaysCrashes, w.now)
+	if v.Kind != VerdictGivenUp || v.RetryAfter <= 0 || v.RetryAfter > DefaultPoisonParams.TTL {
+		t.Fatalf("verdict after a peer gave the request up: %+v", v)
 	}
-	for range int(DefaultPoisonParams.Memory/time.Second) + 1 {
+	for range int(DefaultPoisonParams.TTL/time.Second) + 1 {
 		w.now += time.Second
 		for i := range w.group {
-			w.beat(i)
+			w.heartbeat(i)
 		}
 	}
 	for i, p := range w.group {
-		if got := p.Judge(deadly, w.now); got.Kind != VerdictClear {
-			t.Errorf("endpoint %d after its time: %+v", i, got)
+		if got := p.Judge(alwaysCrashes, w.now); got.Kind != VerdictClear {
+			t.Errorf("endpoint %d after the strikes expired: %+v", i, got)
 		}
 	}
 }
 
-// Symptom: a request that crashes every other engine does so for ever, each
-// completion clearing it.
+// Guards against a request that crashes every other engine without end because each
+// completion resets its crash count.
 func TestCompletionsClearABoundedNumberOfTimes(t *testing.T) {
-	w := newPoisonWorld(nil, 1)
+	w := newPoisonModel(nil, 1)
 	for range 100 {
-		w.start(0, flaky)
-		w.end(0, flaky)
+		w.start(0, sometimesCrashes)
+		w.end(0, sometimesCrashes)
 		w.endLate()
 	}
-	if limit := DefaultPoisonParams.MaxCrashes + int(DefaultPoisonParams.Pardons); w.crashes[flaky] != limit {
-		t.Errorf("%d crashes, want %d", w.crashes[flaky], limit)
+	if limit := DefaultPoisonParams.MaxCrashes + int(DefaultPoisonParams.MaxClears); w.crashes[sometimesCrashes] != limit {
+		t.Errorf("%d crashes, want %d", w.crashes[sometimesCrashes], limit)
 	}
 }
 
-// Symptom: a request that was cleared stays a suspect.
-// Sequence: it completes at one endpoint; another, which has not heard of that,
-// still tells of its strike.
-// Cause: merging by the larger count alone.
+// Guards against a request that stays a suspect after it completed: another endpoint,
+// which has not learned of the completion, still sends the strike. Merging by the
+// larger count alone would restore it.
 func TestAClearedStrikeOutdoesOlderNews(t *testing.T) {
 	a, b := NewPoisonTracker(DefaultPoisonParams), NewPoisonTracker(DefaultPoisonParams)
-	a.Start(innocents, 0)
+	a.Start(firstHarmless, 0)
 	old := a.RecordCrash(0)
-	a.RecordEnd(innocents, false, 0)
+	a.RecordEnd(firstHarmless, false, 0)
 	b.Merge(old, 0)
-	a.Start(innocents, 0)
-	a.RecordEnd(innocents, true, 0)
+	a.Start(firstHarmless, 0)
+	a.RecordEnd(firstHarmless, true, 0)
 	b.Merge(a.HeartbeatStrikes(0), 0)
 	b.Merge(old, 0)
 	a.Merge(old, 0)
-	if a.Judge(innocents, 0).Kind != VerdictClear || b.Judge(innocents, 0).Kind != VerdictClear {
-		t.Errorf("after completion: %v and %v", a.Judge(innocents, 0).Kind, b.Judge(innocents, 0).Kind)
+	if a.Judge(firstHarmless, 0).Kind != VerdictClear || b.Judge(firstHarmless, 0).Kind != VerdictClear {
+		t.Errorf("after completion: %v and %v", a.Judge(firstHarmless, 0).Kind, b.Judge(firstHarmless, 0).Kind)
 	}
 }
 
-// Symptom: an engine stands idle although requests wait for it.
-// Sequence: a suspect waited to run alone; its caller hung up unnoticed.
+// Guards against an idle engine with waiting requests: a suspect waited to run
+// exclusively, and its caller disconnected unnoticed.
 func TestASuspectHoldsBackOthersForAWhileOnly(t *testing.T) {
 	p := NewPoisonTracker(DefaultPoisonParams)
 	for range DefaultPoisonParams.ExclusiveFrom() {
-		p.Start(innocents, 0)
+		p.Start(firstHarmless, 0)
 		p.RecordCrash(0)
-		p.RecordEnd(innocents, false, 0)
+		p.RecordEnd(firstHarmless, false, 0)
 	}
-	p.Start(innocents+1, 0)
-	if p.Start(innocents, 0) != StartWait || p.Start(innocents+2, 0) != StartWait {
-		t.Error("a suspect doesn't hold back others")
+	p.Start(firstHarmless+1, 0)
+	if p.Start(firstHarmless, 0) != StartWait || p.Start(firstHarmless+2, 0) != StartWait {
+		t.Error("a suspect doesn't block others")
 	}
-	if p.Start(innocents+2, DefaultPoisonParams.AloneWait) != StartNow {
-		t.Error("a suspect that nobody asks for holds back others for good")
+	if p.Start(firstHarmless+2, DefaultPoisonParams.ExclusiveWait) != StartNow {
+		t.Error("a suspect without a caller blocks others for good")
 	}
-	p.RecordEnd(innocents+1, true, 0)
-	p.RecordEnd(innocents+2, true, 0)
-	now := DefaultPoisonParams.AloneWait
-	if p.Start(innocents, now) != StartNow || p.Start(innocents+1, now) != StartWait {
-		t.Error("a suspect doesn't run alone")
+	p.RecordEnd(firstHarmless+1, true, 0)
+	p.RecordEnd(firstHarmless+2, true, 0)
+	now := DefaultPoisonParams.ExclusiveWait
+	if p.Start(firstHarmless, now) != StartNow || p.Start(firstHarmless+1, now) != StartWait {
+		t.Error("a suspect doesn't run exclusively")
 	}
-	p.RecordEnd(innocents, false, now)
-	p.Start(innocents+3, now)
-	p.Start(innocents, now)
-	if p.Start(innocents+1, now) != StartNow {
+	p.RecordEnd(firstHarmless, false, now)
+	p.Start(firstHarmless+3, now)
+	p.Start(firstHarmless, now)
+	if p.Start(firstHarmless+1, now) != StartNow {
 		t.Error("suspects leave no gap for others")
 	}
 }
@@ -322,17 +320,17 @@
 		p.Start(f, 0)
 	}
 	p.RecordCrash(0)
-	told := map[uint64]bool{}
+	seen := map[uint64]bool{}
 	for range 10 {
-		beat := p.HeartbeatStrikes(time.Second)
-		if len(beat) > DefaultPoisonParams.Beat {
-			t.Fatalf("%d strikes in one heartbeat", len(beat))
+		heartbeat := p.HeartbeatStrikes(time.Second)
+		if len(heartbeat) > DefaultPoisonParams.MaxPerHeartbeat {
+			t.Fatalf("%d strikes in one heartbeat", len(heartbeat))
 		}
-		for _, s := range beat {
-			told[s.Fingerprint] = true
+		for _, s := range heartbeat {
+			seen[s.Fingerprint] = true
 		}
 	}
-	if len(told) != 100 {
-		t.Errorf("told %d of 100", len(told))
+	if len(seen) != 100 {
+		t.Errorf("%d of 100 strikes were in a heartbeat", len(seen))
 	}
 }
--- a/internal/attempt/registry.go
+++ b/internal/attempt/registry.go
@@ -6,14 +6,14 @@
 	"skylarklead/internal/protocol"
 )
 
-// Arrival is what an executor may do with a Run.
+// Arrival says what an executor has to do with a Run.
 type Arrival uint8
 
-// The arrivals.
+// Values of Arrival.
 const (
 	// ArrivalNew: run it.
 	ArrivalNew Arrival = iota
-	// ArrivalDuplicate: it was taken before; drop the message.
+	// ArrivalDuplicate: it was received before; drop the message.
 	ArrivalDuplicate
 	// ArrivalFenced: its sender was told that it has not run; drop the message.
 	ArrivalFenced
@@ -38,23 +38,23 @@
 }
 
 // Registry remembers the attempts that an executor has seen, so that a Run that
-// comes late or twice is not run again, and Resolve is answered truthfully.
+// arrives late or twice is not run again, and Resolve is answered correctly.
 //
-// Invariant: an attempt for which not_run was said is never new again while it
+// Invariant: an attempt that was reported as not_run is never accepted as new while it
 // is remembered.
 type Registry struct {
-	memory   time.Duration
-	attempts map[protocol.AttemptID]registered
-	expiries []expiry
+	retention time.Duration
+	attempts  map[protocol.AttemptID]registered
+	expiries  []expiry
 }
 
-// NewRegistry remembers ended and fenced attempts for memory, which has to exceed
-// the longest time that a message may be under way.
-func NewRegistry(memory time.Duration) *Registry {
-	return &Registry{memory: memory, attempts: map[protocol.AttemptID]registered{}}
+// NewRegistry returns a registry that remembers ended and fenced attempts for the
+// given time, which must exceed the longest time that a message can be in transit.
+func NewRegistry(retention time.Duration) *Registry {
+	return &Registry{retention: retention, attempts: map[protocol.AttemptID]registered{}}
 }
 
-// Arrive takes a Run.
+// Arrive registers a Run.
 func (r *Registry) Arrive(a protocol.AttemptID, now time.Duration) Arrival {
 	r.expire(now)
 	if known, ok := r.attempts[a]; ok {
@@ -69,16 +69,16 @@
 
 // End records an attempt's outcome.
 func (r *Registry) End(a protocol.AttemptID, outcome protocol.Outcome, now time.Duration) {
-	r.put(a, registered{state: attemptEnded, outcome: outcome}, now)
+	r.store(a, registered{state: attemptEnded, outcome: outcome}, now)
 }
 
-// Resolve answers what became of an attempt. One not seen is fenced.
+// Resolve returns the outcome of an attempt. An attempt that was never seen is fenced.
 func (r *Registry) Resolve(a protocol.AttemptID, now time.Duration) *protocol.Resolved {
 	r.expire(now)
 	known, ok := r.attempts[a]
 	switch {
 	case !ok:
-		r.put(a, registered{state: attemptFenced, outcome: protocol.NotRun}, now)
+		r.store(a, registered{state: attemptFenced, outcome: protocol.NotRun}, now)
 		return &protocol.Resolved{Attempt: a, Outcome: protocol.NotRun}
 	case known.state == attemptRunning:
 		return &protocol.Resolved{Attempt: a, Outcome: protocol.Unknown, Running: true}
@@ -90,9 +90,9 @@
 // Len is the number of attempts remembered.
 func (r *Registry) Len() int { return len(r.attempts) }
 
-func (r *Registry) put(a protocol.AttemptID, state registered, now time.Duration) {
+func (r *Registry) store(a protocol.AttemptID, state registered, now time.Duration) {
 	r.attempts[a] = state
-	r.expiries = append(r.expiries, expiry{at: now + r.memory, attempt: a})
+	r.expiries = append(r.expiries, expiry{at: now + r.retention, attempt: a})
 }
 
 func (r *Registry) expire(now time.Duration) {
--- a/internal/attempt/sender.go
+++ b/internal/attempt/sender.go
@@ -6,107 +6,107 @@
 	"skylarklead/internal/protocol"
 )
 
-// AbortReason is why an attempt's sender gives up its stream.
+// AbortReason is why the sender aborts a stream.
 type AbortReason string
 
-// The reasons.
+// Values of AbortReason.
 const (
 	AbortNone AbortReason = ""
-	// AbortBufferFull: the receiver has left more unread than the bound allows.
+	// AbortBufferFull: the buffered chunks exceed MaxBytes.
 	AbortBufferFull AbortReason = "buffer_full"
-	// AbortStalled: pieces have waited too long for credit.
+	// AbortStalled: chunks have waited too long for credit.
 	AbortStalled AbortReason = "stalled"
-	// AbortAbandoned: nobody has resumed the stream in time.
+	// AbortAbandoned: the stream was not resumed in time.
 	AbortAbandoned AbortReason = "abandoned"
 )
 
-// SenderLimits bound what one stream may hold at its executor.
+// SenderLimits bounds what one stream may hold at its executor.
 type SenderLimits struct {
-	// MaxBytes bounds the pieces kept, read or not.
+	// MaxBytes bounds the chunks kept, whether or not they were consumed.
 	MaxBytes int
-	// StallTimeout is how long pieces may wait for credit.
+	// StallTimeout is how long chunks may wait for credit.
 	StallTimeout time.Duration
-	// ResumeGrace is how long a stream is kept without a session, while running and
-	// after its end.
+	// ResumeGrace is how long a stream without a session is kept, both while it runs
+	// and after its end.
 	ResumeGrace time.Duration
 }
 
-// DefaultSenderLimits fit an answer of 415 tokens several times over; 22 streams
+// DefaultSenderLimits holds an answer of 415 tokens several times over. 22 streams of
 // a replica then hold at most 6 MB.
 var DefaultSenderLimits = SenderLimits{MaxBytes: 256 << 10, StallTimeout: 30 * time.Second, ResumeGrace: 15 * time.Second}
 
-// Output is what a step of a Sender asks for: messages to send on the attached
-// session, in order, and whether to cut the stream off (cancel the back end's
-// work and forget the attempt).
+// Output is the result of a step of a Sender: messages to send on the attached
+// session, in order, and whether to abort the stream (cancel the back end's work and
+// forget the attempt).
 type Output struct {
 	Send  []protocol.Message
 	Abort AbortReason
 }
 
-// Sender is the executor's side of one attempt's stream: it sends within the
-// receiver's credit and keeps pieces for a receiver that comes back.
+// Sender is the executor's side of one attempt's stream. It sends within the
+// receiver's credit and keeps chunks for a receiver that reconnects.
 //
-// Invariants: chunks holds the pieces [base, base+len); base <= sent <=
-// base+len; no piece at or above credit was sent; pieces that the receiver has
-// not taken are never discarded, the stream is cut instead.
+// Invariants: chunks holds the chunks [base, base+len); base <= sent <= base+len. No
+// chunk at or above credit was sent. Chunks that the receiver has not consumed are
+// never discarded; the stream is aborted instead.
 type Sender struct {
-	attempt    protocol.AttemptID
-	limits     SenderLimits
-	window     uint64
-	base       uint64
-	chunks     [][]byte
-	bytes      int
-	sent       uint64
-	credit     uint64
-	start      *protocol.Start
-	end        *protocol.End
-	attached   bool
-	startSent  bool
-	endSent    bool
-	blocked    bool
-	blockedAt  time.Duration
-	detachedAt time.Duration
+	attempt       protocol.AttemptID
+	limits        SenderLimits
+	window        uint64
+	base          uint64
+	chunks        [][]byte
+	bytes         int
+	sent          uint64
+	credit        uint64
+	start         *protocol.Start
+	end           *protocol.End
+	attached      bool
+	startSent     bool
+	endSent       bool
+	blocked       bool
+	blockedSince  time.Duration
+	detachedSince time.Duration
 }
 
-// NewSender returns the sender of an attempt whose first piece is number first,
-// attached to the session that brought the Run.
+// NewSender returns the sender of an attempt whose first chunk has number first,
+// attached to the session that delivered the Run.
 func NewSender(a protocol.AttemptID, first uint64, window uint32, limits SenderLimits) *Sender {
 	w := uint64(max(window, 1))
 	return &Sender{attempt: a, limits: limits, window: w, base: first, sent: first, credit: first + w, attached: true}
 }
 
-// Next is the number of the next piece to be produced.
+// Next is the number of the next chunk to be produced.
 func (s *Sender) Next() uint64 { return s.base + uint64(len(s.chunks)) }
 
 // Ended reports whether the attempt has ended.
 func (s *Sender) Ended() bool { return s.end != nil }
 
-// Attached reports whether a session takes the stream.
+// Attached reports whether a session is attached.
 func (s *Sender) Attached() bool { return s.attached }
 
-// Start says that the back end has begun to answer.
+// Start records that the back end has begun to answer.
 func (s *Sender) Start(status int, contentType string) Output {
 	s.start = &protocol.Start{Attempt: s.attempt, Status: status, ContentType: contentType}
 	return s.flush(0)
 }
 
-// Produce takes the next piece from the back end; data is kept, not copied.
+// Produce adds the next chunk from the back end. data is retained, not copied.
 func (s *Sender) Produce(data []byte, now time.Duration) Output {
 	s.chunks = append(s.chunks, data)
 	s.bytes += len(data)
 	out := s.flush(now)
-	out.Abort = s.bound()
+	out.Abort = s.trim()
 	return out
 }
 
-// Finish takes the attempt's end; Attempt and Seq are filled in.
+// Finish records the attempt's end; Attempt and Seq are filled in.
 func (s *Sender) Finish(end protocol.End, now time.Duration) Output {
 	end.Attempt, end.Seq = s.attempt, s.Next()
 	s.end = &end
 	return s.flush(now)
 }
 
-// Credit lets pieces below seq be sent.
+// Credit allows the chunks below seq to be sent.
 func (s *Sender) Credit(seq uint64, now time.Duration) Output {
 	if seq > s.credit {
 		s.credit = seq
@@ -115,14 +115,14 @@
 	return s.flush(now)
 }
 
-// Detach says that the session was lost.
+// Detach records that the session was lost.
 func (s *Sender) Detach(now time.Duration) {
 	s.attached, s.blocked = false, false
-	s.detachedAt = now
+	s.detachedSince = now
 }
 
-// Resume attaches a new session from piece seq on and lets window pieces be sent;
-// 0 waits for credit. ok is false when that piece is no longer kept, or was never
+// Resume attaches a new session from chunk seq on and allows window chunks to be sent;
+// with 0 it waits for credit. ok is false if that chunk is no longer kept or was never
 // produced: the answer is then an End with Unknown.
 func (s *Sender) Resume(seq uint64, window uint32, now time.Duration) (out Output, ok bool) {
 	if seq < s.base || seq > s.Next() {
@@ -134,18 +134,19 @@
 	return s.flush(now), true
 }
 
-// Tick reports a stream that nobody reads or comes back for.
+// Tick returns why a stream without a reader or a session has to be aborted, AbortNone
+// if it doesn't.
 func (s *Sender) Tick(now time.Duration) AbortReason {
-	if s.blocked && now-s.blockedAt >= s.limits.StallTimeout {
+	if s.blocked && now-s.blockedSince >= s.limits.StallTimeout {
 		return AbortStalled
 	}
-	if !s.attached && now-s.detachedAt >= s.limits.ResumeGrace {
+	if !s.attached && now-s.detachedSince >= s.limits.ResumeGrace {
 		return AbortAbandoned
 	}
 	return AbortNone
 }
 
-// Bytes is the size of the pieces kept.
+// Bytes is the total size of the chunks kept.
 func (s *Sender) Bytes() int { return s.bytes }
 
 func (s *Sender) flush(now time.Duration) Output {
@@ -162,7 +163,7 @@
 		s.sent++
 	}
 	if s.sent < s.Next() {
-		s.block(now)
+		s.markBlocked(now)
 		return out
 	}
 	s.blocked = false
@@ -173,19 +174,18 @@
 	return out
 }
 
-func (s *Sender) block(now time.Duration) {
+func (s *Sender) markBlocked(now time.Duration) {
 	if !s.blocked {
-		s.blocked, s.blockedAt = true, now
+		s.blocked, s.blockedSince = true, now
 	}
 }
 
-// bound discards the oldest pieces that the receiver has taken until the rest
-// fits, and cuts the stream when that isn't enough. Without it a caller that
-// stops reading would fill the executor's memory, seen as growth with idle
-// streams.
-func (s *Sender) bound() AbortReason {
-	// Credit is what the receiver has taken and its window, so that the rest of a
-	// shorter window after Resume only makes this an underestimate.
+// trim discards the oldest consumed chunks until the rest fits, and aborts the stream
+// if that isn't enough. Without this bound a caller that stops reading would fill the
+// executor's memory, which shows as memory growth with idle streams.
+func (s *Sender) trim() AbortReason {
+	// Credit is the number of chunks consumed plus the window. After a Resume with a
+	// shorter window, this underestimates the chunks consumed, which is safe.
 	acked := s.credit - min(s.credit, s.window)
 	n := 0
 	for s.bytes > s.limits.MaxBytes && s.base+uint64(n) < min(acked, s.sent) {
--- a/internal/attempt/step_bench_test.go
+++ b/internal/attempt/step_bench_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkOnceWholeKey takes one key from Run through its claim to its end,
-// with the append answered at once.
+// BenchmarkOnceWholeKey measures one key from Run through its claim to its end, with
+// the append answered at once.
 func BenchmarkOnceWholeKey(b *testing.B) {
 	params := DefaultOnceParams
 	params.AppendInterval = 0
--- a/internal/attempt/strikes.go
+++ b/internal/attempt/strikes.go
@@ -7,71 +7,73 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// CrashTrackerParams bound what one request may do to replicas that entries feed
-// directly.
+// CrashTrackerParams configures a CrashTracker.
 type CrashTrackerParams struct {
-	// MaxCrashes is the crashes after which a request is given up.
+	// MaxCrashes is the number of crashes after which a request is given up.
 	MaxCrashes int
-	// Memory is how long that is remembered after the last crash.
-	Memory time.Duration
-	// Apart is how far apart the end of a run and the loss of its replica may be
-	// noticed and still be one crash.
-	Apart time.Duration
-	// Max bounds the requests remembered, and the replicas.
-	Max int
+	// TTL is how long the crashes of a request are remembered after the last one.
+	TTL time.Duration
+	// CorrelationWindow is how far apart the broken run and the loss of its replica
+	// may be detected and still count as one crash.
+	CorrelationWindow time.Duration
+	// MaxEntries bounds the requests remembered, and the replicas.
+	MaxEntries int
 }
 
-// DefaultCrashTrackerParams allow three crashes. A crash resets connections at once; a
-// machine that goes dark is noticed within a second.
-var DefaultCrashTrackerParams = CrashTrackerParams{MaxCrashes: 3, Memory: time.Hour, Apart: 2 * time.Second, Max: 4096}
+// DefaultCrashTrackerParams gives a request up after three crashes. A crash resets
+// connections at once, while the loss of a whole machine is detected within a second.
+var DefaultCrashTrackerParams = CrashTrackerParams{MaxCrashes: 3, TTL: time.Hour, CorrelationWindow: 2 * time.Second, MaxEntries: 4096}
 
-// CrashReport says that a replica was lost with a request on it.
+// CrashReport says that a replica was lost while it ran a request.
 type CrashReport struct {
-	// Fingerprint stands for the request, whichever way and how often it comes.
+	// Fingerprint identifies the request, regardless of how and how often it arrives.
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	// Replica is the incarnation that was lost.
 	Replica string `cbor:"2,keyasint"`
 }
 
-// Valid reports whether a strike that was read makes sense.
+// Valid reports whether a decoded report is complete.
 func (s *CrashReport) Valid() bool { return s.Replica != "" }
 
-// CrashTracker remembers which requests were running at replicas that were lost, and
-// gives up those that were at too many: a request that crashes whatever runs it
-// comes again with its caller's retries, at any entry, and would take one replica
-// after the other. It is seen as replicas that restart in turn with no other cause.
+// CrashTracker detects poison requests among those that entries dispatch directly: it
+// remembers which requests were running at replicas that were lost, and gives up
+// requests for which that happened too often. A request that crashes whatever runs it
+// arrives again with its caller's retries, at any entry, and would take down one
+// replica after another; it shows as replicas that restart in turn without another
+// cause.
 //
-// Many replicas that are lost at the same moment are no sign against a request that
-// ran at several of them. So a strike counts only for a run that began after the
-// strike before, and a good answer takes all of them back. It is pure.
+// Many replicas lost at the same moment are no evidence against a request that ran at
+// several of them. So a crash counts only for a run that began after the previous
+// crash, and a good answer clears all of them. CrashTracker is pure.
 //
-// Invariant: a replica counts once for a request, whoever tells of it and how often.
+// Invariant: a replica counts once for a request, regardless of who reports it and how
+// often.
 type CrashTracker struct {
-	params CrashTrackerParams
-	struck *lru.Cache[uint64, *struckRequest]
-	// broken has the runs that broke off lately, lost when a replica was lost, both
-	// by replica.
-	broken *lru.Cache[string, []brokenRun]
-	lost   *lru.Cache[string, time.Duration]
+	params  CrashTrackerParams
+	crashes *lru.Cache[uint64, *requestCrashes]
+	// brokenRuns holds the runs that broke off recently, lostReplicas when replicas
+	// were lost. Both are keyed by replica.
+	brokenRuns   *lru.Cache[string, []brokenRun]
+	lostReplicas *lru.Cache[string, time.Duration]
 }
 
-type struckRequest struct {
-	replicas map[string]bool
-	at       time.Duration
+type requestCrashes struct {
+	replicas  map[string]bool
+	lastCrash time.Duration
 }
 
 type brokenRun struct {
-	fingerprint uint64
-	began, at   time.Duration
+	fingerprint      uint64
+	started, endedAt time.Duration
 }
 
-// NewCrashTracker returns an empty memory.
+// NewCrashTracker returns an empty tracker.
 func NewCrashTracker(p CrashTrackerParams) *CrashTracker {
 	s := &CrashTracker{params: p}
 	var errs [3]error
-	s.struck, errs[0] = lru.New[uint64, *struckRequest](p.Max)
-	s.broken, errs[1] = lru.New[string, []brokenRun](p.Max)
-	s.lost, errs[2] = lru.New[string, time.Duration](p.Max)
+	s.crashes, errs[0] = lru.New[uint64, *requestCrashes](p.MaxEntries)
+	s.brokenRuns, errs[1] = lru.New[string, []brokenRun](p.MaxEntries)
+	s.lostReplicas, errs[2] = lru.New[string, time.Duration](p.MaxEntries)
 	for _, err := range errs {
 		if err != nil {
 			panic(err) // the size is a positive constant
@@ -80,92 +82,94 @@
 	return s
 }
 
-// RecordBrokenRun says that a run that began at a time broke off at a replica. It returns
-// the strike if the replica is known to be lost.
+// RecordBrokenRun records that a run that started at began broke off at a replica. It
+// returns a report if the replica is known to be lost.
 func (s *CrashTracker) RecordBrokenRun(fingerprint uint64, replica string, began, now time.Duration) []CrashReport {
 	run := brokenRun{fingerprint, began, now}
-	if at, lost := s.lost.Peek(replica); lost && now-at <= s.params.Apart {
-		return s.strike(nil, run, replica, now)
+	if at, lost := s.lostReplicas.Peek(replica); lost && now-at <= s.params.CorrelationWindow {
+		return s.countCrash(nil, run, replica, now)
 	}
-	runs, _ := s.broken.Peek(replica)
-	// One that breaks off all it gets and is never lost would fill the memory.
-	runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return now-r.at > s.params.Apart })
-	s.broken.Add(replica, append(runs, run))
+	runs, _ := s.brokenRuns.Peek(replica)
+	// A replica that breaks off every run and is never lost would fill the memory.
+	runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return now-r.endedAt > s.params.CorrelationWindow })
+	s.brokenRuns.Add(replica, append(runs, run))
 	return nil
 }
 
-// RecordLostReplica says that a replica was lost. It returns the strikes that follow, for the
-// other entries to be told.
+// RecordLostReplica records that a replica was lost. It returns the resulting reports,
+// which are to be sent to the other entries.
 func (s *CrashTracker) RecordLostReplica(replica string, now time.Duration) []CrashReport {
-	s.lost.Add(replica, now)
-	runs, _ := s.broken.Peek(replica)
-	s.broken.Remove(replica)
-	var strikes []CrashReport
+	s.lostReplicas.Add(replica, now)
+	runs, _ := s.brokenRuns.Peek(replica)
+	s.brokenRuns.Remove(replica)
+	var reports []CrashReport
 	for _, run := range runs {
-		if now-run.at <= s.params.Apart {
-			strikes = s.strike(strikes, run, replica, now)
+		if now-run.endedAt <= s.params.CorrelationWindow {
+			reports = s.countCrash(reports, run, replica, now)
 		}
 	}
-	return strikes
+	return reports
 }
 
-// strike counts a run that was lost with its replica, unless it began before what
-// is already counted, and appends it to list.
-func (s *CrashTracker) strike(list []CrashReport, run brokenRun, replica string, now time.Duration) []CrashReport {
-	if r := s.live(run.fingerprint, now); r != nil && (run.began <= r.at || r.replicas[replica]) {
+// countCrash counts a run that was lost with its replica and appends the report to
+// list, unless the run began before the last crash that was counted.
+func (s *CrashTracker) countCrash(list []CrashReport, run brokenRun, replica string, now time.Duration) []CrashReport {
+	if r := s.recent(run.fingerprint, now); r != nil && (run.started <= r.lastCrash || r.replicas[replica]) {
 		return list
 	}
-	strike := CrashReport{Fingerprint: run.fingerprint, Replica: replica}
-	// What began between the break and its being noticed came after this strike.
-	s.Merge(strike, run.at)
-	return append(list, strike)
+	report := CrashReport{Fingerprint: run.fingerprint, Replica: replica}
+	// The crash counts as of the end of the run, so that a run that began between the
+	// break and its detection counts as later.
+	s.Merge(report, run.endedAt)
+	return append(list, report)
 }
 
-// Merge takes a strike, of this entry or another.
-func (s *CrashTracker) Merge(strike CrashReport, now time.Duration) {
-	r := s.live(strike.Fingerprint, now)
+// Merge counts a report of this entry or of another one.
+func (s *CrashTracker) Merge(report CrashReport, now time.Duration) {
+	r := s.recent(report.Fingerprint, now)
 	if r == nil {
-		r = &struckRequest{replicas: make(map[string]bool)}
-		s.struck.Add(strike.Fingerprint, r)
+		r = &requestCrashes{replicas: make(map[string]bool)}
+		s.crashes.Add(report.Fingerprint, r)
 	}
-	if !r.replicas[strike.Replica] {
-		r.replicas[strike.Replica], r.at = true, now
+	if !r.replicas[report.Replica] {
+		r.replicas[report.Replica], r.lastCrash = true, now
 	}
 }
 
-// RecordSuccess says that a replica gave a good answer to a request: it isn't lost, and the
-// request isn't to blame.
+// RecordSuccess records that a replica gave a good answer to a request: the replica
+// isn't lost, and the request isn't the cause of crashes.
 func (s *CrashTracker) RecordSuccess(fingerprint uint64, replica string) {
-	s.struck.Remove(fingerprint)
-	s.broken.Remove(replica)
+	s.crashes.Remove(fingerprint)
+	s.brokenRuns.Remove(replica)
 }
 
-// CrashCount is how many strikes a request has.
+// CrashCount is the number of crashes counted for a request.
 func (s *CrashTracker) CrashCount(fingerprint uint64, now time.Duration) int {
-	if r := s.live(fingerprint, now); r != nil {
+	if r := s.recent(fingerprint, now); r != nil {
 		return len(r.replicas)
 	}
 	return 0
 }
 
-// Suspect reports whether one more crash has a request given up. After a run of it
-// has broken off it isn't run again until it is known whether that was one.
+// Suspect reports whether one more crash causes the request to be given up. After a
+// run of a suspect has broken off, the request isn't run again until it is known
+// whether that was a crash.
 func (s *CrashTracker) Suspect(fingerprint uint64, now time.Duration) bool {
 	return s.CrashCount(fingerprint, now) >= s.params.MaxCrashes-1
 }
 
 // GivenUp reports whether a request isn't run any more, and for how long.
 func (s *CrashTracker) GivenUp(fingerprint uint64, now time.Duration) (time.Duration, bool) {
-	r := s.live(fingerprint, now)
+	r := s.recent(fingerprint, now)
 	if r == nil || len(r.replicas) < s.params.MaxCrashes {
 		return 0, false
 	}
-	return r.at + s.params.Memory - now, true
+	return r.lastCrash + s.params.TTL - now, true
 }
 
-func (s *CrashTracker) live(fingerprint uint64, now time.Duration) *struckRequest {
-	r, ok := s.struck.Get(fingerprint)
-	if !ok || now-r.at > s.params.Memory {
+func (s *CrashTracker) recent(fingerprint uint64, now time.Duration) *requestCrashes {
+	r, ok := s.crashes.Get(fingerprint)
+	if !ok || now-r.lastCrash > s.params.TTL {
 		return nil
 	}
 	return r
--- a/internal/attempt/strikes_test.go
+++ b/internal/attempt/strikes_test.go
@@ -10,14 +10,14 @@
 
 const culprit = uint64(7)
 
-// crash has a run break off and its replica lost a little later.
-func crash(s *CrashTracker, replica string, began, at time.Duration) []CrashReport {
+// crashAt records a run that broke off and, 100 ms later, the loss of its replica.
+func crashAt(s *CrashTracker, replica string, began, at time.Duration) []CrashReport {
 	s.RecordBrokenRun(culprit, replica, began, at)
 	return s.RecordLostReplica(replica, at+100*time.Millisecond)
 }
 
-// Symptom: replicas restart in turn. Sequence: one request, sent again each time,
-// crashes whatever runs it. Cause: nobody counts.
+// Guards against replicas that restart in turn because one request, sent again each
+// time, crashes whatever runs it.
 func TestThirdCrashGivesARequestUp(t *testing.T) {
 	s := NewCrashTracker(DefaultCrashTrackerParams)
 	for i := range 3 {
@@ -25,38 +25,38 @@
 			t.Fatalf("given up after %d crashes", i)
 		}
 		began := time.Duration(i) * time.Second
-		if got := crash(s, fmt.Sprint("r", i), began, began+500*time.Millisecond); len(got) != 1 {
-			t.Fatalf("crash %d: strikes %v", i, got)
+		if got := crashAt(s, fmt.Sprint("r", i), began, began+500*time.Millisecond); len(got) != 1 {
+			t.Fatalf("crash %d: reports %v", i, got)
 		}
 	}
 	wait, given := s.GivenUp(culprit, 3*time.Second)
-	if !given || wait <= 0 || wait > DefaultCrashTrackerParams.Memory {
-		t.Fatalf("given up %v for %v", given, wait)
+	if !given || wait <= 0 || wait > DefaultCrashTrackerParams.TTL {
+		t.Fatalf("given up: %v, for %v", given, wait)
 	}
 	if _, given := s.GivenUp(culprit, 2*time.Hour); given {
-		t.Fatal("never tried again")
+		t.Fatal("still given up after the TTL")
 	}
 }
 
-// Symptom: callers whose requests look alike are refused after an outage of several
-// machines. Sequence: the request runs at three replicas that are lost together.
-// Cause: three losses of one moment taken for three crashes in turn.
+// Guards against refusing similar requests after an outage of several machines: a
+// request runs at three replicas that are lost together, which must not count as three
+// crashes in turn.
 func TestReplicasLostTogetherAreOneStrike(t *testing.T) {
 	s := NewCrashTracker(DefaultCrashTrackerParams)
 	for i := range 3 {
-		crash(s, fmt.Sprint("r", i), 0, time.Second)
+		crashAt(s, fmt.Sprint("r", i), 0, time.Second)
 	}
 	if n := s.CrashCount(culprit, 2*time.Second); n != 1 {
-		t.Fatalf("%d strikes", n)
+		t.Fatalf("%d crashes", n)
 	}
 }
 
 func TestStrikesNeedALostReplica(t *testing.T) {
 	s := NewCrashTracker(DefaultCrashTrackerParams)
 	s.RecordBrokenRun(culprit, "r1", 0, time.Second)
-	s.RecordSuccess(8, "r1") // it answers another request: it is alive
+	s.RecordSuccess(8, "r1") // it answers another request, so it is alive
 	if got := s.RecordLostReplica("r1", 2*time.Second); len(got) != 0 {
-		t.Errorf("a replica that went on after the break: %v", got)
+		t.Errorf("a replica that continued after the break: %v", got)
 	}
 	s.RecordBrokenRun(culprit, "r2", 0, time.Second)
 	if got := s.RecordLostReplica("r2", 10*time.Second); len(got) != 0 {
@@ -64,28 +64,28 @@
 	}
 	s.RecordLostReplica("r3", 11*time.Second)
 	if got := s.RecordBrokenRun(culprit, "r3", 10*time.Second, 12*time.Second); len(got) != 1 {
-		t.Errorf("a break noticed after the loss: %v", got)
+		t.Errorf("a break detected after the loss: %v", got)
 	}
 	s.RecordSuccess(culprit, "r4")
 	if n := s.CrashCount(culprit, 13*time.Second); n != 0 {
-		t.Errorf("%d strikes after a good answer", n)
+		t.Errorf("%d crashes after a good answer", n)
 	}
 }
 
-// Whatever order strikes are heard in, and how often, a replica counts once, and all
-// that heard the same strikes agree.
+// For any order and number of repetitions of reports, a replica counts once, and all
+// entries that merged the same reports agree.
 func TestEntriesThatHeardTheSameAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		strikes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) CrashReport {
+		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) CrashReport {
 			return CrashReport{Fingerprint: rapid.Uint64Range(1, 3).Draw(t, "fingerprint"), Replica: rapid.StringMatching("r[0-4]").Draw(t, "replica")}
 		}), 0, 20).Draw(t, "strikes")
 		a, b := NewCrashTracker(DefaultCrashTrackerParams), NewCrashTracker(DefaultCrashTrackerParams)
 		distinct := map[CrashReport]bool{}
-		for _, s := range strikes {
+		for _, s := range reports {
 			a.Merge(s, time.Second)
 			distinct[s] = true
 		}
-		for _, s := range rapid.Permutation(strikes).Draw(t, "order") {
+		for _, s := range rapid.Permutation(reports).Draw(t, "order") {
 			b.Merge(s, time.Second)
 			b.Merge(s, time.Second)
 		}
@@ -97,21 +97,21 @@
 				}
 			}
 			if x, y := a.CrashCount(f, time.Second), b.CrashCount(f, time.Second); x != want || y != want {
-				t.Fatalf("request %d: %d and %d strikes, want %d", f, x, y, want)
+				t.Fatalf("request %d: %d and %d crashes, want %d", f, x, y, want)
 			}
 		}
 	})
 }
 
-// Symptom: an entry's memory grows for as long as a replica breaks off what it gets.
-// Sequence: the replica is reachable all the while, and answers nothing. Cause: breaks
-// kept for a loss that doesn't come.
+// Guards against memory growth at an entry while a reachable replica breaks off every
+// run and answers nothing: broken runs must not be kept for a loss that is never
+// recorded.
 func TestBrokenRunsAreForgotten(t *testing.T) {
 	s := NewCrashTracker(DefaultCrashTrackerParams)
 	for i := range 10_000 {
 		s.RecordBrokenRun(uint64(i), "r", 0, time.Duration(i)*100*time.Millisecond)
 	}
-	if runs, _ := s.broken.Peek("r"); len(runs) > 25 {
-		t.Fatalf("%d breaks kept; 21 are within two seconds of the last", len(runs))
+	if runs, _ := s.brokenRuns.Peek("r"); len(runs) > 25 {
+		t.Fatalf("%d broken runs kept; 21 are within two seconds of the last", len(runs))
 	}
 }
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -239,7 +239,7 @@
 			t.Errorf("the harmless request again, by %s: %v", entry.ID, err)
 		}
 	}
-	for round := range attempt.DefaultPoisonParams.Pardons {
+	for round := range attempt.DefaultPoisonParams.MaxClears {
 		before := map[*harness.Node]int{}
 		for _, n := range c.Endpoints {
 			before[n] = engineRuns(c, n)
