--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// benchmarkArrive has 16 items running and so many waiting, of 16 organisations;
-// each step one ends and one arrives.
+// benchmarkArrive has 16 items running and the given number waiting, of 16
+// organisations. In each step one item ends and one arrives.
 func benchmarkArrive(b *testing.B, waiting int) {
 	c := NewCore(Params{MaxQueue: 2 * (waiting + 1), MaxWait: time.Hour})
 	next := 0
--- a/internal/admit/core.go
+++ b/internal/admit/core.go
@@ -6,37 +6,37 @@
 	"skylarklead/internal/protocol"
 )
 
-// Reasons of a Start.
+// Values of Start.Reason.
 const (
-	reasonFree    = "free_place"
-	reasonReserve = "reserve"
-	reasonAlone   = "runs_alone"
+	reasonFree      = "free_place"
+	reasonReserve   = "reserve"
+	reasonExclusive = "runs_alone"
 )
 
-// maxBypass is how often an item that is due but finds no KV room may be passed
-// by items of organisations that use little. Beyond it everyone waits for it:
-// a stream of short requests would otherwise starve a long one for ever.
+// maxBypass bounds how often an item that is due, but has to wait for KV room or for
+// an empty engine, may be passed by other items. Beyond it all others wait for it;
+// otherwise a stream of short requests would starve a long one.
 const maxBypass = 16
 
-// Core decides for one engine.
+// Core is the admission control of one engine.
 type Core struct {
-	params    Params
-	queue     fairQueue
-	entries   map[ID]*entry
-	room      *KVRoom
-	speed     speed
-	output    lengths // of all organisations
-	present   present
-	seq       uint64
-	running   int
-	exclusive bool
-	draining  bool
-	// outstanding sums the expected output tokens of all items, uncached the
-	// prompt tokens of the waiting ones.
-	outstanding int
-	uncached    int
-	// prefillUntil is when the engine will have computed the prompts that it has
-	// been given; it computes them one after another.
+	params       Params
+	queue        fairQueue
+	entries      map[ID]*entry
+	kv           *KVReservations
+	throughput   rateEstimate
+	outputLength lengthEstimate // of all organisations
+	active       activeSet
+	seq          uint64
+	running      int
+	exclusive    bool
+	draining     bool
+	// outstandingTokens is the sum of the expected output tokens of all items,
+	// waitingTokens that of the uncached prompt tokens of the waiting items.
+	outstandingTokens int
+	waitingTokens     int
+	// prefillUntil is when the engine is expected to have computed the prompts that
+	// were sent to it. It computes them one after another.
 	prefillUntil time.Duration
 }
 
@@ -44,27 +44,27 @@
 func NewCore(p Params) *Core {
 	p = p.withDefaults()
 	return &Core{
-		params:  p,
-		queue:   fairQueue{orgs: make(map[string]*organisation)},
-		entries: make(map[ID]*entry),
-		room:    NewKVRoom(p.KVTokens),
-		speed:   newSpeed(float64(p.MaxRunning)),
+		params:     p,
+		queue:      fairQueue{orgs: make(map[string]*organisation)},
+		entries:    make(map[ID]*entry),
+		kv:         NewKVReservations(p.KVTokens),
+		throughput: newRateEstimate(float64(p.MaxRunning)),
 	}
 }
 
-// Arrive takes a new item. An ID that is already here is ignored.
+// Arrive adds a new item. An ID that is already present is ignored.
 func (c *Core) Arrive(now time.Duration, item Item) []Action {
 	if _, known := c.entries[item.ID]; known {
 		return nil
 	}
 	if c.draining {
-		return []Action{Refuse{item.ID, protocol.CodeDraining, 0, "this endpoint is leaving"}}
+		return []Action{Refuse{item.ID, protocol.CodeDraining, 0, "this endpoint is draining"}}
 	}
 	e := c.newEntry(now, item)
 	if refusal := c.overQuota(e); refusal != nil {
 		return []Action{*refusal}
 	}
-	c.add(e)
+	c.enqueue(e)
 	actions := c.dispatch(now, nil)
 	if e.running {
 		return actions
@@ -72,7 +72,7 @@
 	return c.dispatch(now, c.shed(now, e, actions))
 }
 
-// Finish ends a running item and tells what it used.
+// Finish ends a running item and records what it used.
 func (c *Core) Finish(now time.Duration, id ID, actual Actual) []Action {
 	e := c.entries[id]
 	if e == nil || !e.running {
@@ -82,80 +82,81 @@
 	cost := 0.0
 	if actual.Ran {
 		cost = c.params.cost(actual.UncachedTokens, actual.OutputTokens)
-		e.org.output.observe(actual.OutputTokens, e.item.MaxTokens)
-		c.output.observe(actual.OutputTokens, e.item.MaxTokens)
-		c.speed.finished(cost)
+		e.org.outputLength.observe(actual.OutputTokens, e.item.MaxTokens)
+		c.outputLength.observe(actual.OutputTokens, e.item.MaxTokens)
+		c.throughput.add(cost)
 	}
-	c.queue.correct(e.org, cost-e.cost)
+	c.queue.correctCharge(e.org, cost-e.cost)
 	if c.running == 0 && c.queue.length == 0 {
-		c.queue.rest()
+		c.queue.endBusyPeriod()
 	}
 	return c.dispatch(now, nil)
 }
 
-// Cancel withdraws an item that nobody waits for. One that runs stays until
+// Cancel removes a waiting item that is no longer wanted. A running one stays until
 // Finish.
 func (c *Core) Cancel(now time.Duration, id ID) []Action {
 	e := c.entries[id]
 	if e == nil || e.running {
 		return nil
 	}
-	c.drop(e)
+	c.dequeue(e)
 	return c.dispatch(now, nil)
 }
 
-// Tick refuses what can no longer make its deadline. Call it every 100 ms or so.
+// Tick refuses the items that can no longer meet their deadline. It is to be called
+// about every 100 ms.
 func (c *Core) Tick(now time.Duration) []Action {
-	c.speed.advance(now, c.busy())
+	c.throughput.advance(now, c.busy())
 	var actions []Action
-	for _, e := range c.late(now) {
-		c.drop(e)
+	for _, e := range c.lateEntries(now) {
+		c.dequeue(e)
 		actions = append(actions, c.refusal(e, protocol.CodeDeadline, "deadline passed while waiting"))
 	}
 	return c.dispatch(now, actions)
 }
 
-// Drain refuses all that arrives from now on. What waits still runs.
+// Drain refuses all items that arrive from now on. Waiting items still run.
 func (c *Core) Drain() { c.draining = true }
 
-// RefuseWaiting refuses all that waits, for a drain whose time is short: the callers'
-// entries place it elsewhere.
+// RefuseWaiting refuses all waiting items, for a drain that has little time left. The
+// callers' entries place them elsewhere.
 func (c *Core) RefuseWaiting() []Action {
 	var actions []Action
 	for len(c.queue.waiting) > 0 {
 		e := c.queue.waiting[0].queue[0]
-		c.drop(e)
-		actions = append(actions, Refuse{e.item.ID, protocol.CodeDraining, 0, "this endpoint is leaving"})
+		c.dequeue(e)
+		actions = append(actions, Refuse{e.item.ID, protocol.CodeDraining, 0, "this endpoint is draining"})
 	}
 	return actions
 }
 
-// Summary is the admission's part of a load summary.
+// Summary is the admission control's part of a load summary.
 type Summary struct {
 	Running int
 	Queued  int
-	// QueuedTokens are the prompt tokens still to be computed, of waiting items
-	// and, by estimate, of running ones.
+	// QueuedTokens is the number of prompt tokens still to be computed: of waiting
+	// items and, estimated, of running ones.
 	QueuedTokens int
-	// DecodeTokens are the expected output tokens of all items.
+	// DecodeTokens is the sum of the expected output tokens of all items.
 	DecodeTokens int
 	Saturated    bool
-	// Organisations is how many have items waiting, Heavy those of them that have
-	// more than their share or a backlog of their own here.
+	// Organisations is how many organisations have items waiting. Heavy names those of
+	// them that exceed their share or have a backlog of their own here.
 	Organisations int
 	Heavy         []string
-	// OutputShare is the mean of output tokens over the most allowed, 0 if not
+	// OutputShare is the mean ratio of output tokens to the maximum allowed, 0 if not
 	// known yet.
 	OutputShare float64
 }
 
-// heavy lists the waiting organisations whose next item will wait for more than
-// one place: those that have more than their share, or several items waiting.
-func (c *Core) heavy() []string {
-	shares := c.shares(c.speed.at)
+// heavyOrganisations lists the waiting organisations whose next item has to wait for
+// more than one slot: those over their share, or with several items waiting.
+func (c *Core) heavyOrganisations() []string {
+	shares := c.shares(c.throughput.updatedAt)
 	var names []string
 	for _, o := range c.queue.waiting {
-		if len(names) < maxHeavy && (len(o.queue) >= backlog || !shares.light(o)) {
+		if len(names) < maxHeavy && (len(o.queue) >= minBacklog || !shares.withinShare(o)) {
 			names = append(names, o.name)
 		}
 	}
@@ -165,27 +166,27 @@
 const (
 	// maxHeavy bounds the names in a load summary.
 	maxHeavy = 8
-	// backlog is how many waiting items of one organisation are a backlog of its
-	// own. Three that share an engine evenly are each within their share there,
-	// however long their queues.
-	backlog = 2
+	// minBacklog is how many waiting items of one organisation count as a backlog of
+	// its own. Three organisations that share an engine evenly are each within their
+	// share, however long their queues are.
+	minBacklog = 2
 )
 
 // Summary returns the load as of the last event.
 func (c *Core) Summary() Summary {
-	prefilling := c.backlog(c.speed.at).Seconds() * c.params.PrefillTokensPerSecond
+	prefilling := c.prefillBacklog(c.throughput.updatedAt).Seconds() * c.params.PrefillTokensPerSecond
 	share := 0.0
-	if c.output.known() {
-		share = c.output.mean
+	if c.outputLength.known() {
+		share = c.outputLength.mean
 	}
 	return Summary{
-		Heavy:         c.heavy(),
+		Heavy:         c.heavyOrganisations(),
 		OutputShare:   share,
 		Running:       c.running,
 		Queued:        c.queue.length,
-		QueuedTokens:  c.uncached + int(prefilling),
-		DecodeTokens:  c.outstanding,
-		Saturated:     c.queue.length > 0 && c.running >= c.params.MaxRunning-c.params.reserved(),
+		QueuedTokens:  c.waitingTokens + int(prefilling),
+		DecodeTokens:  c.outstandingTokens,
+		Saturated:     c.queue.length > 0 && c.running >= c.params.MaxRunning-c.params.reservedSlots(),
 		Organisations: len(c.queue.waiting),
 	}
 }
@@ -194,75 +195,76 @@
 	c.seq++
 	o := c.queue.organisation(&item)
 	e := &entry{item: item, org: o, seq: c.seq, arrived: now}
-	mean, deviation := o.output.expect(item.MaxTokens)
+	mean, deviation := o.outputLength.expect(item.MaxTokens)
 	e.expected = item.ExpectedTokens
 	if e.expected <= 0 {
 		e.expected = int(mean)
 	}
 	e.latestStart = c.latestStart(now, e, mean+serviceMargin*deviation)
-	e.kv = demand{prompt: item.UncachedTokens, most: item.MaxTokens}
+	e.kv = kvDemand{prompt: item.UncachedTokens, maxOutput: item.MaxTokens}
 	e.cost = c.params.cost(item.UncachedTokens, e.expected)
 	return e
 }
 
-func (c *Core) add(e *entry) {
+func (c *Core) enqueue(e *entry) {
 	c.entries[e.item.ID] = e
 	c.queue.push(e)
-	c.present.update(e.org)
-	c.outstanding += e.expected
-	c.uncached += e.item.UncachedTokens
+	c.active.update(e.org)
+	c.outstandingTokens += e.expected
+	c.waitingTokens += e.item.UncachedTokens
 }
 
-// drop forgets a waiting entry.
-func (c *Core) drop(e *entry) {
+// dequeue removes a waiting entry.
+func (c *Core) dequeue(e *entry) {
 	delete(c.entries, e.item.ID)
 	c.queue.remove(e)
-	e.org.noteQueue(c.speed.at)
-	c.present.update(e.org)
-	c.outstanding -= e.expected
-	c.uncached -= e.item.UncachedTokens
+	e.org.recordQueueState(c.throughput.updatedAt)
+	c.active.update(e.org)
+	c.outstandingTokens -= e.expected
+	c.waitingTokens -= e.item.UncachedTokens
 }
 
-// dispatch starts all that may start and appends it to actions.
+// dispatch starts all items that may start and appends the actions.
 func (c *Core) dispatch(now time.Duration, actions []Action) []Action {
-	c.speed.advance(now, c.busy())
+	c.throughput.advance(now, c.busy())
 	for c.queue.length > 0 && c.running < c.params.MaxRunning && !c.exclusive {
 		shares := c.shares(now)
 		o := c.queue.next(func(o *organisation) bool { return c.mayRun(&shares, o) })
 		if o == nil {
 			return actions
 		}
-		e := c.fitting(now, &shares, o)
+		e := c.pick(now, &shares, o)
 		if e == nil {
 			return actions
 		}
-		actions = append(actions, c.start(now, e, shares.light(e.org)))
+		actions = append(actions, c.start(now, e, shares.withinShare(e.org)))
 	}
 	return actions
 }
 
-// mayRun reports whether an organisation may take another place. The last
-// reserved places are only for those that use less than their share: were they
-// open to all, one organisation's backlog would fill every place with long
-// answers, and a small one's request would wait for one of them to end although
-// the queue is fair.
+// mayRun reports whether an organisation may take another slot. The last reserved
+// slots are only for organisations within their share. If they were open to all, one
+// organisation's backlog would fill every slot with long answers, and a small
+// organisation's request would have to wait for one of them to end although the queue
+// is fair.
 func (c *Core) mayRun(s *shares, o *organisation) bool {
 	free := c.params.MaxRunning - c.running
-	return free > c.params.reserved() || s.light(o)
+	return free > c.params.reservedSlots() || s.withinShare(o)
 }
 
-// fitting returns the item to start when o is due: its head, or the head of an
-// organisation that uses little when o's has no KV room. It returns nil when all
-// must wait.
-func (c *Core) fitting(now time.Duration, s *shares, o *organisation) *entry {
+// pick returns the item to start when o is due: its head or, if that has no KV room,
+// the head of an organisation within its share. While a head that must run exclusively
+// waits for an empty engine, backfill chooses the item. pick returns nil if all have
+// to wait.
+func (c *Core) pick(now time.Duration, s *shares, o *organisation) *entry {
 	head := o.queue[0]
 	if head.item.Exclusive {
 		if c.running > 0 {
-			return c.meanwhile(now, s, head)
+			return c.backfill(now, s, head)
 		}
 		return head
 	}
-	if c.running == 0 || c.room.Fits(head.kv) {
+	if c.running == 0 || c.kv.Fits(head.kv) {
 		return head
 	}
 	if head.bypassed >= maxBypass {
@@ -270,7 +272,7 @@
 	}
 	other := c.queue.next(func(other *organisation) bool {
 		e := other.queue[0]
-		return other != o && s.light(other) && !e.item.Exclusive && c.room.Fits(e.kv)
+		return other != o && s.withinShare(other) && !e.item.Exclusive && c.kv.Fits(e.kv)
 	})
 	if other == nil {
 		return nil
@@ -279,19 +281,19 @@
 	return other.queue[0]
 }
 
-// meanwhile returns an item to run while a suspect waits for the engine to be
-// empty: one that ends before what runs already does, so that the suspect waits no
-// longer for it. Without it everyone at this endpoint waits for the longest answer
-// that happens to run. Items may take longer than expected, so their number is
-// bounded.
-func (c *Core) meanwhile(now time.Duration, s *shares, suspect *entry) *entry {
+// backfill returns an item to run while a suspect waits for the engine to be empty:
+// one that is expected to end before the items that already run, so that it doesn't
+// delay the suspect. Without backfilling, all requests at this endpoint wait for the
+// longest answer that happens to run. Items may take longer than expected, so their
+// number is bounded.
+func (c *Core) backfill(now time.Duration, s *shares, suspect *entry) *entry {
 	if suspect.bypassed >= maxBypass {
 		return nil
 	}
-	empty := c.emptyAt()
+	empty := c.idleAt()
 	o := c.queue.next(func(o *organisation) bool {
 		head := o.queue[0]
-		return c.mayRun(s, o) && !head.item.Exclusive && now+duration(head.cost) <= empty && c.room.Fits(head.kv)
+		return c.mayRun(s, o) && !head.item.Exclusive && now+duration(head.cost) <= empty && c.kv.Fits(head.kv)
 	})
 	if o == nil {
 		return nil
@@ -300,64 +302,65 @@
 	return o.queue[0]
 }
 
-// emptyAt is when all that runs is expected to have ended.
-func (c *Core) emptyAt() time.Duration {
+// idleAt is when all running items are expected to have ended.
+func (c *Core) idleAt() time.Duration {
 	var last time.Duration
 	for _, e := range c.entries {
 		if e.running {
-			last = max(last, e.ends)
+			last = max(last, e.expectedEnd)
 		}
 	}
 	return last
 }
 
-func (c *Core) start(now time.Duration, e *entry, light bool) Action {
-	a := Start{ID: e.item.ID, Waited: now - e.arrived, Reason: reasonFree, EnginePriority: PriorityHeavy}
-	if light {
-		a.EnginePriority = PriorityLight
+func (c *Core) start(now time.Duration, e *entry, withinShare bool) Action {
+	a := Start{ID: e.item.ID, Waited: now - e.arrived, Reason: reasonFree, EnginePriority: PriorityOverShare}
+	if withinShare {
+		a.EnginePriority = PriorityWithinShare
 	}
-	if c.params.MaxRunning-c.running <= c.params.reserved() {
+	if c.params.MaxRunning-c.running <= c.params.reservedSlots() {
 		a.Reason = reasonReserve
 	}
 	if e.item.Exclusive {
 		c.exclusive = true
-		a.Reason = reasonAlone
+		a.Reason = reasonExclusive
 	}
 	c.queue.charge(e)
-	e.org.pace.finished(1)
+	e.org.startRate.add(1)
 	c.queue.remove(e)
-	e.org.noteQueue(now)
-	c.uncached -= e.item.UncachedTokens
-	c.prefillUntil = now + c.backlog(now) + duration(c.params.prefill(e.item.UncachedTokens))
+	e.org.recordQueueState(now)
+	c.waitingTokens -= e.item.UncachedTokens
+	c.prefillUntil = now + c.prefillBacklog(now) + duration(c.params.prefillMs(e.item.UncachedTokens))
 	e.running = true
-	e.ends = now + duration(e.cost)
+	e.expectedEnd = now + duration(e.cost)
 	c.running++
-	c.room.Add(e.kv)
+	c.kv.Add(e.kv)
 	c.setRunning(now, e.org, e.org.running+1)
 	return a
 }
 
 func (c *Core) setRunning(now time.Duration, o *organisation, running int) {
 	o.running = running
-	o.use.set(now, running)
-	c.present.update(o)
+	o.use.update(now, running)
+	c.active.update(o)
 }
 
-// stop forgets a running entry.
+// stop removes a running entry.
 func (c *Core) stop(now time.Duration, e *entry) {
-	c.speed.advance(now, c.busy())
+	c.throughput.advance(now, c.busy())
 	delete(c.entries, e.item.ID)
 	c.running--
 	c.setRunning(now, e.org, e.org.running-1)
-	c.outstanding -= e.expected
-	c.room.Remove(e.kv)
+	c.outstandingTokens -= e.expected
+	c.kv.Remove(e.kv)
 	if e.item.Exclusive {
 		c.exclusive = false
 	}
 }
 
-// backlog is how long the engine will compute the prompts that it has.
-func (c *Core) backlog(now time.Duration) time.Duration { return max(0, c.prefillUntil-now) }
+// prefillBacklog is how long the engine is expected to compute the prompts that were
+// sent to it.
+func (c *Core) prefillBacklog(now time.Duration) time.Duration { return max(0, c.prefillUntil-now) }
 
-// busy reports whether the engine is kept as busy as admission lets it be.
+// busy reports whether the engine is as busy as admission allows.
 func (c *Core) busy() bool { return c.queue.length > 0 }
--- a/internal/admit/core_test.go
+++ b/internal/admit/core_test.go
@@ -37,25 +37,24 @@
 	return list
 }
 
-// Symptom: a hospice's question waits behind an appeal's backlog.
-// Sequence: a large organisation fills every place and the queue; a small one
-// asks once.
-// Cause: places and queue are first come, first served.
+// Guards against a small organisation's request that waits behind a large one's
+// backlog: the large one fills every slot and the queue, then the small one sends one
+// request.
 func TestSmallOrganisationIsNotBehindBacklog(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 4, SmallReserve: 0.25, MaxQueue: 100})
 	for n := range 50 {
 		c.Arrive(0, item(n, "large"))
 	}
 	if got := c.Summary().Running; got != 3 {
-		t.Fatalf("large one runs %d, want all but the reserve, 3", got)
+		t.Fatalf("the large organisation runs %d items, want all slots but the reserved one, 3", got)
 	}
 	if ids := started(c.Arrive(0, item(100, "small"))); len(ids) != 1 {
-		t.Fatalf("small one's item did not start: %v", ids)
+		t.Fatalf("the small organisation's item did not start: %v", ids)
 	}
 	c.Arrive(0, item(101, "small"))
 	ids := started(c.Finish(time.Second, item(100, "").ID, Actual{Ran: true}))
 	if len(ids) != 1 || ids[0] != item(101, "").ID {
-		t.Errorf("after the first the second starts at once, got %v", ids)
+		t.Errorf("started %v after the first item ended, want the second at once", ids)
 	}
 }
 
@@ -72,10 +71,10 @@
 	}
 }
 
-// Symptom: an endpoint's queue grows for seconds while others are idle.
-// Sequence: three organisations share it evenly and all have a backlog there.
-// Cause: each is within its share, so their owners think that it waits for one
-// place at most.
+// Guards against a queue that grows for seconds at one endpoint while others are idle:
+// three organisations share the endpoint evenly and all have a backlog there. Each is
+// within its share, so without a report of the backlog owners would assume that it
+// waits for one slot at most.
 func TestOwnBacklogIsHeavyWithinTheShare(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 6, MaxQueue: 100})
 	for n := range 30 {
@@ -93,7 +92,7 @@
 	}
 	list := refused(c.Arrive(0, item(9, "small")))
 	if len(list) != 1 || list[0].ID != item(4, "").ID || list[0].Code != protocol.CodeOverloaded {
-		t.Fatalf("refused %v, want the large one's newest", list)
+		t.Fatalf("refused %v, want the large organisation's newest item", list)
 	}
 	if list[0].RetryAfter <= 0 {
 		t.Error("no Retry-After")
@@ -108,13 +107,13 @@
 	late.Deadline = 500 * time.Millisecond
 	list := refused(c.Arrive(0, late))
 	if len(list) != 1 || list[0].Code != protocol.CodeDeadline {
-		t.Fatalf("refused %v, want the late one", list)
+		t.Fatalf("refused %v, want the late item", list)
 	}
 }
 
-// Symptom: past saturation every answer comes just before its caller's deadline.
-// Sequence: for minutes an organisation asks for more than its part of the engine.
-// Cause: its queue is as long as its callers' patience.
+// Guards against answers that all come just before their callers' deadlines: for
+// minutes an organisation asks for more than its share of the engine, and its queue
+// grows to what the deadlines allow.
 func TestStandingBacklogIsKeptWithinTheTarget(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -123,9 +122,9 @@
 		refused int
 	}{
 		{"burst", 0, "large", 0},
-		{"not yet standing", standingAge - time.Millisecond, "large", 0},
-		{"standing backlog", standingAge, "large", 1},
-		{"nothing of its own waits", standingAge, "small", 0},
+		{"not yet standing", standingBacklogAge - time.Millisecond, "large", 0},
+		{"standing backlog", standingBacklogAge, "large", 1},
+		{"nothing of its own waits", standingBacklogAge, "small", 0},
 	} {
 		c := NewCore(Params{MaxRunning: 1, MaxQueue: 100, MaxWait: time.Hour, FirstTokenTarget: 2 * time.Second})
 		for n := range 20 {
@@ -138,31 +137,30 @@
 		}
 		for _, r := range list {
 			if r.Code != protocol.CodeOverloaded || r.RetryAfter < 10*time.Second {
-				t.Errorf("%s: %+v doesn't tell of 19 items, one of which starts each second or two", test.name, r)
+				t.Errorf("%s: %+v: Retry-After is too short for 19 items, one of which starts each second or two", test.name, r)
 			}
 		}
 	}
 }
 
-// Symptom: a request that crashes engines takes others down with it.
-// Sequence: a suspect is sent again and runs beside other requests.
-// Cause: it was not kept apart.
+// Guards against a request that crashes engines and takes other requests down with it,
+// because it is run beside them when it is sent again.
 func TestSuspectRunsAlone(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 4})
 	c.Arrive(0, item(1, "a"))
 	suspect := item(2, "b")
 	suspect.Exclusive = true
 	if ids := started(c.Arrive(0, suspect)); len(ids) != 0 {
-		t.Fatal("started beside another")
+		t.Fatal("the suspect started beside another item")
 	}
 	if ids := started(c.Finish(1, item(1, "").ID, Actual{Ran: true})); len(ids) != 1 {
-		t.Fatal("did not start alone")
+		t.Fatal("the suspect did not start on the empty engine")
 	}
 	if ids := started(c.Arrive(2, item(3, "a"))); len(ids) != 0 {
-		t.Fatal("another started beside the suspect")
+		t.Fatal("another item started beside the suspect")
 	}
 	if ids := started(c.Finish(3, suspect.ID, Actual{Ran: true})); len(ids) != 1 {
-		t.Fatal("the next did not start after it")
+		t.Fatal("the next item did not start after the suspect")
 	}
 }
 
@@ -175,16 +173,15 @@
 		t.Fatalf("refused %v", list)
 	}
 	if ids := started(c.Finish(1, item(1, "").ID, Actual{Ran: true})); len(ids) != 1 {
-		t.Fatal("what waited did not run")
+		t.Fatal("the waiting item did not run")
 	}
 	if list := refused(c.RefuseWaiting()); len(list) != 0 {
-		t.Fatalf("handed back %v, nothing waits", list)
+		t.Fatalf("refused %v although nothing waits", list)
 	}
 }
 
-// Symptom: everyone waits while one organisation's backlog runs.
-// Sequence: it was away for long, then sends many requests at once.
-// Cause: the time that it was away counts in its favour.
+// Guards against an organisation whose backlog delays all others: it was away for long
+// and then sends many requests at once. The time away must not count in its favour.
 func TestBeingAwayEarnsNothing(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 1, MaxQueue: 200, MaxWait: time.Hour})
 	c.Arrive(0, item(500, "away"))
@@ -216,13 +213,12 @@
 		}
 	}
 	if away < 9 || away > 11 {
-		t.Errorf("%d of 20 turns, want half", away)
+		t.Errorf("%d of 20 starts, want half", away)
 	}
 }
 
-// Symptom: an organisation gets more than its share.
-// Sequence: its outputs are far longer than announced.
-// Cause: the fair queue counts what was expected.
+// Guards against an organisation that gets more than its share because its outputs are
+// far longer than announced: the fair queue has to charge the actual cost.
 func TestActualCostIsSettled(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 1, MaxQueue: 200, MaxWait: time.Hour})
 	owner := map[ID]string{}
@@ -232,25 +228,24 @@
 		c.Arrive(0, i)
 	}
 	next := item(0, "").ID
-	turns := map[string]int{}
+	starts := map[string]int{}
 	for range 40 {
 		output := 50
 		if owner[next] == "greedy" {
 			output = 150
 		}
 		for _, next = range started(c.Finish(0, next, Actual{UncachedTokens: 1000, OutputTokens: output, Ran: true})) {
-			turns[owner[next]]++
+			starts[owner[next]]++
 		}
 	}
-	if turns["modest"] < 2*turns["greedy"] {
-		t.Errorf("turns %v, want about three to one", turns)
+	if starts["modest"] < 2*starts["greedy"] {
+		t.Errorf("starts %v, want about three to one", starts)
 	}
 }
 
-// Symptom: all requests of one organisation are refused for ever.
-// Sequence: some of its answers were so long that an answer like them would miss
-// the usual deadline.
-// Cause: the estimate refuses everything that could correct it.
+// Guards against refusing all requests of an organisation for ever: some of its
+// answers were so long that one like them would miss the usual deadline, and the
+// estimate refuses everything that could correct it.
 func TestLongEstimateDoesNotRefuseForEver(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 1})
 	for n := range 8 {
@@ -268,9 +263,8 @@
 	}
 }
 
-// Symptom: a long request never starts.
-// Sequence: the KV cache is nearly full; short ones keep taking the rest.
-// Cause: they may pass it without end.
+// Guards against a long request that never starts: the KV cache is nearly full, and
+// short requests keep taking what is free.
 func TestBypassIsBounded(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 4, SmallReserve: 0.5, KVTokens: 3000, MaxQueue: 1000})
 	c.Arrive(0, item(1, "first")) // takes 1100
@@ -287,35 +281,33 @@
 		}
 	}
 	if passed == 0 || passed > maxBypass {
-		t.Fatalf("%d passed, the bound is %d", passed, maxBypass)
+		t.Fatalf("%d items passed, the bound is %d", passed, maxBypass)
 	}
 	ids := started(c.Finish(0, item(1, "").ID, Actual{Ran: true}))
 	if len(ids) == 0 || ids[0] != long.ID {
-		t.Errorf("started %v, want the long one first", ids)
+		t.Errorf("started %v, want the long item first", ids)
 	}
 }
 
-// Symptom: a large organisation takes the places kept for small ones.
-// Sequence: it has few running at a moment, but has used much for long.
-// Cause: only the moment counts.
+// Guards against a large organisation that takes the slots reserved for small ones: it
+// has few items running at the moment, but its mean use is high.
 func TestMeanUseDecidesWhoIsLight(t *testing.T) {
 	large := &organisation{weight: 1}
-	large.use.set(0, 8)
-	large.use.set(30*time.Second, 1)
+	large.use.update(0, 8)
+	large.use.update(30*time.Second, 1)
 	large.running = 1
-	s := shares{now: 31 * time.Second, places: 16, weights: 4}
-	if s.light(large) {
-		t.Errorf("light with a mean use of %.1f of 16 places among four", large.use.read(s.now))
+	s := shares{now: 31 * time.Second, slots: 16, totalWeight: 4}
+	if s.withinShare(large) {
+		t.Errorf("within its share with a mean use of %.1f of 16 slots among four", large.use.meanAt(s.now))
 	}
 	s.now = 3 * time.Minute
-	if !s.light(large) {
-		t.Error("not light minutes later")
+	if !s.withinShare(large) {
+		t.Error("not within its share minutes later")
 	}
 }
 
-// Symptom: after a crash everyone at an endpoint waits for seconds.
-// Sequence: a suspect is due there while one long answer runs.
-// Cause: nothing starts until that answer and the suspect have ended.
+// Guards against an endpoint at which all requests wait for seconds after a crash: a
+// suspect is due while one long answer runs, and nothing starts until both have ended.
 func TestShortOnesPassAWaitingSuspect(t *testing.T) {
 	c := NewCore(Params{MaxRunning: 4})
 	long := item(1, "a")
@@ -327,7 +319,7 @@
 	short := item(3, "c")
 	short.ExpectedTokens = 10
 	if ids := started(c.Arrive(0, short)); len(ids) != 1 || ids[0] != short.ID {
-		t.Fatalf("started %v, want the short one", ids)
+		t.Fatalf("started %v, want the short item", ids)
 	}
 	alike := item(4, "c")
 	alike.ExpectedTokens = 400
--- a/internal/admit/kv.go
+++ b/internal/admit/kv.go
@@ -2,70 +2,71 @@
 
 import "math"
 
-// demand is what one request may take of the KV cache, in tokens.
-type demand struct {
-	prompt int
-	most   int // output
+// kvDemand is the KV cache, in tokens, that one request may need.
+type kvDemand struct {
+	prompt    int
+	maxOutput int
 }
 
-// KVRoom tells whether a request's blocks will fit beside those of the running
-// ones, whatever the length of their outputs. An estimate that lets in more was
-// tried and left out: docs/design/fairness.md.
-type KVRoom struct {
+// KVReservations tracks the KV cache reserved for running requests at the longest
+// outputs they may have. Estimates that admit more requests were rejected because they
+// cause preemptions: see TestKVTrial and docs/design/fairness.md.
+type KVReservations struct {
 	capacity int
-	taken    int
+	reserved int
 }
 
-// NewKVRoom returns an empty room of capacity tokens; 0 is no bound.
-func NewKVRoom(capacity int) *KVRoom { return &KVRoom{capacity: capacity} }
+// NewKVReservations returns an empty tracker with a capacity in tokens; 0 is no bound.
+func NewKVReservations(capacity int) *KVReservations { return &KVReservations{capacity: capacity} }
 
-// Fits reports whether d can be added.
-func (r *KVRoom) Fits(d demand) bool {
-	return r.capacity == 0 || r.taken+d.prompt+d.most <= r.capacity
+// Fits reports whether d fits beside the running requests.
+func (r *KVReservations) Fits(d kvDemand) bool {
+	return r.capacity == 0 || r.reserved+d.prompt+d.maxOutput <= r.capacity
 }
 
-// Add counts a running request.
-func (r *KVRoom) Add(d demand) { r.taken += d.prompt + d.most }
+// Add reserves the demand of a request that starts.
+func (r *KVReservations) Add(d kvDemand) { r.reserved += d.prompt + d.maxOutput }
 
-// Remove ends it.
-func (r *KVRoom) Remove(d demand) { r.taken -= d.prompt + d.most }
+// Remove releases the demand of a request that ended.
+func (r *KVReservations) Remove(d kvDemand) { r.reserved -= d.prompt + d.maxOutput }
 
-// lengths learns the mean and deviation of outputs as a share of the most
-// allowed. Callers ask for short classifications and long replies by that bound,
-// so the share varies far less than the length.
-type lengths struct {
-	seen     int
+// lengthEstimate estimates the mean and the deviation of output lengths as a fraction
+// of the maximum allowed. Callers set that maximum according to whether they want a
+// short classification or a long reply, so the fraction varies far less than the
+// length.
+type lengthEstimate struct {
+	samples  int
 	mean     float64
 	variance float64
 }
 
 const (
-	// lengthsMemory is how many outputs the estimate looks back on.
-	lengthsMemory = 64
-	// lengthsTrust is how many must be seen before they are believed.
-	lengthsTrust = 4
+	// lengthWindow is the number of outputs over which the estimate averages.
+	lengthWindow = 64
+	// minLengthSamples is how many outputs are needed before the estimate is used.
+	minLengthSamples = 4
 )
 
-func (l *lengths) observe(tokens, most int) {
-	if most <= 0 {
+func (l *lengthEstimate) observe(tokens, maxTokens int) {
+	if maxTokens <= 0 {
 		return
 	}
-	value := min(1, float64(tokens)/float64(most))
-	l.seen = min(l.seen+1, lengthsMemory)
-	share := 1 / float64(l.seen)
+	value := min(1, float64(tokens)/float64(maxTokens))
+	l.samples = min(l.samples+1, lengthWindow)
+	share := 1 / float64(l.samples)
 	delta := value - l.mean
 	l.mean += share * delta
 	l.variance = (1 - share) * (l.variance + share*delta*delta)
 }
 
-// known reports whether enough outputs were seen.
-func (l *lengths) known() bool { return l.seen >= lengthsTrust }
+// known reports whether there are enough samples.
+func (l *lengthEstimate) known() bool { return l.samples >= minLengthSamples }
 
-// expect returns the expected output and its deviation. Before enough outputs
-// are seen it is half of the bound, with a quarter as deviation.
-func (l *lengths) expect(most int) (mean, deviation float64) {
+// expect returns the expected output and its deviation. Without enough samples it is
+// half of the maximum, with a deviation of a quarter.
+func (l *lengthEstimate) expect(maxTokens int) (mean, deviation float64) {
 	if !l.known() {
-		return float64(most) / 2, float64(most) / 4
+		return float64(maxTokens) / 2, float64(maxTokens) / 4
 	}
-	return l.mean * float64(most), math.Sqrt(l.variance) * float64(most)
+	return l.mean * float64(maxTokens), math.Sqrt(l.variance) * float64(maxTokens)
 }
--- a/internal/admit/kv_test.go
+++ b/internal/admit/kv_test.go
@@ -7,54 +7,54 @@
 	"testing"
 )
 
-// The KV trial generates one token a step for every running request. A request
-// takes its prompt at once and its output as it comes. When the tokens are more
-// than the cache, the youngest request is preempted: its work is lost and it
-// starts anew, as in engines that recompute. There is always a next request, so
-// what differs is what each estimator lets in.
+// The KV simulation generates one token per step for every running request. A
+// request takes its prompt at once and its output as it is generated. When the
+// tokens exceed the cache, the youngest request is preempted: its work is lost and
+// it starts anew, as in engines that recompute. There is always a next request, so
+// only what each estimator admits differs.
 const (
-	kvCapacity = 24000
-	kvPrompt   = 400
-	kvMost     = 1000
-	kvSteps    = 60000
-	// kvSpell is how many steps an appeal stays hot or calm in the correlated
-	// trial; all outputs then are kvSwing times longer or shorter.
-	kvSpell = 1500
-	kvSwing = 2
+	kvCapacity  = 24000
+	kvPrompt    = 400
+	kvMaxOutput = 1000
+	kvSteps     = 60000
+	// In the correlated simulation, phases of kvPhaseSteps steps alternate in which all
+	// outputs are kvPhaseFactor times longer or shorter.
+	kvPhaseSteps  = 1500
+	kvPhaseFactor = 2
 )
 
-// kvEstimator tells whether one more request has room. Each estimator tried is a
-// small type here; KVRoom is the one in use.
+// kvEstimator decides whether one more request has room. Each candidate is a small
+// type here; the one in use is KVReservations.
 type kvEstimator interface {
-	fits(count int, d demand, learnt *lengths) bool
+	fits(running int, d kvDemand, lengths *lengthEstimate) bool
 }
 
-// sumRoom is the KVRoom in use.
-type sumRoom struct{}
+// sumEstimator is KVReservations.
+type sumEstimator struct{}
 
-func (sumRoom) fits(count int, d demand, _ *lengths) bool {
-	room := NewKVRoom(kvCapacity)
-	for range count {
-		room.Add(d)
+func (sumEstimator) fits(running int, d kvDemand, _ *lengthEstimate) bool {
+	kv := NewKVReservations(kvCapacity)
+	for range running {
+		kv.Add(d)
 	}
-	return room.Fits(d)
+	return kv.Fits(d)
 }
 
-// portfolioRoom takes mean + z standard deviations of the sum of all outputs:
-// the portfolio effect of Nabavinejad, Reda and Guo's MediatorDNN, which assumes
-// that jobs are not correlated.
-type portfolioRoom struct{ z float64 }
+// portfolioEstimator admits up to mean + z standard deviations of the sum of all outputs:
+// the portfolio effect of Nabavinejad, Reda and Guo's MediatorDNN, which assumes that
+// jobs are not correlated.
+type portfolioEstimator struct{ z float64 }
 
-func (p portfolioRoom) fits(count int, d demand, learnt *lengths) bool {
-	n := float64(count + 1)
-	mean, deviation := learnt.expect(d.most)
+func (p portfolioEstimator) fits(running int, d kvDemand, lengths *lengthEstimate) bool {
+	n := float64(running + 1)
+	mean, deviation := lengths.expect(d.maxOutput)
 	return n*(float64(d.prompt)+mean)+p.z*deviation*math.Sqrt(n) <= kvCapacity
 }
 
-// fixedRoom lets in so many, as MaxRunning does.
-type fixedRoom struct{ places int }
+// fixedEstimator admits a fixed number of requests, as MaxRunning does.
+type fixedEstimator struct{ slots int }
 
-func (f fixedRoom) fits(count int, _ demand, _ *lengths) bool { return count < f.places }
+func (f fixedEstimator) fits(n int, _ kvDemand, _ *lengthEstimate) bool { return n < f.slots }
 
 type kvJob struct {
 	length int
@@ -63,7 +63,7 @@
 
 func (j *kvJob) tokens() int { return kvPrompt + j.done }
 
-// kvFigures are what a trial counted.
+// kvFigures are the results of one simulation.
 type kvFigures struct {
 	finished    int
 	preempted   int
@@ -75,35 +75,36 @@
 func outputLength(rng *rand.Rand, step int, correlated bool) int {
 	length := 120 * math.Exp(0.67*rng.NormFloat64()) // mean 150
 	if correlated {
-		// The two spells' means average to that of the calm trial.
-		length /= (kvSwing + 1.0/kvSwing) / 2
-		if step/kvSpell%2 == 0 {
-			length *= kvSwing
+		// The means of the two phases average to the mean of the uncorrelated
+		// simulation.
+		length /= (kvPhaseFactor + 1.0/kvPhaseFactor) / 2
+		if step/kvPhaseSteps%2 == 0 {
+			length *= kvPhaseFactor
 		} else {
-			length /= kvSwing
+			length /= kvPhaseFactor
 		}
 	}
-	return min(kvMost, 1+int(length))
+	return min(kvMaxOutput, 1+int(length))
 }
 
-func runKVTrial(room kvEstimator, seed uint64, correlated bool) kvFigures {
+func runKVTrial(estimator kvEstimator, seed uint64, correlated bool) kvFigures {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	var learnt lengths
-	var running, again []*kvJob // again: to be started next, last first
-	var f kvFigures
+	var lengths lengthEstimate
+	var running, pending []*kvJob // pending: to be started next, last first
+	var figures kvFigures
 	used := 0
-	one := demand{prompt: kvPrompt, most: kvMost}
+	one := kvDemand{prompt: kvPrompt, maxOutput: kvMaxOutput}
 	for step := range kvSteps {
 		for {
-			if len(again) == 0 {
-				again = append(again, &kvJob{length: outputLength(rng, step, correlated)})
+			if len(pending) == 0 {
+				pending = append(pending, &kvJob{length: outputLength(rng, step, correlated)})
 			}
-			j := again[len(again)-1]
-			// The engine itself doesn't start what doesn't fit now.
-			if !room.fits(len(running), one, &learnt) || used+kvPrompt > kvCapacity {
+			j := pending[len(pending)-1]
+			// The engine doesn't start a request whose prompt doesn't fit at present.
+			if !estimator.fits(len(running), one, &lengths) || used+kvPrompt > kvCapacity {
 				break
 			}
-			again = again[:len(again)-1]
+			pending = pending[:len(pending)-1]
 			running = append(running, j)
 			used += j.tokens()
 		}
@@ -115,8 +116,8 @@
 				i++
 				continue
 			}
-			f.finished++
-			learnt.observe(j.length, kvMost)
+			figures.finished++
+			lengths.observe(j.length, kvMaxOutput)
 			used -= j.tokens()
 			running = slices.Delete(running, i, i+1)
 		}
@@ -124,57 +125,57 @@
 			j := running[len(running)-1]
 			running = running[:len(running)-1]
 			used -= j.tokens()
-			f.preempted++
-			f.lostTokens += j.tokens()
+			figures.preempted++
+			figures.lostTokens += j.tokens()
 			j.done = 0
-			again = append(again, j)
+			pending = append(pending, j)
 		}
-		f.concurrency += float64(len(running)) / kvSteps
+		figures.concurrency += float64(len(running)) / kvSteps
 	}
-	return f
+	return figures
 }
 
 var kvEstimators = []struct {
-	name string
-	room kvEstimator
+	name      string
+	estimator kvEstimator
 }{
-	{"sum", sumRoom{}},
-	{"portfolio z=3", portfolioRoom{3}},
-	{"portfolio z=4", portfolioRoom{4}},
-	{"fixed 32", fixedRoom{32}},
-	{"fixed 38", fixedRoom{38}},
-	{"fixed 40", fixedRoom{40}},
-	{"none", fixedRoom{kvCapacity}},
+	{"sum", sumEstimator{}},
+	{"portfolio z=3", portfolioEstimator{3}},
+	{"portfolio z=4", portfolioEstimator{4}},
+	{"fixed 32", fixedEstimator{32}},
+	{"fixed 38", fixedEstimator{38}},
+	{"fixed 40", fixedEstimator{40}},
+	{"none", fixedEstimator{kvCapacity}},
 }
 
 const kvSeeds = 20
 
-// TestKVTrial prints the figures of docs/design/fairness.md, and checks what the
-// choice rests on: only the sum never preempts, and with independent outputs a
-// fixed number of places finishes more than the portfolio bound while preempting
-// no more.
+// TestKVTrial prints the figures of docs/design/fairness.md and checks what the choice
+// of estimator rests on: only the sum of the longest outputs never preempts, and with
+// independent outputs a fixed number of slots finishes more requests than the
+// portfolio bound without more preemptions.
 func TestKVTrial(t *testing.T) {
 	for _, correlated := range []bool{false, true} {
 		totals := map[string]kvFigures{}
-		for _, e := range kvEstimators {
+		for _, candidate := range kvEstimators {
 			var sum kvFigures
 			for seed := range uint64(kvSeeds) {
-				f := runKVTrial(e.room, seed, correlated)
-				sum.finished += f.finished
-				sum.preempted += f.preempted
-				sum.lostTokens += f.lostTokens
-				sum.concurrency += f.concurrency / kvSeeds
+				figures := runKVTrial(candidate.estimator, seed, correlated)
+				sum.finished += figures.finished
+				sum.preempted += figures.preempted
+				sum.lostTokens += figures.lostTokens
+				sum.concurrency += figures.concurrency / kvSeeds
 			}
 			t.Logf("correlated %-5v %-14s running %5.1f, finished %6d, preempted %6d, tokens lost %8d",
-				correlated, e.name, sum.concurrency, sum.finished, sum.preempted, sum.lostTokens)
-			totals[e.name] = sum
+				correlated, candidate.name, sum.concurrency, sum.finished, sum.preempted, sum.lostTokens)
+			totals[candidate.name] = sum
 		}
 		if totals["sum"].preempted > 0 {
-			t.Errorf("the sum of the longest outputs preempted %d", totals["sum"].preempted)
+			t.Errorf("the sum of the longest outputs preempted %d requests", totals["sum"].preempted)
 		}
 		portfolio, fixed := totals["portfolio z=4"], totals["fixed 40"]
 		if !correlated && (fixed.finished <= portfolio.finished || fixed.preempted > portfolio.preempted) {
-			t.Errorf("the portfolio bound wins with independent outputs: choose anew")
+			t.Errorf("with independent outputs the portfolio bound is better than a fixed number of slots: the choice of estimator has to be revised")
 		}
 	}
 }
--- a/internal/admit/line.go
+++ b/internal/admit/line.go
@@ -5,118 +5,121 @@
 	"time"
 )
 
-// QueuedRequest is a request that waits at an entry for a place at any replica.
+// QueuedRequest is a request that waits at an entry for capacity at any replica.
 type QueuedRequest struct {
 	Organisation string
-	// Priority ranks requests, 0 first.
+	// Priority ranks requests; 0 is first.
 	Priority int
-	// Work is what it asks of an engine, in milliseconds.
+	// Work is the expected engine time in milliseconds.
 	Work float64
-	// Arrived is when its caller sent it. LatestStart is the latest start with which it
-	// still meets its objective, ExpiresAt the time from which waiting is pointless.
+	// Arrived is when the caller sent the request. LatestStart is the latest start
+	// with which it still meets its objective, ExpiresAt the time from which waiting
+	// is pointless.
 	Arrived, LatestStart, ExpiresAt time.Duration
-	// Value is the caller's own.
+	// Value is for the caller's own use.
 	Value any
 
 	seq     uint64
 	waiting bool
 }
 
-// lateShare is the part of the load behind which requests that can be in time may be
-// placed that those may be which can't any more: a replica that is all but idle.
+// lateLoadFraction is the fraction of the load bound up to which requests that have
+// already missed their objective may be placed: an almost idle replica.
 //
-// What entries believe of a replica's load is some ten milliseconds old, and low. After a burst
-// the late ones, one behind the other up to the bound, keep it there, and those that come
-// in time are late behind them.
-const lateShare = 0.1
+// An entry's view of a replica's load is some ten milliseconds old, and too low. After
+// a burst, late requests placed one after another up to the bound would keep the load
+// there, and those that arrive in time would become late behind them.
+const lateLoadFraction = 0.1
 
 // Late reports whether a request can't meet its objective any more.
-func (t *QueuedRequest) Late(now time.Duration) bool { return now > t.LatestStart }
+func (r *QueuedRequest) Late(now time.Duration) bool { return now > r.LatestStart }
 
-// LoadBound is the load behind which a request may be placed now, of the bound for those that
-// can be in time.
-func (t *QueuedRequest) LoadBound(now time.Duration, bound float64) float64 {
-	if t.Late(now) {
-		return lateShare * bound
+// LoadBound is the replica load up to which the request may be placed now; bound is
+// the one for requests that can still be in time.
+func (r *QueuedRequest) LoadBound(now time.Duration, bound float64) float64 {
+	if r.Late(now) {
+		return lateLoadFraction * bound
 	}
 	return bound
 }
 
 // WaitQueue orders the requests that wait at an entry.
 //
-// Under a load that exceeds what replicas can do, first come first served has every
-// request wait until it is late: the queue grows to the callers' deadlines, and
-// nobody gets an answer in time although the engines work at their limit. So those
-// that can still be in time go first, by priority; those that can't any more get
-// what is left over. Within a rank the organisation that was given least goes
-// first, so that a large one's backlog is behind a small one's only request.
+// Under a load that exceeds the capacity of the replicas, first come, first served
+// makes every request wait until it is late: the queue grows to the callers'
+// deadlines, and no answer is in time although the engines are saturated. So requests
+// that can still be in time go first, by priority; late ones get the remaining
+// capacity. Among requests of equal rank the organisation with the smallest amount of
+// recently dispatched work goes first, so that a large organisation's backlog waits behind a
+// small one's single request.
 type WaitQueue struct {
-	tickets []*QueuedRequest
-	seq     uint64
-	given   map[string]*usage
-	forget  time.Duration
+	requests   []*QueuedRequest
+	seq        uint64
+	dispatched map[string]*dispatchedWork
+	halfLife   time.Duration
 }
 
-// usage is what an organisation was given lately, in milliseconds of work.
-type usage struct {
+// dispatchedWork is an organisation's recently dispatched work, in milliseconds,
+// decayed as of at.
+type dispatchedWork struct {
 	work float64
 	at   time.Duration
 }
 
-// usageHalfLife is how fast what an organisation was given is forgotten: some
-// seconds, the length of a burst.
-const usageHalfLife = 3 * time.Second
+// workHalfLife is the half-life of an organisation's dispatched work: a few seconds,
+// the length of a burst.
+const workHalfLife = 3 * time.Second
 
-// maxUsages bounds the organisations remembered. Those forgotten count as having
-// been given nothing.
-const maxUsages = 4096
+// maxTracked bounds the organisations whose dispatched work is tracked. Organisations
+// dropped from tracking count as having been given none.
+const maxTracked = 4096
 
-// NewWaitQueue returns an empty line.
+// NewWaitQueue returns an empty queue.
 func NewWaitQueue() *WaitQueue {
-	return &WaitQueue{given: make(map[string]*usage), forget: usageHalfLife}
+	return &WaitQueue{dispatched: make(map[string]*dispatchedWork), halfLife: workHalfLife}
 }
 
-// Len is the number of waiting tickets.
-func (l *WaitQueue) Len() int { return len(l.tickets) }
+// Len is the number of waiting requests.
+func (q *WaitQueue) Len() int { return len(q.requests) }
 
-// Work is what all that waits asks of the engines, in milliseconds.
-func (l *WaitQueue) Work() float64 {
+// Work is the expected engine time of all waiting requests, in milliseconds.
+func (q *WaitQueue) Work() float64 {
 	total := 0.0
-	for _, t := range l.tickets {
-		total += t.Work
+	for _, r := range q.requests {
+		total += r.Work
 	}
 	return total
 }
 
-// Add puts a ticket in the line.
-func (l *WaitQueue) Add(t *QueuedRequest) {
-	l.seq++
-	t.seq, t.waiting = l.seq, true
-	l.tickets = append(l.tickets, t)
+// Add adds a request to the queue.
+func (q *WaitQueue) Add(r *QueuedRequest) {
+	q.seq++
+	r.seq, r.waiting = q.seq, true
+	q.requests = append(q.requests, r)
 }
 
-// Remove takes a ticket out of the line, if it is in it.
-func (l *WaitQueue) Remove(t *QueuedRequest) {
-	if !t.waiting {
+// Remove removes a request from the queue, if it is in it.
+func (q *WaitQueue) Remove(r *QueuedRequest) {
+	if !r.waiting {
 		return
 	}
-	t.waiting = false
-	i := slices.Index(l.tickets, t)
-	l.tickets = slices.Delete(l.tickets, i, i+1)
+	r.waiting = false
+	i := slices.Index(q.requests, r)
+	q.requests = slices.Delete(q.requests, i, i+1)
 }
 
-// Next returns the ticket whose turn it is, nil if none waits. It stays in the line.
-func (l *WaitQueue) Next(now time.Duration) *QueuedRequest {
+// Next returns the request to dispatch next, nil if none waits. It stays in the queue.
+func (q *WaitQueue) Next(now time.Duration) *QueuedRequest {
 	var best *QueuedRequest
-	for _, t := range l.tickets {
-		if best == nil || l.before(now, t, best) {
-			best = t
+	for _, r := range q.requests {
+		if best == nil || q.before(now, r, best) {
+			best = r
 		}
 	}
 	return best
 }
 
-func (l *WaitQueue) before(now time.Duration, a, b *QueuedRequest) bool {
+func (q *WaitQueue) before(now time.Duration, a, b *QueuedRequest) bool {
 	lateA, lateB := a.Late(now), b.Late(now)
 	switch {
 	case lateA != lateB:
@@ -124,68 +127,67 @@
 	case a.Priority != b.Priority:
 		return a.Priority < b.Priority
 	case a.Organisation != b.Organisation:
-		return l.used(a.Organisation, now) < l.used(b.Organisation, now)
+		return q.recentWork(a.Organisation, now) < q.recentWork(b.Organisation, now)
 	}
 	return a.seq < b.seq
 }
 
-// Trim takes out of the line and returns the tickets beyond the first n, the last one first.
-func (l *WaitQueue) Trim(n int, now time.Duration) []*QueuedRequest {
-	var gone []*QueuedRequest
-	for len(l.tickets) > max(n, 0) {
-		last := l.tickets[0]
-		for _, t := range l.tickets[1:] {
-			if l.before(now, last, t) {
-				last = t
+// Trim removes and returns the requests beyond the first n, the last one first.
+func (q *WaitQueue) Trim(n int, now time.Duration) []*QueuedRequest {
+	var removed []*QueuedRequest
+	for len(q.requests) > max(n, 0) {
+		last := q.requests[0]
+		for _, r := range q.requests[1:] {
+			if q.before(now, last, r) {
+				last = r
 			}
 		}
-		l.Remove(last)
-		gone = append(gone, last)
+		q.Remove(last)
+		removed = append(removed, last)
 	}
-	return gone
+	return removed
 }
 
-// RecordDispatch notes that an organisation's work goes to a replica.
-func (l *WaitQueue) RecordDispatch(organisation string, work float64, now time.Duration) {
-	u := l.given[organisation]
+// RecordDispatch records that an organisation's work goes to a replica.
+func (q *WaitQueue) RecordDispatch(organisation string, work float64, now time.Duration) {
+	u := q.dispatched[organisation]
 	if u == nil {
-		if len(l.given) >= maxUsages {
-			clear(l.given)
+		if len(q.dispatched) >= maxTracked {
+			clear(q.dispatched)
 		}
-		u = &usage{}
-		l.given[organisation] = u
+		u = &dispatchedWork{}
+		q.dispatched[organisation] = u
 	}
-	u.work = u.decayed(now, l.forget) + work
+	u.work = u.decayed(now, q.halfLife) + work
 	u.at = now
 }
 
-func (l *WaitQueue) used(organisation string, now time.Duration) float64 {
-	if u := l.given[organisation]; u != nil {
-		return u.decayed(now, l.forget)
+func (q *WaitQueue) recentWork(organisation string, now time.Duration) float64 {
+	if u := q.dispatched[organisation]; u != nil {
+		return u.decayed(now, q.halfLife)
 	}
 	return 0
 }
 
-func (u *usage) decayed(now, halfLife time.Duration) float64 {
-	return u.work * halves(now-u.at, halfLife)
+func (u *dispatchedWork) decayed(now, halfLife time.Duration) float64 {
+	return u.work * decayFactor(now-u.at, halfLife)
 }
 
-// RemoveExpired takes out of the line and returns the tickets for which waiting is
-// pointless.
-func (l *WaitQueue) RemoveExpired(now time.Duration) []*QueuedRequest {
-	return l.RemoveMatching(func(t *QueuedRequest) bool { return now >= t.ExpiresAt })
+// RemoveExpired removes and returns the requests for which waiting is pointless.
+func (q *WaitQueue) RemoveExpired(now time.Duration) []*QueuedRequest {
+	return q.RemoveMatching(func(r *QueuedRequest) bool { return now >= r.ExpiresAt })
 }
 
-// RemoveMatching takes out of the line and returns the tickets that match.
-func (l *WaitQueue) RemoveMatching(match func(*QueuedRequest) bool) []*QueuedRequest {
-	var taken []*QueuedRequest
-	for _, t := range l.tickets {
-		if match(t) {
-			taken = append(taken, t)
+// RemoveMatching removes and returns the requests for which match returns true.
+func (q *WaitQueue) RemoveMatching(match func(*QueuedRequest) bool) []*QueuedRequest {
+	var matched []*QueuedRequest
+	for _, r := range q.requests {
+		if match(r) {
+			matched = append(matched, r)
 		}
 	}
-	for _, t := range taken {
-		l.Remove(t)
+	for _, r := range matched {
+		q.Remove(r)
 	}
-	return taken
+	return matched
 }
--- a/internal/admit/property_test.go
+++ b/internal/admit/property_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// bench drives a Core and checks what must always hold.
-type bench struct {
+// coreModel drives a Core and checks its invariants.
+type coreModel struct {
 	t       *rapid.T
 	core    *Core
 	params  Params
@@ -23,8 +23,8 @@
 	starts  []Item
 }
 
-func newBench(t *rapid.T, p Params) *bench {
-	return &bench{
+func newCoreModel(t *rapid.T, p Params) *coreModel {
+	return &coreModel{
 		t:       t,
 		core:    NewCore(p),
 		params:  p.withDefaults(),
@@ -35,113 +35,113 @@
 	}
 }
 
-func (b *bench) arrive(i Item) {
-	b.next++
-	i.ID = ID{byte(b.next), byte(b.next >> 8)}
-	b.items[i.ID] = i
-	b.waiting[i.ID] = true
-	b.take(b.core.Arrive(b.now, i))
+func (m *coreModel) arrive(i Item) {
+	m.next++
+	i.ID = ID{byte(m.next), byte(m.next >> 8)}
+	m.items[i.ID] = i
+	m.waiting[i.ID] = true
+	m.take(m.core.Arrive(m.now, i))
 }
 
-// take checks that each item gets one Start or one Refuse at most, and no Refuse
-// after its Start.
-func (b *bench) take(actions []Action) {
+// take checks that each item gets at most one Start or one Refuse, and no Refuse after
+// its Start.
+func (m *coreModel) take(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Start:
-			b.leaveQueue(a.ID, "start")
-			b.running[a.ID] = true
-			b.starts = append(b.starts, b.items[a.ID])
+			m.leaveQueue(a.ID, "start")
+			m.running[a.ID] = true
+			m.starts = append(m.starts, m.items[a.ID])
 		case Refuse:
-			b.leaveQueue(a.ID, "refusal")
-			b.ended[a.ID] = true
+			m.leaveQueue(a.ID, "refusal")
+			m.ended[a.ID] = true
 			if a.Code == "" || a.Reason == "" || a.RetryAfter > maxRetryAfter {
-				b.t.Fatalf("refusal without code or reason: %+v", a)
+				m.t.Fatalf("refusal without code or reason: %+v", a)
 			}
-			if a.Reason == reasonStanding && (a.RetryAfter < minRetryAfter || !b.waits(b.items[a.ID].Organisation)) {
-				b.t.Fatalf("refused for a backlog that isn't there: %+v", a)
+			if a.Reason == reasonStandingBacklog && (a.RetryAfter < minRetryAfter || !m.waits(m.items[a.ID].Organisation)) {
+				m.t.Fatalf("refused for a standing backlog that does not exist: %+v", a)
 			}
 		}
 	}
-	b.check()
+	m.check()
 }
 
-func (b *bench) waits(organisation string) bool {
-	for id := range b.waiting {
-		if b.items[id].Organisation == organisation {
+func (m *coreModel) waits(organisation string) bool {
+	for id := range m.waiting {
+		if m.items[id].Organisation == organisation {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *bench) leaveQueue(id ID, what string) {
-	if !b.waiting[id] {
-		b.t.Fatalf("%s of an item that doesn't wait: running %v, ended %v", what, b.running[id], b.ended[id])
+func (m *coreModel) leaveQueue(id ID, event string) {
+	if !m.waiting[id] {
+		m.t.Fatalf("%s of an item that doesn't wait: running %v, ended %v", event, m.running[id], m.ended[id])
 	}
-	delete(b.waiting, id)
+	delete(m.waiting, id)
 }
 
-func (b *bench) finish(id ID, a Actual) {
-	delete(b.running, id)
-	b.ended[id] = true
-	b.take(b.core.Finish(b.now, id, a))
+func (m *coreModel) finish(id ID, a Actual) {
+	delete(m.running, id)
+	m.ended[id] = true
+	m.take(m.core.Finish(m.now, id, a))
 }
 
-func (b *bench) cancel(id ID) {
-	if b.waiting[id] {
-		delete(b.waiting, id)
-		b.ended[id] = true
+func (m *coreModel) cancel(id ID) {
+	if m.waiting[id] {
+		delete(m.waiting, id)
+		m.ended[id] = true
 	}
-	b.take(b.core.Cancel(b.now, id))
+	m.take(m.core.Cancel(m.now, id))
 }
 
-func (b *bench) check() {
-	if len(b.running) > b.params.MaxRunning {
-		b.t.Fatalf("%d run, the bound is %d", len(b.running), b.params.MaxRunning)
+func (m *coreModel) check() {
+	if len(m.running) > m.params.MaxRunning {
+		m.t.Fatalf("%d items run, the bound is %d", len(m.running), m.params.MaxRunning)
 	}
-	s := b.core.Summary()
-	if s.Running != len(b.running) || s.Queued != len(b.waiting) {
-		b.t.Fatalf("summary %+v, %d run and %d wait", s, len(b.running), len(b.waiting))
+	s := m.core.Summary()
+	if s.Running != len(m.running) || s.Queued != len(m.waiting) {
+		m.t.Fatalf("summary %+v, %d run and %d wait", s, len(m.running), len(m.waiting))
 	}
-	if s.Queued > b.params.MaxQueue {
-		b.t.Fatalf("%d wait, the bound is %d", s.Queued, b.params.MaxQueue)
+	if s.Queued > m.params.MaxQueue {
+		m.t.Fatalf("%d items wait, the bound is %d", s.Queued, m.params.MaxQueue)
 	}
-	b.checkAlone()
-	b.checkConserving()
+	m.checkAlone()
+	m.checkConserving()
 }
 
-func (b *bench) checkAlone() {
-	for id := range b.running {
-		if b.items[id].Exclusive && len(b.running) > 1 {
-			b.t.Fatal("a suspect runs beside others")
+func (m *coreModel) checkAlone() {
+	for id := range m.running {
+		if m.items[id].Exclusive && len(m.running) > 1 {
+			m.t.Fatal("a suspect runs beside others")
 		}
 	}
 }
 
-// checkConserving: no place outside of the reserve is empty while anything
-// waits, and none at all while an organisation with nothing running waits.
-func (b *bench) checkConserving() {
-	for id := range b.running {
-		if b.items[id].Exclusive {
+// checkConserving checks that no unreserved slot is empty while any item waits, and no
+// slot at all while an organisation with nothing running waits.
+func (m *coreModel) checkConserving() {
+	for id := range m.running {
+		if m.items[id].Exclusive {
 			return
 		}
 	}
 	perOrganisation := map[string]int{}
-	for id := range b.running {
-		perOrganisation[b.items[id].Organisation]++
+	for id := range m.running {
+		perOrganisation[m.items[id].Organisation]++
 	}
-	reserved := b.params.reserved()
-	for id := range b.waiting {
-		if b.items[id].Exclusive {
+	reserved := m.params.reservedSlots()
+	for id := range m.waiting {
+		if m.items[id].Exclusive {
 			return
 		}
 	}
-	for id := range b.waiting {
-		free := b.params.MaxRunning - len(b.running)
-		light := reserved > 0 && perOrganisation[b.items[id].Organisation] == 0
-		if free > reserved || (free > 0 && light) {
-			b.t.Fatalf("%d places are free, %d reserved, and %s waits", free, reserved, b.items[id].Organisation)
+	for id := range m.waiting {
+		free := m.params.MaxRunning - len(m.running)
+		mayUseReserve := reserved > 0 && perOrganisation[m.items[id].Organisation] == 0
+		if free > reserved || (free > 0 && mayUseReserve) {
+			m.t.Fatalf("%d slots are free, %d reserved, and %s waits", free, reserved, m.items[id].Organisation)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 
 func TestCoreKeepsItsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(t, drawParams(t))
+		m := newCoreModel(t, drawParams(t))
 		organisations := rapid.SampledFrom([]string{"large", "large", "large", "middle", "small"})
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
@@ -202,93 +202,93 @@
 				i.Exclusive = rapid.IntRange(0, 9).Draw(t, "exclusive") == 0
 				i.MaxInFlight = rapid.SampledFrom([]int{0, 0, 5}).Draw(t, "in flight")
 				if rapid.Bool().Draw(t, "has deadline") {
-					i.Deadline = b.now + time.Duration(rapid.IntRange(1, 20000).Draw(t, "deadline"))*time.Millisecond
+					i.Deadline = m.now + time.Duration(rapid.IntRange(1, 20000).Draw(t, "deadline"))*time.Millisecond
 				}
-				b.arrive(i)
+				m.arrive(i)
 			},
 			"finish": func(t *rapid.T) {
-				if id, ok := anyOf(t, b.running); ok {
-					b.finish(id, drawActual(t))
+				if id, ok := anyOf(t, m.running); ok {
+					m.finish(id, drawActual(t))
 				}
 			},
 			"finish twice": func(t *rapid.T) {
-				if id, ok := anyOf(t, b.ended); ok {
-					b.take(b.core.Finish(b.now, id, Actual{Ran: true}))
+				if id, ok := anyOf(t, m.ended); ok {
+					m.take(m.core.Finish(m.now, id, Actual{Ran: true}))
 				}
 			},
 			"finish what waits": func(t *rapid.T) {
-				if id, ok := anyOf(t, b.waiting); ok {
-					b.take(b.core.Finish(b.now, id, Actual{Ran: true}))
+				if id, ok := anyOf(t, m.waiting); ok {
+					m.take(m.core.Finish(m.now, id, Actual{Ran: true}))
 				}
 			},
 			"cancel": func(t *rapid.T) {
-				if id, ok := anyOf(t, b.waiting); ok {
-					b.cancel(id)
+				if id, ok := anyOf(t, m.waiting); ok {
+					m.cancel(id)
 				}
 			},
 			"cancel running": func(t *rapid.T) {
-				if id, ok := anyOf(t, b.running); ok {
-					b.cancel(id)
+				if id, ok := anyOf(t, m.running); ok {
+					m.cancel(id)
 				}
 			},
 			"arrive again": func(t *rapid.T) {
-				if id, ok := anyOf(t, b.waiting); ok {
-					b.take(b.core.Arrive(b.now, b.items[id]))
+				if id, ok := anyOf(t, m.waiting); ok {
+					m.take(m.core.Arrive(m.now, m.items[id]))
 				}
 			},
 			"tick": func(t *rapid.T) {
-				b.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
-				b.take(b.core.Tick(b.now))
+				m.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
+				m.take(m.core.Tick(m.now))
 			},
 		})
-		b.runOut()
+		m.runOut()
 	})
 }
 
-// runOut ends all that runs until nothing waits: no item may starve.
-func (b *bench) runOut() {
-	for rounds := 0; len(b.running)+len(b.waiting) > 0; rounds++ {
-		if rounds > 1000 || len(b.running) == 0 {
-			b.t.Fatalf("%d wait for ever beside %d running", len(b.waiting), len(b.running))
+// runOut ends all running items until nothing waits: no item may starve.
+func (m *coreModel) runOut() {
+	for rounds := 0; len(m.running)+len(m.waiting) > 0; rounds++ {
+		if rounds > 1000 || len(m.running) == 0 {
+			m.t.Fatalf("%d items wait for ever beside %d running", len(m.waiting), len(m.running))
 		}
-		for id := range b.running {
-			b.finish(id, Actual{Ran: true})
+		for id := range m.running {
+			m.finish(id, Actual{Ran: true})
 			break
 		}
 	}
-	b.now += time.Hour // past the estimated end of any prefill
-	b.take(b.core.Tick(b.now))
-	s := b.core.Summary()
-	s.OutputShare = 0 // is learnt, and stays
-	if !reflect.DeepEqual(s, Summary{}) || b.core.queue.cost != 0 || len(b.core.present.list) != 0 {
-		b.t.Fatalf("left over: %+v, cost %f", s, b.core.queue.cost)
+	m.now += time.Hour // past the estimated end of any prefill
+	m.take(m.core.Tick(m.now))
+	s := m.core.Summary()
+	s.OutputShare = 0 // an estimate, kept when idle
+	if !reflect.DeepEqual(s, Summary{}) || m.core.queue.cost != 0 || len(m.core.active.organisations) != 0 {
+		m.t.Fatalf("state left after all items ended: %+v, cost %f", s, m.core.queue.cost)
 	}
 }
 
-// A newcomer waits for a place and for one item at most of each organisation
-// that waits already, whatever their backlogs.
+// A newcomer waits for a slot and for at most one item of each organisation that waits
+// already, whatever their backlogs.
 func TestNewcomerPassesBacklogs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawParams(t)
 		p.MaxQueue = 500
-		b := newBench(t, p)
+		m := newCoreModel(t, p)
 		others := rapid.IntRange(1, 4).Draw(t, "others")
 		for range rapid.IntRange(1, 60).Draw(t, "backlog") {
 			name := fmt.Sprint("large", rapid.IntRange(1, others).Draw(t, "organisation"))
-			b.arrive(drawItem(t, name))
-			if id, ok := anyOf(t, b.running); ok && rapid.IntRange(0, 4).Draw(t, "finish") == 0 {
-				b.finish(id, drawActual(t))
+			m.arrive(drawItem(t, name))
+			if id, ok := anyOf(t, m.running); ok && rapid.IntRange(0, 4).Draw(t, "finish") == 0 {
+				m.finish(id, drawActual(t))
 			}
 		}
-		free := len(b.running) < p.MaxRunning
-		before := len(b.starts)
-		b.arrive(drawItem(t, "small"))
-		if p.reserved() > 0 && free && len(b.starts) == before {
-			t.Fatal("did not take a free place of the reserve")
+		free := len(m.running) < p.MaxRunning
+		before := len(m.starts)
+		m.arrive(drawItem(t, "small"))
+		if p.reservedSlots() > 0 && free && len(m.starts) == before {
+			t.Fatal("did not take a free reserved slot")
 		}
 		passed := map[string]int{}
 		for finishes := 0; ; finishes++ {
-			for _, i := range b.starts[before:] {
+			for _, i := range m.starts[before:] {
 				if i.Organisation == "small" {
 					return
 				}
@@ -297,26 +297,26 @@
 					t.Fatalf("%s started twice before the newcomer", i.Organisation)
 				}
 			}
-			before = len(b.starts)
-			id, ok := anyOf(t, b.running)
+			before = len(m.starts)
+			id, ok := anyOf(t, m.running)
 			if !ok || finishes > others+p.MaxRunning {
 				t.Fatalf("not started after %d finishes", finishes)
 			}
-			b.finish(id, drawActual(t))
+			m.finish(id, drawActual(t))
 			if rapid.Bool().Draw(t, "more") {
-				b.arrive(drawItem(t, "large1"))
+				m.arrive(drawItem(t, "large1"))
 			}
 		}
 	})
 }
 
-// Two organisations that both always wait get work by their weights, of which one
-// with backlogs at other endpoints has a part here, up to one item of each (the bound
-// of start-time fair queueing).
+// Two organisations that always have items waiting get work in proportion to their
+// weights at this endpoint, up to one item of each (the bound of start-time fair
+// queueing). The weight of one with backlogs at other endpoints is divided among them.
 func TestBackloggedShareByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Params{MaxRunning: rapid.IntRange(1, 4).Draw(t, "places"), MaxQueue: 1000, MaxWait: 24 * time.Hour}
-		b := newBench(t, p)
+		m := newCoreModel(t, p)
 		weights := map[string]float64{"a": 1, "b": rapid.SampledFrom([]float64{1, 2, 3}).Draw(t, "weight")}
 		elsewhere := map[string]int{"b": rapid.IntRange(0, 2).Draw(t, "elsewhere")}
 		here := map[string]float64{"a": 1, "b": weights["b"] / float64(1+elsewhere["b"])}
@@ -326,19 +326,19 @@
 				i := drawItem(t, name)
 				i.Weight, i.BacklogsElsewhere = weights[name], elsewhere[name]
 				i.ExpectedTokens = i.MaxTokens
-				most[name] = max(most[name], b.params.cost(i.UncachedTokens, i.MaxTokens)/here[name])
-				b.arrive(i)
+				most[name] = max(most[name], m.params.cost(i.UncachedTokens, i.MaxTokens)/here[name])
+				m.arrive(i)
 			}
 		}
 		got := map[string]float64{}
-		from := len(b.starts)
+		from := len(m.starts)
 		for range 60 {
-			id, _ := anyOf(t, b.running)
-			i := b.items[id]
-			b.finish(id, Actual{UncachedTokens: i.UncachedTokens, OutputTokens: i.MaxTokens, Ran: true})
+			id, _ := anyOf(t, m.running)
+			i := m.items[id]
+			m.finish(id, Actual{UncachedTokens: i.UncachedTokens, OutputTokens: i.MaxTokens, Ran: true})
 		}
-		for _, i := range b.starts[from:] {
-			got[i.Organisation] += b.params.cost(i.UncachedTokens, i.MaxTokens) / here[i.Organisation]
+		for _, i := range m.starts[from:] {
+			got[i.Organisation] += m.params.cost(i.UncachedTokens, i.MaxTokens) / here[i.Organisation]
 		}
 		if gap := got["a"] - got["b"]; gap > most["a"]+most["b"] || -gap > most["a"]+most["b"] {
 			t.Fatalf("work by weight: %v, largest items %v", got, most)
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -9,17 +9,17 @@
 
 // entry is an item that waits or runs.
 type entry struct {
-	item     Item
-	org      *organisation
-	seq      uint64
-	arrived  time.Duration
-	expected int     // output tokens
-	cost     float64 // ms
-	running  bool
-	ends     time.Duration // expected, while it runs
-	bypassed int
-	kv       demand
-	// latestStart is when it must have started to make its deadline.
+	item        Item
+	org         *organisation
+	seq         uint64
+	arrived     time.Duration
+	expected    int     // output tokens
+	cost        float64 // ms
+	running     bool
+	expectedEnd time.Duration // set while it runs
+	bypassed    int
+	kv          kvDemand
+	// latestStart is when the item has to have started to meet its deadline.
 	latestStart time.Duration
 }
 
@@ -37,18 +37,20 @@
 	queue   []*entry // by priority, then arrival
 	queued  float64  // cost of queue, ms
 	running int
-	// waitingSince is when queue was last empty for a standingPause, emptiedAt
-	// when it last became so.
-	waitingSince, emptiedAt time.Duration
-	// pace is how many items it starts while it has a queue. Not their work: as a
-	// sum of estimates it would be far off for seconds after the first estimates.
-	pace speed
-	use  use
-	// start is the virtual time at which its next item is due.
-	start float64
-	// served numbers its last start among all.
-	served uint64
-	output lengths
+	// backloggedSince is when the queue last became non-empty after having been empty
+	// for longer than standingBacklogPause. emptiedAt is when it last became empty.
+	backloggedSince, emptiedAt time.Duration
+	// startRate is the rate at which items start while the organisation has a queue.
+	// It counts items, not work: a sum of estimated work would be far off for seconds
+	// after the first estimates.
+	startRate rateEstimate
+	use       slotUse
+	// virtualStart is the virtual time at which the organisation's next item is due.
+	virtualStart float64
+	// lastServed is the number of the organisation's last start, counted over all
+	// organisations.
+	lastServed   uint64
+	outputLength lengthEstimate
 }
 
 func (o *organisation) push(e *entry) {
@@ -69,9 +71,9 @@
 	}
 }
 
-// noteQueue notes whether the queue has become empty.
-func (o *organisation) noteQueue(now time.Duration) {
-	o.pace.advance(now, len(o.queue) > 0)
+// recordQueueState updates startRate and emptiedAt after the queue has changed.
+func (o *organisation) recordQueueState(now time.Duration) {
+	o.startRate.advance(now, len(o.queue) > 0)
 	if len(o.queue) == 0 {
 		o.emptiedAt = max(o.emptiedAt, now)
 	}
@@ -79,43 +81,43 @@
 
 func (o *organisation) idle() bool { return o.running == 0 && len(o.queue) == 0 }
 
-// fairQueue is start-time fair queueing (Goyal, Vin, Cheng 1996) over work: each
-// organisation's next item is due at the virtual time at which its last one has
-// used up the organisation's share, and the earliest due goes first. An
-// organisation that comes after a pause is due at the present virtual time, ahead
-// of any backlog, and gains nothing from having been away.
+// fairQueue implements start-time fair queueing (Goyal, Vin, Cheng 1996) over work.
+// Each organisation's next item is due at the virtual time at which its last one has
+// used up the organisation's share, and the earliest due goes first. An organisation
+// that returns after a pause is due at the current virtual time: ahead of any backlog,
+// but without credit for the time it was away.
 type fairQueue struct {
-	virtual float64
-	latest  float64 // greatest start of any organisation
-	starts  uint64
-	orgs    map[string]*organisation
-	waiting []*organisation // those with a queue
-	length  int
-	cost    float64 // of all queues, ms
+	virtualTime float64
+	maxStart    float64 // greatest start of any organisation
+	startCount  uint64
+	orgs        map[string]*organisation
+	waiting     []*organisation // those with a queue
+	length      int
+	cost        float64 // of all queues, ms
 }
 
-// maxIdle bounds the organisations remembered without any item.
-const maxIdle = 4096
+// maxIdleOrganisations bounds the organisations remembered without any item.
+const maxIdleOrganisations = 4096
 
 func (q *fairQueue) organisation(item *Item) *organisation {
 	o := q.orgs[item.Organisation]
 	if o == nil {
-		if len(q.orgs) >= maxIdle {
+		if len(q.orgs) >= maxIdleOrganisations {
 			q.forgetIdle()
 		}
-		o = &organisation{name: item.Organisation, pace: speed{memory: paceMemory}}
+		o = &organisation{name: item.Organisation, startRate: rateEstimate{window: startRateWindow}}
 		q.orgs[item.Organisation] = o
 	}
 	o.weight = item.weight()
 	return o
 }
 
-// weight is the organisation's weight at this endpoint. An organisation with a
-// backlog at every endpoint would get a full share from each, and a small one,
-// whose prefixes are in few caches, one full share in all: at the endpoints that
-// hold them it would be crowded out, though it asks for less than its share of the
-// group. One would see its requests wait and be refused beside a large one's. The
-// sum of an organisation's weights over the group is thus bounded.
+// weight is the organisation's weight at this endpoint. An organisation with a backlog
+// at every endpoint would get a full share of each, while a small one, whose prefixes
+// are in few caches, would get one full share in all. At the endpoints that hold its
+// prefixes it would be crowded out: its requests would wait and be refused beside a
+// large one's, although it asks for less than its share of the group. So the sum of an
+// organisation's weights over the group is bounded.
 func (i *Item) weight() float64 {
 	w := i.Weight
 	if !(w > 0) || math.IsInf(w, 0) {
@@ -124,10 +126,11 @@
 	return w / float64(1+max(0, i.BacklogsElsewhere))
 }
 
-// forgetIdle drops organisations that have nothing here and owe nothing.
+// forgetIdle removes organisations that have no items here and have not used more than
+// their share.
 func (q *fairQueue) forgetIdle() {
 	for name, o := range q.orgs {
-		if o.idle() && o.start <= q.virtual {
+		if o.idle() && o.virtualStart <= q.virtualTime {
 			delete(q.orgs, name)
 		}
 	}
@@ -136,11 +139,11 @@
 func (q *fairQueue) push(e *entry) {
 	o := e.org
 	if len(o.queue) == 0 {
-		o.start = max(o.start, q.virtual)
-		if e.arrived-o.emptiedAt > standingPause {
-			o.waitingSince = e.arrived
+		o.virtualStart = max(o.virtualStart, q.virtualTime)
+		if e.arrived-o.emptiedAt > standingBacklogPause {
+			o.backloggedSince = e.arrived
 		}
-		o.pace.advance(e.arrived, true)
+		o.startRate.advance(e.arrived, true)
 		q.waiting = append(q.waiting, o)
 	}
 	o.push(e)
@@ -162,31 +165,33 @@
 	}
 }
 
-// charge moves virtual time to e's start and its organisation's next start
-// beyond e's cost.
+// charge advances the virtual time to e's start, and its organisation's next start by
+// e's cost.
 func (q *fairQueue) charge(e *entry) {
 	o := e.org
-	q.starts++
-	o.served = q.starts
-	q.virtual = max(q.virtual, o.start)
-	o.start = max(o.start, q.virtual) + e.cost/o.weight
-	q.latest = max(q.latest, o.start)
+	q.startCount++
+	o.lastServed = q.startCount
+	q.virtualTime = max(q.virtualTime, o.virtualStart)
+	o.virtualStart = max(o.virtualStart, q.virtualTime) + e.cost/o.weight
+	q.maxStart = max(q.maxStart, o.virtualStart)
 }
 
-// rest ends a busy period: with nothing left to share, nobody owes anything.
-func (q *fairQueue) rest() { q.virtual = max(q.virtual, q.latest) }
+// endBusyPeriod is called when nothing waits or runs. It advances the virtual time so
+// that no organisation starts the next busy period behind the others.
+func (q *fairQueue) endBusyPeriod() { q.virtualTime = max(q.virtualTime, q.maxStart) }
 
-// correct settles the difference between a charged and an actual cost.
-func (q *fairQueue) correct(o *organisation, delta float64) {
-	o.start = max(q.virtual, o.start+delta/o.weight)
-	q.latest = max(q.latest, o.start)
+// correctCharge applies the difference between the charged and the actual cost.
+func (q *fairQueue) correctCharge(o *organisation, delta float64) {
+	o.virtualStart = max(q.virtualTime, o.virtualStart+delta/o.weight)
+	q.maxStart = max(q.maxStart, o.virtualStart)
 }
 
-// next returns the waiting organisation that is due first among those that pass.
+// next returns the waiting organisation that is due first among those for which pass
+// returns true.
 func (q *fairQueue) next(pass func(*organisation) bool) *organisation {
 	var first *organisation
 	for _, o := range q.waiting {
-		if first != nil && !due(o, first) {
+		if first != nil && !dueBefore(o, first) {
 			continue
 		}
 		if pass(o) {
@@ -196,16 +201,16 @@
 	return first
 }
 
-// due reports whether a goes before b: earliest virtual start, then least
-// recently served, then arrival. The second matters because a cost that is
-// settled downwards can bring a backlog's start back to that of a newcomer,
-// which would then wait behind it again and again.
-func due(a, b *organisation) bool {
-	if a.start != b.start {
-		return a.start < b.start
+// dueBefore reports whether a goes before b: earliest virtual start, then least
+// recently served, then arrival. The second criterion is needed because correcting a
+// cost downwards can move a backlog's start back to that of a newcomer, which would
+// then have to wait behind it repeatedly.
+func dueBefore(a, b *organisation) bool {
+	if a.virtualStart != b.virtualStart {
+		return a.virtualStart < b.virtualStart
 	}
-	if a.served != b.served {
-		return a.served < b.served
+	if a.lastServed != b.lastServed {
+		return a.lastServed < b.lastServed
 	}
 	return a.queue[0].seq < b.queue[0].seq
 }
--- a/internal/admit/reserve.go
+++ b/internal/admit/reserve.go
@@ -6,60 +6,63 @@
 	"time"
 )
 
-// useMemory is how far back an organisation's use is averaged.
-const useMemory = 10 * time.Second
+// slotUseWindow is the time constant of the mean over an organisation's use of slots.
+const slotUseWindow = 10 * time.Second
 
-// use is the decayed mean of the places that an organisation's items take.
-type use struct {
+// slotUse is the exponentially decayed mean number of slots that an organisation's
+// items occupy.
+type slotUse struct {
 	mean    float64
 	running int
 	at      time.Duration
 }
 
-func (u *use) read(now time.Duration) float64 {
-	keep := math.Exp(-float64(max(0, now-u.at)) / float64(useMemory))
+func (u *slotUse) meanAt(now time.Duration) float64 {
+	keep := math.Exp(-float64(max(0, now-u.at)) / float64(slotUseWindow))
 	return u.mean*keep + float64(u.running)*(1-keep)
 }
 
-func (u *use) set(now time.Duration, running int) {
-	u.mean = u.read(now)
+func (u *slotUse) update(now time.Duration, running int) {
+	u.mean = u.meanAt(now)
 	u.running = running
 	u.at = max(now, u.at)
 }
 
-// shares tells which organisations may take reserved places.
+// shares determines which organisations may take reserved slots.
 type shares struct {
-	now     time.Duration
-	places  float64
-	weights float64 // of all organisations that have items here
+	now   time.Duration
+	slots float64
+	// totalWeight is the sum over all organisations that have items here.
+	totalWeight float64
 }
 
-// light reports whether an organisation uses no more than its share of the
-// places. Its mean use counts, since a small one may well ask several things at
-// once; but one burst doesn't get more than half of the places, so that a large
-// one that comes after a pause doesn't take all before its mean has risen.
-func (s *shares) light(o *organisation) bool {
-	fair := s.places * o.weight / max(s.weights, o.weight)
-	return o.use.read(s.now) <= fair && float64(o.running) < max(1, s.places/2)
+// withinShare reports whether an organisation uses no more than its share of the
+// slots. Its mean use counts, since a small organisation may well send several
+// requests at once. But a single burst gets no more than half of the slots, so that a
+// large organisation that returns after a pause doesn't take all of them before its
+// mean has risen.
+func (s *shares) withinShare(o *organisation) bool {
+	fair := s.slots * o.weight / max(s.totalWeight, o.weight)
+	return o.use.meanAt(s.now) <= fair && float64(o.running) < max(1, s.slots/2)
 }
 
-// present keeps the organisations that have items here.
-type present struct{ list []*organisation }
+// activeSet holds the organisations that have items here.
+type activeSet struct{ organisations []*organisation }
 
-func (p *present) update(o *organisation) {
-	at := slices.Index(p.list, o)
+func (s *activeSet) update(o *organisation) {
+	at := slices.Index(s.organisations, o)
 	switch {
 	case at < 0 && !o.idle():
-		p.list = append(p.list, o)
+		s.organisations = append(s.organisations, o)
 	case at >= 0 && o.idle():
-		p.list = slices.Delete(p.list, at, at+1)
+		s.organisations = slices.Delete(s.organisations, at, at+1)
 	}
 }
 
 func (c *Core) shares(now time.Duration) shares {
-	s := shares{now: now, places: float64(c.params.MaxRunning)}
-	for _, o := range c.present.list {
-		s.weights += o.weight
+	s := shares{now: now, slots: float64(c.params.MaxRunning)}
+	for _, o := range c.active.organisations {
+		s.totalWeight += o.weight
 	}
 	return s
 }
--- a/internal/admit/supply.go
+++ b/internal/admit/supply.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Reopening is a replica that takes nothing now and is known to do so again.
+// Reopening describes when a replica that takes no requests now will do so again.
 type Reopening struct {
-	// At is from when on it takes requests: one, and Rate a second beside. Unlimited is the Rate of
-	// one that then takes as many as come.
+	// At is when the replica takes its first request. From then on it takes Rate more
+	// a second; with Unlimited it takes any number.
 	At   time.Duration
 	Rate float64
 }
 
-// Unlimited is told in Opening.
+// Unlimited is the Rate of a replica without a rate limit.
 var Unlimited = math.Inf(1)
 
-// UpcomingCapacity are the openings of all replicas that could take a request.
+// UpcomingCapacity holds the reopenings of all replicas that could take a request.
 type UpcomingCapacity []Reopening
 
-// longestWait bounds what a caller is told to wait.
-const longestWait = time.Minute
+// maxAdvisedWait bounds the wait that a caller is told.
+const maxAdvisedWait = time.Minute
 
-// AcceptedBy is how many requests will have been taken until a time.
+// AcceptedBy is how many requests will have been accepted by the given time.
 func (s UpcomingCapacity) AcceptedBy(until time.Duration) int {
 	n := 0.0
 	for _, o := range s {
@@ -38,9 +38,10 @@
 	return int(min(n, math.MaxInt32))
 }
 
-// TimeUntil is the time from now until so many requests will have been taken.
+// TimeUntil is the time from now until n requests will have been accepted, at most
+// maxAdvisedWait.
 func (s UpcomingCapacity) TimeUntil(n int, now time.Duration) time.Duration {
-	const steps = int(longestWait / (10 * time.Millisecond))
-	at := sort.Search(steps, func(i int) bool { return s.AcceptedBy(now+longestWait/time.Duration(steps)*time.Duration(i)) >= n })
-	return longestWait / time.Duration(steps) * time.Duration(at)
+	const steps = int(maxAdvisedWait / (10 * time.Millisecond))
+	at := sort.Search(steps, func(i int) bool { return s.AcceptedBy(now+maxAdvisedWait/time.Duration(steps)*time.Duration(i)) >= n })
+	return maxAdvisedWait / time.Duration(steps) * time.Duration(at)
 }
--- a/internal/admit/trial_test.go
+++ b/internal/admit/trial_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// The trials drive one Core with a fake engine in virtual time. The engine
-// computes prompts one after another, those of a lower priority number first,
-// and generates tokens at the stand-in engine's speeds: 8 ms a step and 0.25 ms
-// more for each running request. Figures are of this model only.
+// The simulations drive Cores with simulated engines in virtual time. An engine
+// computes prompts one after another, those of a lower priority number first, and
+// generates tokens at the speed of the stand-in engine: 8 ms a step and 0.25 ms
+// more for each running request. The figures are valid for this model only.
 const (
-	trialPlaces   = 32
+	trialSlots    = 32
 	trialPrefill  = 20000
 	trialStep     = 8 * time.Millisecond
 	trialPerItem  = 250 * time.Microsecond
@@ -25,22 +25,23 @@
 	trialLength   = 2 * time.Minute
 )
 
-// source is one organisation's arrivals.
+// source describes one organisation's arrivals.
 type source struct {
 	organisation string
 	rate         float64 // a second
 	uncached     int
 	output       float64 // mean tokens
-	nodes        []int   // that hold its prefixes, the first if empty
+	// engines are the engines that hold its prefixes; the first one if empty.
+	engines []int
 }
 
-// happening is an arrival, an end of prefill or an end in a trial.
-type happening struct {
+// simEvent is an arrival, the end of a prefill or the end of an item in a simulation.
+type simEvent struct {
 	at       time.Duration
 	seq      int
 	kind     int
-	nodes    []int
-	node     *node
+	engines  []int
+	engine   *simEngine
 	item     Item
 	out      int
 	arrived  time.Duration
@@ -53,77 +54,77 @@
 	end
 )
 
-type agenda []happening
+type eventQueue []simEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(a[i].at, a[j].at), cmp.Compare(a[i].seq, a[j].seq)) < 0
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(simEvent)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// tally is what a trial counted for one organisation.
-type tally struct {
+// counts are the results of a simulation for one organisation.
+type counts struct {
 	offered, good, late, refused int
-	prompt                       int       // first tokens within the target
-	firstToken                   []float64 // ms
+	withinTarget                 int // first tokens within the target
+	firstTokenMs                 []float64
 }
 
-func (t *tally) p99() float64 { return t.quantile(0.99) }
+func (t *counts) p99() float64 { return t.quantile(0.99) }
 
-func (t *tally) quantile(q float64) float64 {
-	if len(t.firstToken) == 0 {
+func (t *counts) quantile(q float64) float64 {
+	if len(t.firstTokenMs) == 0 {
 		return math.NaN()
 	}
-	slices.Sort(t.firstToken)
-	return t.firstToken[int(float64(len(t.firstToken))*q)]
+	slices.Sort(t.firstTokenMs)
+	return t.firstTokenMs[int(float64(len(t.firstTokenMs))*q)]
 }
 
-// node is an engine and its Core.
-type node struct {
-	core      *Core
-	prefills  []happening // handed to the engine, not computed yet
-	computing bool
-	heavy     []string // as the others were last told
+// simEngine is an engine and its Core.
+type simEngine struct {
+	core         *Core
+	prefillQueue []simEvent // sent to the engine, not computed yet
+	prefilling   bool
+	backlogs     []string // as last announced to the others
 }
 
-type trial struct {
-	nodes   []*node
-	agenda  agenda
-	seq     int
-	known   map[ID]happening
-	tallies map[string]*tally
+type simulation struct {
+	engines  []*simEngine
+	events   eventQueue
+	seq      int
+	arrivals map[ID]simEvent
+	results  map[string]*counts
 }
 
-func (t *trial) push(h happening) {
+func (t *simulation) push(ev simEvent) {
 	t.seq++
-	h.seq = t.seq
-	heap.Push(&t.agenda, h)
+	ev.seq = t.seq
+	heap.Push(&t.events, ev)
 }
 
-// runTrial offers the sources' requests to one node and returns what became of
-// them.
-func runTrial(p Params, seed uint64, sources []source) map[string]*tally {
+// runTrial offers the sources' requests to one engine and returns the results by
+// organisation.
+func runTrial(p Params, seed uint64, sources []source) map[string]*counts {
 	return runGroup(p, 1, seed, sources)
 }
 
-// runGroup does so with several nodes. A request goes to the one with the fewest
-// requests of those that hold its prefix; each second, the nodes tell each other of
-// backlogs.
-func runGroup(p Params, nodes int, seed uint64, sources []source) map[string]*tally {
+// runGroup does the same with several engines. A request goes to the one with the
+// fewest requests among those that hold its prefix. Every second the engines notify
+// each other of backlogs.
+func runGroup(p Params, engines int, seed uint64, sources []source) map[string]*counts {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	t := &trial{known: map[ID]happening{}, tallies: map[string]*tally{}}
-	for range nodes {
-		t.nodes = append(t.nodes, &node{core: NewCore(p)})
+	t := &simulation{arrivals: map[ID]simEvent{}, results: map[string]*counts{}}
+	for range engines {
+		t.engines = append(t.engines, &simEngine{core: NewCore(p)})
 	}
 	n := 0
 	for _, s := range sources {
-		t.tallies[s.organisation] = &tally{}
+		t.results[s.organisation] = &counts{}
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / s.rate
 			when := time.Duration(at * float64(time.Second))
@@ -132,125 +133,126 @@
 			}
 			n++
 			out := 1 + int(rng.ExpFloat64()*s.output)
-			t.push(happening{at: when, arrived: when, out: out, nodes: s.nodes, item: Item{
+			t.push(simEvent{at: when, arrived: when, out: out, engines: s.engines, item: Item{
 				ID: ID{byte(n), byte(n >> 8), byte(n >> 16)}, Organisation: s.organisation,
 				UncachedTokens: s.uncached, MaxTokens: 1000, Deadline: when + trialDeadline,
 			}})
 		}
 	}
 	next := 100 * time.Millisecond
-	for t.agenda.Len() > 0 {
-		h := heap.Pop(&t.agenda).(happening)
-		for ; next < h.at; next += 100 * time.Millisecond {
-			for _, n := range t.nodes {
-				t.take(next, n, n.core.Tick(next))
+	for t.events.Len() > 0 {
+		ev := heap.Pop(&t.events).(simEvent)
+		for ; next < ev.at; next += 100 * time.Millisecond {
+			for _, e := range t.engines {
+				t.take(next, e, e.core.Tick(next))
 				if next%time.Second == 0 {
-					n.heavy = n.core.Summary().Heavy
+					e.backlogs = e.core.Summary().Heavy
 				}
 			}
 		}
-		t.handle(h)
+		t.handle(ev)
 	}
-	return t.tallies
+	return t.results
 }
 
-func (t *trial) handle(h happening) {
-	count := t.tallies[h.item.Organisation]
-	switch h.kind {
+func (t *simulation) handle(ev simEvent) {
+	count := t.results[ev.item.Organisation]
+	switch ev.kind {
 	case arrival:
-		h.node = t.place(&h)
-		t.known[h.item.ID] = h
+		ev.engine = t.place(&ev)
+		t.arrivals[ev.item.ID] = ev
 		count.offered++
-		t.take(h.at, h.node, h.node.core.Arrive(h.at, h.item))
+		t.take(ev.at, ev.engine, ev.engine.core.Arrive(ev.at, ev.item))
 	case prefilled:
-		if h.at-h.arrived <= DefaultFirstTokenTarget {
-			count.prompt++
+		if ev.at-ev.arrived <= DefaultFirstTokenTarget {
+			count.withinTarget++
 		}
-		count.firstToken = append(count.firstToken, ms(h.at-h.arrived))
-		h.kind = end
-		step := trialStep + time.Duration(h.node.core.Summary().Running)*trialPerItem
-		t.push(h.after(time.Duration(h.out) * step))
-		h.node.computing = false
-		t.compute(h.at, h.node)
+		count.firstTokenMs = append(count.firstTokenMs, ms(ev.at-ev.arrived))
+		ev.kind = end
+		step := trialStep + time.Duration(ev.engine.core.Summary().Running)*trialPerItem
+		t.push(ev.after(time.Duration(ev.out) * step))
+		ev.engine.prefilling = false
+		t.compute(ev.at, ev.engine)
 	case end:
-		if h.at <= h.item.Deadline {
+		if ev.at <= ev.item.Deadline {
 			count.good++
 		} else {
 			count.late++
 		}
-		t.take(h.at, h.node, h.node.core.Finish(h.at, h.item.ID, Actual{UncachedTokens: h.item.UncachedTokens, OutputTokens: h.out, Ran: true}))
+		t.take(ev.at, ev.engine, ev.engine.core.Finish(ev.at, ev.item.ID, Actual{UncachedTokens: ev.item.UncachedTokens, OutputTokens: ev.out, Ran: true}))
 	}
 }
 
-// place returns the node for a request and sets how many others have a backlog of
+// place returns the engine for a request and sets how many others have a backlog of
 // its organisation.
-func (t *trial) place(h *happening) *node {
-	chosen := t.nodes[0]
-	for i, n := range h.nodes {
-		if i == 0 || len(t.nodes[n].core.entries) < len(chosen.core.entries) {
-			chosen = t.nodes[n]
+func (t *simulation) place(ev *simEvent) *simEngine {
+	chosen := t.engines[0]
+	for i, e := range ev.engines {
+		if i == 0 || len(t.engines[e].core.entries) < len(chosen.core.entries) {
+			chosen = t.engines[e]
 		}
 	}
-	for _, n := range t.nodes {
-		if n != chosen && slices.Contains(n.heavy, h.item.Organisation) {
-			h.item.BacklogsElsewhere++
+	for _, e := range t.engines {
+		if e != chosen && slices.Contains(e.backlogs, ev.item.Organisation) {
+			ev.item.BacklogsElsewhere++
 		}
 	}
 	return chosen
 }
 
-func (h happening) after(d time.Duration) happening {
-	h.at += d
-	return h
+func (ev simEvent) after(d time.Duration) simEvent {
+	ev.at += d
+	return ev
 }
 
-func (t *trial) take(now time.Duration, n *node, actions []Action) {
+func (t *simulation) take(now time.Duration, e *simEngine, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Refuse:
-			t.tallies[t.known[a.ID].item.Organisation].refused++
+			t.results[t.arrivals[a.ID].item.Organisation].refused++
 		case Start:
-			h := t.known[a.ID]
-			h.priority = a.EnginePriority
-			n.prefills = append(n.prefills, h)
+			ev := t.arrivals[a.ID]
+			ev.priority = a.EnginePriority
+			e.prefillQueue = append(e.prefillQueue, ev)
 		}
 	}
-	t.compute(now, n)
+	t.compute(now, e)
 }
 
-// compute lets a node's engine compute the next prompt, lowest priority number first.
-func (t *trial) compute(now time.Duration, n *node) {
-	if n.computing || len(n.prefills) == 0 {
+// compute lets an engine compute the next prompt, lowest priority number first.
+func (t *simulation) compute(now time.Duration, e *simEngine) {
+	if e.prefilling || len(e.prefillQueue) == 0 {
 		return
 	}
 	first := 0
-	for i := range n.prefills {
-		if n.prefills[i].priority < n.prefills[first].priority {
+	for i := range e.prefillQueue {
+		if e.prefillQueue[i].priority < e.prefillQueue[first].priority {
 			first = i
 		}
 	}
-	h := n.prefills[first]
-	n.prefills = slices.Delete(n.prefills, first, first+1)
-	n.computing = true
-	h.kind = prefilled
-	h.at = now
-	t.push(h.after(time.Duration(float64(h.item.UncachedTokens) / trialPrefill * float64(time.Second))))
+	ev := e.prefillQueue[first]
+	e.prefillQueue = slices.Delete(e.prefillQueue, first, first+1)
+	e.prefilling = true
+	ev.kind = prefilled
+	ev.at = now
+	t.push(ev.after(time.Duration(float64(ev.item.UncachedTokens) / trialPrefill * float64(time.Second))))
 }
 
 func trialParams(reserve float64) Params {
-	return Params{MaxRunning: trialPlaces, MaxQueue: 256, SmallReserve: reserve,
+	return Params{MaxRunning: trialSlots, MaxQueue: 256, SmallReserve: reserve,
 		PrefillTokensPerSecond: trialPrefill, DecodeTokenTime: 10 * time.Millisecond}
 }
 
-// An output has trialOutput tokens in the mean, exponentially distributed.
-// trialCapacity is what the engine can do in requests a second: 32 places for
-// 0.98 s each.
+// The length of an output is exponentially distributed with a mean of trialOutput
+// tokens. trialCapacity is the engine's capacity in requests per second: 32 slots,
+// 0.98 s for each request.
 const (
 	trialOutput   = 60
-	trialCapacity = trialPlaces / 0.98
+	trialCapacity = trialSlots / 0.98
 )
 
-// evenLoad is eight organisations at a multiple of the engine's capacity.
+// evenLoad is eight organisations that together ask for a multiple of the engine's
+// capacity.
 func evenLoad(multiple float64) []source {
 	var sources []source
 	for i := range 8 {
@@ -259,9 +261,8 @@
 	return sources
 }
 
-// Symptom: past saturation fewer and fewer callers get an answer in time.
-// Sequence: more is asked for than the engine can do, for minutes.
-// Cause: it serves what nobody waits for any more.
+// Guards against goodput that falls past saturation: for minutes more is asked for
+// than the engine can do, and it serves requests whose callers no longer wait.
 func TestGoodputPastSaturation(t *testing.T) {
 	peak, atDouble := 0.0, 0.0
 	for _, multiple := range []float64{0.5, 0.8, 1, 1.25, 1.5, 2, 3} {
@@ -283,10 +284,8 @@
 	}
 }
 
-// Symptom: small organisations' answers come late when a large one asks for ten
-// times its share.
-// Sequence: seven ask for 5 % of capacity each, one for ten times its eighth.
-// Cause: they wait behind its backlog.
+// Guards against late answers for small organisations beside a large one's backlog:
+// seven ask for 5 % of the capacity each, one for ten times its eighth.
 func TestSmallOnesBesideALargeOne(t *testing.T) {
 	for _, reserve := range []float64{0, 0.125, 0.25, 0.375, 0.5} {
 		var small []source
@@ -295,11 +294,11 @@
 		}
 		large := source{organisation: "large", rate: 10 * trialCapacity / 8, uncached: 400, output: trialOutput}
 		alone := smallOnes(runTrial(trialParams(reserve), 7, small))
-		tallies := runTrial(trialParams(reserve), 7, append(slices.Clone(small), large))
-		beside := smallOnes(tallies)
+		results := runTrial(trialParams(reserve), 7, append(slices.Clone(small), large))
+		beside := smallOnes(results)
 		t.Logf("reserve %.3f: small ones' p99 first token %.0f ms alone, %.0f ms beside; in time %d of %d alone, %d beside; large %.1f/s of %.1f/s in time",
 			reserve, alone.p99(), beside.p99(), alone.good, alone.offered, beside.good,
-			float64(tallies["large"].good)/trialLength.Seconds(), large.rate)
+			float64(results["large"].good)/trialLength.Seconds(), large.rate)
 		if reserve > 0 && beside.good < alone.good*97/100 {
 			t.Errorf("reserve %.3f: %d in time beside the large one, %d alone", reserve, beside.good, alone.good)
 		}
@@ -309,11 +308,12 @@
 	}
 }
 
-// unevenGroup is a group of trialNodes: three organisations that ask for 35, 25
-// and 20 % of a multiple of its capacity and are in all caches, five that ask for 4 %
-// and are in four.
+// trialNodes is the number of engines of unevenGroup.
 const trialNodes = 12
 
+// unevenGroup is the load of a group of trialNodes engines: three organisations that
+// ask for 35, 25 and 20 % of a multiple of its capacity and have their prefixes in all
+// caches, and five that ask for 4 % and have theirs in four.
 func unevenGroup(multiple float64) []source {
 	all := make([]int, trialNodes)
 	for i := range all {
@@ -330,22 +330,21 @@
 	return sources
 }
 
-// Symptom: past saturation of the group, small organisations' answers are late or
-// refused, though they ask for less than an eighth of it each.
-// Sequence: three large ones keep every endpoint busy; the small ones' prefixes are
-// held by a third of them.
-// Cause: a large one has a share of every endpoint, a small one of those alone; and
-// queues grow to what the deadlines allow.
+// Guards against late or refused answers for small organisations past saturation of
+// the group, although each asks for less than an eighth of it: three large ones keep
+// every endpoint busy, while the small ones' prefixes are held by a third of them. A
+// large one would get a share of every endpoint, a small one of that third only; and
+// queues would grow to what the deadlines allow.
 func TestSmallOnesPastSaturationOfTheGroup(t *testing.T) {
 	peak := 0.0
 	for _, multiple := range []float64{0.7, 1, 1.5, 2} {
-		tallies := runGroup(trialParams(0.25), trialNodes, 7, unevenGroup(multiple))
-		small, prompt := smallOnes(tallies), 0
-		for _, count := range tallies {
-			prompt += count.prompt
+		results := runGroup(trialParams(0.25), trialNodes, 7, unevenGroup(multiple))
+		small, withinTarget := smallOnes(results), 0
+		for _, count := range results {
+			withinTarget += count.withinTarget
 		}
-		goodput := float64(prompt) / trialLength.Seconds()
-		large := tallies["large0"]
+		goodput := float64(withinTarget) / trialLength.Seconds()
+		large := results["large0"]
 		t.Logf("offered %.1f x capacity: %.0f/s within the target; small ones: p99 %.0f ms, %d of %d refused; largest: p50 %.0f ms, p95 %.0f ms, %d of %d refused",
 			multiple, goodput, small.p99(), small.refused, small.offered, large.quantile(0.5), large.quantile(0.95), large.refused, large.offered)
 		peak = max(peak, goodput)
@@ -358,18 +357,18 @@
 	}
 }
 
-// smallOnes sums up all but the large ones.
-func smallOnes(tallies map[string]*tally) *tally {
-	var all tally
-	for name, count := range tallies {
+// smallOnes sums up all but the large organisations.
+func smallOnes(results map[string]*counts) *counts {
+	var all counts
+	for name, count := range results {
 		if strings.HasPrefix(name, "large") {
 			continue
 		}
 		all.offered += count.offered
 		all.good += count.good
-		all.prompt += count.prompt
+		all.withinTarget += count.withinTarget
 		all.refused += count.refused
-		all.firstToken = append(all.firstToken, count.firstToken...)
+		all.firstTokenMs = append(all.firstTokenMs, count.firstTokenMs...)
 	}
 	return &all
 }
--- a/internal/admit/turn_bench_test.go
+++ b/internal/admit/turn_bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// backlogged has a queue of many organisations behind a full engine.
+// backlogged returns a Core with a full engine and a queue of many organisations.
 func backlogged(organisations, waiting int) *Core {
 	c := NewCore(Params{MaxRunning: 32, SmallReserve: 0.25, MaxQueue: waiting, MaxWait: 24 * time.Hour})
 	for n := range waiting + 32 {
@@ -16,7 +16,7 @@
 	return c
 }
 
-// BenchmarkTurn is one item's arrival, start and finish.
+// BenchmarkTurn measures one item's arrival, start and finish.
 func BenchmarkTurn(b *testing.B) {
 	for _, size := range []struct{ organisations, waiting int }{{8, 200}, {100, 1000}, {500, 1000}} {
 		b.Run(fmt.Sprintf("%d_organisations_%d_waiting", size.organisations, size.waiting), func(b *testing.B) {
--- a/internal/admit/types.go
+++ b/internal/admit/types.go
@@ -8,66 +8,68 @@
 	"skylarklead/internal/settings"
 )
 
-// ID names an item: its attempt.
+// ID identifies an item: its attempt.
 type ID = protocol.AttemptID
 
 // Item is a request that wants to run.
 type Item struct {
 	ID           ID
 	Organisation string
-	// Weight is the organisation's share in the fair queue, 1 if 0.
+	// Weight is the organisation's weight in the fair queue, 1 if 0.
 	Weight float64
 	// BacklogsElsewhere is how many other endpoints of the group have a backlog of the
-	// organisation. Its weight is shared out among all of them.
+	// organisation. Its weight is divided among all of them.
 	BacklogsElsewhere int
-	// MaxInFlight bounds the organisation's items here, waiting and running; 0
-	// is no bound.
+	// MaxInFlight bounds the organisation's items at this endpoint, waiting and
+	// running; 0 is no bound.
 	MaxInFlight int
-	// Priority orders items of one organisation, lower is sooner.
+	// Priority orders the items of one organisation; lower starts sooner.
 	Priority int
-	// UncachedTokens is the part of the prompt that the engine must compute.
+	// UncachedTokens is the number of prompt tokens that the engine has to compute.
 	UncachedTokens int
-	// MaxTokens bounds the output; ExpectedTokens is its expected length, taken
-	// from the organisation's recent outputs if 0.
+	// MaxTokens bounds the output. ExpectedTokens is its expected length; if 0, it is
+	// estimated from the organisation's recent outputs.
 	MaxTokens      int
 	ExpectedTokens int
-	// Deadline is when the caller stops waiting, on the clock of now; 0 is none.
+	// Deadline is when the caller stops waiting, on the same clock as now; 0 is none.
 	Deadline time.Duration
-	// Exclusive items run alone: they are suspected of crashing the engine.
+	// Exclusive items run without any other item beside them: they are suspected of
+	// crashing the engine.
 	Exclusive bool
 }
 
-// Actual is what an item turned out to use.
+// Actual is what an item actually used.
 type Actual struct {
 	UncachedTokens int
 	OutputTokens   int
-	// Ran is false when the engine never had it; its cost is then given back.
+	// Ran is false if the engine never received the item; the cost charged for it is
+	// then refunded.
 	Ran bool
 }
 
-// Action is what the caller of a Core must do: Start or Refuse.
+// Action is an instruction from a Core to its caller: Start or Refuse.
 type Action interface{ action() }
 
-// Start hands an item to the engine.
+// Start says to send an item to the engine.
 type Start struct {
 	ID ID
-	// Waited is the time since it arrived.
+	// Waited is the time since the item arrived.
 	Waited time.Duration
-	// Reason is why it could start, for the decision's log line.
+	// Reason is why the item could start, for the log line of the decision.
 	Reason string
-	// EnginePriority is the priority to hand it to the engine with, lower is
-	// sooner. It is by the organisation's use, not by what the caller wished: a
-	// caller's priority orders its own organisation's items only.
+	// EnginePriority is the priority to pass to the engine; lower is sooner. It
+	// depends on the organisation's use of the endpoint, not on the caller's priority,
+	// which only orders the items of its own organisation.
 	EnginePriority int
 }
 
 // Engine priorities of organisations within and over their share.
 const (
-	PriorityLight = 0
-	PriorityHeavy = 1
+	PriorityWithinShare = 0
+	PriorityOverShare   = 1
 )
 
-// Refuse ends an item that has not run and will not.
+// Refuse ends an item that has not run and will not run.
 type Refuse struct {
 	ID         ID
 	Code       protocol.Code
@@ -78,24 +80,24 @@
 func (Start) action()  {}
 func (Refuse) action() {}
 
-// Params are the bounds and speeds of one endpoint. Zero fields take defaults.
+// Params are the limits and speeds of one endpoint. Zero fields take defaults.
 type Params struct {
 	MaxRunning int
 	MaxQueue   int
-	// SmallReserve is the share of running places and of the queue kept for
-	// organisations that use less than their share, 0 to 1. The reserved places
-	// stay empty while only others wait: that is its price.
+	// SmallReserve is the fraction of the running slots and of the queue that is
+	// reserved for organisations that use less than their share, 0 to 1. Reserved
+	// slots stay empty while only other organisations have items waiting.
 	SmallReserve float64
-	// PrefillTokensPerSecond and DecodeTokenTime turn tokens into engine time.
+	// PrefillTokensPerSecond and DecodeTokenTime convert tokens into engine time.
 	PrefillTokensPerSecond float64
 	DecodeTokenTime        time.Duration
-	// FirstTokenTarget bounds the expected time to first token of an organisation
-	// with a standing backlog.
+	// FirstTokenTarget bounds the expected time to first token of an organisation with
+	// a standing backlog.
 	FirstTokenTarget time.Duration
 	// MaxWait bounds the expected wait of an item without a deadline.
 	MaxWait time.Duration
-	// KVTokens bounds the tokens that running items may take, prompts and longest
-	// outputs together; 0 leaves it to MaxRunning.
+	// KVTokens bounds the tokens of the running items, counting their prompts and
+	// their longest possible outputs; 0 is no bound besides MaxRunning.
 	KVTokens int
 }
 
@@ -109,7 +111,7 @@
 	DefaultMaxWait                = 30 * time.Second
 )
 
-// ParamsFromSettings takes an endpoint's settings.
+// ParamsFromSettings returns the parameters for an endpoint's settings.
 func ParamsFromSettings(s *settings.Endpoint) Params {
 	return Params{
 		MaxRunning:             s.MaxRunning,
@@ -144,22 +146,22 @@
 	return p
 }
 
-// reserved is the number of places kept for organisations that use little.
-func (p *Params) reserved() int {
+// reservedSlots is the number of slots reserved for organisations within their share.
+func (p *Params) reservedSlots() int {
 	return min(p.MaxRunning-1, int(math.Ceil(p.SmallReserve*float64(p.MaxRunning))))
 }
 
-// queueShare is how many items one organisation may have waiting.
-func (p *Params) queueShare() int {
+// maxQueuedPerOrganisation bounds the waiting items of one organisation.
+func (p *Params) maxQueuedPerOrganisation() int {
 	return max(1, int(math.Floor((1-p.SmallReserve)*float64(p.MaxQueue))))
 }
 
-// cost is engine time in milliseconds.
+// cost is the engine time of an item in milliseconds.
 func (p *Params) cost(uncached, output int) float64 {
-	return p.prefill(uncached) + float64(output)*ms(p.DecodeTokenTime)
+	return p.prefillMs(uncached) + float64(output)*ms(p.DecodeTokenTime)
 }
 
-func (p *Params) prefill(uncached int) float64 {
+func (p *Params) prefillMs(uncached int) float64 {
 	return float64(uncached) / p.PrefillTokensPerSecond * 1000
 }
 
