--- a/internal/attempt/once_log.go
+++ b/internal/attempt/once_log.go
@@ -197,7 +197,7 @@
 	for _, k := range b.releases {
 		o.outbox.addRelease(k)
 	}
-	o.outbox.settlements = append(b.settles, o.outbox.settlements...)
+	o.outbox.settlements = append(b.settlements, o.outbox.settlements...)
 	return o.takeActions(now)
 }
 
--- a/internal/attempt/once_model_test.go
+++ b/internal/attempt/once_model_test.go
@@ -333,6 +333,7 @@
 				w.do(i, w.procs[i].once.Drain(w.now))
 			}
 		},
+		// A process receives the current epoch of another one.
 		"hear":      func(t *rapid.T) { w.announceEpoch(proc(t), proc(t)) },
 		"lose peer": func(t *rapid.T) { w.procs[proc(t)].once.SetPeerDown(procName(proc(t))) },
 		"time": func(t *rapid.T) {
--- a/internal/attempt/once_outbox.go
+++ b/internal/attempt/once_outbox.go
@@ -8,7 +8,7 @@
 	"skylarklead/internal/protocol"
 )
 
-// outbox collects what goes to the log. One append is in sent at a time; what is
+// outbox collects what goes to the log. One append is in flight at a time; what is
 // added meanwhile shares the next one.
 type outbox struct {
 	claims        []*keyState
@@ -28,10 +28,10 @@
 
 // inFlightBatch is a batch whose append is not answered yet.
 type inFlightBatch struct {
-	id       uint64
-	claims   []*keyState
-	releases []*keyState
-	settles  []pendingSettlement
+	id          uint64
+	claims      []*keyState
+	releases    []*keyState
+	settlements []pendingSettlement
 }
 
 func (b *outbox) addSettlement(k *keyState, ran protocol.Outcome, now time.Duration) {
@@ -119,7 +119,7 @@
 	n := min(len(o.outbox.settlements), maxBatch-len(batch.Settlements))
 	for _, s := range o.outbox.settlements[:n] {
 		batch.Settlements = append(batch.Settlements, s.Settlement)
-		sent.settles = append(sent.settles, s)
+		sent.settlements = append(sent.settlements, s)
 	}
 	o.outbox.settlements = o.outbox.settlements[n:]
 }
--- a/internal/attempt/plan_model_test.go
+++ b/internal/attempt/plan_model_test.go
@@ -206,18 +206,18 @@
 	switch kind {
 	case "act":
 		w.act(draw)
-	case "news":
+	case "news": // the plan receives the oldest event
 		if len(w.events) > 0 {
 			e := w.events[0]
 			w.events = w.events[1:]
 			w.apply(e)
 		}
-	case "lost news":
+	case "lost news": // the oldest event is lost with its session
 		if len(w.events) > 0 {
 			w.events = w.events[1:]
 			w.apply(SessionLost{Attempt: w.plan.Attempt()})
 		}
-	case "double news":
+	case "double news": // the oldest event is delivered twice
 		if len(w.events) > 0 {
 			w.apply(w.events[0])
 		}
