--- /dev/null
+++ b/internal/attempt/poison_merge.go
@@ -0,0 +1,123 @@
+package attempt
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"skylarklead/internal/protocol"
+)
+
+// Merge merges a peer's strikes. It is idempotent and independent of order.
+func (p *PoisonTracker) Merge(strikes []protocol.Strike, now time.Duration) {
+	for _, strike := range strikes {
+		crashedAt := now - millis(max(strike.AgeMs, 0))
+		if now-crashedAt >= p.params.TTL {
+			continue
+		}
+		s := p.recent(strike.Fingerprint, now)
+		if s == nil {
+			s = p.addRecord(strike.Fingerprint, now)
+			s.lastCrash = crashedAt
+		}
+		s.merge(strike, crashedAt, now)
+	}
+}
+
+func (s *crashRecord) merge(strike protocol.Strike, crashedAt, now time.Duration) {
+	newer := strike.Generation > s.generation || strike.Generation == s.generation && strike.Count > s.count
+	if newer {
+		s.generation, s.count = strike.Generation, strike.Count
+	}
+	if newer || strike.GivenUp && !s.givenUp {
+		s.changedAt = now
+		s.lastCrash = max(s.lastCrash, crashedAt)
+	}
+	s.givenUp = s.givenUp || strike.GivenUp
+}
+
+// HeartbeatStrikes returns the strikes for the next heartbeat: the latest changes
+// first, then the others in rotation, so that a peer that missed some receives them
+// again.
+func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.Strike {
+	p.sweep(now)
+	if len(p.records) == 0 {
+		return nil
+	}
+	fingerprints := make([]uint64, 0, len(p.records))
+	for f := range p.records {
+		fingerprints = append(fingerprints, f)
+	}
+	slices.SortFunc(fingerprints, func(a, b uint64) int {
+		return cmp.Or(cmp.Compare(p.records[b].changedAt, p.records[a].changedAt), cmp.Compare(a, b))
+	})
+	if newest := p.params.MaxPerHeartbeat / 2; len(fingerprints) > p.params.MaxPerHeartbeat {
+		others := fingerprints[newest:]
+		slices.Sort(others)
+		at, _ := slices.BinarySearch(others, p.cursor+1)
+		others = slices.Concat(others[at:], others[:at])[:p.params.MaxPerHeartbeat-newest]
+		p.cursor = others[len(others)-1]
+		fingerprints = slices.Concat(fingerprints[:newest], others)
+	}
+	strikes := make([]protocol.Strike, len(fingerprints))
+	for i, f := range fingerprints {
+		strikes[i] = p.records[f].toStrike(f, now)
+	}
+	return strikes
+}
+
+func (s *crashRecord) toStrike(fingerprint uint64, now time.Duration) protocol.Strike {
+	return protocol.Strike{
+		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
+		Generation: s.generation, AgeMs: (now - s.lastCrash).Milliseconds(),
+	}
+}
+
+// recent returns a record that has not expired.
+func (p *PoisonTracker) recent(fingerprint uint64, now time.Duration) *crashRecord {
+	s, ok := p.records[fingerprint]
+	if !ok || now-s.lastCrash >= p.params.TTL {
+		return nil
+	}
+	return s
+}
+
+func (p *PoisonTracker) addRecord(fingerprint uint64, now time.Duration) *crashRecord {
+	if len(p.records) >= p.params.MaxEntries {
+		p.sweep(now)
+		p.evict()
+	}
+	s := &crashRecord{lastCrash: now, changedAt: now}
+	p.records[fingerprint] = s
+	return s
+}
+
+func (p *PoisonTracker) sweep(now time.Duration) {
+	for f, s := range p.records {
+		if now-s.lastCrash >= p.params.TTL {
+			delete(p.records, f)
+		}
+	}
+}
+
+// evict makes room by removing the oldest record, given-up ones last.
+func (p *PoisonTracker) evict() {
+	if len(p.records) < p.params.MaxEntries {
+		return
+	}
+	var oldest uint64
+	var at *crashRecord
+	for f, s := range p.records {
+		if at == nil || s.evictBefore(at) {
+			oldest, at = f, s
+		}
+	}
+	delete(p.records, oldest)
+}
+
+func (s *crashRecord) evictBefore(t *crashRecord) bool {
+	if s.givenUp != t.givenUp {
+		return t.givenUp
+	}
+	return s.lastCrash < t.lastCrash
+}
