--- a/internal/member/name.go
+++ b/internal/member/name.go
@@ -6,52 +6,53 @@
 	"skylarklead/internal/fleet"
 )
 
-// name is what is known of a name that replicas register under. It outlives them by a
-// tombstone's time: a record of a replica that is gone may be read late, and one of an
-// earlier incarnation may be written after the later one's.
+// registration is what is known of a name under which replicas register. It is kept for
+// TombstoneTTL after the replica is gone: a record of a removed replica may be read late,
+// and a record of an earlier incarnation may be written after one of a later incarnation.
 //
-// Invariant: born never goes back.
-type name struct {
-	// id and born are of the latest incarnation, "" before any.
+// Invariant: born never decreases.
+type registration struct {
+	// id and born are those of the latest incarnation; id is "" before the first one.
 	id   string
 	born int64
-	// beat is the highest number of what that incarnation has written.
+	// beat is the highest record number of that incarnation.
 	beat uint64
-	// over is set once that incarnation is known to have ended, whatever its records say.
-	over bool
-	// leaving is set once that incarnation has said that it leaves. It outlives its place on the
-	// list: the record from before may be written again.
+	// ended is set once that incarnation is known to have ended, whatever its records say.
+	ended bool
+	// leaving is set once that incarnation has announced that it leaves. It is kept after
+	// the removal, since a record from before the announcement may be written again.
 	leaving bool
-	// removed is set once the name was taken off the list, last at removedAt.
+	// removed is set once the name was removed from the list, last at offset removedAt.
 	removed   bool
 	removedAt uint64
-	// heard is when something was last said of it.
-	heard time.Duration
+	// lastSeen is the time of the last record or report of this name.
+	lastSeen time.Duration
 }
 
-// begin takes a replica as the latest incarnation of its name and returns the one that
-// it follows, "" for none. It reports false where the replica isn't the latest.
+// advance makes a replica the latest incarnation of its name and returns the ID of the
+// one that it supersedes, "" for none. It reports false if a later incarnation is known
+// or this one has ended.
 //
-// Symptom without it: a replica that has started again under its name is believed to
-// hold its cache, refuses each order for its number of orders, or gets no work since its
-// predecessor was leaving. A replica that has once said when it started always does, so
-// that a record that doesn't is not its own.
-func (n *name) begin(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
-	if r.Born < n.born || r.ID == n.id && n.over {
+// Without it a replica that restarted under its name would be expected to hold its old
+// cache, refuse each order because of the order number, or get no work because the
+// previous incarnation was leaving. A replica that has once stated its start time always
+// does, so a record without one is not its own.
+func (n *registration) advance(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
+	if r.Born < n.born || r.ID == n.id && n.ended {
 		return "", false
 	}
-	n.heard = now
+	n.lastSeen = now
 	if r.ID == n.id {
 		n.beat = max(n.beat, r.Beat)
 		return "", true
 	}
 	ended = n.id
-	n.id, n.born, n.beat, n.over, n.leaving = r.ID, r.Born, r.Beat, false, false
+	n.id, n.born, n.beat, n.ended, n.leaving = r.ID, r.Born, r.Beat, false, false
 	return ended, true
 }
 
-// copied reports whether a record is an older one of a replica that was taken off the list since,
-// brought back by a store that came back from an older copy.
-func (n *name) copied(r *fleet.Replica, position uint64) bool {
+// isStaleCopy reports whether a record is an old one of a replica that has since been
+// removed, which came back because the store was restored from an older copy.
+func (n *registration) isStaleCopy(r *fleet.Replica, position uint64) bool {
 	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.Beat <= n.beat
 }
--- a/internal/member/outage_test.go
+++ b/internal/member/outage_test.go
@@ -10,16 +10,16 @@
 const (
 	ms = time.Millisecond
 
-	outageBack     = 2 * time.Second
-	outageUnheeded = 2800 * ms
-	outageSeen     = 3200 * ms
+	outageReregister = 2 * time.Second
+	outageAct        = 2800 * ms
+	outageDetect     = 3200 * ms
 )
 
 func newOutage() *member.Outage {
-	return member.NewOutage(member.OutageParams{ReregisterWithin: outageBack, ActWithin: outageUnheeded, DetectWithin: outageSeen, ReportTTL: time.Second})
+	return member.NewOutage(member.OutageParams{ReregisterWithin: outageReregister, ActWithin: outageAct, DetectWithin: outageDetect, ReportTTL: time.Second})
 }
 
-// outageFrom6To12 is the account of a reader whose calls fail from 6 s on. The last of
+// outageFrom6To12 is the state of a reader whose calls fail from 6 s on. The last of
 // them is made at missed, and the first answer comes at 12 s.
 func outageFrom6To12(missed time.Duration) *member.Outage {
 	o := newOutage()
@@ -32,27 +32,27 @@
 	return o
 }
 
-// Symptom: as in the tests of the entry's reader. Sequence: a removal is read now and
-// again, once a second, after an outage. Cause: the time runs from its reading.
+// Guards against a grace period that runs from when a removal is read: a removal that is
+// read again every second after an outage would then never take effect.
 func TestExcuseRunsFromTheStoresReturn(t *testing.T) {
 	o := outageFrom6To12(11900 * ms)
 	for at := 12 * time.Second; at < 16*time.Second; at += time.Second {
 		if x := o.GracePeriod(at); x.Until != 14*time.Second {
-			t.Errorf("read at %v a removal is excused until %v", at, x.Until)
+			t.Errorf("removal read at %v: grace period until %v, want 14s", at, x.Until)
 		}
 	}
 	if x := newOutage().GracePeriod(time.Second); x.Until != 0 {
-		t.Errorf("excused until %v though nothing was amiss", x.Until)
+		t.Errorf("grace period until %v without an outage", x.Until)
 	}
 }
 
-// Symptom: requests go to a replica that left, as the entry learnt late that the store was
-// back. Sequence: a call hangs for two seconds; the store returns as that begins, and a
-// replica leaves. Cause: the store's return taken for the first answer.
+// Guards against requests to a replica that left, because the store's return is taken to be
+// its first answer: a call hangs for two seconds, the store returns right after that call
+// was made, and a replica leaves.
 func TestExcuseEndsWhereTheStoreMayHaveReturnedEarly(t *testing.T) {
 	o := outageFrom6To12(10 * time.Second)
 	if x := o.GracePeriod(12 * time.Second); x.Until != 12800*ms || x.Evidence != member.EvidenceNone {
-		t.Errorf("got %+v; want 2.8 s after the last call without an answer", x)
+		t.Errorf("got %+v; want a grace period of 2.8 s after the last unanswered call", x)
 	}
 }
 
@@ -60,40 +60,40 @@
 	const hour = time.Hour
 	cases := []struct {
 		name string
-		// served is what the peer says at heardAt.
+		// served is what the peer reports at heardAt.
 		served, heardAt time.Duration
 		want            member.PeerEvidence
 		until           time.Duration
 	}{
-		{"served since long ago", hour, 11900 * ms, member.EvidenceServed, 0},
-		{"served since before the outage", 7 * time.Second, 12 * time.Second, member.EvidenceServed, 0},
+		{"served for an hour", hour, 11900 * ms, member.EvidenceServed, 0},
+		{"served from before the outage on", 7 * time.Second, 12 * time.Second, member.EvidenceServed, 0},
 		{"not served", 0, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
 		{"served since the outage's end", 100 * ms, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
-		{"served since a moment in the outage", 3 * time.Second, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
-		{"a word from the outage's first moments", hour, 6100 * ms, member.EvidenceNone, 12800 * ms},
+		{"served from within the outage on", 3 * time.Second, 12 * time.Second, member.EvidenceOutage, 14 * time.Second},
+		{"report from the first moments of the outage", hour, 6100 * ms, member.EvidenceNone, 12800 * ms},
 	}
 	for _, c := range cases {
 		o := outageFrom6To12(10 * time.Second)
 		o.PeerReported("peer", c.served, c.heardAt)
 		if x := o.GracePeriod(12 * time.Second); x.Evidence != c.want || x.Until != c.until {
-			t.Errorf("%s: %v, excused until %v; want %v, %v", c.name, x.Evidence, x.Until, c.want, c.until)
+			t.Errorf("%s: evidence %v, grace period until %v; want %v, %v", c.name, x.Evidence, x.Until, c.want, c.until)
 		}
 	}
 	o := outageFrom6To12(10 * time.Second)
 	o.PeerReported("away-too", 0, 12*time.Second)
 	o.PeerReported("served", hour, 12*time.Second)
 	if x := o.GracePeriod(12 * time.Second); x.Evidence != member.EvidenceServed {
-		t.Errorf("one peer served, one not: %v", x.Evidence)
+		t.Errorf("one peer served, one not: evidence %v", x.Evidence)
 	}
 	o.ForgetPeers(12*time.Second + ms)
 	if x := o.GracePeriod(12 * time.Second); x.Evidence != member.EvidenceNone {
-		t.Errorf("words that were dropped: %v", x.Evidence)
+		t.Errorf("reports that were dropped: evidence %v", x.Evidence)
 	}
 }
 
-// Symptom: after an outage no replica is left, though all run. Sequence: the store is away;
-// a break of a second goes unnoticed at a peer whose call hangs, and the peer says that it was served
-// all along. Cause: a word that comes before the peer can know.
+// Guards against the loss of all replicas after an outage that a peer missed: a gap of a
+// second goes unnoticed at a peer whose call hangs, so the peer reports uninterrupted
+// service before it can know better.
 func TestShortOutageIsNotToldByPeers(t *testing.T) {
 	o := newOutage()
 	o.CallAnswered(5 * time.Second)
@@ -101,77 +101,77 @@
 	o.CallAnswered(7 * time.Second)
 	o.PeerReported("peer", time.Hour, 7*time.Second)
 	if x := o.GracePeriod(7 * time.Second); x.Evidence != member.EvidenceNone || x.Until != 8800*ms {
-		t.Errorf("got %+v", x)
+		t.Errorf("got %+v; want no evidence and a grace period until 8.8s", x)
 	}
 }
 
-// Symptom: as above. Sequence: a peer stands still through an outage, goes on after it, and
-// says that the store has answered it since long ago. Cause: no call of it has failed.
+// Guards against the loss of all replicas after an outage that a suspended peer missed: it
+// resumes afterwards and reports uninterrupted service, since none of its calls failed.
 func TestGapIsABreakOfService(t *testing.T) {
 	o := newOutage()
 	if got := o.ServedFor(time.Second); got != 0 {
-		t.Fatalf("served for %v before the first answer", got)
+		t.Fatalf("ServedFor is %v before the first answer", got)
 	}
 	o.CallAnswered(time.Second)
 	o.CallAnswered(4 * time.Second)
 	if got := o.ServedFor(5 * time.Second); got != 4*time.Second {
-		t.Errorf("served for %v; want 4 s", got)
+		t.Errorf("ServedFor is %v; want 4 s", got)
 	}
-	if got := o.ServedFor(4*time.Second + outageSeen + ms); got != 0 {
-		t.Errorf("served for %v though no answer came for long", got)
+	if got := o.ServedFor(4*time.Second + outageDetect + ms); got != 0 {
+		t.Errorf("ServedFor is %v without an answer for more than DetectWithin", got)
 	}
 	o.CallAnswered(10 * time.Second)
 	if got := o.ServedFor(11 * time.Second); got != time.Second {
-		t.Errorf("served for %v after a gap; want 1 s", got)
+		t.Errorf("ServedFor is %v after a gap; want 1 s", got)
 	}
 	o.CallFailed(11*time.Second, 12*time.Second)
 	if got := o.ServedFor(12 * time.Second); got != 0 {
-		t.Errorf("served for %v while calls fail", got)
+		t.Errorf("ServedFor is %v while calls fail", got)
 	}
 }
 
-// Symptom: a replica that has left stays in use until a sweep comes by. Sequence: its time
-// to come back is over. Cause: only the sweep looked at that time.
+// Guards against a replica that stays in use after its grace period, until the next Tick
+// removes it.
 func TestLapsedReplicaIsGoneAtItsTime(t *testing.T) {
-	v := listed("a")
+	v := listedReplicas("a")
 	v.MarkExpired("a", 7, time.Second, 2*time.Second)
 	if got := v.UnlistedFor("a", 1500*ms); got != 500*ms {
-		t.Errorf("off the list for %v; want 500 ms", got)
+		t.Errorf("unlisted for %v; want 500 ms", got)
 	}
 	if h := v.Health("a", 2*time.Second-ms); h != member.Healthy {
-		t.Errorf("before its time it is %v", h)
+		t.Errorf("before the end of the grace period it is %v", h)
 	}
 	if h := v.Health("a", 2*time.Second); h != member.Left {
-		t.Errorf("at its time it is %v", h)
+		t.Errorf("at the end of the grace period it is %v", h)
 	}
 }
 
-// Symptom: a replica that has left is in use again, and nothing takes it off. Sequence: it
-// leaves by having its record removed; a late answer for the one that had its address before names
-// it, and it says that it runs. Cause: its own word goes before the removal, after which
-// the list has nothing more to say of it.
+// Guards against a replica that has left and is in use again for good: its record is
+// removed, then a late answer to a request for the replica that had its address before
+// names it, and it still reports that it runs. Its report must not override the removal,
+// as no later record would remove it.
 func TestReplicaThatLeftIsNotAdopted(t *testing.T) {
 	for _, at := range []int64{0, 5} {
 		v := member.NewReplicas(member.DefaultReplicaParams)
-		r := born("a", at)
+		r := incarnation("a", at)
 		v.Put(r, 1, 0)
 		v.Remove("a", 2, 0)
 		if l := v.Adopt(r, 0); !l.Outdated || v.Get(r.ID) != nil {
-			t.Errorf("born %d: adopted after its record was removed: %+v", at, l)
+			t.Errorf("born %d: adopted after the removal of its record: %+v", at, l)
 		}
 		v.Put(r, 3, 0)
 		if v.Get(r.ID) == nil {
-			t.Errorf("born %d: not back though its record is", at)
+			t.Errorf("born %d: not known again although its record was written again", at)
 		}
 		unseen := member.NewReplicas(member.DefaultReplicaParams)
 		unseen.Remove("a", 2, 0)
 		if l := unseen.Adopt(r, 0); !l.Outdated {
-			t.Errorf("born %d: adopted though its record was removed unseen", at)
+			t.Errorf("born %d: adopted although its record was removed before it was read", at)
 		}
 	}
 }
 
-// Guards against reads that wait long and are taken for an outage of the store.
+// Guards against long polls that are taken for an outage of the store.
 func TestReadsThatWaitAreNoOutage(t *testing.T) {
 	o := newOutage()
 	for at := time.Duration(0); at < 20*time.Second; at += 100 * time.Millisecond {
@@ -179,12 +179,12 @@
 			o.CallAnswered(at)
 		}
 		if o.CheckSilence(at) {
-			t.Fatalf("an outage begins at %v, %v after an answer", at, at%(1500*time.Millisecond))
+			t.Fatalf("outage begins at %v, %v after an answer", at, at%(1500*time.Millisecond))
 		}
 	}
 }
 
-// Guards against an outage that goes unnoticed where nobody's answer comes and no call is made.
+// Guards against an outage that goes unnoticed because no answer comes and no call is made.
 func TestATimeWithoutAnswersIsAnOutage(t *testing.T) {
 	for _, peerAway := range []bool{false, true} {
 		o := newOutage()
@@ -195,17 +195,17 @@
 				begun = at
 			}
 		}
-		if want := time.Second + outageSeen; begun <= want-1 || begun > want+200*time.Millisecond {
-			t.Errorf("the outage begins at %v; the last answer came at 1s", begun)
+		if want := time.Second + outageDetect; begun <= want-1 || begun > want+200*time.Millisecond {
+			t.Errorf("outage begins at %v; the last answer came at 1s", begun)
 		}
 		if peerAway {
 			o.PeerReported("entry-2", 0, 7*time.Second)
 		}
 		if !o.CallAnswered(7 * time.Second) {
-			t.Error("the outage doesn't end")
+			t.Error("the outage doesn't end with an answer")
 		}
 		if x := o.GracePeriod(7 * time.Second); (x.Until > 7*time.Second) != peerAway {
-			t.Errorf("a peer was away %v: a removal is excused until %v", peerAway, x.Until)
+			t.Errorf("peer reports an outage: %v; grace period until %v", peerAway, x.Until)
 		}
 	}
 }
--- a/internal/member/reborn_test.go
+++ b/internal/member/reborn_test.go
@@ -10,16 +10,15 @@
 	"skylarklead/internal/member"
 )
 
-func born(name string, at int64) *fleet.Replica {
+func incarnation(name string, at int64) *fleet.Replica {
 	return &fleet.Replica{ID: fleet.Incarnation(name, at), Name: name, Born: at, Service: "llm", Address: "10.0.0.1:80"}
 }
 
-// Symptom: what is known of a replica is that of one which has ended: unreachable, busy,
-// at fault, leaving. Sequence: it starts again under its name. Cause: the name is taken
-// for the incarnation.
+// Guards against a replica that restarts under its name and inherits the state of its
+// previous incarnation: unreachable, busy, faulty, leaving.
 func TestLaterIncarnationBeginsAnew(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
-	first, second := born("a", 1), born("a", 2)
+	first, second := incarnation("a", 1), incarnation("a", 2)
 	first.Draining = true
 	v.Put(first, 1, 0)
 	v.MarkUnreachable(first.ID, 0)
@@ -27,9 +26,9 @@
 	for range 10 {
 		v.RecordFault(first.ID, member.FaultConnectionLost, 0)
 	}
-	listing := v.Put(second, 2, 0)
-	if !listing.Changed || listing.SupersededID != first.ID {
-		t.Fatalf("%+v", listing)
+	result := v.Put(second, 2, 0)
+	if !result.Changed || result.SupersededID != first.ID {
+		t.Fatalf("got %+v; want a change that supersedes the first incarnation", result)
 	}
 	if h := v.Health(second.ID, 0); h != member.Healthy {
 		t.Fatalf("the later incarnation is %v", h)
@@ -39,31 +38,31 @@
 	}
 }
 
-// Symptom: a replica that was taken up on its own word is lost, or one that has gone is
-// back. Sequence: the list, read late, tells of its earlier incarnation and then of its
-// end. Cause: offsets compared across sources.
+// Guards against offsets that are compared across sources: a replica is adopted on its own
+// report, and then the list, read late, gives its earlier incarnation and that one's
+// removal. The adopted one must stay, and one that is gone must not come back.
 func TestAdoptedReplicaOutlivesOldNews(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
-	v.Put(born("a", 1), 5, 0)
+	v.Put(incarnation("a", 1), 5, 0)
 	v.Remove("a", 9, 0)
-	v.Adopt(born("a", 2), 0)
-	if !v.Put(born("a", 1), 11, 0).Outdated {
-		t.Error("a record of the earlier incarnation was taken")
+	v.Adopt(incarnation("a", 2), 0)
+	if !v.Put(incarnation("a", 1), 11, 0).Outdated {
+		t.Error("a record of the earlier incarnation was accepted")
 	}
 	if id := v.Remove("a", 8, 0); id != "" {
-		t.Errorf("an older removal took %s off", id)
+		t.Errorf("an older removal removed %s", id)
 	}
 	if v.Get("a@2") == nil {
 		t.Fatal("the adopted incarnation is gone")
 	}
 	v.Remove("a", 12, 0)
-	if v.Put(born("a", 2), 10, time.Second); v.Get("a@2") != nil {
-		t.Error("a stale record brought it back")
+	if v.Put(incarnation("a", 2), 10, time.Second); v.Get("a@2") != nil {
+		t.Error("a stale record brought the removed replica back")
 	}
 }
 
-// Whatever is read in whatever order: the incarnation that is known is the latest of
-// those that were heard of, and none that is over comes back.
+// For reads in any order: the known incarnation is the latest one read or adopted, and none
+// that has ended comes back.
 func TestIncarnationsOnlyGoForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := member.NewReplicas(member.DefaultReplicaParams)
@@ -73,12 +72,12 @@
 			offset := rapid.Uint64Range(0, 30).Draw(t, "offset")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				r := born("a", at)
-				if listing := v.Put(r, offset, 0); !listing.Outdated && v.Get(r.ID) != nil {
+				r := incarnation("a", at)
+				if result := v.Put(r, offset, 0); !result.Outdated && v.Get(r.ID) != nil {
 					latest = max(latest, at)
 				}
 			case 1:
-				if listing := v.Adopt(born("a", at), 0); !listing.Outdated {
+				if result := v.Adopt(incarnation("a", at), 0); !result.Outdated {
 					latest = max(latest, at)
 				}
 			case 2:
@@ -95,7 +94,7 @@
 			}
 			for _, id := range ids {
 				if b := v.Get(id).Born; b < latest || b <= over {
-					t.Fatalf("%d is known after %d, and %d is over", b, latest, over)
+					t.Fatalf("incarnation %d is known after %d was seen and %d has ended", b, latest, over)
 				}
 			}
 		}
--- a/internal/member/replicas.go
+++ b/internal/member/replicas.go
@@ -9,30 +9,30 @@
 	"skylarklead/internal/fleet"
 )
 
-// ReplicaParams time what an entry makes of its own evidence about replicas that
-// it feeds directly.
+// ReplicaParams are the times and limits by which an entry judges replicas that it sends
+// requests to directly.
 type ReplicaParams struct {
-	// BackoffMin and BackoffMax bound the pause between tries to reach a replica; it
-	// doubles with each failure in a row.
+	// BackoffMin and BackoffMax bound the pause between attempts to connect to a replica;
+	// it doubles with each consecutive failure.
 	BackoffMin, BackoffMax time.Duration
-	// SilenceCheckInterval is the least time between looks at a replica that is silent.
+	// SilenceCheckInterval is the least time between connection checks of a silent replica.
 	SilenceCheckInterval time.Duration
-	// BusyBackoff is how long a replica that refused a request gets no other.
+	// BusyBackoff is how long a replica that refused a request as busy gets no other.
 	BusyBackoff time.Duration
-	// MaxRequestedBackoff is the longest rest that a replica is given at its word.
+	// MaxRequestedBackoff bounds the backoff that a replica may ask for.
 	MaxRequestedBackoff time.Duration
-	// FaultHalfLife is how fast faults are forgotten, in time.
+	// FaultHalfLife is the half-life of the fault count.
 	FaultHalfLife time.Duration
-	// FaultLimit is the weight of recent faults from which on a replica gets work
-	// only where no other can take it.
+	// FaultLimit is the decayed fault count from which on a replica gets work only if no
+	// other can take it.
 	FaultLimit float64
-	// TombstoneTTL is how long a replica that was taken off the list stays off, however
-	// old the records are that still name it.
+	// TombstoneTTL is how long a removed replica stays removed, however old the records
+	// are that still name it.
 	TombstoneTTL time.Duration
 }
 
-// DefaultReplicaParams try a replica that is down three times in the first second,
-// as a crash lasts seconds, and take three quick faults for more than chance.
+// DefaultReplicaParams try an unreachable replica three times in the first second, as a
+// crash lasts seconds, and treat three faults in quick succession as more than chance.
 var DefaultReplicaParams = ReplicaParams{
 	BackoffMin: 200 * time.Millisecond, BackoffMax: 800 * time.Millisecond,
 	SilenceCheckInterval: 500 * time.Millisecond, BusyBackoff: 200 * time.Millisecond, MaxRequestedBackoff: 10 * time.Minute,
@@ -40,256 +40,257 @@
 	TombstoneTTL: 2 * time.Minute,
 }
 
-// Fault is what went wrong at a replica that could be reached.
+// Fault is a kind of failure of a replica that could be reached.
 type Fault uint8
 
-// The faults, by how much they say against the replica.
+// The faults, by increasing weight of evidence against the replica.
 const (
-	// FaultConnectionLost: it broke a connection off with a request on it.
+	// FaultConnectionLost: it closed a connection with a request on it.
 	FaultConnectionLost Fault = iota
 	// FaultTimeout: it didn't answer in time.
 	FaultTimeout
-	// FaultMalformedAnswer: what it sent is no answer.
+	// FaultMalformedAnswer: what it sent is not a valid answer.
 	FaultMalformedAnswer
 )
 
-// listed is what is known of one replica.
+// replicaState is what is known of one replica.
 //
-// Invariants: it is of one incarnation; offset is that of the newest record taken;
+// Invariants: it describes one incarnation; offset is that of the newest record taken;
 // draining is never unset, since an incarnation that leaves doesn't come back.
-type listed struct {
+type replicaState struct {
 	replica  *fleet.Replica
 	offset   uint64
 	draining bool
 	failures int
-	// unreachable is set from a failed connection until one is made; probeAt is when
-	// one is tried next.
+	// unreachable is set from a failed connection until one succeeds; probeAt is when the
+	// next attempt is due.
 	unreachable bool
 	probeAt     time.Duration
 	probing     bool
-	// busyUntil is how long it is left alone after it refused a request.
+	// busyUntil is the end of the backoff after it refused a request as busy.
 	busyUntil time.Duration
-	// restUntil is how long it gets nothing, as it has asked.
-	restUntil time.Duration
-	// checkedAt is when it was last looked at for being silent, if it was checked.
+	// backoffUntil is the end of the backoff that it asked for.
+	backoffUntil time.Duration
+	// checkedAt is when its connection was last checked because it was silent, if checked is set.
 	checked   bool
 	checkedAt time.Duration
-	// lapsesAt is when a replica that fell off the list during an outage of the
-	// store is taken as gone, 0 while it is on it; offAt is when its removal was read.
-	lapsesAt time.Duration
-	offAt    time.Duration
-	faults   float64
-	faultsAt time.Duration
+	// expiresAt is when a replica whose record expired during an outage of the store counts
+	// as gone, 0 while its record exists; unlistedAt is when the removal was read.
+	expiresAt  time.Duration
+	unlistedAt time.Duration
+	faults     float64
+	faultsAt   time.Duration
 }
 
-// Replicas is one entry's picture of the replicas. Their own records propose; what
-// the entry's connections meet decides for a while. It is pure and not safe for
-// concurrent use.
+// Replicas is one entry's view of the replicas. Their records list them; failures and
+// answers on the entry's own connections override that for a while. It is pure and not
+// safe for concurrent use.
 //
 // Invariant: of each name at most the latest incarnation is known.
 type Replicas struct {
-	params ReplicaParams
-	known  map[string]*listed
-	names  map[string]*name
+	params        ReplicaParams
+	states        map[string]*replicaState
+	registrations map[string]*registration
 }
 
-// NewReplicas returns an empty picture.
+// NewReplicas returns an empty view.
 func NewReplicas(p ReplicaParams) *Replicas {
-	return &Replicas{params: p, known: map[string]*listed{}, names: map[string]*name{}}
+	return &Replicas{params: p, states: map[string]*replicaState{}, registrations: map[string]*registration{}}
 }
 
-// UpdateResult is what a record changed.
+// UpdateResult is the effect of a record or report.
 type UpdateResult struct {
-	// Changed is set where the record says something new.
+	// Changed is set if the record contains something new.
 	Changed bool
-	// SupersededID is the incarnation that the record's own one has followed, "" for none.
+	// SupersededID is the incarnation that this one supersedes, "" for none.
 	SupersededID string
-	// Outdated is set where the record is of an incarnation that another has followed.
+	// Outdated is set if the record is of an incarnation that was superseded or has ended.
 	Outdated bool
 }
 
-// Put takes a replica's record. One older than the newest one taken is ignored: a
-// store that serves stale reads for a while would otherwise bring a leaving replica
-// back.
+// Put takes a replica's record. A record older than the newest one taken is ignored: a
+// store that serves stale reads for a while would otherwise bring back a replica that
+// leaves.
 func (v *Replicas) Put(r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
-	n := v.named(r.Name)
-	if n.removed && (offset <= n.removedAt || n.copied(r, offset)) {
+	n := v.registration(r.Name)
+	if n.removed && (offset <= n.removedAt || n.isStaleCopy(r, offset)) {
 		return UpdateResult{}
 	}
 	return v.put(n, r, offset, now)
 }
 
-// Adopt takes a replica's own word that it runs, which no record tells yet. One whose
-// record was removed has left or is taken for gone, and runs on for a while: in use again it would
-// stay so, as the list has nothing more to say of it.
+// Adopt takes a replica that has reported itself, before any record of it was read. A
+// replica whose record was removed has left or was declared gone, and keeps running for a
+// while; it isn't adopted, since no later record would ever remove it again.
 func (v *Replicas) Adopt(r *fleet.Replica, now time.Duration) UpdateResult {
-	n := v.named(r.Name)
-	if n.removed && (n.id == r.ID || n.id == "") && v.known[r.ID] == nil {
+	n := v.registration(r.Name)
+	if n.removed && (n.id == r.ID || n.id == "") && v.states[r.ID] == nil {
 		return UpdateResult{Outdated: true}
 	}
 	return v.put(n, r, n.removedAt, now)
 }
 
-func (v *Replicas) put(n *name, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
-	// Of two eras of the store the numbers tell which record is the later one.
-	later := r.ID == n.id && r.Beat > n.beat && v.known[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.known[r.ID].offset)
-	ended, ok := n.begin(r, now)
+func (v *Replicas) put(n *registration, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
+	// Between records of two store eras, the record number tells which one is later.
+	later := r.ID == n.id && r.Beat > n.beat && v.states[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.states[r.ID].offset)
+	ended, ok := n.advance(r, now)
 	if !ok {
 		return UpdateResult{Outdated: true}
 	}
-	if ended != "" && v.known[ended] == nil {
+	if ended != "" && v.states[ended] == nil {
 		ended = ""
 	}
-	delete(v.known, ended)
+	delete(v.states, ended)
 	n.leaving = n.leaving || r.Draining
-	l := v.known[r.ID]
+	l := v.states[r.ID]
 	if l == nil {
-		v.known[r.ID] = &listed{replica: r, offset: offset, draining: n.leaving}
+		v.states[r.ID] = &replicaState{replica: r, offset: offset, draining: n.leaving}
 		return UpdateResult{Changed: true, SupersededID: ended}
 	}
 	if offset < l.offset && !later {
 		return UpdateResult{}
 	}
 	changed := !l.replica.Equal(r)
-	l.replica, l.offset, l.lapsesAt = r, max(l.offset, offset), 0
+	l.replica, l.offset, l.expiresAt = r, max(l.offset, offset), 0
 	l.draining = n.leaving
 	return UpdateResult{Changed: changed}
 }
 
-func (v *Replicas) named(registered string) *name {
-	n := v.names[registered]
+func (v *Replicas) registration(name string) *registration {
+	n := v.registrations[name]
 	if n == nil {
-		n = &name{}
-		v.names[registered] = n
+		n = &registration{}
+		v.registrations[name] = n
 	}
 	return n
 }
 
-// Remove takes the replica of a name off the list. It returns its ID, "" if none was
-// on the list.
-func (v *Replicas) Remove(registered string, offset uint64, now time.Duration) string {
-	n := v.named(registered)
-	l := v.known[n.id]
+// Remove removes the replica registered under a name. It returns the replica's ID, "" if
+// none was known.
+func (v *Replicas) Remove(name string, offset uint64, now time.Duration) string {
+	n := v.registration(name)
+	l := v.states[n.id]
 	if l != nil && offset < l.offset {
 		return ""
 	}
-	n.removed, n.removedAt, n.heard = true, max(n.removedAt, offset), now
+	n.removed, n.removedAt, n.lastSeen = true, max(n.removedAt, offset), now
 	if l == nil {
 		return ""
 	}
-	delete(v.known, n.id)
+	delete(v.states, n.id)
 	return n.id
 }
 
-// MarkExpired says that the replica of a name fell off the list in an outage of the store, in
-// which it could not renew its record. It counts as gone at the time given unless its
-// record is back by then: without that an outage of seconds would end with no
-// replica left to serve, although all of them run.
-func (v *Replicas) MarkExpired(registered string, offset uint64, now, until time.Duration) {
-	n := v.names[registered]
+// MarkExpired records that the replica registered under a name lost its record during an
+// outage of the store, in which it couldn't renew it. The replica counts as gone from until
+// on unless its record is back by then. Without this grace period an outage of seconds
+// would leave no replica to serve requests, although all of them run.
+func (v *Replicas) MarkExpired(name string, offset uint64, now, until time.Duration) {
+	n := v.registrations[name]
 	if n == nil {
 		return
 	}
-	l := v.known[n.id]
+	l := v.states[n.id]
 	if l == nil || offset < l.offset {
 		return
 	}
-	l.offset, l.offAt, l.lapsesAt = offset, now, until
+	l.offset, l.unlistedAt, l.expiresAt = offset, now, until
 }
 
-// UnlistedFor returns for how long the record of a replica in use has been known to be
-// removed, 0 while it is on the list.
+// UnlistedFor returns how long ago the removal of the record of a replica in use was
+// read, 0 while the record exists.
 func (v *Replicas) UnlistedFor(id string, now time.Duration) time.Duration {
-	if l := v.known[id]; l != nil && l.lapsesAt != 0 {
-		return now - l.offAt
+	if l := v.states[id]; l != nil && l.expiresAt != 0 {
+		return now - l.unlistedAt
 	}
 	return 0
 }
 
-// Replaced says that another incarnation has a replica's address: it is gone for
-// good, whatever its record says.
+// Replaced records that another incarnation runs at a replica's address: this one is gone
+// for good, whatever its records say.
 func (v *Replicas) Replaced(id string, now time.Duration) {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil {
 		return
 	}
-	n := v.named(l.replica.Name)
-	n.over, n.heard = true, now
-	delete(v.known, id)
+	n := v.registration(l.replica.Name)
+	n.ended, n.lastSeen = true, now
+	delete(v.states, id)
 }
 
-// Missing lists the names of known replicas that a full list doesn't have.
+// Missing returns the names of known replicas that aren't in a full list.
 func (v *Replicas) Missing(names map[string]bool) []string {
 	var missing []string
 	for _, id := range v.IDs() {
-		if name := v.known[id].replica.Name; !names[name] {
+		if name := v.states[id].replica.Name; !names[name] {
 			missing = append(missing, name)
 		}
 	}
 	return missing
 }
 
-// IDs lists the replicas in order.
-func (v *Replicas) IDs() []string { return slices.Sorted(maps.Keys(v.known)) }
+// IDs returns the IDs of the known replicas, sorted.
+func (v *Replicas) IDs() []string { return slices.Sorted(maps.Keys(v.states)) }
 
 // Get returns a replica, nil if it isn't known.
 func (v *Replicas) Get(id string) *fleet.Replica {
-	if l := v.known[id]; l != nil {
+	if l := v.states[id]; l != nil {
 		return l.replica
 	}
 	return nil
 }
 
-// MarkLeaving takes a replica's own word that it is leaving. It reports whether that is news.
+// MarkLeaving records a replica's announcement that it leaves. It reports whether that is new.
 func (v *Replicas) MarkLeaving(id string) bool {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil || l.draining {
 		return false
 	}
 	l.draining = true
-	v.named(l.replica.Name).leaving = true
+	v.registration(l.replica.Name).leaving = true
 	return true
 }
 
 // Draining reports whether a replica is leaving or gone.
 func (v *Replicas) Draining(id string) bool {
-	l := v.known[id]
+	l := v.states[id]
 	return l == nil || l.draining
 }
 
-// MarkUnreachable says that no connection to a replica could be made. It gets no new
-// work until one is; Probes says when to try. It reports whether that is news.
+// MarkUnreachable records a failed connection to a replica. The replica gets no new work
+// until a connection succeeds; DueProbes says when to try. It reports whether the replica
+// was reachable before.
 func (v *Replicas) MarkUnreachable(id string, now time.Duration) bool {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil || l.unreachable && !l.probing {
 		return false
 	}
-	news := !l.unreachable
+	changed := !l.unreachable
 	l.probeAt = now + min(v.params.BackoffMin<<min(l.failures, 8), v.params.BackoffMax)
 	l.unreachable, l.probing = true, false
 	l.failures++
-	return news
+	return changed
 }
 
-// MarkReachable says that a connection to a replica was made. It reports whether that
-// is news.
+// MarkReachable records a successful connection to a replica. It reports whether the
+// replica was unreachable before.
 func (v *Replicas) MarkReachable(id string) bool {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil {
 		return false
 	}
 	l.probing, l.failures = false, 0
-	news := l.unreachable
+	changed := l.unreachable
 	l.unreachable = false
-	return news
+	return changed
 }
 
 // DueProbes returns the unreachable replicas to which a connection is to be tried now.
-// Trying with a caller's request instead would hold that up for a timeout each time.
+// Using callers' requests as probes would delay each of them by a timeout.
 func (v *Replicas) DueProbes(now time.Duration) []*fleet.Replica {
 	var due []*fleet.Replica
 	for _, id := range v.IDs() {
-		l := v.known[id]
+		l := v.states[id]
 		if l.unreachable && !l.probing && now >= l.probeAt {
 			l.probing = true
 			due = append(due, l.replica)
@@ -298,10 +299,10 @@
 	return due
 }
 
-// CheckSilent says that a replica hasn't sent a byte to a request for long. It reports
-// whether to try a connection to it, which a dark one won't take.
+// CheckSilent takes a replica that has sent no byte of an answer for long. It reports
+// whether to try a connection, which fails if the replica's machine is unreachable.
 func (v *Replicas) CheckSilent(id string, now time.Duration) bool {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil || l.unreachable || l.checked && now < l.checkedAt+v.params.SilenceCheckInterval {
 		return false
 	}
@@ -309,125 +310,125 @@
 	return true
 }
 
-// MarkBusy says that a replica refused a request since it is full or carries out an
-// order. It is left alone for a moment, and counts as sound.
+// MarkBusy records that a replica refused a request because it is full or carries out an
+// order. It gets no requests for BusyBackoff; its health is not affected otherwise.
 func (v *Replicas) MarkBusy(id string, now time.Duration) {
-	if l := v.known[id]; l != nil {
+	if l := v.states[id]; l != nil {
 		l.busyUntil = now + v.params.BusyBackoff
 	}
 }
 
-// Backoff says that a replica turned a request away and wants none for a time. It counts as sound. Of
-// two such words the one that ends later holds: an answer may overtake another. It reports whether
-// the rest begins now.
+// Backoff records that a replica refused a request and asked for none for a time d. Its
+// health is not affected otherwise. Of several such answers the latest end counts, since
+// answers may arrive out of order. It reports whether a backoff begins now.
 func (v *Replicas) Backoff(id string, d, now time.Duration) (begins bool) {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil {
 		return false
 	}
-	begins = l.restUntil <= now
-	l.restUntil = max(l.restUntil, now+min(d, v.params.MaxRequestedBackoff))
+	begins = l.backoffUntil <= now
+	l.backoffUntil = max(l.backoffUntil, now+min(d, v.params.MaxRequestedBackoff))
 	return begins
 }
 
-// BackoffUntil returns until when a replica wants nothing, a time that is over if it doesn't rest.
+// BackoffUntil returns the end of the backoff that a replica asked for; it is in the past if there is none.
 func (v *Replicas) BackoffUntil(id string) time.Duration {
-	if l := v.known[id]; l != nil {
-		return l.restUntil
+	if l := v.states[id]; l != nil {
+		return l.backoffUntil
 	}
 	return 0
 }
 
-// RecordFault says that a request met a fault at a replica.
+// RecordFault counts a request that failed at a replica.
 func (v *Replicas) RecordFault(id string, _ Fault, now time.Duration) {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil {
 		return
 	}
-	l.faults = v.decayed(l, now) + 1
+	l.faults = v.decayedFaults(l, now) + 1
 	l.faultsAt = now
 }
 
-// RecordSuccess says that a replica answered a request as it should.
+// RecordSuccess counts a request that a replica answered as it should.
 func (v *Replicas) RecordSuccess(id string, now time.Duration) {
-	l := v.known[id]
+	l := v.states[id]
 	if l == nil {
 		return
 	}
 	l.failures, l.unreachable = 0, false
-	l.faults = max(0, v.decayed(l, now)-workedCredit)
+	l.faults = max(0, v.decayedFaults(l, now)-successCredit)
 	l.faultsAt = now
 }
 
-// workedCredit is what one good answer takes off a replica's faults. A replica that
-// fails two requests of five stays above the limit; one that lost a single
-// connection with many requests is back after some answers.
-const workedCredit = 0.2
+// successCredit is what one good answer subtracts from a replica's fault count. A replica
+// that fails two of five requests stays above the limit; one that lost a single connection
+// with many requests on it recovers after a few answers.
+const successCredit = 0.2
 
-func (v *Replicas) decayed(l *listed, now time.Duration) float64 {
+func (v *Replicas) decayedFaults(l *replicaState, now time.Duration) float64 {
 	if l.faults == 0 {
 		return 0
 	}
-	halves := float64(now-l.faultsAt) / float64(v.params.FaultHalfLife)
-	return l.faults * math.Exp2(-halves)
+	halfLives := float64(now-l.faultsAt) / float64(v.params.FaultHalfLife)
+	return l.faults * math.Exp2(-halfLives)
 }
 
-// Health is whether a replica may get new work.
+// Health says whether a replica may get new work.
 type Health uint8
 
 // The healths, best first.
 const (
 	Healthy Health = iota
-	// Degraded replicas get work only where no healthy one can take it.
+	// Degraded replicas get work only if no healthy one can take it.
 	Degraded
-	// Down replicas can't be reached, have just refused a request, or rest.
+	// Down replicas can't be reached, have just refused a request, or asked for a backoff.
 	Down
-	// Left replicas are leaving or gone; they get nothing.
+	// Left replicas are leaving or gone; they get no work.
 	Left
 )
 
 var healthNames = [...]string{"healthy", "doubtful", "down", "left"}
 
-// String names the health as logs have it.
+// String returns the name used in logs.
 func (h Health) String() string { return healthNames[h] }
 
-// lapsed reports whether a replica is gone, as its record lapsed and isn't back in time.
-// It counts from that moment, not from when the next sweep removes it.
-func (l *listed) lapsed(now time.Duration) bool { return l.lapsesAt != 0 && now >= l.lapsesAt }
+// expired reports whether a replica is gone because its record expired and wasn't written
+// again in time. It holds from that moment on, before the next Tick removes the replica.
+func (l *replicaState) expired(now time.Duration) bool { return l.expiresAt != 0 && now >= l.expiresAt }
 
-// Health returns what is thought of a replica now.
+// Health returns a replica's health now.
 func (v *Replicas) Health(id string, now time.Duration) Health {
-	l := v.known[id]
+	l := v.states[id]
 	switch {
-	case l == nil || l.draining || l.lapsed(now):
+	case l == nil || l.draining || l.expired(now):
 		return Left
-	case l.unreachable || now < max(l.busyUntil, l.restUntil):
+	case l.unreachable || now < max(l.busyUntil, l.backoffUntil):
 		return Down
-	case v.decayed(l, now) >= v.params.FaultLimit:
+	case v.decayedFaults(l, now) >= v.params.FaultLimit:
 		return Degraded
 	}
 	return Healthy
 }
 
-// Tick removes replicas that have lapsed and forgets those that have been gone for
-// long. It returns those removed.
+// Tick removes the replicas that have expired and drops registrations without news for
+// TombstoneTTL. It returns the IDs of the removed replicas.
 func (v *Replicas) Tick(now time.Duration) []string {
 	var removed []string
 	for _, id := range v.IDs() {
-		if l := v.known[id]; l.lapsed(now) {
+		if l := v.states[id]; l.expired(now) {
 			v.Remove(l.replica.Name, l.offset, now)
 			removed = append(removed, id)
 		}
 	}
-	v.forgetNames(now)
+	v.forgetRegistrations(now)
 	return removed
 }
 
-// forgetNames drops names of which nothing was heard for as long as a tombstone stands.
-func (v *Replicas) forgetNames(now time.Duration) {
-	for registered, n := range v.names {
-		if v.known[n.id] == nil && now-n.heard > v.params.TombstoneTTL {
-			delete(v.names, registered)
+// forgetRegistrations drops the names of which nothing was read or reported for TombstoneTTL.
+func (v *Replicas) forgetRegistrations(now time.Duration) {
+	for name, n := range v.registrations {
+		if v.states[n.id] == nil && now-n.lastSeen > v.params.TombstoneTTL {
+			delete(v.registrations, name)
 		}
 	}
 }
--- a/internal/member/replicas_test.go
+++ b/internal/member/replicas_test.go
@@ -12,7 +12,7 @@
 	return &fleet.Replica{ID: id, Name: id, Service: "llm", Address: "10.0.0.1:80"}
 }
 
-func listed(ids ...string) *member.Replicas {
+func listedReplicas(ids ...string) *member.Replicas {
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	for i, id := range ids {
 		v.Put(replica(id), uint64(i), 0)
@@ -20,9 +20,8 @@
 	return v
 }
 
-// Symptom: a leaving replica gets new work again. Sequence: it says that it is
-// draining and leaves the list; the store then serves a read that is seconds old.
-// Cause: an old record taken for news.
+// Guards against new work for a replica that leaves: it announces draining and removes its
+// record, and then the store serves a read that is seconds old.
 func TestStaleRecordBringsNobodyBack(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	v.Put(replica("a"), 5, 0)
@@ -31,18 +30,17 @@
 	v.Put(leaving, 9, 0)
 	v.Put(replica("a"), 5, 0)
 	if h := v.Health("a", 0); h != member.Left {
-		t.Fatalf("after a stale record a draining replica is %v", h)
+		t.Fatalf("after a stale record, the draining replica is %v", h)
 	}
 	v.Remove("a", 10, 0)
 	v.Put(replica("a"), 5, 0)
 	if h := v.Health("a", 0); h != member.Left {
-		t.Fatalf("after a stale record a replica that is gone is %v", h)
+		t.Fatalf("after a stale record, the removed replica is %v", h)
 	}
 }
 
-// Symptom: requests go to a version of weights that was replaced, or to nobody.
-// Sequence: newer records of a replica are followed by a stale read with older ones.
-// Cause: the last one read taken for the newest.
+// Guards against requests for a replaced version of the weights, or for no version: newer
+// records of a replica are followed by a stale read with older ones.
 func TestStaleRecordChangesNothing(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	newer := replica("a")
@@ -56,53 +54,51 @@
 	}
 }
 
-// Symptom: after an outage of the store no replica is left, though all run.
-// Sequence: the store is away for longer than records live; they lapse, and the
-// first read after the outage shows them gone. Cause: a lapse taken for leaving.
+// Guards against the loss of all replicas after an outage of the store: it lasts longer
+// than records live without renewal, so the first read after it shows all records removed.
 func TestLapsedInOutageServesOn(t *testing.T) {
-	v := listed("a")
+	v := listedReplicas("a")
 	v.MarkExpired("a", 7, 0, 2*time.Second)
 	if h := v.Health("a", time.Second); h != member.Healthy {
-		t.Fatalf("right after the outage it is %v", h)
+		t.Fatalf("right after the outage, the replica is %v", h)
 	}
 	v.Put(replica("a"), 8, 0)
 	if gone := v.Tick(3 * time.Second); len(gone) != 0 {
-		t.Fatalf("gone though its record is back: %v", gone)
+		t.Fatalf("removed although the record is back: %v", gone)
 	}
 	v.MarkExpired("a", 9, 3*time.Second, 5*time.Second)
 	if gone := v.Tick(5 * time.Second); len(gone) != 1 {
-		t.Fatalf("not gone though its record didn't come back: %v", gone)
+		t.Fatalf("want one removal after the grace period, got %v", gone)
 	}
 }
 
-// Symptom: each request sent to a dark replica waits for a timeout. Sequence: a
-// connection fails; its time out ends; the next request is the one that finds out
-// that it is still dark. Cause: callers' requests used as probes.
+// Guards against requests that each wait for a timeout at an unreachable replica because
+// callers' requests are used as probes once a backoff ends.
 func TestUnreachableUntilProbed(t *testing.T) {
-	v := listed("a")
+	v := listedReplicas("a")
 	if !v.MarkUnreachable("a", 0) {
-		t.Fatal("the first failure is no news")
+		t.Fatal("the first failure is not reported as a change")
 	}
 	if h := v.Health("a", time.Hour); h != member.Down {
-		t.Fatalf("an hour later, with no connection made, it is %v", h)
+		t.Fatalf("an hour later, without a connection, the replica is %v", h)
 	}
 	probes := v.DueProbes(time.Second)
 	if len(probes) != 1 || len(v.DueProbes(time.Second)) != 0 {
-		t.Fatalf("probes: %v, then again", probes)
+		t.Fatalf("got probes %v, want one, and none while it is under way", probes)
 	}
 	v.MarkUnreachable("a", time.Second)
 	if len(v.DueProbes(time.Second)) != 0 || len(v.DueProbes(time.Minute)) != 1 {
-		t.Fatal("a failed probe isn't tried again later")
+		t.Fatal("a failed probe isn't repeated after its backoff")
 	}
 	if !v.MarkReachable("a") || v.Health("a", time.Minute) != member.Healthy {
-		t.Fatal("not healthy once a connection was made")
+		t.Fatal("not healthy after a successful connection")
 	}
 }
 
-// Symptom: a replica that fails two of five requests with a good health check gets
-// its full share. Cause: only connections count as evidence.
+// Guards against a full share of requests for a replica that fails two of five requests
+// but accepts connections.
 func TestFaultsMakeDoubtful(t *testing.T) {
-	v := listed("grey", "sound")
+	v := listedReplicas("grey", "sound")
 	now := time.Duration(0)
 	for i := range 20 {
 		now += 50 * time.Millisecond
@@ -114,15 +110,15 @@
 		v.RecordSuccess("sound", now)
 	}
 	if v.Health("grey", now) != member.Degraded || v.Health("sound", now) != member.Healthy {
-		t.Fatalf("grey %v, sound %v", v.Health("grey", now), v.Health("sound", now))
+		t.Fatalf("grey replica %v, sound one %v", v.Health("grey", now), v.Health("sound", now))
 	}
 	if h := v.Health("grey", now+20*time.Second); h != member.Healthy {
-		t.Fatalf("20 s later the grey one is still %v", h)
+		t.Fatalf("20 s later the grey replica is still %v", h)
 	}
 }
 
 func TestReplacedIncarnationIsGoneForGood(t *testing.T) {
-	v := listed("a")
+	v := listedReplicas("a")
 	v.Replaced("a", 0)
 	v.Put(replica("a"), 1<<40, 0)
 	if h := v.Health("a", 0); h != member.Left {
@@ -130,60 +126,59 @@
 	}
 }
 
-// Symptom: replicas that were dark when an entry started are found late. Sequence: a
-// request hangs at one within the first half second. Cause: "never looked at" taken for
-// "looked at when the process started".
+// Guards against late detection of replicas that are unreachable when an entry starts:
+// "never checked" must not count as "checked at process start".
 func TestSilentReplicaIsLookedAtSoonAfterTheStart(t *testing.T) {
-	v := listed("r")
+	v := listedReplicas("r")
 	if !v.CheckSilent("r", 100*time.Millisecond) {
-		t.Fatal("not looked at 100 ms after the start")
+		t.Fatal("not checked 100 ms after the start")
 	}
 	if v.CheckSilent("r", 300*time.Millisecond) {
-		t.Fatal("looked at again 200 ms later")
+		t.Fatal("checked again 200 ms later")
 	}
 	if !v.CheckSilent("r", 700*time.Millisecond) {
-		t.Fatal("not looked at again 600 ms later")
+		t.Fatal("not checked again 600 ms later")
 	}
 }
 
-// Guards against a replica that said it leaves and is in use again by its record from before.
+// Guards against a replica that announced that it leaves and is used again because of an older record.
 func TestOnlyALaterIncarnationTakesBackThatAReplicaLeaves(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	first := &fleet.Replica{ID: "r-1", Name: "r", Born: 1}
 	v.Put(first, 1, 0)
 	if !v.MarkLeaving("r-1") {
-		t.Fatal("that it leaves is no news")
+		t.Fatal("the announcement is not reported as a change")
 	}
 	v.Put(first, 2, time.Second)
 	if !v.Draining("r-1") {
-		t.Error("a record that says nothing of it takes it back")
+		t.Error("a record without the announcement revokes it")
 	}
 	v.Remove("r", 3, 2*time.Second)
 	v.Put(first, 4, 3*time.Second)
 	if !v.Draining("r-1") {
-		t.Error("a removal and a record of before take it back")
+		t.Error("a removal and an older record revoke the announcement")
 	}
 	v.Put(&fleet.Replica{ID: "r-2", Name: "r", Born: 2}, 5, 4*time.Second)
 	if v.Draining("r-2") {
-		t.Error("a later incarnation is left alone too")
+		t.Error("a later incarnation counts as leaving too")
 	}
 }
 
-// Guards against a longer rest that a shorter one ends, and against one that has no end.
+// Guards against a requested backoff that a later, shorter one cuts short, and against one without a bound.
 func TestTheRestThatEndsLaterHolds(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
 	v.Put(&fleet.Replica{ID: "r", Name: "r"}, 1, 0)
 	if !v.Backoff("r", 3*time.Second, time.Second) || v.Backoff("r", time.Second, 2*time.Second) {
-		t.Error("the rest doesn't begin with the first word of it")
+		t.Error("the backoff doesn't begin with the first request for it")
 	}
 	v.RecordSuccess("r", 2*time.Second)
 	for at, want := range map[time.Duration]member.Health{3500 * time.Millisecond: member.Down, 4 * time.Second: member.Healthy} {
 		if got := v.Health("r", at); got != want {
-			t.Errorf("at %v it is %v, want %v", at, got, want)
+			t.Errorf("health at %v is %v, want %v", at, got, want)
 		}
 	}
 	v.Backoff("r", 24*time.Hour, 5*time.Second)
 	if until := v.BackoffUntil("r"); until != 5*time.Second+member.DefaultReplicaParams.MaxRequestedBackoff {
-		t.Errorf("it rests until %v", until)
+		t.Errorf("backoff until %v", until)
 	}
 }
--- a/internal/member/step_bench_test.go
+++ b/internal/member/step_bench_test.go
@@ -10,8 +10,8 @@
 	"skylarklead/internal/wire"
 )
 
-// filled returns a group's view of n members, each heard once.
-func filled(n int) *View {
+// heartbeatView returns a group's view of n members, each with one heartbeat received.
+func heartbeatView(n int) *View {
 	p := DefaultParams
 	p.Heartbeats = true
 	v := NewView("self", p, rand.New(rand.NewPCG(1, 1)))
@@ -28,7 +28,7 @@
 }
 
 func BenchmarkTick32(b *testing.B) {
-	v := filled(32)
+	v := heartbeatView(32)
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkAppendUsable600(b *testing.B) {
-	v := filled(600)
+	v := heartbeatView(600)
 	dst := make([]Member, 0, 600)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -46,8 +46,8 @@
 	}
 }
 
-// BenchmarkHeartbeatBytes reports the size of a heartbeat's frame with and
-// without residents and strikes.
+// BenchmarkHeartbeatBytes reports the size of a heartbeat's frame and of one
+// crash count in it.
 func BenchmarkHeartbeatBytes(b *testing.B) {
 	hb := &protocol.Heartbeat{ID: "endpoint-007", Epoch: 1 << 63, Seq: 100_000, ConfigOffset: 4000, Load: protocol.Load{
 		Running: 22, Queued: 3, QueuedTokens: 9000, DecodeTokens: 9000, CacheUsed: 300_000, CacheTotal: 400_000,
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -27,8 +27,8 @@
 }
 
 func TestStates(t *testing.T) {
-	live := []Instance{{ID: "a", Address: "127.0.0.1:1", Group: "g"}, {ID: "self"}}
-	gone := []Instance{{ID: "a", Address: "127.0.0.1:1", Group: "g", Leaving: true}}
+	up := []Instance{{ID: "a", Address: "127.0.0.1:1", Group: "g"}, {ID: "self"}}
+	leaving := []Instance{{ID: "a", Address: "127.0.0.1:1", Group: "g", Leaving: true}}
 	const s = time.Second
 	for _, test := range []struct {
 		name string
@@ -38,31 +38,27 @@
 		want State
 		why  Reason
 	}{
-		{"listed at a peer", groupView(), func(v *View) { v.InstancesListed(live, 0) }, s, Unknown, ReasonListed},
-		{"listed and never heard", groupView(), func(v *View) { v.InstancesListed(live, 0) }, 3 * s, Suspect, ReasonNoHeartbeat},
-		{"listed at an entry, for long", entryView(), func(v *View) { v.InstancesListed(live, 0) }, 300 * s, Unknown, ReasonListed},
+		{"listed at a peer", groupView(), func(v *View) { v.InstancesListed(up, 0) }, s, Unknown, ReasonListed},
+		{"listed, no heartbeat ever", groupView(), func(v *View) { v.InstancesListed(up, 0) }, 3 * s, Suspect, ReasonNoHeartbeat},
+		{"listed at an entry for long", entryView(), func(v *View) { v.InstancesListed(up, 0) }, 300 * s, Unknown, ReasonListed},
 		{"heard", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0) }, s, Alive, ReasonReachable},
 		{"silent", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0) }, 4 * s, Suspect, ReasonSilent},
 		{"silent for long", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0) }, 10 * s, Dead, ReasonSilent},
-		{"a doubled heartbeat, late", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0); v.HeartbeatReceived(beat(1, 1, false), 9*s) }, 10 * s, Dead, ReasonSilent},
-		{"frozen link, listed live", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0); v.InstancesListed(live, 10*s) }, 10 * s, Dead, ReasonSilent},
-		{"connection failed", entryView(), func(v *View) { v.InstancesListed(live, 0); v.ConnectionFailed("a", s) }, s, Dead, ReasonConnectionFailed},
-		{"tried again", entryView(), func(v *View) { v.InstancesListed(live, 0); v.ConnectionFailed("a", s) }, 2 * s, Unknown, ReasonListed},
-		{"heard after a failure", groupView(), func(v *View) { v.ConnectionFailed("a", s); v.HeartbeatReceived(beat(1, 1, false), s) }, s, Alive, ReasonReachable},
-		{"reported by an owner", entryView(), func(v *View) { v.InstancesListed(live, 0); v.UnavailableReported([]string{"a", "self"}, s) }, 2 * s, Suspect, ReasonReportedUnavailable},
-		{"a report lapses", entryView(), func(v *View) { v.InstancesListed(live, 0); v.UnavailableReported([]string{"a"}, s) }, 5 * s, Unknown, ReasonListed},
-		{"leaving by own word, stale list", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.InstancesListed(live, s) }, s, Leaving, ReasonAnnouncedLeaving},
-		{"leaving is not taken back", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.HeartbeatReceived(beat(1, 2, false), s) }, s, Leaving, ReasonAnnouncedLeaving},
+		{"late duplicate heartbeat", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0); v.HeartbeatReceived(beat(1, 1, false), 9*s) }, 10 * s, Dead, ReasonSilent},
+		{"no heartbeats, listed live", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, false), 0); v.InstancesListed(up, 10*s) }, 10 * s, Dead, ReasonSilent},
+		{"connection failed", entryView(), func(v *View) { v.InstancesListed(up, 0); v.ConnectionFailed("a", s) }, s, Dead, ReasonConnectionFailed},
+		{"connection failed, after the backoff", entryView(), func(v *View) { v.InstancesListed(up, 0); v.ConnectionFailed("a", s) }, 2 * s, Unknown, ReasonListed},
+		{"heartbeat after a failed connection", groupView(), func(v *View) { v.ConnectionFailed("a", s); v.HeartbeatReceived(beat(1, 1, false), s) }, s, Alive, ReasonReachable},
+		{"reported by an owner", entryView(), func(v *View) { v.InstancesListed(up, 0); v.UnavailableReported([]string{"a", "self"}, s) }, 2 * s, Suspect, ReasonReportedUnavailable},
+		{"a report expires", entryView(), func(v *View) { v.InstancesListed(up, 0); v.UnavailableReported([]string{"a"}, s) }, 5 * s, Unknown, ReasonListed},
+		{"leaving by its announcement, stale list", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.InstancesListed(up, s) }, s, Leaving, ReasonAnnouncedLeaving},
+		{"the announcement to leave is not revoked", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.HeartbeatReceived(beat(1, 2, false), s) }, s, Leaving, ReasonAnnouncedLeaving},
 		{"a new epoch isn't leaving", groupView(), func(v *View) { v.HeartbeatReceived(beat(1, 1, true), 0); v.HeartbeatReceived(beat(2, 1, false), s) }, s, Alive, ReasonReachable},
-		{"listed leaving of the epoch before", groupView(), func(v *View) { v.InstancesListed(gone, 0); v.HeartbeatReceived(beat(2, 1, false), s) }, s, Alive, ReasonReachable},
-		{"listed leaving", entryView(), func(v *View) { v.InstancesListed(gone, 0) }, s, Leaving, ReasonListedLeaving},
-		{"left, at an entry with a stale list", entryView(), func(v *View) {
-			v.InstancesListed(live, 0)
-			v.LeavingAnnounced("a", 1, 0)
-			v.InstancesListed(live, 60*s)
-		}, 60 * s, Leaving, ReasonAnnouncedLeaving},
-		{"left, told of a new epoch", entryView(), func(v *View) { v.InstancesListed(live, 0); v.LeavingAnnounced("a", 1, 0); v.EpochReported("a", 2, s) }, s, Alive, ReasonReachable},
-		{"a late word of the epoch before", entryView(), func(v *View) { v.EpochObserved("a", 1, 0); v.EpochObserved("a", 2, s); v.LeavingAnnounced("a", 1, s) }, s, Alive, ReasonReachable},
+		{"listed leaving, of the previous epoch", groupView(), func(v *View) { v.InstancesListed(leaving, 0); v.HeartbeatReceived(beat(2, 1, false), s) }, s, Alive, ReasonReachable},
+		{"listed leaving", entryView(), func(v *View) { v.InstancesListed(leaving, 0) }, s, Leaving, ReasonListedLeaving},
+		{"leaving announced, at an entry with a stale list", entryView(), func(v *View) { v.InstancesListed(up, 0); v.LeavingAnnounced("a", 1, 0); v.InstancesListed(up, 60*s) }, 60 * s, Leaving, ReasonAnnouncedLeaving},
+		{"leaving announced, then a new epoch reported", entryView(), func(v *View) { v.InstancesListed(up, 0); v.LeavingAnnounced("a", 1, 0); v.EpochReported("a", 2, s) }, s, Alive, ReasonReachable},
+		{"late announcement of the previous epoch", entryView(), func(v *View) { v.EpochObserved("a", 1, 0); v.EpochObserved("a", 2, s); v.LeavingAnnounced("a", 1, s) }, s, Alive, ReasonReachable},
 	} {
 		test.do(test.view)
 		m, _ := test.view.Get("a", test.at)
@@ -72,11 +68,10 @@
 	}
 }
 
-// Symptom: an endpoint that drains, or whose process was replaced, gets new work.
-// Sequence: heartbeats are doubled, late and from epochs that are over; the list
-// lags; owners report; connections fail.
-// Cause looked for: news of one epoch taken for another's, or the list believed
-// against a member's own word.
+// Guards against new work for an endpoint that drains or whose process was replaced, as the
+// view takes a message of one epoch for another's or trusts the list over the member's own
+// announcement. Heartbeats are duplicated, late and of past epochs; the list lags; owners
+// report the member; connections fail.
 func TestOwnWordOutlastsEverythingInItsEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := groupView()
@@ -100,7 +95,7 @@
 				if len(late) > 0 {
 					hb := late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
 					if v.HeartbeatReceived(hb, now) && (hb.Epoch < v.records["a"].epoch) {
-						t.Fatalf("a heartbeat of a past epoch was taken")
+						t.Fatalf("a heartbeat of a past epoch was accepted")
 					}
 				}
 			case "list":
@@ -110,16 +105,16 @@
 			case "report":
 				v.UnavailableReported([]string{"a"}, now)
 			}
-			told := len(late) > 0 && late[len(late)-1].Epoch == epoch && late[len(late)-1].Leaving
-			if m, ok := v.Get("a", now); ok && told && m.Usable() {
-				t.Fatalf("usable (%s) after it said that it leaves", m.Reason)
+			announced := len(late) > 0 && late[len(late)-1].Epoch == epoch && late[len(late)-1].Leaving
+			if m, ok := v.Get("a", now); ok && announced && m.Usable() {
+				t.Fatalf("usable (%s) after it announced that it leaves", m.Reason)
 			}
 		}
 	})
 }
 
-// Symptom: a member whose connection failed once is never tried again, or all
-// entries try it at the same moment.
+// Guards against a member that is never tried again after a failed connection, and against
+// entries that all try it at the same moment.
 func TestFailuresBackOffAndEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := entryView()
@@ -138,8 +133,8 @@
 	})
 }
 
-// sized lists the peer id with an address, and others up to n peers.
-func sized(v *View, id string, n int, now time.Duration) {
+// listPeers lists the peer id with an address, and others, n peers in all.
+func listPeers(v *View, id string, n int, now time.Duration) {
 	list := []Instance{{ID: id, Address: "x"}}
 	for i := 1; i < n; i++ {
 		list = append(list, Instance{ID: "p" + strconv.Itoa(i), Address: "x"})
@@ -147,9 +142,9 @@
 	v.InstancesListed(list, now)
 }
 
-// Symptom: the heartbeats of a large group take more than all that a process may
-// spend on control. Sequence: a group grows from 12 to 32 and more.
-// Cause: each member tells each other one once a second.
+// Guards against heartbeat traffic of a large group that exceeds a process's whole budget
+// for control messages, as it would if each member sent one to every other each second
+// while a group grows from 12 to 32 and more.
 func TestHeartbeatsKeepTheirRate(t *testing.T) {
 	for _, c := range []struct {
 		peers  int
@@ -157,9 +152,9 @@
 	}{{1, time.Second}, {10, time.Second}, {11, 1100 * time.Millisecond}, {17, 1700 * time.Millisecond},
 		{31, 3100 * time.Millisecond}, {100, 10 * time.Second}, {150, 10 * time.Second}} {
 		v := groupView()
-		sized(v, "a", c.peers, 0)
+		listPeers(v, "a", c.peers, 0)
 		if got := len(v.Tick(0)); got != c.peers {
-			t.Fatalf("%d of %d peers told at first", got, c.peers)
+			t.Fatalf("%d of %d peers get a first heartbeat", got, c.peers)
 		}
 		sent, most := 0, 0
 		last := map[string]time.Duration{}
@@ -178,15 +173,15 @@
 			t.Errorf("%d heartbeats to %d peers in 10 periods", sent, c.peers)
 		}
 		if most > 10 {
-			t.Errorf("%d heartbeats at once to %d peers", most, c.peers)
+			t.Errorf("%d heartbeats in one tick to %d peers", most, c.peers)
 		}
 	}
 }
 
-// Symptom: live members of a large group are suspected in turn, or a dead one gets
-// work for long. Sequence: the group grows and shrinks, and two members learn of it
-// at different times; then one dies.
-// Cause looked for: silence judged by the group's size as its hearer sees it.
+// Guards against live members of a large group that are suspected in turn, and a dead one
+// that gets work for long, because silence is judged by the receiver's view of the group's
+// size. The group grows and shrinks, two members learn of it at different times, and then
+// one dies.
 func TestSilenceIsJudgedByTheAnnouncedPeriod(t *testing.T) {
 	const step, transit = 100 * time.Millisecond, 500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -197,8 +192,8 @@
 		size := rapid.IntRange(1, 120)
 		now := time.Duration(0)
 		resize := func() {
-			sized(sender, "b", size.Draw(t, "sender's group"), now)
-			sized(hearer, "a", size.Draw(t, "hearer's group"), now)
+			listPeers(sender, "b", size.Draw(t, "sender's group"), now)
+			listPeers(hearer, "a", size.Draw(t, "hearer's group"), now)
 		}
 		resize()
 		for until := now + 2*time.Minute; now < until; now += step {
@@ -219,7 +214,7 @@
 				inFlight = nil
 			}
 			if m, _ := hearer.Get("a", now); seq > 0 && period > 0 && !m.Usable() {
-				t.Fatalf("%s (%s) at %v though heard at %v with a period of %v", m.State, m.Reason, now, heard, period)
+				t.Fatalf("%s (%s) at %v, last heartbeat at %v with a period of %v", m.State, m.Reason, now, heard, period)
 			}
 		}
 		bound := max(DefaultParams.SuspectAfter, 3*period)
@@ -227,19 +222,19 @@
 			t.Fatalf("%s after %v of silence, announced %v", m.State, bound, period)
 		}
 		if m, _ := hearer.Get("a", heard+max(DefaultParams.DeadAfter, 2*bound)); m.State != Dead {
-			t.Fatalf("%s after twice the silence", m.State)
+			t.Fatalf("%s after twice that silence", m.State)
 		}
 	})
 }
 
-// Symptom: a restarted member of a large group takes the others for silent, or one
-// that was found stopped gets work again before it was heard.
-// Sequence: a first heartbeat comes between two of ours; a member that announced
-// 3 s is reported and stays silent; telling one fails.
-// Cause looked for: waits that were short beside a period of one second.
+// Guards against delays that are harmless at a period of one second but not at a long one:
+// a restarted member suspects the others until it gets a heartbeat, and a member that was
+// found stopped gets work again before it sends one. A first heartbeat arrives between two
+// of this process's, a member with a period of 3 s is reported and stays silent, and
+// sending to it fails.
 func TestLongPeriodsDoNotDelayWhatIsUrgent(t *testing.T) {
 	v := groupView()
-	sized(v, "a", 31, 0)
+	listPeers(v, "a", 31, 0)
 	v.Tick(0)
 	v.Tick(3100 * time.Millisecond)
 	due := func(now time.Duration) bool {
@@ -248,24 +243,24 @@
 	const at = 3200 * time.Millisecond
 	v.HeartbeatReceived(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 1, PeriodMs: 3100}, at)
 	if !due(at) {
-		t.Error("a member heard for the first time isn't told at once")
+		t.Error("no heartbeat at once to a member whose first heartbeat arrived")
 	}
 	v.Tick(at + 3100*time.Millisecond)
 	const failed = at + 3200*time.Millisecond
 	v.ConnectionFailed("a", failed)
 	if !due(failed + DefaultParams.Interval) {
-		t.Error("a failed heartbeat isn't tried again within an interval")
+		t.Error("a failed heartbeat isn't sent again within an interval")
 	}
 	v.HeartbeatReceived(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 2, PeriodMs: 3100}, failed)
 	v.UnavailableReported([]string{"a"}, failed)
 	for now := failed; now < failed+20*time.Second; now += time.Second {
 		if m, _ := v.Get("a", now); m.Usable() {
-			t.Fatalf("usable %v after it was found stopped", now-failed)
+			t.Fatalf("usable %v after it was reported as stopped", now-failed)
 		}
 	}
 	v.HeartbeatReceived(&protocol.Heartbeat{ID: "a", Epoch: 1, Seq: 3, PeriodMs: 3100}, failed+time.Second)
 	if m, _ := v.Get("a", failed+time.Second); !m.Usable() {
-		t.Error("not usable once heard")
+		t.Error("not usable after a heartbeat")
 	}
 }
 
@@ -274,10 +269,10 @@
 	v.HeartbeatReceived(beat(1, 1, true), 0)
 	v.InstancesListed(nil, DefaultParams.ForgetAfter-1)
 	if _, ok := v.Get("a", 0); !ok {
-		t.Error("forgotten while the list may lag")
+		t.Error("forgotten before ForgetAfter, while the list may lag")
 	}
 	v.InstancesListed(nil, DefaultParams.ForgetAfter)
 	if _, ok := v.Get("a", 0); ok {
-		t.Error("remembered for ever")
+		t.Error("remembered after ForgetAfter")
 	}
 }
