--- a/internal/spread/asks.go
+++ b/internal/spread/asks.go
@@ -6,23 +6,23 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// askersOf is how many entries ask a replica while the store is away: one may be cut off
-// from it, or lost.
-const askersOf = 2
+// queriersPerReplica is how many entries query a replica while the store is away: one of
+// them may be cut off from it, or lost.
+const queriersPerReplica = 2
 
-// ShouldQuery reports whether an entry is one of those that ask a replica for its state, where it
-// hears some others. Entries that hear each other choose alike.
+// ShouldQuery reports whether an entry is one of those that query a replica for its state,
+// given the entries in touch with it. Entries with the same view choose alike.
 func ShouldQuery(self string, alive []string, replica string) bool {
-	if len(alive) < askersOf {
+	if len(alive) < queriersPerReplica {
 		return true
 	}
 	key := xxhash.Sum64String(replica)
 	own := rendezvous.Weight(key, self)
-	before := 0
+	higher := 0
 	for _, id := range alive {
 		if id != self && rendezvous.Weight(key, id) > own {
-			before++
+			higher++
 		}
 	}
-	return before < askersOf
+	return higher < queriersPerReplica
 }
--- a/internal/spread/doc.go
+++ b/internal/spread/doc.go
@@ -1,12 +1,13 @@
-// Package spread decides how entries pass on what a store of topics says, so that few
-// of them read it. Each entry orders its peers in the same way and asks the first of
-// those before it that answers; one that has nobody to ask reads the store itself.
+// Package spread decides how entries distribute a store's topics among themselves, so that
+// few of them read the store. All entries sort themselves in the same order, and each one
+// queries the first of its predecessors that answers; an entry that has none reads the
+// store itself.
 //
-// What an entry believes of a topic is a value with its time: that all records which the
-// store acknowledged before a moment are known. The moment is when the call was made whose
-// answer showed it, or when a peer was asked, less the age that the peer tells; so it is
-// never later than the truth, however long a message was under way and wherever it came
-// from. Before that age reaches what a topic allows the entry reads for itself.
+// An entry's knowledge of a topic is a watermark with a time: all records which the store
+// acknowledged before that time are known. The time is when the call was made whose answer
+// showed it, or when a peer was queried, less the age that the peer reports. So it is never
+// too late, however long a message was under way and whichever way it took. Before the age
+// reaches the topic's limit the entry reads the store itself.
 //
 // The package is pure: times are of a steady clock that counts suspension, and are passed in.
 package spread
--- a/internal/spread/order.go
+++ b/internal/spread/order.go
@@ -10,20 +10,21 @@
 // Peer is an entry as the others know it.
 type Peer struct {
 	ID string
-	// FailureDomain is "" where it isn't known.
+	// FailureDomain is "" if it isn't known.
 	FailureDomain string
 }
 
-// chain lists whom the entry at a place in the order of all asks, best first: only entries that come before it in an order
-// that all compute alike, so that questions never go in a circle.
+// preferenceOrder returns the entries that the one at an index of the shared order may query,
+// most preferred first. They are predecessors in that order only, so queries never form a cycle.
 //
-// In a fleet of up to fanIn others all ask the first one. In a larger one the entries of a
-// failure domain form a tree of that width under their first, which alone asks elsewhere:
-// what is passed on crosses between failure domains once for each, and nobody answers more than
-// fanIn entries and the other domains' first ones. Where those above are lost the rest of the
-// domain follows in order, then all others.
-func chain(ordered []Peer, at, fanIn int) []string {
-	self, before := ordered[at], ordered[:at]
+// In a fleet of up to fanIn entries besides the first, all query the first one. In a larger
+// fleet the entries of a failure domain form a tree of width fanIn below their first entry,
+// which alone queries other domains: each update crosses into a domain once, and an
+// entry answers at most fanIn entries and the first entries of the other domains. The
+// ancestors in the tree are followed by the rest of the domain and then by all other entries,
+// for when those above are lost.
+func preferenceOrder(ordered []Peer, index, fanIn int) []string {
+	self, before := ordered[index], ordered[:index]
 	if len(ordered) <= fanIn+1 {
 		return ids(before)
 	}
@@ -45,8 +46,8 @@
 	return ids(append(list, others...))
 }
 
-// inOrder sorts entries by the order that all share.
-func inOrder(entries []Peer) []Peer {
+// sharedOrder sorts entries by the order that all entries compute alike.
+func sharedOrder(entries []Peer) []Peer {
 	rank := make(map[string]uint64, len(entries))
 	for _, p := range entries {
 		rank[p.ID] = xxhash.Sum64String(p.ID)
@@ -57,8 +58,8 @@
 	return entries
 }
 
-// ancestors are those above the entry that follows the ones given, in a tree of a width
-// over all of them, nearest first.
+// ancestors returns the ancestors of the entry that follows the given ones in a tree of a
+// width over all of them, nearest first.
 func ancestors(before []Peer, width int) []Peer {
 	var above []Peer
 	for at := len(before); at > 0; {
@@ -76,15 +77,15 @@
 	return list
 }
 
-// tiers is how many times a word is passed on at most from the entry that reads the store
-// to any other in a fleet of a size, spread evenly over failure domains.
-func tiers(entries, domains, fanIn int) int {
+// maxHops is the greatest number of hops of an update from the entry that reads the store to
+// any other, in a fleet of a size that is spread evenly over failure domains.
+func maxHops(entries, domains, fanIn int) int {
 	if entries <= fanIn+1 {
 		return 1
 	}
-	times := 1 // from the reader to a domain's first entry
+	hops := 1 // from the reader of the store to a domain's first entry
 	for at := (entries+domains-1)/domains - 1; at > 0; at = (at - 1) / fanIn {
-		times++
+		hops++
 	}
-	return times
+	return hops
 }
--- a/internal/spread/order_test.go
+++ b/internal/spread/order_test.go
@@ -16,19 +16,19 @@
 	return peers
 }
 
-func chains(peers []Peer, fanIn int) map[string][]string {
+func preferenceOrders(peers []Peer, fanIn int) map[string][]string {
 	all := make(map[string][]string, len(peers))
-	for at, p := range inOrder(slices.Clone(peers)) {
-		all[p.ID] = chain(inOrder(slices.Clone(peers)), at, fanIn)
+	for at, p := range sharedOrder(slices.Clone(peers)) {
+		all[p.ID] = preferenceOrder(sharedOrder(slices.Clone(peers)), at, fanIn)
 	}
 	return all
 }
 
-// Guards against a circle of questions, in which nobody reads the store.
+// Guards against a cycle of queries, in which nobody reads the store.
 func TestExactlyOneEntryHasNobodyToAskAndNoneAsksInACircle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := fleetOf(rapid.IntRange(1, 120).Draw(t, "entries"), rapid.IntRange(1, 6).Draw(t, "domains"))
-		all := chains(peers, rapid.IntRange(1, 40).Draw(t, "width"))
+		all := preferenceOrders(peers, rapid.IntRange(1, 40).Draw(t, "width"))
 		first := 0
 		for id, chain := range all {
 			if len(chain) == 0 {
@@ -36,17 +36,17 @@
 			}
 			for _, above := range chain {
 				if slices.Contains(all[above], id) {
-					t.Fatalf("%s and %s may ask each other", id, above)
+					t.Fatalf("%s and %s may query each other", id, above)
 				}
 			}
 		}
 		if first != 1 {
-			t.Fatalf("%d entries have nobody to ask", first)
+			t.Fatalf("%d entries have nobody to query", first)
 		}
 	})
 }
 
-// Guards against one entry that answers hundreds, and a crossing between domains for each entry.
+// Guards against one entry that answers hundreds, and against crossings between failure domains by each entry.
 func TestQuestionsOfALargeFleetAreSpread(t *testing.T) {
 	for _, entries := range []int{30, 103, 300, 1000} {
 		const domains = 5
@@ -57,7 +57,7 @@
 		}
 		asked, crossing := map[string]int{}, 0
 		deepest := 0
-		all := chains(peers, DefaultParams.FanIn)
+		all := preferenceOrders(peers, DefaultParams.FanIn)
 		for id, chain := range all {
 			if len(chain) == 0 {
 				continue
@@ -74,22 +74,22 @@
 		}
 		for id, n := range asked {
 			if n > DefaultParams.FanIn+domains {
-				t.Errorf("%d entries: %s answers %d", entries, id, n)
+				t.Errorf("%d entries: %s answers %d others", entries, id, n)
 			}
 		}
 		if entries > DefaultParams.FanIn && crossing >= domains {
-			t.Errorf("%d entries: %d ask in another failure domain", entries, crossing)
+			t.Errorf("%d entries: %d query another failure domain", entries, crossing)
 		}
-		if most := tiers(entries, domains, DefaultParams.FanIn); deepest > most {
-			t.Errorf("%d entries: a word is passed on %d times, %d are reckoned with", entries, deepest, most)
+		if most := maxHops(entries, domains, DefaultParams.FanIn); deepest > most {
+			t.Errorf("%d entries: an update takes %d hops, maxHops is %d", entries, deepest, most)
 		}
 	}
 }
 
-// Guards against entries that turn to the store together after the loss of their source.
+// Guards against entries that all read the store after the loss of their common upstream.
 func TestEntriesThatLoseTheSameSourceAgreeOnTheNext(t *testing.T) {
 	peers := fleetOf(103, 5)
-	all := chains(peers, DefaultParams.FanIn)
+	all := preferenceOrders(peers, DefaultParams.FanIn)
 	next := map[string]map[string]bool{}
 	for _, chain := range all {
 		if len(chain) < 2 {
@@ -101,10 +101,10 @@
 		next[chain[0]][chain[1]] = true
 	}
 	for lost, to := range next {
-		// Its failure domain's others go to one entry, the first ones of the other domains to
-		// at most one each.
+		// The others of its failure domain turn to one entry, and the first entries of the
+		// other domains to at most one each.
 		if len(to) > 5 {
-			t.Errorf("those that asked %s go to %d entries", lost, len(to))
+			t.Errorf("those that queried %s turn to %d entries", lost, len(to))
 		}
 	}
 }
--- a/internal/spread/simulation_test.go
+++ b/internal/spread/simulation_test.go
@@ -10,20 +10,20 @@
 	"pgregory.net/rapid"
 )
 
-// The simulation: entries with one topic each, a store that is written to, and links that
-// lose some messages. Time goes in steps.
+// The simulation has entries with one topic each, a store that is written to, and links that
+// lose some messages. Time advances in steps.
 const (
 	simStep = 10 * time.Millisecond
-	// simWithin is the promise: a record that the store acknowledged is in force everywhere.
+	// simWithin is the time within which an acknowledged record must be in force everywhere.
 	simWithin = 2 * time.Second
-	// simCalm is for how long an entry and the store must have been in order until the
-	// promise binds the entry.
-	simCalm = 3 * time.Second
-	// simAnswer is what the store's answer takes, simTimeout the reader's patience beyond
-	// what a read waits.
+	// simSettled is for how long an entry and the store must have been undisturbed before
+	// simWithin binds the entry.
+	simSettled = 3 * time.Second
+	// simAnswer is how long the store's answer takes, simTimeout the reader's timeout beyond
+	// the time for which a read waits.
 	simAnswer  = simStep
 	simTimeout = time.Second
-	// simRetry is the pause after a call without an answer.
+	// simRetry is the pause after an unanswered call.
 	simRetry = 300 * time.Millisecond
 )
 
@@ -33,31 +33,32 @@
 	ask      bool
 	hint     bool
 	seq      uint64
-	// next and age are the sender's belief; lacks says that it has none.
+	// next and age are the sender's watermark; noRead is set if it was never confirmed.
 	next   uint64
 	age    time.Duration
 	reader string
-	lacks  bool
+	noRead bool
 }
 
 type simEntry struct {
-	id      string
-	sources *UpstreamSelector
-	belief  Watermark
-	// calling is set while a call is under way, made at madeAt.
-	calling bool
-	madeAt  time.Duration
-	wait    time.Duration
-	from    uint64
-	retryAt time.Duration
-	// until these times it is killed (and starts anew), stands still, or is cut off.
-	killedUntil, frozenUntil, cutUntil, lonelyUntil time.Duration
-	// starvedUntil is until when answers reach it without the records.
+	id        string
+	upstreams *UpstreamSelector
+	watermark Watermark
+	// calling is set while a call calledAt at calledAt is under way.
+	calling  bool
+	calledAt time.Duration
+	wait     time.Duration
+	from     uint64
+	retryAt  time.Duration
+	// Until these times the entry is killed (and then restarted), suspended, cut off
+	// from the store, or cut off from its peers.
+	killedUntil, frozenUntil, storeCutUntil, isolatedUntil time.Duration
+	// Until starvedUntil answers reach it without the records.
 	starvedUntil time.Duration
 	dead         bool
-	// troubled is when it was last in any trouble of its own.
-	troubled time.Duration
-	calls    int
+	// disturbedAt is when it was last disturbed itself.
+	disturbedAt time.Duration
+	calls       int
 }
 
 type sim struct {
@@ -66,13 +67,13 @@
 	entries []*simEntry
 	index   map[string]int
 	peers   []Peer
-	// acked is when each record was acknowledged.
+	// acked has the time at which each record was acknowledged.
 	acked     []time.Duration
 	downUntil time.Duration
-	downLast  time.Duration
+	lastDown  time.Duration
 	loss      float64
 	messages  []simMessage
-	// calls counts calls to the store in each second.
+	// calls counts the calls to the store in each second.
 	calls []int
 }
 
@@ -89,27 +90,27 @@
 func (s *sim) start(i int) {
 	e := s.entries[i]
 	others := slices.Delete(slices.Clone(s.peers), i, i+1)
-	*e = simEntry{id: e.id, cutUntil: e.cutUntil, lonelyUntil: e.lonelyUntil, troubled: s.now, calls: e.calls}
-	e.sources = NewUpstreamSelector(s.peers[i], DefaultParams, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))
-	e.belief = NewWatermark(s.now)
-	e.sources.SetPeers(others)
+	*e = simEntry{id: e.id, storeCutUntil: e.storeCutUntil, isolatedUntil: e.isolatedUntil, disturbedAt: s.now, calls: e.calls}
+	e.upstreams = NewUpstreamSelector(s.peers[i], DefaultParams, rand.New(rand.NewPCG(s.rng.Uint64(), 2)))
+	e.watermark = NewWatermark(s.now)
+	e.upstreams.SetPeers(others)
 }
 
 func (s *sim) storeDown() bool { return s.now < s.downUntil }
 
 func (s *sim) send(m simMessage) {
-	if s.rng.Float64() < s.loss || s.now < s.entries[m.from].lonelyUntil || s.now < s.entries[m.to].lonelyUntil {
+	if s.rng.Float64() < s.loss || s.now < s.entries[m.from].isolatedUntil || s.now < s.entries[m.to].isolatedUntil {
 		return
 	}
 	m.at = s.now + simStep
 	s.messages = append(s.messages, m)
 }
 
-// step goes on by one step.
+// step advances the simulation by one step.
 func (s *sim) step() {
 	s.now += simStep
 	if s.storeDown() {
-		s.downLast = s.now
+		s.lastDown = s.now
 	}
 	due := s.messages
 	s.messages = nil
@@ -118,7 +119,7 @@
 		switch {
 		case e.dead:
 		case s.now < e.frozenUntil || m.at > s.now:
-			s.messages = append(s.messages, m) // it waits in the socket's buffer
+			s.messages = append(s.messages, m) // stays in the socket's buffer
 		default:
 			s.deliver(m)
 		}
@@ -130,8 +131,8 @@
 
 func (s *sim) act(i int) {
 	e := s.entries[i]
-	if s.now < max(e.killedUntil, e.frozenUntil, e.cutUntil, e.lonelyUntil) {
-		e.troubled = s.now
+	if s.now < max(e.killedUntil, e.frozenUntil, e.storeCutUntil, e.isolatedUntil) {
+		e.disturbedAt = s.now
 	}
 	if e.dead {
 		if s.now >= e.killedUntil {
@@ -142,47 +143,47 @@
 	if s.now < e.frozenUntil {
 		return
 	}
-	for _, q := range e.sources.DueQueries(s.now) {
+	for _, q := range e.upstreams.DueQueries(s.now) {
 		s.send(simMessage{from: i, to: s.index[q.Peer], ask: true, seq: q.Seq})
 	}
-	for _, id := range e.sources.DueHints(s.now) {
+	for _, id := range e.upstreams.DueHints(s.now) {
 		s.send(simMessage{from: i, to: s.index[id], hint: true})
 	}
 	s.read(e)
 }
 
-// read is the reader of the store, with long polls as the product's.
+// read reads the store with long polls, as the real entry does.
 func (s *sim) read(e *simEntry) {
 	limit := MaxAge(simWithin)
 	if !e.calling {
-		part := float64(e.belief.Age(s.now)) / float64(limit)
-		if s.now < e.retryAt || !e.sources.ReadDue(part, s.now) {
+		fraction := float64(e.watermark.Age(s.now)) / float64(limit)
+		if s.now < e.retryAt || !e.upstreams.ReadDue(fraction, s.now) {
 			return
 		}
-		e.calling, e.madeAt, e.from, e.wait = true, s.now, e.belief.Next, 0
-		if e.sources.Mode(s.now) == ReadingStore {
-			e.wait = e.sources.ReadWait(limit, 0, 1500*time.Millisecond)
+		e.calling, e.calledAt, e.from, e.wait = true, s.now, e.watermark.Next, 0
+		if e.upstreams.Mode(s.now) == ReadingStore {
+			e.wait = e.upstreams.ReadWait(limit, 0, 1500*time.Millisecond)
 		}
 		e.calls++
-		s.counted()
+		s.countCall()
 		return
 	}
 	switch {
-	case s.downLast >= e.madeAt || e.cutUntil > e.madeAt:
-		// It hangs, also where the trouble is over.
-		if s.now-e.madeAt >= simTimeout+e.wait {
+	case s.lastDown >= e.calledAt || e.storeCutUntil > e.calledAt:
+		// The call hangs, even if the disturbance is over.
+		if s.now-e.calledAt >= simTimeout+e.wait {
 			e.calling, e.retryAt = false, s.now+simRetry
-			e.sources.StoreFailed()
+			e.upstreams.StoreFailed()
 		}
-	case s.now-e.madeAt >= simAnswer && (uint64(len(s.acked)) > e.from || s.now-e.madeAt >= e.wait):
+	case s.now-e.calledAt >= simAnswer && (uint64(len(s.acked)) > e.from || s.now-e.calledAt >= e.wait):
 		e.calling = false
-		e.sources.StoreAnswered()
-		e.belief.Advance(uint64(len(s.acked)))
-		e.belief.Confirm(Read{Next: uint64(len(s.acked)), CalledAt: e.madeAt, AnsweredAt: s.now, Reader: e.id})
+		e.upstreams.StoreAnswered()
+		e.watermark.Advance(uint64(len(s.acked)))
+		e.watermark.Confirm(Read{Next: uint64(len(s.acked)), CalledAt: e.calledAt, AnsweredAt: s.now, Reader: e.id})
 	}
 }
 
-func (s *sim) counted() {
+func (s *sim) countCall() {
 	second := int(s.now / time.Second)
 	for len(s.calls) <= second {
 		s.calls = append(s.calls, 0)
@@ -194,51 +195,51 @@
 	e := s.entries[m.to]
 	switch {
 	case m.hint:
-		e.sources.HintReceived(s.entries[m.from].id, s.now)
+		e.upstreams.HintReceived(s.entries[m.from].id, s.now)
 	case m.ask:
-		last := e.belief.LastRead()
-		s.send(simMessage{from: m.to, to: m.from, seq: m.seq, next: e.belief.Next,
-			age: s.now - last.CalledAt, reader: last.Reader, lacks: !e.belief.Confirmed()})
+		last := e.watermark.LastRead()
+		s.send(simMessage{from: m.to, to: m.from, seq: m.seq, next: e.watermark.Next,
+			age: s.now - last.CalledAt, reader: last.Reader, noRead: !e.watermark.Confirmed()})
 	default:
-		sent, ok := e.sources.QuerySentAt(s.entries[m.from].id, m.seq)
+		sent, ok := e.upstreams.QuerySentAt(s.entries[m.from].id, m.seq)
 		if !ok {
 			return
 		}
-		made := sent - m.age
-		fresh := !m.lacks && m.reader != e.id && float64(s.now-made) <= StaleFraction*float64(MaxAge(simWithin))
-		if !m.lacks {
+		calledAt := sent - m.age
+		fresh := !m.noRead && m.reader != e.id && float64(s.now-calledAt) <= StaleFraction*float64(MaxAge(simWithin))
+		if !m.noRead {
 			if s.now >= e.starvedUntil {
-				e.belief.Advance(m.next) // the records come with the answer
+				e.watermark.Advance(m.next) // the records come with the answer
 			}
-			e.belief.Confirm(Read{Next: m.next, CalledAt: made, AnsweredAt: made, Reader: m.reader})
+			e.watermark.Confirm(Read{Next: m.next, CalledAt: calledAt, AnsweredAt: calledAt, Reader: m.reader})
 		}
-		e.sources.QueryAnswered(m.seq, fresh, s.now)
+		e.upstreams.QueryAnswered(m.seq, fresh, s.now)
 	}
 }
 
-// untrue returns an entry that believes to know all records as of a moment and lacks one.
-func (s *sim) untrue() string {
+// falseWatermark describes an entry that lacks a record from before its watermark's time.
+func (s *sim) falseWatermark() string {
 	for _, e := range s.entries {
 		for offset, at := range s.acked {
-			if at < e.belief.LastRead().CalledAt && uint64(offset) >= e.belief.Next {
-				return fmt.Sprintf("%s believes to know all as of %v and lacks record %d of %v", e.id, e.belief.LastRead().CalledAt, offset, at)
+			if at < e.watermark.LastRead().CalledAt && uint64(offset) >= e.watermark.Next {
+				return fmt.Sprintf("%s claims to know all records as of %v and lacks record %d of %v", e.id, e.watermark.LastRead().CalledAt, offset, at)
 			}
 		}
 	}
 	return ""
 }
 
-// late returns an entry that breaks the promise.
-func (s *sim) late() string {
+// overdue describes an entry that lacks a record simWithin after it was acknowledged.
+func (s *sim) overdue() string {
 	for _, e := range s.entries {
-		calm := s.now - max(e.troubled, s.downLast)
-		if e.dead || calm < simCalm {
+		settled := s.now - max(e.disturbedAt, s.lastDown)
+		if e.dead || settled < simSettled {
 			continue
 		}
 		for offset, at := range s.acked {
-			if s.now-at > simWithin && uint64(offset) >= e.belief.Next {
-				return fmt.Sprintf("%s lacks record %d %v after it was acknowledged, %v after any trouble of its own; %v, source %q, age %v",
-					e.id, offset, s.now-at, calm, e.sources.Mode(s.now), e.sources.Upstream(), e.belief.Age(s.now))
+			if s.now-at > simWithin && uint64(offset) >= e.watermark.Next {
+				return fmt.Sprintf("%s lacks record %d %v after it was acknowledged, %v after it was last disturbed; %v, upstream %q, age %v",
+					e.id, offset, s.now-at, settled, e.upstreams.Mode(s.now), e.upstreams.Upstream(), e.watermark.Age(s.now))
 			}
 		}
 	}
@@ -247,10 +248,10 @@
 
 func (s *sim) write() { s.acked = append(s.acked, s.now) }
 
-// inOrder lists the entries from the first on.
-func (s *sim) inOrder() []*simEntry {
+// byPreference returns the entries in the shared order.
+func (s *sim) byPreference() []*simEntry {
 	list := slices.Clone(s.entries)
-	slices.SortFunc(list, func(a, b *simEntry) int { return len(a.sources.chain) - len(b.sources.chain) })
+	slices.SortFunc(list, func(a, b *simEntry) int { return len(a.upstreams.preference) - len(b.upstreams.preference) })
 	return list
 }
 
@@ -260,13 +261,13 @@
 		if s.now%(500*time.Millisecond) == 0 {
 			s.write()
 		}
-		if wrong := s.untrue() + s.late(); wrong != "" {
+		if wrong := s.falseWatermark() + s.overdue(); wrong != "" {
 			t.Fatal(wrong)
 		}
 	}
 }
 
-// Guards against an undisturbed entry that goes by old records, whatever happens to others and to messages.
+// Guards against an undisturbed entry that uses outdated records, whatever fails elsewhere.
 func TestWhatTheStoreSaysIsInForceInTimeWhateverHappensToOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.IntRange(1, 40).Draw(t, "entries"), rapid.IntRange(1, 5).Draw(t, "domains"),
@@ -275,17 +276,17 @@
 		for range rapid.IntRange(1, 6).Draw(t, "troubles") {
 			kind := rapid.SampledFrom([]string{"kill", "freeze", "cut", "lonely", "starve", "down"}).Draw(t, "kind")
 			lasts := time.Duration(rapid.IntRange(50, 9000).Draw(t, "ms")) * time.Millisecond
-			// Troubles of the first ones in the order matter most.
+			// Failures of the first entries in the order have the greatest effect.
 			from := rapid.IntRange(0, len(s.entries)-1).Draw(t, "from")
 			many := rapid.IntRange(1, len(s.entries)).Draw(t, "many")
-			s.trouble(kind, s.inOrder()[from:min(len(s.entries), from+many)], s.now+lasts)
+			s.inject(kind, s.byPreference()[from:min(len(s.entries), from+many)], s.now+lasts)
 			s.run(t, s.now+time.Duration(rapid.IntRange(0, 8000).Draw(t, "pause"))*time.Millisecond)
 		}
 		s.run(t, s.now+6*time.Second)
 	})
 }
 
-func (s *sim) trouble(kind string, on []*simEntry, until time.Duration) {
+func (s *sim) inject(kind string, on []*simEntry, until time.Duration) {
 	if kind == "down" {
 		s.downUntil = until
 		return
@@ -297,33 +298,33 @@
 		case "freeze":
 			e.frozenUntil = until
 		case "cut":
-			e.cutUntil = until
+			e.storeCutUntil = until
 		case "lonely":
-			e.lonelyUntil = until
+			e.isolatedUntil = until
 		case "starve":
 			e.starvedUntil = until
-			continue // nothing is wrong with it or the store
+			continue // its own links and the store work
 		}
-		e.troubled = s.now
+		e.disturbedAt = s.now
 	}
 }
 
-// Guards against calls to the store that grow with the entries.
+// Guards against store calls that grow with the number of entries.
 func TestCallsDoNotGrowWithEntries(t *testing.T) {
 	for _, entries := range []int{3, 30, 103, 300} {
 		s := newSim(entries, 5, 0.01, 7)
 		s.run(t, 3*time.Second)
-		before := s.total()
+		before := s.totalCalls()
 		const lasts = 20 * time.Second
 		s.run(t, s.now+lasts)
-		// A read waits for a third of a second or more, and two records a second cut one short.
-		if calls := s.total() - before; calls > 6*int(lasts/time.Second) {
+		// A read waits for at least a third of a second, and two records a second end one early.
+		if calls := s.totalCalls() - before; calls > 6*int(lasts/time.Second) {
 			t.Errorf("%d entries: %d calls in %v", entries, calls, lasts)
 		}
 	}
 }
 
-func (s *sim) total() int {
+func (s *sim) totalCalls() int {
 	n := 0
 	for _, e := range s.entries {
 		n += e.calls
@@ -331,7 +332,7 @@
 	return n
 }
 
-// Guards against a store that is back and is called by all entries at once.
+// Guards against a returning store that is called by all entries at once.
 func TestAStoreThatIsAwayIsTriedByFew(t *testing.T) {
 	const many = 100
 	for _, entries := range []int{103, 300} {
@@ -348,48 +349,48 @@
 	}
 }
 
-// Guards against an outage that all believe in as the first entries are cut off from a store that answers the others.
+// Guards against all entries assuming an outage because the first ones are cut off from a store that answers the others.
 func TestWitnessesThatAreCutOffThemselvesAreTold(t *testing.T) {
 	s := newSim(103, 5, 0, 13)
 	s.run(t, 4*time.Second)
-	first := s.inOrder()[:DefaultParams.OutageQuorum+1]
-	s.trouble("cut", first, s.now+10*time.Second)
+	first := s.byPreference()[:DefaultParams.OutageQuorum+1]
+	s.inject("cut", first, s.now+10*time.Second)
 	s.run(t, s.now+9*time.Second)
 	for _, e := range first {
-		if age := e.belief.Age(s.now); age > simWithin {
-			t.Errorf("%s, cut off from the store alone, knows it as of %v ago", e.id, age)
+		if age := e.watermark.Age(s.now); age > simWithin {
+			t.Errorf("%s, which alone is cut off from the store, has an age of %v", e.id, age)
 		}
 	}
 }
 
-// Guards against a source that is kept although it doesn't answer.
+// Guards against an upstream that is kept although it doesn't answer.
 func TestALostSourceIsLeftAtOnce(t *testing.T) {
 	for _, entries := range []int{3, 30, 103} {
 		s := newSim(entries, 5, 0, 17)
 		s.run(t, 4*time.Second)
-		lost := s.inOrder()[0]
-		s.trouble("kill", []*simEntry{lost}, time.Hour)
-		// Two questions, the next of which was due, go unanswered; then the next entry is asked.
+		lost := s.byPreference()[0]
+		s.inject("kill", []*simEntry{lost}, time.Hour)
+		// Two queries, after the one that was due, go unanswered; then the next candidate is queried.
 		p := DefaultParams
 		s.run(t, s.now+p.QueryInterval+time.Duration(p.MaxUnanswered)*p.QueryTimeout+4*simStep+p.QueryInterval)
 		for _, e := range s.entries {
-			if e != lost && e.sources.Upstream() == lost.id {
-				t.Errorf("of %d entries %s still listens to the one that was killed", entries, e.id)
+			if e != lost && e.upstreams.Upstream() == lost.id {
+				t.Errorf("of %d entries %s still follows the killed one", entries, e.id)
 			}
 		}
 	}
 }
 
-// Guards against entries in order that wait too long for their turn while most are cut off from the store.
+// Guards against undisturbed entries that wait too long for their slot while most are cut off from the store.
 func TestFewThatAreAnsweredAreFoundInTime(t *testing.T) {
 	s := newSim(22, 1, 0, 0)
 	s.run(t, 3*time.Second)
 	for range 2 {
-		s.trouble("kill", s.inOrder()[:1], s.now+50*time.Millisecond)
+		s.inject("kill", s.byPreference()[:1], s.now+50*time.Millisecond)
 		s.run(t, s.now+71*time.Millisecond)
 	}
-	s.trouble("down", nil, s.now+50*time.Millisecond)
+	s.inject("down", nil, s.now+50*time.Millisecond)
 	s.run(t, s.now+1141*time.Millisecond)
-	s.trouble("cut", s.inOrder()[:17], s.now+1961*time.Millisecond)
+	s.inject("cut", s.byPreference()[:17], s.now+1961*time.Millisecond)
 	s.run(t, s.now+6*time.Second)
 }
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -6,107 +6,110 @@
 	"time"
 )
 
-// Mode is where an entry has its records from.
+// Mode is how an entry gets its records.
 type Mode uint8
 
 // The modes.
 const (
-	// PeersUnknown: the peers aren't known yet.
+	// PeersUnknown: the list of peers hasn't been read yet.
 	PeersUnknown Mode = iota
-	// Following: a peer before it in the order tells it what the store says.
+	// Following: a predecessor in the shared order answers its queries with fresh data.
 	Following
-	// Searching: it hasn't heard yet of all that it could ask.
+	// Searching: it has no upstream and not all candidates have answered or failed yet.
 	Searching
-	// ReadingStore: nobody that it could ask knows better, so it reads the store.
+	// ReadingStore: no candidate has fresher data, so it reads the store.
 	ReadingStore
-	// AwaitingSlot: as many as are needed to believe it say that the store is away; it tries at
-	// its turn.
+	// AwaitingSlot: OutageQuorum candidates have no fresh data, so the store is assumed to
+	// be away; the entry tries it in its slot.
 	AwaitingSlot
-	// ReadingForPeers: as many say so, but the store answers this entry, which tells them.
+	// ReadingForPeers: as AwaitingSlot, but the store answers this entry, which sends hints
+	// to those candidates.
 	ReadingForPeers
 )
 
 var modeNames = [...]string{"alone", "listening", "walking", "leading", "waiting", "relieving"}
 
-// String names the mode as logs have it.
+// String returns the name used in logs.
 func (m Mode) String() string { return modeNames[m] }
 
-// Query is a question to a peer.
+// Query is a query to a peer.
 type Query struct {
 	Peer string
 	Seq  uint64
 }
 
-// candidate is one that may be asked.
+// candidate is a peer that may be queried.
 type candidate struct {
-	// missing counts the questions in a row that it didn't answer.
-	missing   int
-	skipUntil time.Duration
-	// heard is set once it answered, stale if what it told last was too old.
-	heard, stale bool
+	// unanswered counts the consecutive queries without an answer.
+	unanswered   int
+	backoffUntil time.Duration
+	// answered is set once it has answered, stale if its last answer was too old.
+	answered, stale bool
 }
 
-type question struct {
-	peer string
-	sent time.Duration
+type pendingQuery struct {
+	peer   string
+	sentAt time.Duration
 }
 
-// UpstreamSelector chooses whom an entry asks, and tells when it reads the store itself.
+// UpstreamSelector chooses which peers an entry queries, and says when it reads the store
+// itself.
 //
-// A source is left after two questions without an answer. Turns keep all entries from calling a
-// store at once that is away from all; hints keep a few that are cut off from making all others
-// believe that it is.
+// An upstream is dropped after two unanswered queries. Slots keep the entries from calling a
+// store that is away from all of them at the same time; hints keep a few entries that are cut
+// off from the store from making all others assume that it is away.
 //
-// Invariants: source is "" or in the chain; questions are only to peers that may be skipped
-// no longer; of each peer at most one is under way.
+// Invariants: upstream is "" or in preference; queries go only to peers that are not in
+// backoff, and each peer has at most one pending.
 type UpstreamSelector struct {
 	params Params
 	self   Peer
 	rng    *rand.Rand
-	// listed is set once the peers are known; size counts all entries.
-	listed  bool
-	size    int
-	domains int
-	// place spreads what all entries may do at once: it is from 0 to 1.
-	place      float64
-	chain      []string
+	// peersKnown is set once the peers are known; size counts all entries, this one included.
+	peersKnown bool
+	size       int
+	domains    int
+	// position is the entry's place in the shared order, from 0 to 1, which spreads actions
+	// that all entries may take.
+	position   float64
+	preference []string
 	candidates map[string]*candidate
-	under      map[uint64]question
+	pending    map[uint64]pendingQuery
 	seq        uint64
-	source     string
-	roundAt    time.Duration
-	// served is set while the store answers this entry's own calls.
-	served bool
-	// turnAt is when an entry that waits may try, 0 if it has no turn yet.
-	turnAt time.Duration
+	upstream   string
+	nextRound  time.Duration
+	// storeAnswers is set while the store answers this entry's own calls.
+	storeAnswers bool
+	// slotAt is when an entry in AwaitingSlot may try the store, 0 if that isn't scheduled.
+	slotAt time.Duration
 	// hint is a peer that the store answers although it comes later in the order.
-	hint      string
-	hintUntil time.Duration
-	hintedAt  time.Duration
+	hint        string
+	hintUntil   time.Duration
+	hintsSentAt time.Duration
 }
 
-// NewUpstreamSelector returns the sources of an entry that knows no peers yet.
+// NewUpstreamSelector returns the selector of an entry that knows no peers yet.
 func NewUpstreamSelector(self Peer, p Params, rng *rand.Rand) *UpstreamSelector {
 	return &UpstreamSelector{
 		params: p, self: self, rng: rng, size: 1, domains: 1,
-		candidates: make(map[string]*candidate), under: make(map[uint64]question),
+		candidates: make(map[string]*candidate), pending: make(map[uint64]pendingQuery),
 	}
 }
 
 // SetPeers takes the list of all other entries.
 func (s *UpstreamSelector) SetPeers(peers []Peer) {
-	s.listed, s.size = true, len(peers)+1
+	s.peersKnown, s.size = true, len(peers)+1
 	domains := map[string]bool{s.self.FailureDomain: true}
 	for _, p := range peers {
 		domains[p.FailureDomain] = true
 	}
 	s.domains = len(domains)
-	ordered := inOrder(append([]Peer{s.self}, peers...))
-	at := slices.Index(ordered, s.self)
-	s.chain = chain(ordered, at, s.params.FanIn)
-	s.place = float64(at) / float64(len(ordered))
-	in := make(map[string]bool, len(s.chain))
-	for _, id := range s.chain {
+	ordered := sharedOrder(append([]Peer{s.self}, peers...))
+	index := slices.Index(ordered, s.self)
+	s.preference = preferenceOrder(ordered, index, s.params.FanIn)
+	s.position = float64(index) / float64(len(ordered))
+	in := make(map[string]bool, len(s.preference))
+	for _, id := range s.preference {
 		in[id] = true
 		if s.candidates[id] == nil {
 			s.candidates[id] = &candidate{}
@@ -117,222 +120,222 @@
 			delete(s.candidates, id)
 		}
 	}
-	if !in[s.source] {
-		s.source = ""
+	if !in[s.upstream] {
+		s.upstream = ""
 	}
 }
 
-// ReadWait is how long a read of the store waits for a record of a topic that has a limit, with
-// a pause between reads, and at most. If there are others that would ask this entry it is short
-// enough that their beliefs don't get old while all is well.
-func (s *UpstreamSelector) ReadWait(limit, pause, longest time.Duration) time.Duration {
-	if s.size <= len(s.chain)+1 {
-		return longest // nobody comes after it in the order
+// ReadWait returns how long a read of the store may wait for a record of a topic with an age
+// limit, given the pause between reads and an upper bound. If other entries may query this one,
+// it is short enough that their data doesn't get old in a fleet without failures.
+func (s *UpstreamSelector) ReadWait(maxAge, pause, longest time.Duration) time.Duration {
+	if s.size <= len(s.preference)+1 {
+		return longest // no entry comes after it in the order
 	}
-	return min(longest, s.params.readWait(limit, pause, tiers(s.size, s.domains, s.params.FanIn)))
+	return min(longest, s.params.readWait(maxAge, pause, maxHops(s.size, s.domains, s.params.FanIn)))
 }
 
-// DueQueries returns the questions to send now.
+// DueQueries returns the queries to send now.
 func (s *UpstreamSelector) DueQueries(now time.Duration) []Query {
-	s.expire(now)
-	if now < s.roundAt || len(s.chain) == 0 && !s.hinted(now) {
+	s.expireQueries(now)
+	if now < s.nextRound || len(s.preference) == 0 && !s.hasHint(now) {
 		return nil
 	}
-	s.roundAt = now + s.params.QueryInterval
+	s.nextRound = now + s.params.QueryInterval
 	var out []Query
 	asked := 0
-	for _, id := range s.chain {
-		if s.candidates[id].skipUntil > now {
+	for _, id := range s.preference {
+		if s.candidates[id].backoffUntil > now {
 			continue
 		}
-		out = s.ask(out, id, now)
+		out = s.appendQuery(out, id, now)
 		asked++
-		if id == s.source || asked >= s.params.OutageQuorum {
+		if id == s.upstream || asked >= s.params.OutageQuorum {
 			break
 		}
 	}
-	if s.source != "" && asked >= s.params.OutageQuorum {
-		out = s.ask(out, s.source, now)
+	if s.upstream != "" && asked >= s.params.OutageQuorum {
+		out = s.appendQuery(out, s.upstream, now)
 	}
-	if s.hinted(now) {
-		out = s.ask(out, s.hint, now)
+	if s.hasHint(now) {
+		out = s.appendQuery(out, s.hint, now)
 	}
 	return out
 }
 
-func (s *UpstreamSelector) ask(out []Query, id string, now time.Duration) []Query {
-	for _, q := range s.under {
+func (s *UpstreamSelector) appendQuery(out []Query, id string, now time.Duration) []Query {
+	for _, q := range s.pending {
 		if q.peer == id {
 			return out
 		}
 	}
 	s.seq++
-	s.under[s.seq] = question{peer: id, sent: now}
+	s.pending[s.seq] = pendingQuery{peer: id, sentAt: now}
 	return append(out, Query{Peer: id, Seq: s.seq})
 }
 
-// expire takes questions that weren't answered in time.
-func (s *UpstreamSelector) expire(now time.Duration) {
-	for seq, q := range s.under {
-		if now-q.sent < s.params.QueryTimeout {
+// expireQueries drops the queries that weren't answered in time.
+func (s *UpstreamSelector) expireQueries(now time.Duration) {
+	for seq, q := range s.pending {
+		if now-q.sentAt < s.params.QueryTimeout {
 			continue
 		}
-		delete(s.under, seq)
+		delete(s.pending, seq)
 		c := s.candidates[q.peer]
 		if c == nil {
 			continue
 		}
-		c.missing++
-		if over := c.missing - s.params.MaxUnanswered; over >= 0 {
-			c.skipUntil = now + min(s.params.BackoffMin<<min(over, 8), s.params.BackoffMax)
-			c.heard = false
-			s.leave(q.peer, now)
+		c.unanswered++
+		if over := c.unanswered - s.params.MaxUnanswered; over >= 0 {
+			c.backoffUntil = now + min(s.params.BackoffMin<<min(over, 8), s.params.BackoffMax)
+			c.answered = false
+			s.dropUpstream(q.peer, now)
 		}
 	}
 }
 
-// leave ends a source; the next one is asked at once.
-func (s *UpstreamSelector) leave(id string, now time.Duration) {
-	if s.source == id {
-		s.source, s.roundAt = "", now
+// dropUpstream drops an upstream; the next candidate is queried at once.
+func (s *UpstreamSelector) dropUpstream(id string, now time.Duration) {
+	if s.upstream == id {
+		s.upstream, s.nextRound = "", now
 	}
 }
 
-// QuerySentAt is when a question was sent that a peer answers; false for an answer that comes too
-// late, or that nobody asked for.
+// QuerySentAt returns when the query was sent that a peer answers; false if the answer is
+// too late or matches no query.
 func (s *UpstreamSelector) QuerySentAt(peer string, seq uint64) (time.Duration, bool) {
-	q, ok := s.under[seq]
-	return q.sent, ok && q.peer == peer
+	q, ok := s.pending[seq]
+	return q.sentAt, ok && q.peer == peer
 }
 
-// QueryAnswered takes an answer to a question, and whether what it tells is young enough.
+// QueryAnswered takes an answer to a query, and whether its data is fresh.
 func (s *UpstreamSelector) QueryAnswered(seq uint64, fresh bool, now time.Duration) {
-	q, ok := s.under[seq]
+	q, ok := s.pending[seq]
 	if !ok {
 		return
 	}
-	delete(s.under, seq)
+	delete(s.pending, seq)
 	c := s.candidates[q.peer]
 	if c == nil {
-		return // it was hinted at
+		return // the hinted peer
 	}
-	c.missing, c.skipUntil, c.heard, c.stale = 0, 0, true, !fresh
+	c.unanswered, c.backoffUntil, c.answered, c.stale = 0, 0, true, !fresh
 	switch {
 	case !fresh:
-		s.leave(q.peer, now)
-	case s.source == "" || slices.Index(s.chain, q.peer) < slices.Index(s.chain, s.source):
-		s.source = q.peer
-		s.turnAt = 0
+		s.dropUpstream(q.peer, now)
+	case s.upstream == "" || slices.Index(s.preference, q.peer) < slices.Index(s.preference, s.upstream):
+		s.upstream = q.peer
+		s.slotAt = 0
 	}
 }
 
-// StoreAnswered says that the store answered a call of this entry, Missed that it didn't.
-func (s *UpstreamSelector) StoreAnswered() { s.served, s.turnAt = true, 0 }
+// StoreAnswered records that the store answered a call of this entry.
+func (s *UpstreamSelector) StoreAnswered() { s.storeAnswers, s.slotAt = true, 0 }
 
-// StoreFailed: see Served.
-func (s *UpstreamSelector) StoreFailed() { s.served = false }
+// StoreFailed records that the store didn't answer a call of this entry.
+func (s *UpstreamSelector) StoreFailed() { s.storeAnswers = false }
 
-// HintReceived takes a peer's word that the store answers it although it doesn't answer this
-// entry, which comes before it in the order.
+// HintReceived takes a hint of a peer: the store answers the peer, although it doesn't answer
+// this entry, which comes before the peer in the order.
 func (s *UpstreamSelector) HintReceived(peer string, now time.Duration) {
-	if s.source != "" {
+	if s.upstream != "" {
 		return
 	}
-	s.hint, s.hintUntil, s.roundAt = peer, now+s.params.HintTTL, now
+	s.hint, s.hintUntil, s.nextRound = peer, now+s.params.HintTTL, now
 }
 
-func (s *UpstreamSelector) hinted(now time.Duration) bool { return s.hint != "" && now < s.hintUntil }
+func (s *UpstreamSelector) hasHint(now time.Duration) bool { return s.hint != "" && now < s.hintUntil }
 
-// DueHints are the peers to tell that the store answers this entry: those before it that it
-// doesn't answer. They would be cut off, and would have all that ask them believe that
-// the store is away.
+// DueHints returns the peers to notify that the store answers this entry: its predecessors
+// that have no fresh data. Without hints those would stay cut off, and would make all entries
+// that query them assume that the store is away.
 func (s *UpstreamSelector) DueHints(now time.Duration) []string {
-	if mode := s.Mode(now); !s.served || mode != ReadingStore && mode != ReadingForPeers || now-s.hintedAt < s.params.HintInterval {
+	if mode := s.Mode(now); !s.storeAnswers || mode != ReadingStore && mode != ReadingForPeers || now-s.hintsSentAt < s.params.HintInterval {
 		return nil
 	}
-	s.hintedAt = now
+	s.hintsSentAt = now
 	var stale []string
-	for _, id := range s.chain {
-		if s.candidates[id].told() {
+	for _, id := range s.preference {
+		if s.candidates[id].answeredStale() {
 			stale = append(stale, id)
 		}
 	}
 	return stale[:min(len(stale), s.params.OutageQuorum)]
 }
 
-// told reports whether a candidate answers, but knows too little.
-func (c *candidate) told() bool { return c.heard && c.stale }
+// answeredStale reports whether a candidate answers, but without fresh data.
+func (c *candidate) answeredStale() bool { return c.answered && c.stale }
 
-// Upstream is the peer that the entry listens to, "" for none.
-func (s *UpstreamSelector) Upstream() string { return s.source }
+// Upstream returns the peer that the entry follows, "" for none.
+func (s *UpstreamSelector) Upstream() string { return s.upstream }
 
-// Mode is where the entry has its records from now.
+// Mode returns how the entry gets its records now.
 func (s *UpstreamSelector) Mode(now time.Duration) Mode {
-	if !s.listed {
+	if !s.peersKnown {
 		return PeersUnknown
 	}
-	if s.source != "" {
+	if s.upstream != "" {
 		return Following
 	}
-	told, open := 0, false
-	for _, id := range s.chain {
+	stale, untried := 0, false
+	for _, id := range s.preference {
 		switch c := s.candidates[id]; {
-		case c.told():
-			told++
-		case c.missing < s.params.MaxUnanswered:
-			open = true
+		case c.answeredStale():
+			stale++
+		case c.unanswered < s.params.MaxUnanswered:
+			untried = true
 		}
 	}
 	switch {
-	case told >= s.params.OutageQuorum && !s.served:
+	case stale >= s.params.OutageQuorum && !s.storeAnswers:
 		return AwaitingSlot
-	case told >= s.params.OutageQuorum:
+	case stale >= s.params.OutageQuorum:
 		return ReadingForPeers
-	case open:
+	case untried:
 		return Searching
 	}
 	return ReadingStore
 }
 
-// ReadDue reports whether to read a topic from the store now, whose belief has used up a part of
-// its limit.
-func (s *UpstreamSelector) ReadDue(part float64, now time.Duration) bool {
+// ReadDue reports whether to read a topic from the store now, given the fraction of its age
+// limit that is used up.
+func (s *UpstreamSelector) ReadDue(fraction float64, now time.Duration) bool {
 	switch s.Mode(now) {
 	case ReadingStore:
 		return true
 	case Following:
-		// The source knows, but this topic doesn't reach the entry.
-		return part >= StaleFraction+(1-StaleFraction)*s.place
+		// The upstream has fresh data, but this topic's records don't reach the entry.
+		return fraction >= StaleFraction+(1-StaleFraction)*s.position
 	case Searching:
-		return part >= takeOverAt+(1-takeOverAt)*s.place
+		return fraction >= takeOverFraction+(1-takeOverFraction)*s.position
 	case AwaitingSlot:
-		return part >= StaleFraction && s.turn(now)
+		return fraction >= StaleFraction && s.slotDue(now)
 	case ReadingForPeers:
-		// Those that it tells will read for all in a moment.
-		return part >= relieveAt
+		// The entries that get the hints will soon read for all.
+		return fraction >= readForPeersFraction
 	}
 	return false
 }
 
-// turn reports whether an entry that waits may try. The entries' turns are spread so that
-// all of them together try at a bounded rate: the first ones soon, since the witnesses
-// may just have been cut off themselves.
-func (s *UpstreamSelector) turn(now time.Duration) bool {
-	all := time.Duration(float64(s.size) / s.params.ProbesPerSecond * float64(time.Second))
-	if s.turnAt == 0 {
+// slotDue reports whether an entry in AwaitingSlot may try the store. The slots are spread so
+// that all entries together try at a bounded rate, which is higher at first because the peers
+// without fresh data may only be cut off themselves.
+func (s *UpstreamSelector) slotDue(now time.Duration) bool {
+	cycle := time.Duration(float64(s.size) / s.params.ProbesPerSecond * float64(time.Second))
+	if s.slotAt == 0 {
 		first := float64(s.size) / s.params.FirstProbesPerSecond * float64(time.Second)
-		s.turnAt = now + time.Duration(s.place*first)
+		s.slotAt = now + time.Duration(s.position*first)
 	}
-	if now < s.turnAt {
+	if now < s.slotAt {
 		return false
 	}
-	s.turnAt = now + all/2 + time.Duration(s.rng.Float64()*float64(all))
+	s.slotAt = now + cycle/2 + time.Duration(s.rng.Float64()*float64(cycle))
 	return true
 }
 
-// QueryNow has a peer asked now that has news which didn't reach the entry whole.
+// QueryNow has the upstream queried at once if it has an update that didn't reach the entry whole.
 func (s *UpstreamSelector) QueryNow(peer string, now time.Duration) {
-	if peer == s.source {
-		s.roundAt = now
+	if peer == s.upstream {
+		s.nextRound = now
 	}
 }
--- a/internal/spread/speaker.go
+++ b/internal/spread/speaker.go
@@ -1,26 +1,27 @@
 package spread
 
-// Gateway is the entry of a failure domain that tells another domain what its own has at the
-// replicas, and hears it from there: a different one for each, as far as there are as many.
-// members are the domain's entries that hear each other, domains all failure domains.
-func Gateway(members []string, own, other string, domains []string) string {
+// Gateway returns the entry of the local failure domain that exchanges digests of the replicas'
+// state with a remote one; a different entry for each remote domain as far as there are enough.
+// members are the local entries that are in touch, domains all failure domains.
+func Gateway(members []string, local, remote string, domains []string) string {
 	if len(members) == 0 {
 		return ""
 	}
-	return idsInOrder(members)[turnOf(own, other, domains)%len(members)]
+	return sharedOrderIDs(members)[domainIndex(local, remote, domains)%len(members)]
 }
 
-// RemoteGateway is whom a speaker tells in another domain: of its entries, in the order that all
-// share, the one whose turn it is there and, after so many tries without a word, a later one.
-func RemoteGateway(members []string, own, other string, domains []string, tries int) string {
+// RemoteGateway returns the entry of a remote failure domain to which the local gateway sends:
+// that domain's gateway and, after a number of tries without an answer, a later member in the
+// shared order.
+func RemoteGateway(members []string, local, remote string, domains []string, tries int) string {
 	if len(members) == 0 {
 		return ""
 	}
-	return idsInOrder(members)[(turnOf(other, own, domains)+tries)%len(members)]
+	return sharedOrderIDs(members)[(domainIndex(remote, local, domains)+tries)%len(members)]
 }
 
-// turnOf is a domain's place among the others of one.
-func turnOf(own, other string, domains []string) int {
+// domainIndex returns the index of the domain other among the other domains of own.
+func domainIndex(own, other string, domains []string) int {
 	at := 0
 	for _, d := range domains {
 		if d < other && d != own {
@@ -30,11 +31,11 @@
 	return at
 }
 
-// idsInOrder are entries in the order that all share.
-func idsInOrder(members []string) []string {
+// sharedOrderIDs returns entries in the shared order.
+func sharedOrderIDs(members []string) []string {
 	peers := make([]Peer, len(members))
 	for i, id := range members {
 		peers[i].ID = id
 	}
-	return ids(inOrder(peers))
+	return ids(sharedOrder(peers))
 }
--- a/internal/spread/speaker_test.go
+++ b/internal/spread/speaker_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against one entry that tells all other domains, and speakers of two domains that never meet.
+// Guards against one entry that sends to all other domains, and against gateways of two domains that don't send to each other.
 func TestSpeakersOfTwoDomainsMeetAndShareTheWork(t *testing.T) {
 	const each = 20
 	domains := []string{"a", "b", "c", "d", "e"}
@@ -24,16 +24,16 @@
 			speaker := Gateway(members[d], d, other, domains)
 			tasks[speaker]++
 			if got := RemoteGateway(members[d], other, d, domains, 0); got != speaker {
-				t.Errorf("%s tells %s, where %s speaks with it", other, got, speaker)
+				t.Errorf("%s sends to %s, where the gateway to it is %s", other, got, speaker)
 			}
 		}
 		if len(tasks) != len(domains)-1 {
-			t.Errorf("%s: %d entries speak with four domains", d, len(tasks))
+			t.Errorf("%s: %d gateways to four domains", d, len(tasks))
 		}
 	}
 }
 
-// Guards against a domain that isn't heard of any more after the loss of its speaker.
+// Guards against a domain that is out of touch for good after the loss of its gateway.
 func TestEachEntryOfADomainIsTriedAsCounterpart(t *testing.T) {
 	members := []string{"x1", "x2", "x3", "x4"}
 	tried := map[string]bool{}
--- a/internal/spread/tail_test.go
+++ b/internal/spread/tail_test.go
@@ -8,8 +8,8 @@
 	"skylarklead/internal/fleet"
 )
 
-// Guards against records of before a store came back from an older copy that are passed on for ever,
-// or over what was written since.
+// Guards against records from before the restore of a store that are forwarded for ever, or
+// although their key was written since.
 func TestRecordsOfBeforeArePassedOnForATime(t *testing.T) {
 	record := func(era, offset uint64, key, value string) fleet.Record {
 		r := fleet.Record{Offset: fleet.Position(era, offset), Key: key}
@@ -33,9 +33,9 @@
 	}
 	tail.Append(record(1, 1, "config", "6"), time.Minute)
 	if got, want := values(time.Minute), []string{"version 2", "config 6"}; !slices.Equal(got, want) {
-		t.Errorf("%q once a key was written again, want %q", got, want)
+		t.Errorf("%q after a key was written again, want %q", got, want)
 	}
-	if got, want := values(time.Minute+beforeFor+1), []string{"config 6"}; !slices.Equal(got, want) {
-		t.Errorf("%q after a time, want %q", got, want)
+	if got, want := values(time.Minute+beforeRestoreTTL+1), []string{"config 6"}; !slices.Equal(got, want) {
+		t.Errorf("%q after beforeRestoreTTL, want %q", got, want)
 	}
 }
