--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -33,8 +33,8 @@
 		return nil
 	}
 	period := v.period()
-	for _, b := range due {
-		r := v.records[b.ID]
+	for _, p := range due {
+		r := v.records[p.ID]
 		wait := period
 		if r.nextHeartbeat == 0 {
 			// The first heartbeat is sent at once: a peer that receives none would
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -74,7 +74,7 @@
 // rarely calls the store itself; without this check the first removals after an outage
 // would count as replicas that left, though their records had expired. The age of the
 // last answered call says nothing, since a long poll may be under way. Nothing shows that
-// the store was away later than its last answer, so silence alone gives no removal a
+// the store was unavailable later than its last answer, so silence alone gives no removal a
 // grace period.
 func (o *Outage) CheckSilence(now time.Duration) bool {
 	if !o.answered || now-o.answeredAt <= o.params.DetectWithin {
--- a/internal/member/replicas.go
+++ b/internal/member/replicas.go
@@ -43,7 +43,7 @@
 // Fault is a kind of failure of a replica that could be reached.
 type Fault uint8
 
-// The faults, by increasing weight of evidence against the replica.
+// The faults, by severity. RecordFault counts all of them alike.
 const (
 	// FaultConnectionLost: it closed a connection with a request on it.
 	FaultConnectionLost Fault = iota
@@ -104,7 +104,8 @@
 	Changed bool
 	// SupersededID is the incarnation that this one supersedes, "" for none.
 	SupersededID string
-	// Outdated is set if the record is of an incarnation that was superseded or has ended.
+	// Outdated is set if the incarnation was superseded or has ended, or if a replica reports
+	// itself after its record was removed.
 	Outdated bool
 }
 
@@ -410,7 +411,7 @@
 	return Healthy
 }
 
-// Tick removes the replicas that have expired and drops registrations without news for
+// Tick removes the replicas that have expired and drops names without a record or report for
 // TombstoneTTL. It returns the IDs of the removed replicas.
 func (v *Replicas) Tick(now time.Duration) []string {
 	var removed []string
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -185,15 +185,15 @@
 func TestSilenceIsJudgedByTheAnnouncedPeriod(t *testing.T) {
 	const step, transit = 100 * time.Millisecond, 500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
-		sender, hearer := groupView(), groupView()
+		sender, receiver := groupView(), groupView()
 		var seq uint64
-		var sent, heard time.Duration
+		var sent, received time.Duration
 		period, inFlight := time.Duration(0), []*protocol.Heartbeat(nil)
 		size := rapid.IntRange(1, 120)
 		now := time.Duration(0)
 		resize := func() {
 			listPeers(sender, "b", size.Draw(t, "sender's group"), now)
-			listPeers(hearer, "a", size.Draw(t, "hearer's group"), now)
+			listPeers(receiver, "a", size.Draw(t, "receiver's group"), now)
 		}
 		resize()
 		for until := now + 2*time.Minute; now < until; now += step {
@@ -208,20 +208,20 @@
 			}
 			if len(inFlight) > 0 && (now-sent >= transit || rapid.Bool().Draw(t, "arrives")) {
 				for _, hb := range inFlight {
-					hearer.HeartbeatReceived(hb, now)
-					heard, period = now, time.Duration(hb.PeriodMs)*time.Millisecond
+					receiver.HeartbeatReceived(hb, now)
+					received, period = now, time.Duration(hb.PeriodMs)*time.Millisecond
 				}
 				inFlight = nil
 			}
-			if m, _ := hearer.Get("a", now); seq > 0 && period > 0 && !m.Usable() {
-				t.Fatalf("%s (%s) at %v, last heartbeat at %v with a period of %v", m.State, m.Reason, now, heard, period)
+			if m, _ := receiver.Get("a", now); seq > 0 && period > 0 && !m.Usable() {
+				t.Fatalf("%s (%s) at %v, last heartbeat at %v with a period of %v", m.State, m.Reason, now, received, period)
 			}
 		}
 		bound := max(DefaultParams.SuspectAfter, 3*period)
-		if m, _ := hearer.Get("a", heard+bound); m.State != Suspect {
+		if m, _ := receiver.Get("a", received+bound); m.State != Suspect {
 			t.Fatalf("%s after %v of silence, announced %v", m.State, bound, period)
 		}
-		if m, _ := hearer.Get("a", heard+max(DefaultParams.DeadAfter, 2*bound)); m.State != Dead {
+		if m, _ := receiver.Get("a", received+max(DefaultParams.DeadAfter, 2*bound)); m.State != Dead {
 			t.Fatalf("%s after twice that silence", m.State)
 		}
 	})
