--- a/internal/spread/asks.go
+++ b/internal/spread/asks.go
@@ -6,7 +6,7 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// queriersPerReplica is how many entries query a replica while the store is away: one of
+// queriersPerReplica is how many entries query a replica while the store is unavailable: one of
 // them may be cut off from it, or lost.
 const queriersPerReplica = 2
 
--- a/internal/spread/order_test.go
+++ b/internal/spread/order_test.go
@@ -30,11 +30,11 @@
 		peers := fleetOf(rapid.IntRange(1, 120).Draw(t, "entries"), rapid.IntRange(1, 6).Draw(t, "domains"))
 		all := preferenceOrders(peers, rapid.IntRange(1, 40).Draw(t, "width"))
 		first := 0
-		for id, chain := range all {
-			if len(chain) == 0 {
+		for id, preference := range all {
+			if len(preference) == 0 {
 				first++
 			}
-			for _, above := range chain {
+			for _, above := range preference {
 				if slices.Contains(all[above], id) {
 					t.Fatalf("%s and %s may query each other", id, above)
 				}
@@ -58,12 +58,12 @@
 		asked, crossing := map[string]int{}, 0
 		deepest := 0
 		all := preferenceOrders(peers, DefaultParams.FanIn)
-		for id, chain := range all {
-			if len(chain) == 0 {
+		for id, preference := range all {
+			if len(preference) == 0 {
 				continue
 			}
-			asked[chain[0]]++
-			if domain[chain[0]] != domain[id] {
+			asked[preference[0]]++
+			if domain[preference[0]] != domain[id] {
 				crossing++
 			}
 			depth := 0
@@ -91,14 +91,14 @@
 	peers := fleetOf(103, 5)
 	all := preferenceOrders(peers, DefaultParams.FanIn)
 	next := map[string]map[string]bool{}
-	for _, chain := range all {
-		if len(chain) < 2 {
+	for _, preference := range all {
+		if len(preference) < 2 {
 			continue
 		}
-		if next[chain[0]] == nil {
-			next[chain[0]] = map[string]bool{}
+		if next[preference[0]] == nil {
+			next[preference[0]] = map[string]bool{}
 		}
-		next[chain[0]][chain[1]] = true
+		next[preference[0]][preference[1]] = true
 	}
 	for lost, to := range next {
 		// The others of its failure domain turn to one entry, and the first entries of the
--- a/internal/spread/params.go
+++ b/internal/spread/params.go
@@ -14,7 +14,7 @@
 	// BackoffMin and BackoffMax bound for how long a peer that doesn't answer isn't queried.
 	BackoffMin, BackoffMax time.Duration
 	// OutageQuorum is how many peers without fresh data make an entry assume that the
-	// store is away from all, so that it waits for its slot to try the store.
+	// store is unavailable to all, so that it waits for its slot to try the store.
 	OutageQuorum int
 	// FanIn is how many entries one entry answers.
 	FanIn int
@@ -44,7 +44,7 @@
 	// takeOverFraction is the fraction from which on an entry that has lost its upstream, and
 	// has not had answers from all other candidates, reads the store; the entries are spread
 	// between this and the limit. Between StaleFraction and this one it queries others:
-	// they have newer data, or report that the store is away.
+	// they have newer data, or report that the store is unavailable.
 	takeOverFraction = 0.875
 	// readForPeersFraction is the fraction from which on an entry that the store answers reads
 	// again while the entries that should read for it are cut off.
--- a/internal/spread/simulation_test.go
+++ b/internal/spread/simulation_test.go
@@ -44,7 +44,7 @@
 	id        string
 	upstreams *UpstreamSelector
 	watermark Watermark
-	// calling is set while a call calledAt at calledAt is under way.
+	// calling is set while a call is under way, made at calledAt.
 	calling  bool
 	calledAt time.Duration
 	wait     time.Duration
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -20,7 +20,7 @@
 	// ReadingStore: no candidate has fresher data, so it reads the store.
 	ReadingStore
 	// AwaitingSlot: OutageQuorum candidates have no fresh data, so the store is assumed to
-	// be away; the entry tries it in its slot.
+	// be unavailable; the entry tries it in its slot.
 	AwaitingSlot
 	// ReadingForPeers: as AwaitingSlot, but the store answers this entry, which sends hints
 	// to those candidates.
@@ -55,9 +55,9 @@
 // UpstreamSelector chooses which peers an entry queries, and says when it reads the store
 // itself.
 //
-// An upstream is dropped after two unanswered queries. Slots keep the entries from calling a
-// store that is away from all of them at the same time; hints keep a few entries that are cut
-// off from the store from making all others assume that it is away.
+// An upstream is dropped after MaxUnanswered queries without an answer, two by default. Slots keep
+// the entries from all calling an unavailable store at the same time; hints keep a few entries that
+// are cut off from the store from making all others assume that it is unavailable.
 //
 // Invariants: upstream is "" or in preference; queries go only to peers that are not in
 // backoff, and each peer has at most one pending.
@@ -248,7 +248,7 @@
 
 // DueHints returns the peers to notify that the store answers this entry: its predecessors
 // that have no fresh data. Without hints those would stay cut off, and would make all entries
-// that query them assume that the store is away.
+// that query them assume that the store is unavailable.
 func (s *UpstreamSelector) DueHints(now time.Duration) []string {
 	if mode := s.Mode(now); !s.storeAnswers || mode != ReadingStore && mode != ReadingForPeers || now-s.hintsSentAt < s.params.HintInterval {
 		return nil
