--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -9,20 +9,20 @@
 	"skylarklead/internal/fleet"
 )
 
-// simulated is a fleet of entries that lend to each other over a network which loses and
+// simFleet simulates entries that lend to each other over a network which loses and
 // delays messages.
-type simulated struct {
+type simFleet struct {
 	rand    *rand.Rand
 	now     time.Duration
 	params  Params
 	entries []*simEntry
-	// listed are the names in the list of entries, which is read with a delay.
+	// listed has the names in the list of entries, which is read with a delay.
 	listed []string
-	later  []simEvent
+	events []simEvent
 	loss   float64
 	delay  time.Duration
 	spent  map[string][]simSpent
-	// asked, refused and messages count requests and questions.
+	// asked counts requests, refused the refused ones, messages the loan requests.
 	asked, refused, messages int
 }
 
@@ -32,9 +32,9 @@
 	epoch  uint64
 	seq    uint64
 	down   bool
-	// read is how many entries the list had when it was read last.
+	// read is the length of the list of entries when it was last read.
 	read int
-	// cut entries hear nobody and read no list.
+	// cut entries are cut off: they reach no other entry and read no list.
 	cut    bool
 	limits map[string]fleet.Quota
 }
@@ -54,12 +54,12 @@
 	SpendWithin: DefaultSpendWithin, MaxListAge: DefaultMaxListAge,
 }
 
-func newSimulated(seed uint64, entries int, limits map[string]fleet.Quota) *simulated {
+func newSimulated(seed uint64, entries int, limits map[string]fleet.Quota) *simFleet {
 	return newSimulatedWith(seed, entries, limits, simParams)
 }
 
-func newSimulatedWith(seed uint64, entries int, limits map[string]fleet.Quota, params Params) *simulated {
-	s := &simulated{
+func newSimulatedWith(seed uint64, entries int, limits map[string]fleet.Quota, params Params) *simFleet {
+	s := &simFleet{
 		rand: rand.New(rand.NewPCG(seed, 1)), params: params,
 		spent: make(map[string][]simSpent), delay: 5 * time.Millisecond,
 	}
@@ -70,14 +70,14 @@
 	return s
 }
 
-// add starts an entry that the list doesn't have yet.
-func (s *simulated) add(name string, limits map[string]fleet.Quota) {
+// add starts an entry that isn't in the list yet.
+func (s *simFleet) add(name string, limits map[string]fleet.Quota) {
 	e := &simEntry{name: name, limits: limits}
 	s.entries = append(s.entries, e)
 	s.start(e)
 }
 
-func (s *simulated) start(e *simEntry) {
+func (s *simFleet) start(e *simEntry) {
 	e.down = false
 	e.epoch++
 	known := slices.Contains(s.listed, e.name)
@@ -93,7 +93,7 @@
 }
 
 // read has an entry read the list of entries.
-func (s *simulated) read(e *simEntry) {
+func (s *simFleet) read(e *simEntry) {
 	if e.read != len(s.listed) {
 		e.ledger.SetEntries(slices.Clone(s.listed), s.now)
 		e.read = len(s.listed)
@@ -101,20 +101,20 @@
 	e.ledger.ListConfirmed(s.now, s.now)
 }
 
-func (s *simulated) after(d time.Duration, do func()) {
-	s.later = append(s.later, simEvent{s.now + d, do})
+func (s *simFleet) after(d time.Duration, do func()) {
+	s.events = append(s.events, simEvent{s.now + d, do})
 }
 
-// run lets time pass, a millisecond at a time; each is called in each.
-func (s *simulated) run(d time.Duration, each func()) {
+// run advances time by d in steps of a millisecond and calls each in every step.
+func (s *simFleet) run(d time.Duration, each func()) {
 	for end := s.now + d; s.now < end; s.now += time.Millisecond {
-		due := s.later
-		s.later = nil
+		due := s.events
+		s.events = nil
 		for _, ev := range due {
 			if ev.at <= s.now {
 				ev.do()
 			} else {
-				s.later = append(s.later, ev)
+				s.events = append(s.events, ev)
 			}
 		}
 		if s.now%(500*time.Millisecond) == 0 {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (s *simulated) named(name string) *simEntry {
+func (s *simFleet) entryNamed(name string) *simEntry {
 	for _, e := range s.entries {
 		if e.name == name {
 			return e
@@ -139,30 +139,30 @@
 	return nil
 }
 
-func (s *simulated) reaches(a, b *simEntry) bool {
+func (s *simFleet) reaches(a, b *simEntry) bool {
 	return !a.cut && !b.cut && !b.down && s.rand.Float64() >= s.loss
 }
 
-// borrowed are units of a lender.
-type borrowed struct {
+// borrowedUnits are units from a lender.
+type borrowedUnits struct {
 	from  *simEntry
 	units float64
 	loan  LoanID
 }
 
-// request has an entry acquire a request's units as an entry of the product does, and
-// send it within SpendWithin or give the units back.
-func (s *simulated) request(e *simEntry, organisation string, units float64) bool {
+// request has an entry acquire the units of a request as a real entry does, and send the
+// request within SpendWithin or return the units.
+func (s *simFleet) request(e *simEntry, organisation string, units float64) bool {
 	s.asked++
 	at, epoch := s.now, e.epoch
 	own, pieces := s.acquire(e, organisation, units)
 	if own < 0 {
 		s.refused++
 		e.ledger.RecordRefusal(organisation, units, s.now)
-		s.giveBack(e, organisation, 0, pieces, at)
+		s.refund(e, organisation, 0, pieces, at)
 		return false
 	}
-	// Some wait as long as they may, and some are not sent in the end.
+	// Some requests wait as long as they may, and some are never sent.
 	wait := s.delay
 	if s.rand.IntN(4) == 0 {
 		wait = time.Duration(s.rand.Int64N(int64(s.params.SpendWithin)))
@@ -172,7 +172,7 @@
 		switch {
 		case e.down || e.epoch != epoch || s.now-at > s.params.SpendWithin:
 		case unsent:
-			s.giveBack(e, organisation, own, pieces, at)
+			s.refund(e, organisation, own, pieces, at)
 		default:
 			s.spent[organisation] = append(s.spent[organisation], simSpent{s.now, units})
 		}
@@ -180,16 +180,16 @@
 	return true
 }
 
-// acquire returns the units of an entry's own part, below 0 if there weren't enough, and
-// those borrowed.
-func (s *simulated) acquire(e *simEntry, organisation string, units float64) (own float64, pieces []borrowed) {
+// acquire returns the units taken from an entry's own share, below 0 if there weren't enough,
+// and those borrowed.
+func (s *simFleet) acquire(e *simEntry, organisation string, units float64) (own float64, pieces []borrowedUnits) {
 	if e.ledger.Take(organisation, units, s.now) {
 		return units, nil
 	}
 	usable := func(string) bool { return true }
 	left := units
 	for _, name := range e.ledger.Lenders(organisation, left, usable, s.now) {
-		lender := s.named(name)
+		lender := s.entryNamed(name)
 		s.messages++
 		e.seq++
 		id := LoanID{e.name, e.epoch, e.seq}
@@ -202,7 +202,7 @@
 		}
 		e.ledger.LenderReported(organisation, name, lent.Remaining, s.now)
 		if lent.Units > 0 {
-			pieces = append(pieces, borrowed{lender, lent.Units, id})
+			pieces = append(pieces, borrowedUnits{lender, lent.Units, id})
 			left -= lent.Units
 		}
 		if left <= 0 {
@@ -215,7 +215,7 @@
 	return -1, pieces
 }
 
-func (s *simulated) giveBack(e *simEntry, organisation string, own float64, pieces []borrowed, at time.Duration) {
+func (s *simFleet) refund(e *simEntry, organisation string, own float64, pieces []borrowedUnits, at time.Duration) {
 	if own > 0 {
 		e.ledger.Refund(organisation, own, at, s.now)
 	}
@@ -225,13 +225,13 @@
 			s.after(time.Duration(s.rand.Int64N(int64(4*s.delay))), back)
 		}
 		if s.rand.IntN(10) == 0 {
-			s.after(time.Duration(s.rand.Int64N(int64(time.Second))), back) // once more, or late
+			s.after(time.Duration(s.rand.Int64N(int64(time.Second))), back) // duplicate, or late
 		}
 	}
 }
 
-// busiest is the most that was spent in any window of a length.
-func (s *simulated) busiest(organisation string, window time.Duration) float64 {
+// maxSpent returns the most units spent in any window of a length.
+func (s *simFleet) maxSpent(organisation string, window time.Duration) float64 {
 	spent := slices.SortedFunc(slices.Values(s.spent[organisation]), func(a, b simSpent) int { return int(a.at - b.at) })
 	most, sum, first := 0.0, 0.0, 0
 	for _, x := range spent {
@@ -245,8 +245,8 @@
 	return most
 }
 
-// up are the entries that run.
-func (s *simulated) up() []*simEntry {
+// running returns the entries that run.
+func (s *simFleet) running() []*simEntry {
 	var out []*simEntry
 	for _, e := range s.entries {
 		if !e.down {
@@ -256,8 +256,8 @@
 	return out
 }
 
-// units draws a request's size: many short ones, some with long prompts.
-func (s *simulated) units() float64 {
+// units draws a request's size: many short requests, some with long prompts.
+func (s *simFleet) units() float64 {
 	if s.rand.IntN(3) > 0 {
 		return 200 + float64(s.rand.IntN(1600))
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -9,36 +9,36 @@
 
 // Ledger is what one entry may spend of organisations' limits, and what it has lent.
 //
-// Invariant: a unit is withdrawn from one bucket only, and is spent or given back within
-// SpendWithin or lost.
+// Invariant: a unit is withdrawn from one bucket only, and within SpendWithin is spent,
+// returned or lost.
 type Ledger struct {
 	params   Params
 	entries  divide.Entries
 	accounts map[string]*account
-	draw     func(n int) int
+	randN    func(n int) int
 }
 
-// account is an organisation with a limit.
+// account is the state of an organisation with a limit.
 type account struct {
-	name    string
-	limit   fleet.Quota
-	shares  shares
-	divided bool // shares are of the present list of entries
-	bucket  divide.Bucket
-	begun   bool
-	// lent are the withdrawals by others that may still be given back.
-	lent map[LoanID]loan
-	// known is what lenders said they have left.
-	known map[string]lender
-	// refused is how much was refused lately, as of refusedAt.
-	refused   float64
-	refusedAt time.Duration
-	// lacking is how much lenders didn't have, believed until lackingUntil.
-	lacking      float64
-	lackingUntil time.Duration
+	name        string
+	limit       fleet.Quota
+	shares      shares
+	sharesValid bool // shares match the current list of entries and limit
+	bucket      divide.Bucket
+	started     bool
+	// loans has the withdrawals by other entries that may still be returned.
+	loans map[LoanID]loan
+	// lenders has what other entries reported to have left.
+	lenders map[string]lenderState
+	// refusedUnits is the decayed sum of refused units as of refusedAt.
+	refusedUnits float64
+	refusedAt    time.Duration
+	// unavailable is the number of units that lenders lacked, assumed until unavailableUntil.
+	unavailable      float64
+	unavailableUntil time.Duration
 }
 
-// LoanID names a withdrawal by another entry.
+// LoanID identifies a withdrawal by another entry.
 type LoanID struct {
 	Entry      string
 	Epoch, Seq uint64
@@ -49,61 +49,61 @@
 	at    time.Duration
 }
 
-// NewLedger returns the ledger of an entry that may spend nothing yet. draw returns a
+// NewLedger returns the ledger of an entry that may not spend anything yet. randN returns a
 // random number below n.
 func NewLedger(self string, p Params, draw func(n int) int) *Ledger {
-	return &Ledger{params: p, entries: divide.NewEntries(self), accounts: make(map[string]*account), draw: draw}
+	return &Ledger{params: p, entries: divide.NewEntries(self), accounts: make(map[string]*account), randN: draw}
 }
 
-// SetParams takes other parameters.
+// SetParams replaces the parameters.
 func (l *Ledger) SetParams(p Params, now time.Duration) {
 	l.params = p
 	l.redivide(now)
 }
 
-// SetEntries takes the names of all entries listed.
+// SetEntries sets the names of all listed entries.
 func (l *Ledger) SetEntries(entries []string, now time.Duration) {
 	l.entries.SetNames(entries)
 	l.redivide(now)
 }
 
-// Joined says that the list of entries has this one. known says that it had when this
-// process read the list first: all others count it then, as it was there before.
+// Joined records that the list of entries contains this one. known says that it did when this
+// process first read the list: then all others account for it already.
 func (l *Ledger) Joined(known bool, now time.Duration) {
 	if l.entries.Joined(known, l.params.MaxListAge, now) {
 		l.redivide(now)
 	}
 }
 
-// ListConfirmed says as of when the list of entries is known.
+// ListConfirmed records as of when the list of entries is known.
 func (l *Ledger) ListConfirmed(asOf, now time.Duration) {
 	if !l.entries.ListConfirmed(asOf, l.params.MaxListAge) {
 		return
 	}
 	for _, a := range l.accounts {
-		// A time for which the list was too old keeps its rate.
-		a.settle(now)
+		// The time for which the list was too old keeps its reduced rate.
+		a.refill(now)
 		a.bucket.StaleAt = l.entries.StaleAt
 	}
 }
 
-// redivide has all shares computed anew, from now on.
+// redivide has all shares computed again, from now on.
 func (l *Ledger) redivide(now time.Duration) {
 	for _, a := range l.accounts {
-		a.settle(now)
-		a.divided = false
+		a.refill(now)
+		a.sharesValid = false
 	}
 }
 
-// settle takes in what has come up to now at the rate until now. An account that was not
-// used yet takes it in at its first use.
-func (a *account) settle(now time.Duration) {
-	if a.begun {
+// refill adds what came in up to now at the previous rate. An account that was not used yet
+// adds it at its first use.
+func (a *account) refill(now time.Duration) {
+	if a.started {
 		a.bucket.Refill(now)
 	}
 }
 
-// SetLimits takes the limits in force. Organisations without one aren't among them.
+// SetLimits sets the limits in force. Organisations without a limit aren't among them.
 func (l *Ledger) SetLimits(limits map[string]fleet.Quota, now time.Duration) {
 	for name := range l.accounts {
 		if _, ok := limits[name]; !ok {
@@ -113,135 +113,135 @@
 	for name, q := range limits {
 		a := l.accounts[name]
 		if a == nil {
-			a = &account{name: name, lent: make(map[LoanID]loan), known: make(map[string]lender)}
+			a = &account{name: name, loans: make(map[LoanID]loan), lenders: make(map[string]lenderState)}
 			a.bucket.RefilledAt, a.bucket.StaleAt = now, l.entries.StaleAt
 			l.accounts[name] = a
 		}
 		if a.limit != q {
-			a.settle(now)
+			a.refill(now)
 			a.bucket.RefilledAt = now
-			a.limit, a.divided = q, false
-			clear(a.known)
+			a.limit, a.sharesValid = q, false
+			clear(a.lenders)
 		}
 	}
 }
 
-// account returns an organisation's account with its shares up to date, nil for one
+// account returns an organisation's account with up-to-date shares, nil for an organisation
 // without a limit.
 func (l *Ledger) account(organisation string, now time.Duration) *account {
 	a := l.accounts[organisation]
-	if a == nil || a.divided && a.begun {
+	if a == nil || a.sharesValid && a.started {
 		return a
 	}
-	a.divided = true
-	a.shares = sharesOf(a.name, &a.limit, l.params.most(&a.limit), l.entries.Names)
+	a.sharesValid = true
+	a.shares = computeShares(a.name, &a.limit, l.params.capacity(&a.limit), l.entries.Names)
 	if now < l.entries.ActiveAt {
-		a.divided = false
+		a.sharesValid = false
 		return a
 	}
-	part := a.shares.of(l.entries.Self)
-	if !a.begun {
-		// What came in between the beginning of the part and its first use.
+	share := a.shares.of(l.entries.Self)
+	if !a.started {
+		// Adds what came in between the beginning of the share and its first use.
 		a.bucket.RefilledAt = max(a.bucket.RefilledAt, l.entries.ActiveAt)
-		a.bucket.Rate, a.bucket.Capacity = l.rate(a, part), l.most(a, part)
-		a.bucket.Level = min(a.bucket.Capacity, begun*l.params.Slack*part)
-		a.begun = true
+		a.bucket.Rate, a.bucket.Capacity = l.rate(a, share), l.capacity(a, share)
+		a.bucket.Level = min(a.bucket.Capacity, initialSlack*l.params.Slack*share)
+		a.started = true
 	}
-	a.bucket.Resize(l.rate(a, part), l.most(a, part), now)
+	a.bucket.Resize(l.rate(a, share), l.capacity(a, share), now)
 	return a
 }
 
-func (l *Ledger) rate(a *account, part float64) float64 {
-	return part * l.params.rate(&a.limit)
+func (l *Ledger) rate(a *account, share float64) float64 {
+	return share * l.params.rate(&a.limit)
 }
 
-func (l *Ledger) most(a *account, part float64) float64 {
-	return part * l.params.most(&a.limit)
+func (l *Ledger) capacity(a *account, share float64) float64 {
+	return share * l.params.capacity(&a.limit)
 }
 
 // HasLimit reports whether an organisation has a limit.
 func (l *Ledger) HasLimit(organisation string) bool { return l.accounts[organisation] != nil }
 
-// Take withdraws units from this entry's own part.
+// Take withdraws units from this entry's own share.
 func (l *Ledger) Take(organisation string, units float64, now time.Duration) bool {
 	a := l.account(organisation, now)
 	return a != nil && a.bucket.Take(units, now)
 }
 
-// Refund takes back units of this entry's own part that were withdrawn at a time and are
-// not spent. Those withdrawn longer ago are lost.
+// Refund returns unspent units to this entry's own share that were withdrawn at a time.
+// Units withdrawn more than SpendWithin ago are lost.
 func (l *Ledger) Refund(organisation string, units float64, at, now time.Duration) {
 	if a := l.account(organisation, now); a != nil && now-at <= l.params.SpendWithin {
 		a.bucket.Refund(units, now)
 	}
 }
 
-// LendReply is the answer to an entry that asks for units.
+// LendReply is the answer to an entry that asks for a loan.
 type LendReply struct {
-	// Units are lent, 0 for none; Remaining are left here.
+	// Units is the number lent, 0 for none; Remaining is the lender's level afterwards.
 	Units, Remaining float64
 }
 
-// Lend withdraws units for another entry: all that it asks for, or, of a request larger
-// than what is saved up here at most, a part.
+// Lend withdraws units for another entry: all that it asks for or, if the request is larger
+// than this entry's bucket can ever hold, a part.
 func (l *Ledger) Lend(organisation string, units float64, to LoanID, now time.Duration) LendReply {
 	a := l.account(organisation, now)
 	if a == nil || !(units > 0) {
 		return LendReply{}
 	}
-	a.forget(now - l.params.SpendWithin)
+	a.expireLoans(now - l.params.SpendWithin)
 	a.bucket.Refill(now)
-	if _, again := a.lent[to]; again {
+	if _, again := a.loans[to]; again {
 		return LendReply{Remaining: a.bucket.Level}
 	}
 	lent := min(units, max(a.bucket.Level, 0))
-	if lent < min(units, lendAtOnce*a.bucket.Capacity) {
+	if lent < min(units, partialLoanFraction*a.bucket.Capacity) {
 		return LendReply{Remaining: a.bucket.Level}
 	}
 	if !a.bucket.Take(lent, now) || lent == 0 {
 		return LendReply{Remaining: a.bucket.Level}
 	}
-	a.lent[to] = loan{lent, now}
+	a.loans[to] = loan{lent, now}
 	return LendReply{Units: lent, Remaining: a.bucket.Level}
 }
 
-// lendAtOnce is the part of what can be saved up that is lent of a larger request.
-const lendAtOnce = 0.5
+// partialLoanFraction is the fraction of the bucket's capacity that is enough for a partial loan.
+const partialLoanFraction = 0.5
 
-// LoanReturned takes units back that were lent and not spent.
+// LoanReturned takes back units that were lent and not spent.
 func (l *Ledger) LoanReturned(organisation string, units float64, by LoanID, now time.Duration) {
 	a := l.account(organisation, now)
 	if a == nil {
 		return
 	}
-	a.forget(now - l.params.SpendWithin)
-	given, ok := a.lent[by]
+	a.expireLoans(now - l.params.SpendWithin)
+	given, ok := a.loans[by]
 	if !ok || !(units > 0) {
 		return
 	}
-	delete(a.lent, by)
+	delete(a.loans, by)
 	a.bucket.Refund(min(units, given.units), now)
 }
 
-// forget drops loans made before a time: they can't be given back any more.
-func (a *account) forget(before time.Duration) {
-	for id, given := range a.lent {
+// expireLoans drops loans made before a time: they can't be returned any more.
+func (a *account) expireLoans(before time.Duration) {
+	for id, given := range a.loans {
 		if given.at < before {
-			delete(a.lent, id)
+			delete(a.loans, id)
 		}
 	}
 }
 
-// State is what an entry tells of a limit.
+// State is the state of a limit at one entry.
 type State struct {
 	Rate, Burst float64
-	// Share is this entry's part of the limit, 0 to 1, Level what it has left of it.
+	// Share is this entry's share of the limit, 0 to 1, Level the units it has left.
 	Share, Level float64
-	// Stale says that the list of entries is too old for the whole rate.
+	// Stale is set if the list of entries is too old for the whole rate.
 	Stale bool
 }
 
-// State returns an organisation's state.
+// State returns the state of an organisation's limit, false if it has none.
 func (l *Ledger) State(organisation string, now time.Duration) (State, bool) {
 	a := l.account(organisation, now)
 	if a == nil {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -14,8 +14,8 @@
 	return fleet.Quota{Rate: rate, Burst: rate, Tokens: true, Uncounted: 200}
 }
 
-// Guards against more than a limit allows in any window, however messages are lost and
-// entries stop, start, are cut off and come new.
+// Guards against more usage than a limit allows in any window, however messages are lost and
+// entries stop, start, join and are cut off.
 func TestNoWindowExceedsALimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{5_000, 29_000, 150_000, 400_000}).Draw(t, "rate")
@@ -50,21 +50,21 @@
 			if s.rand.IntN(400) == 0 {
 				fault()
 			}
-			up := s.up()
+			up := s.running()
 			for due += perMs; due >= 1 && len(up) > 0; due-- {
 				s.request(up[s.rand.IntN(len(up))], "derwent", s.units())
 			}
 		})
 		q := limits["derwent"]
 		for _, window := range []time.Duration{s.params.Window, 2 * s.params.Window} {
-			if got, most := s.busiest("derwent", window), s.params.Bound(&q, window); got > most {
+			if got, most := s.maxSpent("derwent", window), s.params.Bound(&q, window); got > most {
 				t.Fatalf("%.0f units in %v, %.0f allowed", got, window, most)
 			}
 		}
 	})
 }
 
-// Guards against refusals below a limit for want of units that another entry holds idle.
+// Guards against refusals below a limit for lack of units that another entry holds idle.
 func TestLoadBelowALimitIsServed(t *testing.T) {
 	for _, entries := range []int{3, 30, 103, 300} {
 		for _, rate := range []float64{60_000, 400_000} {
@@ -82,21 +82,21 @@
 					if share := float64(s.refused) / float64(s.asked); share > 0.01 {
 						t.Errorf("%d of %d requests refused", s.refused, s.asked)
 					}
-					t.Logf("%d requests, %d refused, %d questions", s.asked, s.refused, s.messages)
+					t.Logf("%d requests, %d refused, %d loan requests", s.asked, s.refused, s.messages)
 				})
 			}
 		}
 	}
 }
 
-// Guards against units that stay where an organisation's requests came before they moved.
+// Guards against units that stay at the entries that got an organisation's requests before those moved elsewhere.
 func TestRequestsThatMoveToOtherEntriesAreServed(t *testing.T) {
 	const rate, entries, users = 300_000, 30, 5
 	limits := map[string]fleet.Quota{"derwent": tokens(rate), "huon": tokens(rate)}
 	s := newSimulated(1, entries, limits)
 	due := 0.0
 	s.run(20*time.Second, func() {
-		// The two swap places every two seconds.
+		// The two organisations swap entries every two seconds.
 		swapped := int(s.now/(2*time.Second)) % 2
 		for due += 2 * 0.8 * rate / meanUnits / 1000; due >= 1; due-- {
 			which := s.rand.IntN(2)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Guards against a storm of questions when an organisation sends many times its limit.
+// Guards against a flood of loan requests when an organisation sends many times its limit.
 func TestAnOrganisationFarBeyondItsLimitAsksLittle(t *testing.T) {
 	const rate = 400_000
 	s := newSimulated(1, 30, map[string]fleet.Quota{"derwent": tokens(rate)})
@@ -127,14 +127,14 @@
 	if served < 0.9*rate*20 {
 		t.Errorf("%.0f units served in 20 s, the limit has %d", served, rate*20)
 	}
-	// Half of the datagrams that an entry sends a second to its peers anyway.
+	// Half the rate of datagrams that an entry sends to its peers anyway.
 	if perEntry := float64(s.messages) / 30 / 20; perEntry > 100 {
-		t.Errorf("%.0f questions a second and entry", perEntry)
+		t.Errorf("%.0f loan requests a second and entry", perEntry)
 	}
-	t.Logf("%.2f of the limit served, %.1f questions a second and entry", served/(rate*20), float64(s.messages)/30/20)
+	t.Logf("%.2f of the limit served, %.1f loan requests a second and entry", served/(rate*20), float64(s.messages)/30/20)
 }
 
-// Guards against an entry without peers that serves nothing of a large organisation.
+// Guards against an entry without peers that serves no requests of an organisation with a large limit.
 func TestAnEntryCutOffServesItsPart(t *testing.T) {
 	const rate, entries = 400_000, 30
 	s := newSimulated(1, entries, map[string]fleet.Quota{"derwent": tokens(rate)})
@@ -152,7 +152,7 @@
 	}
 }
 
-// Guards against a burst that is there anew after each restart.
+// Guards against a new burst after each restart.
 func TestRestartsMintNoBurst(t *testing.T) {
 	const rate = 400_000
 	s := newSimulated(1, 3, map[string]fleet.Quota{"derwent": tokens(rate)})
@@ -165,28 +165,28 @@
 		}
 		s.run(100*time.Millisecond, nil)
 	}
-	if got, most := s.busiest("derwent", s.params.Window), 0.5*rate+4*begun*s.params.Slack; got > most {
+	if got, most := s.maxSpent("derwent", s.params.Window), 0.5*rate+4*initialSlack*s.params.Slack; got > most {
 		t.Errorf("%.0f units after four restarts, at most %.0f", got, most)
 	}
 }
 
-// Guards against a wait that the limit doesn't need, and one that it can't keep.
+// Guards against a wait that the limit doesn't need, and one that is too short for the limit.
 func TestWaitGrowsWithWhatWasRefused(t *testing.T) {
 	s := newSimulated(1, 30, map[string]fleet.Quota{"derwent": tokens(29_000)})
 	l := s.entries[0].ledger
 	first := l.RecordRefusal("derwent", 9_000, s.now)
 	if want := 310 * time.Millisecond; first < want-10*time.Millisecond || first > want+10*time.Millisecond {
-		t.Errorf("%v for 9,000 units at 29,000 a second", first)
+		t.Errorf("wait %v for 9,000 units at 29,000 a second", first)
 	}
 	if again := l.RecordRefusal("derwent", 9_000, s.now); again <= first {
-		t.Errorf("%v after %v", again, first)
+		t.Errorf("wait %v after a wait of %v", again, first)
 	}
-	if later := l.RecordRefusal("derwent", 9_000, s.now+2*refusedFor); later != first {
-		t.Errorf("%v after a pause, %v before", later, first)
+	if later := l.RecordRefusal("derwent", 9_000, s.now+2*refusalWindow); later != first {
+		t.Errorf("wait %v after a pause, %v before", later, first)
 	}
 }
 
-// Guards against limits that hold on after they were lowered, raised or taken away.
+// Guards against limits that stay in force after they were lowered, raised or removed.
 func TestLimitsFollowTheConfiguration(t *testing.T) {
 	l := NewLedger("a", simParams, func(int) int { return 0 })
 	l.SetEntries([]string{"a"}, 0)
@@ -194,15 +194,15 @@
 	l.Joined(true, 0)
 	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(100_000)}, 0)
 	if !l.Take("derwent", 100_000, 10*time.Second) {
-		t.Error("what was saved up is refused")
+		t.Error("accumulated units are refused")
 	}
 	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(10_000)}, 20*time.Second)
 	lower := tokens(10_000)
-	if l.Take("derwent", l.params.most(&lower)+1, 20*time.Second) {
-		t.Error("more than the lower limit has saved up")
+	if l.Take("derwent", l.params.capacity(&lower)+1, 20*time.Second) {
+		t.Error("more units than the lower limit can accumulate")
 	}
 	l.SetLimits(map[string]fleet.Quota{}, 20*time.Second)
 	if l.HasLimit("derwent") {
-		t.Error("a limit that was taken away holds on")
+		t.Error("a removed limit is still in force")
 	}
 }
--- a/internal/quota/lenders.go
+++ b/internal/quota/lenders.go
@@ -5,78 +5,78 @@
 	"time"
 )
 
-// lender is what an entry said it has left, as of a time.
-type lender struct {
-	left float64
-	at   time.Duration
+// lenderState is what an entry reported to have left at a time.
+type lenderState struct {
+	remaining float64
+	at        time.Duration
 }
 
 const (
-	// knownFor is how long a lender's word that it lacks units is believed.
-	knownFor = 250 * time.Millisecond
-	// lackingFor is how long an organisation's requests of a size are refused unasked after
-	// lenders had nothing for one.
-	lackingFor = 50 * time.Millisecond
-	// mostLenders is how many entries one request asks, one after the other.
-	mostLenders = 3
-	// refusedFor is over how long refusals count towards the wait of the next caller.
-	refusedFor = time.Second
-	// leastWait and mostWait bound what a caller is told.
-	leastWait = 100 * time.Millisecond
-	mostWait  = 5 * time.Second
+	// lenderTTL is how long a lender's report that it lacks units is believed.
+	lenderTTL = 250 * time.Millisecond
+	// unavailableTTL is how long an organisation's requests of a size or larger are refused
+	// without loan requests after lenders had nothing for one of that size.
+	unavailableTTL = 50 * time.Millisecond
+	// maxLenders is how many entries are asked for one request, one after the other.
+	maxLenders = 3
+	// refusalWindow is how long refusals count towards the wait of the next caller.
+	refusalWindow = time.Second
+	// minWait and maxWait bound the wait that a caller is told.
+	minWait = 100 * time.Millisecond
+	maxWait = 5 * time.Second
 )
 
-// Lenders lists the entries to ask for units, in order: those that may have them by what
-// they said, and of a large limit one of the others. None means that the limit is used
-// up. usable reports whether an entry answers.
+// Lenders returns the entries to ask for units, in order: owners that may have them according
+// to their last report, and of a large limit one of the other entries. None means that the
+// limit is used up. usable reports whether an entry answers.
 func (l *Ledger) Lenders(organisation string, units float64, usable func(string) bool, now time.Duration) []string {
 	a := l.account(organisation, now)
-	if a == nil || now < a.lackingUntil && units >= a.lacking {
+	if a == nil || now < a.unavailableUntil && units >= a.unavailable {
 		return nil
 	}
-	homes := l.lendersOf(a, a.shares.homes, a.shares.even+a.shares.home, units, usable, now)
-	if len(homes) >= mostLenders {
-		return homes[:mostLenders]
+	owners := l.rankLenders(a, a.shares.owners, a.shares.evenShare+a.shares.ownerShare, units, usable, now)
+	if len(owners) >= maxLenders {
+		return owners[:maxLenders]
 	}
-	if a.shares.even == 0 || units > l.most(a, a.shares.even) {
-		return homes
+	if a.shares.evenShare == 0 || units > l.capacity(a, a.shares.evenShare) {
+		return owners
 	}
-	other := l.entries.Names[l.draw(len(l.entries.Names))]
-	if slices.Contains(a.shares.homes, other) {
-		return homes
+	other := l.entries.Names[l.randN(len(l.entries.Names))]
+	if slices.Contains(a.shares.owners, other) {
+		return owners
 	}
-	return append(homes, l.lendersOf(a, []string{other}, a.shares.even, units, usable, now)...)
+	return append(owners, l.rankLenders(a, []string{other}, a.shares.evenShare, units, usable, now)...)
 }
 
-// OwnerReachable reports whether any entry that holds the undivided part of a limit may be asked, this
-// one included.
+// OwnerReachable reports whether any owner of the undivided part of a limit may be asked, this
+// entry included.
 func (l *Ledger) OwnerReachable(organisation string, usable func(string) bool, now time.Duration) bool {
 	a := l.account(organisation, now)
-	return a == nil || slices.ContainsFunc(a.shares.homes, func(home string) bool { return home == l.entries.Self || usable(home) })
+	return a == nil || slices.ContainsFunc(a.shares.owners, func(owner string) bool { return owner == l.entries.Self || usable(owner) })
 }
 
-// lendersOf are those of some entries, which have equal parts, that may have units, the
-// one with most first.
-func (l *Ledger) lendersOf(a *account, entries []string, part, units float64, usable func(string) bool, now time.Duration) []string {
-	most := l.most(a, part)
-	need := min(units, lendAtOnce*most)
+// rankLenders returns those of some entries with equal shares that may have units, the one
+// with most units first.
+func (l *Ledger) rankLenders(a *account, entries []string, share, units float64, usable func(string) bool, now time.Duration) []string {
+	capacity := l.capacity(a, share)
+	need := min(units, partialLoanFraction*capacity)
 	type candidate struct {
-		entry string
-		has   float64
+		entry     string
+		available float64
 	}
 	var out []candidate
 	first := 0
 	if len(entries) > 0 {
-		first = l.draw(len(entries))
+		first = l.randN(len(entries))
 	}
 	for i := range entries {
 		entry := entries[(first+i)%len(entries)]
 		if entry == l.entries.Self || !usable(entry) {
 			continue
 		}
-		has := most
-		if k, ok := a.known[entry]; ok && now-k.at < knownFor {
-			has = min(most, k.left+l.rate(a, part)*(now-k.at).Seconds())
+		has := capacity
+		if k, ok := a.lenders[entry]; ok && now-k.at < lenderTTL {
+			has = min(capacity, k.remaining+l.rate(a, share)*(now-k.at).Seconds())
 		}
 		if has >= need {
 			out = append(out, candidate{entry, has})
@@ -84,9 +84,9 @@
 	}
 	slices.SortStableFunc(out, func(a, b candidate) int {
 		switch {
-		case a.has > b.has:
+		case a.available > b.available:
 			return -1
-		case a.has < b.has:
+		case a.available < b.available:
 			return 1
 		}
 		return 0
@@ -98,30 +98,31 @@
 	return names
 }
 
-// LenderReported takes what a lender said it has left.
-func (l *Ledger) LenderReported(organisation, entry string, left float64, now time.Duration) {
+// LenderReported records what a lender reported to have left.
+func (l *Ledger) LenderReported(organisation, entry string, remaining float64, now time.Duration) {
 	if a := l.accounts[organisation]; a != nil && slices.Contains(l.entries.Names, entry) {
-		a.known[entry] = lender{left, now}
+		a.lenders[entry] = lenderState{remaining, now}
 	}
 }
 
-// RecordRefusal counts units that were refused, and returns when the limit will have room for
-// them after those refused before, here and, as it is told by this entry's own, elsewhere.
+// RecordRefusal counts refused units, and returns after which time the limit will have room
+// for them after those refused before, here and at the other entries, which are assumed to
+// have refused as much as this one.
 func (l *Ledger) RecordRefusal(organisation string, units float64, now time.Duration) time.Duration {
 	a := l.account(organisation, now)
 	if a == nil || a.limit.Rate <= 0 {
-		return leastWait
+		return minWait
 	}
-	if now >= a.lackingUntil || units < a.lacking {
-		a.lacking, a.lackingUntil = units, now+lackingFor
+	if now >= a.unavailableUntil || units < a.unavailable {
+		a.unavailable, a.unavailableUntil = units, now+unavailableTTL
 	}
-	left := max(0, 1-(now-a.refusedAt).Seconds()/refusedFor.Seconds())
-	before := a.refused * left
-	a.refused, a.refusedAt = before+units, now
-	alike := float64(len(a.shares.homes))
-	if a.shares.even > 0 {
-		alike = float64(len(l.entries.Names))
+	weight := max(0, 1-(now-a.refusedAt).Seconds()/refusalWindow.Seconds())
+	earlier := a.refusedUnits * weight
+	a.refusedUnits, a.refusedAt = earlier+units, now
+	refusers := float64(len(a.shares.owners))
+	if a.shares.evenShare > 0 {
+		refusers = float64(len(l.entries.Names))
 	}
-	wait := time.Duration((units + alike*before) / a.limit.Rate * float64(time.Second))
-	return min(mostWait, max(leastWait, wait))
+	wait := time.Duration((units + refusers*earlier) / a.limit.Rate * float64(time.Second))
+	return min(maxWait, max(minWait, wait))
 }
--- a/internal/quota/params.go
+++ b/internal/quota/params.go
@@ -6,84 +6,84 @@
 	"skylarklead/internal/fleet"
 )
 
-// Params size the parts of a limit. Times are on a steady clock that counts suspension.
+// Params size the shares of a limit. Times are on a steady clock that counts suspension.
 type Params struct {
-	// Window is the time over which the operator counts what ran. Over it a limit may be
-	// exceeded by the part Excess, 0 or more, and by Slack units. Window is 0 where nothing
+	// Window is the time over which the operator counts usage. Within it a limit may be
+	// exceeded by the fraction Excess, 0 or more, and by Slack units. Window is 0 if nothing
 	// may be exceeded.
 	Window time.Duration
 	Excess float64
 	Slack  float64
-	// SpendWithin is how long units may be kept from their withdrawal until the request
-	// is sent, and until which they may be given back.
+	// SpendWithin is how long units may be held between their withdrawal and the sending
+	// of the request, and until when they may be returned.
 	SpendWithin time.Duration
-	// MaxListAge is how old the list of entries may be. An entry has no part until it
-	// has been listed for as long, and half a part while what it knows is older.
+	// MaxListAge is how old the list of entries may be. An entry has no share until it
+	// has been listed for that long, and half a share while its list is older.
 	MaxListAge time.Duration
 }
 
 const (
-	// DefaultSpendWithin covers a question to another entry and a hand-over.
+	// DefaultSpendWithin covers a loan request to another entry and the dispatch.
 	DefaultSpendWithin = 300 * time.Millisecond
 	// DefaultMaxListAge covers several reads of the list of entries.
 	DefaultMaxListAge = 6 * time.Second
 )
 
 const (
-	// dividedPart is the part of a large limit that all entries share evenly: what an
-	// entry without peers can serve. The rest is with the limit's homes.
-	dividedPart = 0.33
-	// leastDivided is the least rate of an entry's even part, in large requests a second;
-	// a smaller part would be idle, as no request fits.
-	leastDivided = 0.2
-	// perHome is the rate of one home, in large requests a second, and leastHomes how
-	// many there are at least, so that single losses leave more than is usually asked.
-	perHome    = 6
-	leastHomes = 4
-	// savedBurst and savedSlack are the parts of a limit's burst and of Slack that may be
-	// saved up. The rest of the burst comes in as rate, over the operator's window.
-	savedBurst = 0.5
-	savedSlack = 0.5
-	// leastSaved is the time for which a limit's rate may be saved up at least, in seconds:
-	// nothing larger than a burst of 0 would ever be served.
-	leastSaved = 0.1
-	// begun is the part of Slack that entries start with after a restart.
-	begun = 0.25
-	// spare is the part of what the window allows that covers entries with different lists.
-	spare = 0.02
+	// evenFraction is the fraction of a large limit that is divided evenly among all entries:
+	// what entries without peers can serve. The limit's owners hold the rest.
+	evenFraction = 0.33
+	// minEvenRate is the least rate of an entry's even share, in large requests a second;
+	// a smaller share would be idle, as no request fits.
+	minEvenRate = 0.2
+	// ratePerOwner is the rate of one owner, in large requests a second, and minOwners the
+	// least number of owners, so that after single losses more is left than is usually asked.
+	ratePerOwner = 6
+	minOwners    = 4
+	// burstFraction and slackFraction are the fractions of a limit's burst and of Slack that
+	// may accumulate. The rest of the burst comes in as rate, over the operator's window.
+	burstFraction = 0.5
+	slackFraction = 0.5
+	// minSavedSeconds is the least time for which a limit's rate may accumulate, in seconds:
+	// otherwise a limit with a burst of 0 would never admit a request.
+	minSavedSeconds = 0.1
+	// initialSlack is the fraction of Slack that entries start with after a restart.
+	initialSlack = 0.25
+	// listMargin is the fraction of the window's bound that covers entries with different lists.
+	listMargin = 0.02
 )
 
-// largeTokens is a large request in tokens: a long prompt. A limit in requests counts one.
-const largeTokens = 10_000
+// largeRequestTokens is the size of a large request, one with a long prompt, in tokens.
+const largeRequestTokens = 10_000
 
-// large is the size of a large request in the unit of a limit.
-func large(q *fleet.Quota) float64 {
+// largeRequest is the size of a large request in the unit of a limit; a limit in requests counts one.
+func largeRequest(q *fleet.Quota) float64 {
 	if q.Tokens {
-		return largeTokens
+		return largeRequestTokens
 	}
 	return 1
 }
 
-// most is what may be saved up of a limit, over all entries.
-func (p *Params) most(q *fleet.Quota) float64 {
+// capacity is how many units of a limit may accumulate, over all entries.
+func (p *Params) capacity(q *fleet.Quota) float64 {
 	if p.Window <= 0 {
-		return max(q.Burst, leastSaved*q.Rate, 1)
+		return max(q.Burst, minSavedSeconds*q.Rate, 1)
 	}
-	return max(savedBurst*q.Burst, leastSaved*q.Rate) + savedSlack*p.Slack
+	return max(burstFraction*q.Burst, minSavedSeconds*q.Rate) + slackFraction*p.Slack
 }
 
-// rate is what comes in a second, over all entries: all that a window allows but for what may
-// have been saved up before it. Units may be sent SpendWithin after their withdrawal, so a
-// window sees the withdrawals of a longer time.
+// rate is how many units come in a second, over all entries: all that a window allows except
+// what may have accumulated before it. Units may be sent SpendWithin after their withdrawal,
+// so a window covers the withdrawals of a longer time.
 func (p *Params) rate(q *fleet.Quota) float64 {
 	if p.Window <= 0 {
 		return q.Rate
 	}
-	within := (1-spare)*p.Bound(q, p.Window) - p.most(q) - begun*p.Slack
+	within := (1-listMargin)*p.Bound(q, p.Window) - p.capacity(q) - initialSlack*p.Slack
 	return max(0, within) / (p.Window + p.SpendWithin).Seconds()
 }
 
-// Bound is the most that may be sent and run in a time of any length, over all entries.
+// Bound is the most units that may be spent in a time of any length, over all entries.
 func (p *Params) Bound(q *fleet.Quota, length time.Duration) float64 {
 	return (q.Rate*length.Seconds()+q.Burst)*(1+p.Excess) + p.Slack
 }
