--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,11 +1,11 @@
-// Package ratelimit divides the request rates that replicas name among the entries that send to
-// them: what all entries together may send to a replica is the rate that it takes.
+// Package ratelimit divides the request rates that replicas announce among the entries that send
+// to them: all entries together may send to a replica at the rate that it accepts.
 //
-// A replica names its rate in its answers, to whichever entry gets one, and no entry hears how much
-// the others send. So each entry takes a fixed part that follows from the list of entries alone:
-// the parts sum to the whole, in touch or not. Where a part would be of no use, since not even one
-// request saved up by each entry would fit, few entries have parts, by rendezvous hashing, and the
-// others send nothing.
+// A replica announces its rate in its answers, to whichever entry gets one, and no entry learns how
+// much the others send. So each entry takes a fixed share that follows from the list of entries
+// alone: the shares sum to the whole, whether or not the entries are in touch. If the shares would
+// be too small, so that not even one saved-up request per entry fits the limit, only a few entries
+// chosen by rendezvous hashing have a share, and the others send nothing.
 //
 // The package is pure: events in, decisions out, times passed in.
 package ratelimit
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// fleet is a simulated fleet of entries that all send to one replica as often as they may. Words
+// simFleet simulates entries that all send to one replica as often as they may. Updates
 // between entries are lost and late.
-type fleet struct {
+type simFleet struct {
 	rand    *rand.Rand
 	now     time.Duration
 	entries []*simEntry
 	listed  []string
-	later   []event
+	events  []event
 	loss    float64
-	// rate is what the replica names, below 0 for none.
+	// rate is the rate that the replica announces, below 0 for none.
 	rate float64
-	// idle says that no entry has requests.
+	// idle is set while no entry has requests.
 	idle bool
-	// arrivals are the requests that reached the replica, with who had sent them.
+	// arrivals are the requests that reached the replica.
 	arrivals []arrival
 }
 
 type simEntry struct {
 	name   string
 	limits *Limits
-	// cut entries hear no other entry and read no list, but reach the replica.
+	// cut entries get no updates and read no list, but reach the replica.
 	cut bool
-	// underWay is a request without an answer so far: each entry sends one at a time.
+	// underWay is set while a request is unanswered: each entry sends one at a time.
 	underWay bool
 	epoch    int
-	// told is when an answer first named the limit, 0 for never.
-	told time.Duration
+	// informedAt is when an answer first announced the limit, 0 for never.
+	informedAt time.Duration
 }
 
 type event struct {
@@ -43,22 +43,22 @@
 
 type arrival struct {
 	at time.Duration
-	// told says that its sender had been told by an answer half a second before.
-	told bool
+	// informed is set if the sender got an answer with the limit at least half a second before.
+	informed bool
 }
 
 const simReplica = "replica-1"
 
-func newFleet(seed uint64, entries int) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), rate: -1}
+func newFleet(seed uint64, entries int) *simFleet {
+	f := &simFleet{rand: rand.New(rand.NewPCG(seed, 1)), rate: -1}
 	for i := range entries {
 		f.start(&simEntry{name: fmt.Sprint("entry-", i)})
 	}
 	return f
 }
 
-// start starts an entry, or starts it again.
-func (f *fleet) start(e *simEntry) {
+// start starts or restarts an entry.
+func (f *simFleet) start(e *simEntry) {
 	known := slices.Contains(f.listed, e.name)
 	if !known {
 		f.listed = append(f.listed, e.name)
@@ -68,40 +68,40 @@
 	}
 	e.limits = New(e.name, DefaultParams, f.rand.Float64)
 	e.epoch++
-	e.underWay, e.told = false, 0
+	e.underWay, e.informedAt = false, 0
 	f.read(e)
 	e.limits.Joined(known || f.now == 0, f.now)
 }
 
-func (f *fleet) read(e *simEntry) {
+func (f *simFleet) read(e *simEntry) {
 	e.limits.SetEntries(slices.Clone(f.listed), f.now)
 	e.limits.ListConfirmed(f.now, f.now)
 }
 
-// remove takes an entry away.
-func (f *fleet) remove(e *simEntry) {
+// remove removes an entry.
+func (f *simFleet) remove(e *simEntry) {
 	f.entries = slices.DeleteFunc(f.entries, func(other *simEntry) bool { return other == e })
 	f.listed = slices.DeleteFunc(f.listed, func(name string) bool { return name == e.name })
 	e.epoch++
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
-	f.later = append(f.later, event{f.now + d, do})
+func (f *simFleet) after(d time.Duration, do func()) {
+	f.events = append(f.events, event{f.now + d, do})
 }
 
-// step is the time between looks at the simulated fleet.
+// step is the time step of the simulation.
 const step = 5 * time.Millisecond
 
-// run lets time pass; each entry sends a request whenever it may and has none under way.
-func (f *fleet) run(d time.Duration) {
+// run advances time; each entry sends a request whenever it may and has none under way.
+func (f *simFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += step {
-		due := f.later
-		f.later = nil
+		due := f.events
+		f.events = nil
 		for _, ev := range due {
 			if ev.at <= f.now {
 				ev.do()
 			} else {
-				f.later = append(f.later, ev)
+				f.events = append(f.events, ev)
 			}
 		}
 		for _, e := range f.entries {
@@ -109,14 +109,14 @@
 				f.read(e)
 			}
 			if f.now%(50*time.Millisecond) == 0 {
-				f.tell(e)
+				f.advertise(e)
 			}
 			f.send(e)
 		}
 	}
 }
 
-func (f *fleet) tell(e *simEntry) {
+func (f *simFleet) advertise(e *simEntry) {
 	for _, w := range e.limits.DueUpdates(f.now) {
 		for _, other := range f.entries {
 			if other == e || e.cut || other.cut || f.rand.Float64() < f.loss {
@@ -127,8 +127,8 @@
 	}
 }
 
-// send has an entry send a request if it may, with an answer some time later.
-func (f *fleet) send(e *simEntry) {
+// send has an entry send a request if it may; the answer comes some time later.
+func (f *simFleet) send(e *simEntry) {
 	if f.idle || e.underWay || !e.limits.Allows(simReplica, f.now) {
 		return
 	}
@@ -136,8 +136,8 @@
 	e.underWay = true
 	sent, epoch := f.now, e.epoch
 	f.after(2*time.Millisecond, func() {
-		told := e.told != 0 && f.now-e.told >= 500*time.Millisecond
-		f.arrivals = append(f.arrivals, arrival{f.now, told && e.epoch == epoch})
+		informed := e.informedAt != 0 && f.now-e.informedAt >= 500*time.Millisecond
+		f.arrivals = append(f.arrivals, arrival{f.now, informed && e.epoch == epoch})
 		rate := f.rate
 		f.after(time.Duration(20+f.rand.IntN(100))*time.Millisecond, func() {
 			if e.epoch != epoch {
@@ -148,20 +148,20 @@
 				e.limits.AnswerWithoutLimit(simReplica, sent)
 				return
 			}
-			if e.told == 0 {
-				e.told = f.now
+			if e.informedAt == 0 {
+				e.informedAt = f.now
 			}
 			e.limits.AnswerWithLimit(simReplica, rate, f.now)
 		})
 	})
 }
 
-// most is the largest number of requests, from entries that had been told, in a window that begins
-// after a time.
-func (f *fleet) most(after, window time.Duration) int {
+// maxInformed returns the largest number of requests, from entries that knew the limit, in any
+// window that begins after a time.
+func (f *simFleet) maxInformed(after, window time.Duration) int {
 	var times []time.Duration
 	for _, a := range f.arrivals {
-		if a.told && a.at >= after {
+		if a.informed && a.at >= after {
 			times = append(times, a.at)
 		}
 	}
@@ -175,8 +175,8 @@
 	return most
 }
 
-// count is how many requests arrived in a span.
-func (f *fleet) count(from, to time.Duration) int {
+// count returns how many requests arrived in a span.
+func (f *simFleet) count(from, to time.Duration) int {
 	n := 0
 	for _, a := range f.arrivals {
 		if a.at >= from && a.at < to {
@@ -188,5 +188,5 @@
 
 const window = 4 * time.Second
 
-// allowed is what a replica may get in window at a limit.
+// allowed is how many requests a replica may get within window at a limit.
 func allowed(rate float64) int { return int(1.5*rate*window.Seconds() + 5) }
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -7,26 +7,26 @@
 	"skylarklead/internal/divide"
 )
 
-// Params time and size the parts of a limit.
+// Params are the times and sizes of shares of a limit.
 type Params struct {
-	// Burst is how many requests all entries together may save up at least, 1 or more.
+	// Burst is the least number of requests that all entries together may save up, 1 or more.
 	Burst float64
-	// BurstPeriod is the time for which a part of a large rate is saved up.
+	// BurstPeriod is the time for which a share of a large rate may accumulate.
 	BurstPeriod time.Duration
-	// LimitTTL is how long a limit holds after the last word of it. Then one request is
-	// tried, whose answer tells.
+	// LimitTTL is how long a limit holds after the last answer or update with it. Then one
+	// request probes whether it still holds.
 	LimitTTL time.Duration
-	// RenewInterval is the pause between words to the others that a limit still holds.
+	// RenewInterval is the pause between updates to the others that a limit still holds.
 	RenewInterval time.Duration
-	// ReplicaPrecedence is for how long a replica's answer is believed against what others tell.
+	// ReplicaPrecedence is how long a replica's answer takes precedence over others' updates.
 	ReplicaPrecedence time.Duration
-	// MaxListAge is how old the list of entries may be. An entry has no part until it has been
-	// listed for as long, and half a part while what it knows is older.
+	// MaxListAge is how old the list of entries may be. An entry has no share until it has been
+	// listed for that long, and half a share while its list is older.
 	MaxListAge time.Duration
 }
 
-// DefaultParams keep what a limit allows within any four seconds below one and a half times the
-// limit and five requests, also with one entry more than some of them know of.
+// DefaultParams keep the requests within any four seconds below one and a half times the
+// limit plus five requests, even with one entry more than some of the entries know of.
 var DefaultParams = Params{
 	Burst: 3, BurstPeriod: 250 * time.Millisecond,
 	LimitTTL: 30 * time.Second, RenewInterval: 10 * time.Second, ReplicaPrecedence: time.Second,
@@ -34,81 +34,82 @@
 }
 
 const (
-	// tellings is how often news are told: a datagram may be lost.
-	tellings = 2
-	// sameRate is the relative change of a rate that is no news to the others.
-	sameRate = 0.1
+	// sendsPerUpdate is how often an update is sent: a datagram may be lost.
+	sendsPerUpdate = 2
+	// rateTolerance is the relative change of a rate up to which no update is sent.
+	rateTolerance = 0.1
 )
 
-// limit is what is believed of one replica's rate.
+// limit is what is known of one replica's rate limit.
 //
-// Invariant: a limit that was just named has nothing saved up, as requests under way have used it.
+// Invariant: a limit that was just announced has nothing saved up, as the requests under way
+// have used it.
 type limit struct {
 	rate float64
-	// said is when it was last heard of, own when the replica itself named it here last, 0 for
-	// never.
-	said, own time.Duration
-	// told is when the others were last told of it, by this entry or another; tell is how often
-	// its present rate has still to be told.
-	told time.Duration
-	tell int
-	// tryAt is from when on a request may find out whether the limit still holds, asked when it
-	// was last asked if one may.
-	tryAt, asked time.Duration
+	// lastReceived is when the limit was last confirmed by an answer or an update, announcedAt when
+	// the replica last announced it to this entry, 0 for never.
+	lastReceived, announcedAt time.Duration
+	// lastAdvertised is when this entry or another last sent an update with the limit;
+	// sendsLeft is how often its current rate has still to be sent.
+	lastAdvertised time.Duration
+	sendsLeft      int
+	// probeAt is when a request may probe whether the limit still holds, lastChecked when
+	// Allows was last called.
+	probeAt, lastChecked time.Duration
 
-	// among is how many entries have a part.
-	among int
-	part  divide.Bucket
+	// sharers is how many entries have a share.
+	sharers int
+	bucket  divide.Bucket
 }
 
-// Update is what entries tell each other of a replica's limit.
+// Update is an entry's message to the others on a replica's limit.
 type Update struct {
 	Replica string
-	// Rate is in requests a second; Lifted says that there is no limit any more.
+	// Rate is in requests a second; Lifted is set if there is no limit any more.
 	Rate   float64
 	Lifted bool
 }
 
-// Limits are the limits that replicas have named, as one entry knows them. It isn't safe for
+// Limits are the limits that replicas have announced, as known to one entry. It isn't safe for
 // concurrent use.
 type Limits struct {
 	params  Params
 	entries divide.Entries
 	known   map[string]*limit
-	// lifted are the limits whose end is still to be told, and how often.
+	// lifted has the limits whose end has still to be sent, and how often.
 	lifted map[string]int
-	// draw returns a random number in [0, 1).
-	draw func() float64
+	// randFloat returns a random number in [0, 1).
+	randFloat func() float64
 }
 
-// New returns an entry's limits. It has no part of any until Joined.
+// New returns an entry's limits. The entry has no share of any until Joined.
 func New(self string, p Params, draw func() float64) *Limits {
-	return &Limits{params: p, entries: divide.NewEntries(self), known: make(map[string]*limit), lifted: make(map[string]int), draw: draw}
+	return &Limits{params: p, entries: divide.NewEntries(self), known: make(map[string]*limit), lifted: make(map[string]int), randFloat: draw}
 }
 
-// SetEntries takes the names of all entries listed.
+// SetEntries sets the names of all listed entries.
 func (l *Limits) SetEntries(entries []string, now time.Duration) {
 	l.entries.SetNames(entries)
 	l.redivide(now)
 }
 
-// Joined says that the list of entries has this one. known says that it had when this process
-// read the list first: all others count it then.
+// Joined records that the list of entries contains this one. known says that it did when this
+// process first read the list: then all others account for it already.
 func (l *Limits) Joined(known bool, now time.Duration) {
 	if l.entries.Joined(known, l.params.MaxListAge, now) {
 		l.redivide(now)
 	}
 }
 
-// ListConfirmed says as of when the list of entries is known.
+// ListConfirmed records as of when the list of entries is known.
 func (l *Limits) ListConfirmed(asOf, now time.Duration) {
 	if !l.entries.ListConfirmed(asOf, l.params.MaxListAge) {
 		return
 	}
 	for _, k := range l.known {
-		// A time for which the list was too old keeps its rate.
+		// The time for which the list was too old keeps its reduced rate.
 		l.refill(k, now)
-		k.part.StaleAt = l.entries.StaleAt
+		k.bucket.StaleAt = l.entries.StaleAt
 	}
 }
 
@@ -118,77 +119,77 @@
 	}
 }
 
-// resize gives a limit its part as of now.
+// resize sets this entry's share of a limit as of now.
 func (l *Limits) resize(id string, k *limit, now time.Duration) {
 	l.refill(k, now)
 	var rate, depth float64
-	rate, depth, k.among = l.params.part(l.entries.Self, id, k.rate, l.entries.Names)
-	k.part.Resize(rate, depth, now)
+	rate, depth, k.sharers = l.params.share(l.entries.Self, id, k.rate, l.entries.Names)
+	k.bucket.Resize(rate, depth, now)
 }
 
-// refill adds what has come in up to now. Before the entry has parts nothing does.
+// refill adds what came in up to now. Nothing comes in before the entry's shares begin.
 func (l *Limits) refill(k *limit, now time.Duration) {
-	k.part.RefilledAt = max(k.part.RefilledAt, min(now, l.entries.ActiveAt))
-	k.part.Refill(now)
+	k.bucket.RefilledAt = max(k.bucket.RefilledAt, min(now, l.entries.ActiveAt))
+	k.bucket.Refill(now)
 }
 
-// AnswerWithLimit takes an answer of a replica that names a limit. It reports whether that is news: a
-// first limit, or one that differs from the last by more than a little.
+// AnswerWithLimit takes an answer in which a replica announces a limit. It reports whether the
+// limit is new or differs from the last one by more than rateTolerance.
 func (l *Limits) AnswerWithLimit(id string, rate float64, now time.Duration) bool {
-	k, news := l.put(id, rate, now)
-	k.own = now
-	l.heard(k, now)
-	if news {
-		k.tell = tellings
+	k, changed := l.set(id, rate, now)
+	k.announcedAt = now
+	l.refreshed(k, now)
+	if changed {
+		k.sendsLeft = sendsPerUpdate
 	}
-	return news
+	return changed
 }
 
-func (l *Limits) put(id string, rate float64, now time.Duration) (k *limit, news bool) {
+func (l *Limits) set(id string, rate float64, now time.Duration) (k *limit, changed bool) {
 	delete(l.lifted, id)
 	k = l.known[id]
 	if k == nil {
-		k = &limit{part: divide.Bucket{RefilledAt: now, StaleAt: l.entries.StaleAt}}
+		k = &limit{bucket: divide.Bucket{RefilledAt: now, StaleAt: l.entries.StaleAt}}
 		l.known[id] = k
-		news = true
+		changed = true
 	}
-	news = news || math.Abs(k.rate-rate) > sameRate*k.rate
-	if news || k.rate != rate {
+	changed = changed || math.Abs(k.rate-rate) > rateTolerance*k.rate
+	if changed || k.rate != rate {
 		l.refill(k, now)
 		k.rate = rate
 		l.resize(id, k, now)
 	}
-	return k, news
+	return k, changed
 }
 
-// heard says that a limit was spoken of now.
-func (l *Limits) heard(k *limit, now time.Duration) {
-	k.said = now
-	k.tryAt = now + l.params.LimitTTL + l.spread()
+// refreshed records that an answer or update confirmed a limit now.
+func (l *Limits) refreshed(k *limit, now time.Duration) {
+	k.lastReceived = now
+	k.probeAt = now + l.params.LimitTTL + l.jitter()
 }
 
-// spread is drawn, so that entries don't all try at the same time.
-func (l *Limits) spread() time.Duration {
-	return time.Duration(l.draw() * float64(l.params.LimitTTL))
+// jitter is a random delay, so that the entries don't all probe at the same time.
+func (l *Limits) jitter() time.Duration {
+	return time.Duration(l.randFloat() * float64(l.params.LimitTTL))
 }
 
-// AnswerWithoutLimit takes an answer of a replica without a limit, to a request that was sent at a time. It
-// reports whether that ends a limit: the answer to a request from before the last word of the
-// limit may be older than the limit.
+// AnswerWithoutLimit takes a replica's answer without a limit to a request that was sent at a
+// time. It reports whether that ends a limit: if the request was sent before the limit was last
+// confirmed, the answer may be older than the limit.
 func (l *Limits) AnswerWithoutLimit(id string, sent time.Duration) bool {
 	k := l.known[id]
-	if k == nil || sent <= k.said {
+	if k == nil || sent <= k.lastReceived {
 		return false
 	}
 	delete(l.known, id)
-	l.lifted[id] = tellings
+	l.lifted[id] = sendsPerUpdate
 	return true
 }
 
-// UpdateReceived takes what another entry tells. It reports whether that is news.
+// UpdateReceived takes another entry's update. It reports whether it changes anything.
 func (l *Limits) UpdateReceived(w Update, now time.Duration) bool {
 	k := l.known[w.Replica]
-	if k != nil && k.own != 0 && now-k.own <= l.params.ReplicaPrecedence {
+	if k != nil && k.announcedAt != 0 && now-k.announcedAt <= l.params.ReplicaPrecedence {
 		return false
 	}
 	if w.Lifted {
@@ -198,10 +199,10 @@
 	if !(w.Rate >= 0) || math.IsInf(w.Rate, 0) {
 		return false
 	}
-	k, news := l.put(w.Replica, w.Rate, now)
-	k.told = now
-	l.heard(k, now)
-	return news
+	k, changed := l.set(w.Replica, w.Rate, now)
+	k.lastAdvertised = now
+	l.refreshed(k, now)
+	return changed
 }
 
 // Allows reports whether a request may be sent to a replica now.
@@ -211,12 +212,12 @@
 		return true
 	}
 	l.refill(k, now)
-	if now >= k.tryAt && now-k.asked > l.params.LimitTTL {
-		// All entries may have had nothing to send for as long.
-		k.tryAt = now + l.spread()
+	if now >= k.probeAt && now-k.lastChecked > l.params.LimitTTL {
+		// All entries may have had nothing to send for that long.
+		k.probeAt = now + l.jitter()
 	}
-	k.asked = now
-	return k.part.Level >= 1 || now >= k.tryAt
+	k.lastChecked = now
+	return k.bucket.Level >= 1 || now >= k.probeAt
 }
 
 // Take counts a request that is sent to a replica.
@@ -226,8 +227,8 @@
 		return
 	}
 	l.refill(k, now)
-	if !k.part.Take(1, now) && now >= k.tryAt {
-		k.tryAt = now + l.params.LimitTTL + l.spread()
+	if !k.bucket.Take(1, now) && now >= k.probeAt {
+		k.probeAt = now + l.params.LimitTTL + l.jitter()
 	}
 }
 
@@ -238,34 +239,34 @@
 		return now
 	}
 	l.refill(k, now)
-	next := max(now, k.tryAt)
-	if k.part.Rate > 0 && l.entries.ActiveAt-now < l.params.LimitTTL {
-		missing := max(0, 1-k.part.Level) / k.part.Rate
+	next := max(now, k.probeAt)
+	if k.bucket.Rate > 0 && l.entries.ActiveAt-now < l.params.LimitTTL {
+		missing := max(0, 1-k.bucket.Level) / k.bucket.Rate
 		next = min(next, max(now, l.entries.ActiveAt)+time.Duration(missing*float64(time.Second)))
 	}
 	return next
 }
 
-// DueUpdates returns what to tell the others now: what is news to them, and limits that they have not
-// been told of for a while.
+// DueUpdates returns the updates to send to the others now: those on changes, and those on limits
+// that they got no update on for RenewInterval.
 func (l *Limits) DueUpdates(now time.Duration) []Update {
-	var words []Update
+	var updates []Update
 	for id, times := range l.lifted {
-		words = append(words, Update{Replica: id, Lifted: true})
+		updates = append(updates, Update{Replica: id, Lifted: true})
 		if l.lifted[id] = times - 1; times <= 1 {
 			delete(l.lifted, id)
 		}
 	}
 	for id, k := range l.known {
-		renew := k.own > k.told && now-k.told >= l.params.RenewInterval
-		if k.tell == 0 && !renew {
+		renew := k.announcedAt > k.lastAdvertised && now-k.lastAdvertised >= l.params.RenewInterval
+		if k.sendsLeft == 0 && !renew {
 			continue
 		}
-		k.tell = max(0, k.tell-1)
-		k.told = now
-		words = append(words, Update{Replica: id, Rate: k.rate})
+		k.sendsLeft = max(0, k.sendsLeft-1)
+		k.lastAdvertised = now
+		updates = append(updates, Update{Replica: id, Rate: k.rate})
 	}
-	return words
+	return updates
 }
 
 // Forget drops the limit of a replica that is gone.
@@ -274,13 +275,14 @@
 	delete(l.lifted, id)
 }
 
-// State is what is known of a replica's limit.
+// State is the state of a replica's limit.
 type State struct {
-	// Rate is what the replica takes, Share what this entry may send of it, both in requests a
-	// second; Among is how many entries have a part.
+	// Rate is what the replica accepts, Share what this entry may send of it, both in requests
+	// a second; Sharers is how many entries have a share.
 	Rate, Share float64
 	Sharers     int
-	// Age is the time since the last word of it, Own whether the replica itself named it here.
+	// Age is the time since the limit was last confirmed; FromReplica is set if the replica
+	// announced it to this entry.
 	Age         time.Duration
 	FromReplica bool
 }
@@ -291,5 +293,5 @@
 	if k == nil {
 		return State{}, false
 	}
-	return State{Rate: k.rate, Share: k.part.Rate, Sharers: k.among, Age: now - k.said, FromReplica: k.own != 0}, true
+	return State{Rate: k.rate, Share: k.bucket.Rate, Sharers: k.sharers, Age: now - k.lastReceived, FromReplica: k.announcedAt != 0}, true
 }
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against shares that sum to more than a limit, or that leave most of it unused.
+// Guards against shares that sum to more than a limit, and against ones that leave most of it unused.
 func TestALimitHoldsOverFleetsOfAllSizes(t *testing.T) {
 	for _, entries := range []int{1, 3, 30, 103, 300} {
 		for _, rate := range []float64{0, 0.2, 1.6, 8, 60} {
@@ -20,7 +20,7 @@
 				f.run(time.Second)
 				f.rate = rate
 				f.run(12 * time.Second)
-				if n := f.most(2*time.Second, window); n > allowed(rate) {
+				if n := f.maxInformed(2*time.Second, window); n > allowed(rate) {
 					t.Errorf("%d requests in %v, %d allowed", n, window, allowed(rate))
 				}
 				span := 8 * time.Second
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against a bound that holds only while entries hear each other, stay, and keep running.
+// Guards against a bound that holds only while entries are in touch, stay in the list and keep running.
 func TestALimitHoldsUnderAnyScheduleOfFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 40).Draw(t, "entries"))
@@ -59,13 +59,13 @@
 			f.run(time.Duration(rapid.IntRange(1, 4).Draw(t, "seconds")) * time.Second)
 		}
 		f.run(2 * time.Second)
-		if n := f.most(2*time.Second, window); n > allowed(rate) {
+		if n := f.maxInformed(2*time.Second, window); n > allowed(rate) {
 			t.Fatalf("%d requests in %v at %v a second, %d allowed", n, window, rate, allowed(rate))
 		}
 	})
 }
 
-// Guards against requests saved up by all entries that go out at the same moment.
+// Guards against saved-up requests that all entries send at the same moment.
 func TestWhatIsSavedUpFitsALimit(t *testing.T) {
 	for _, entries := range []int{3, 30, 300} {
 		for _, rate := range []float64{0.2, 1.6, 20, 200} {
@@ -79,7 +79,7 @@
 				f.run(3 * time.Minute)
 				f.idle = false
 				f.run(5 * time.Second)
-				if n := f.most(2*time.Second, window); n > allowed(rate) {
+				if n := f.maxInformed(2*time.Second, window); n > allowed(rate) {
 					t.Errorf("%d requests in %v, %d allowed", n, window, allowed(rate))
 				}
 			})
@@ -87,7 +87,7 @@
 	}
 }
 
-// Guards against entries that divide a limit by an old list while the fleet has grown.
+// Guards against entries that divide a limit by an outdated list while the fleet has grown.
 func TestALimitHoldsWhileAFleetGrowsUnheard(t *testing.T) {
 	const rate = 20
 	f := newFleet(1, 4)
@@ -101,12 +101,12 @@
 		f.start(&simEntry{name: fmt.Sprint("added-", i)})
 	}
 	f.run(20 * time.Second)
-	if n := f.most(2*time.Second, window); n > allowed(rate) {
+	if n := f.maxInformed(2*time.Second, window); n > allowed(rate) {
 		t.Errorf("%d requests in %v, %d allowed", n, window, allowed(rate))
 	}
 }
 
-// Guards against a new entry that takes its part before the others have given it up.
+// Guards against a new entry that uses its share before the others have reduced theirs.
 func TestANewEntryHasNoPartAtFirst(t *testing.T) {
 	now := time.Minute
 	l := New("new", DefaultParams, rand.Float64)
@@ -117,15 +117,15 @@
 	later := now + DefaultParams.MaxListAge
 	l.ListConfirmed(later, later)
 	if l.Allows("r", later) {
-		t.Error("a new entry sends before all others know of it")
+		t.Error("a new entry sends before all others account for it")
 	}
 	if !l.Allows("r", later+time.Second) {
-		t.Error("a new entry has no part after all others know of it")
+		t.Error("a new entry has no share after all others account for it")
 	}
 }
 
-// Guards against a limit that is held on to after its end by entries that send nothing to the
-// replica and so hear no answer of it.
+// Guards against a limit that stays in force, after its end, at entries that send nothing to
+// the replica and so get no answer without it.
 func TestALimitEndsForAllEntries(t *testing.T) {
 	for _, loss := range []float64{0, 1} {
 		t.Run(fmt.Sprint("loss ", loss), func(t *testing.T) {
@@ -143,78 +143,78 @@
 			f.run(within)
 			for _, e := range f.entries {
 				if s, limited := e.limits.State(simReplica, f.now); limited {
-					t.Errorf("%s still holds %+v after %v", e.name, s, within)
+					t.Errorf("%s still has limit %+v after %v", e.name, s, within)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a flood of trials by entries that nobody tells of a limit that goes on.
+// Guards against a flood of probes by entries that get no updates on a limit that still holds.
 func TestALimitThatGoesOnIsTriedRarely(t *testing.T) {
 	f := newFleet(1, 30)
 	f.loss = 1
 	f.run(time.Second)
 	f.rate = 0
 	f.run(3 * time.Minute)
-	if n := f.most(2*time.Second, window); n > allowed(0)+5 {
+	if n := f.maxInformed(2*time.Second, window); n > allowed(0)+5 {
 		t.Errorf("%d requests in %v at a limit of 0", n, window)
 	}
-	spoken := newFleet(1, 30)
-	spoken.run(time.Second)
-	spoken.rate = 1.6
-	spoken.run(3 * time.Minute)
-	if n := spoken.most(2*time.Second, window); n > allowed(1.6) {
+	connected := newFleet(1, 30)
+	connected.run(time.Second)
+	connected.rate = 1.6
+	connected.run(3 * time.Minute)
+	if n := connected.maxInformed(2*time.Second, window); n > allowed(1.6) {
 		t.Errorf("%d requests in %v at a limit of 1.6", n, window)
 	}
 }
 
-// Guards against a try whose answer is still under way that is followed by more.
+// Guards against further probes while one is under way.
 func TestOneTryAtATime(t *testing.T) {
 	l := New("a", DefaultParams, rand.Float64)
 	l.AnswerWithLimit("r", 0, time.Second)
 	l.Allows("r", DefaultParams.LimitTTL)
 	now := l.Next("r", time.Second)
 	if l.Allows("r", now-time.Millisecond) || !l.Allows("r", now) {
-		t.Fatal("the time of the next request isn't when it is allowed")
+		t.Fatal("Next isn't the time from which on Allows reports true")
 	}
 	l.Take("r", now)
 	if l.Allows("r", now+time.Second) {
-		t.Error("a second try before the first one's answer")
+		t.Error("a second probe before the answer to the first")
 	}
 }
 
-// Guards against entries that all try in the same moment if a limit of 0 still holds.
+// Guards against entries that all probe at the same moment while a limit of 0 still holds.
 func TestTriesAreSpreadOut(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(seed, 300)
 		f.run(time.Second)
 		f.rate = 0
 		f.run(90 * time.Second)
-		if n := f.most(2*time.Second, window); n > allowed(0) {
+		if n := f.maxInformed(2*time.Second, window); n > allowed(0) {
 			t.Errorf("seed %d: %d requests in %v at a limit of 0", seed, n, window)
 		}
 	}
 }
 
-// Guards against a changed rate that only the entry with the answer hears of.
+// Guards against a changed rate that is known only to the entry that got the answer.
 func TestAChangedRateIsTold(t *testing.T) {
 	l := New("a", DefaultParams, rand.Float64)
 	now := time.Minute
 	for _, rate := range []float64{2, 20, 0.5} {
 		l.AnswerWithLimit("r", rate, now)
-		told := 0
+		sent := 0
 		for range 10 {
 			now += 50 * time.Millisecond
 			for _, w := range l.DueUpdates(now) {
 				if w != (Update{Replica: "r", Rate: rate}) {
-					t.Errorf("told %+v at a rate of %v", w, rate)
+					t.Errorf("sent %+v at a rate of %v", w, rate)
 				}
-				told++
+				sent++
 			}
 		}
-		if told != tellings {
-			t.Errorf("a rate of %v was told %d times", rate, told)
+		if sent != sendsPerUpdate {
+			t.Errorf("a rate of %v was sent %d times, want sendsPerUpdate", rate, sent)
 		}
 	}
 }
@@ -231,22 +231,22 @@
 	}
 }
 
-// Guards against others' old words that win over what the replica itself has just said.
+// Guards against outdated updates that override what the replica itself has just announced.
 func TestTheReplicasOwnWordGoesFirst(t *testing.T) {
 	l := New("a", DefaultParams, rand.Float64)
 	l.AnswerWithLimit("r", 2, 10*time.Second)
 	if l.UpdateReceived(Update{Replica: "r", Lifted: true}, 10*time.Second+DefaultParams.ReplicaPrecedence/2) {
-		t.Error("another entry's word ended a limit that was just named here")
+		t.Error("an update ended a limit that the replica just announced")
 	}
 	if !l.UpdateReceived(Update{Replica: "r", Lifted: true}, 10*time.Second+2*DefaultParams.ReplicaPrecedence) {
-		t.Error("another entry's word of the end isn't taken")
+		t.Error("a later update on the end of the limit is ignored")
 	}
 	if l.UpdateReceived(Update{Replica: "r", Rate: -1}, 20*time.Second) {
-		t.Error("a rate below 0 is taken")
+		t.Error("a rate below 0 is accepted")
 	}
 }
 
-// Guards against a lowered limit whose larger savings are still spent, and one raised that isn't.
+// Guards against a lowered limit whose earlier savings are still spent, and a raised one that can't be used.
 func TestALimitFollowsTheAnswers(t *testing.T) {
 	now := 10 * time.Second
 	l := New("a", DefaultParams, rand.Float64)
@@ -265,7 +265,7 @@
 		t.Errorf("%d requests sent at once after a limit was lowered to 1 a second", sent)
 	}
 	if next := l.Next("r", now); next <= now || next > now+time.Second {
-		t.Errorf("the next request may go in %v", next-now)
+		t.Errorf("the next request may be sent in %v", next-now)
 	}
 	now += 100 * time.Millisecond
 	l.AnswerWithLimit("r", 1000, now)
@@ -275,7 +275,7 @@
 	}
 }
 
-// Guards against parts whose rates sum to more or less than what a replica takes.
+// Guards against shares whose rates sum to more or less than what a replica accepts.
 func TestPartsSumToTheRate(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
 		names := make([]string, n)
@@ -285,23 +285,23 @@
 		for _, whole := range []float64{0, 0.3, 1.6, 50, 1e9} {
 			sum, with := 0.0, 0
 			for _, name := range names {
-				rate, depth, among := DefaultParams.part(name, "r", whole, names)
+				rate, depth, among := DefaultParams.share(name, "r", whole, names)
 				sum += rate
 				if depth > 0 {
 					with++
 				}
 				if among > n || among < 1 {
-					t.Errorf("%v among %d of %d entries", whole, among, n)
+					t.Errorf("%v is divided among %d of %d entries", whole, among, n)
 				}
 			}
 			if math.Abs(sum-whole) > 1e-6*whole || with == 0 {
-				t.Errorf("%d entries: parts of %v sum to %v; %d have one", n, whole, sum, with)
+				t.Errorf("%d entries: shares of %v sum to %v; %d entries have one", n, whole, sum, with)
 			}
 		}
 	}
 }
 
-// Guards against a cost of each request and answer that grows with what is known.
+// Guards against a cost per request or answer that grows with the number of known limits and entries.
 func BenchmarkAllowsUnlimited(b *testing.B) {
 	l := New("a", DefaultParams, rand.Float64)
 	l.SetEntries([]string{"a", "b", "c"}, 0)
--- a/internal/ratelimit/share.go
+++ b/internal/ratelimit/share.go
@@ -8,13 +8,13 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// maxSharers keeps an absurd rate from overflowing a count of entries.
+// maxSharers keeps an absurdly high rate from overflowing the count of entries.
 const maxSharers = 1 << 20
 
-// part returns an entry's part of a replica's rate: how much comes in, in requests a second, how many
-// may be saved up, and among how many entries the rate is divided. Entries with the same list and
-// rate compute parts whose rates sum to the rate.
-func (p *Params) part(self, replica string, whole float64, entries []string) (rate, depth float64, among int) {
+// share returns an entry's share of a replica's rate, in requests a second, how many requests may be
+// saved up, and among how many entries the rate is divided. Entries with the same list and rate
+// compute shares that sum to the rate.
+func (p *Params) share(self, replica string, whole float64, entries []string) (rate, depth float64, among int) {
 	among = min(len(entries), int(min(whole, maxSharers)+p.Burst))
 	sharers := entries
 	if among < len(entries) {
