--- a/internal/divide/doc.go
+++ b/internal/divide/doc.go
@@ -1,3 +1,3 @@
-// Package divide has what limits that are divided among the entries have in common: what an entry
-// knows of the list of entries, and the bucket that it takes its part from. It is pure.
+// Package divide has what all limits divided among the entries have in common: an entry's
+// knowledge of the list of entries, and the token bucket with its share. It is pure.
 package divide
