--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package retryafter reads the HTTP header Retry-After.
+// Package retryafter parses the HTTP header Retry-After.
 package retryafter
 
 import (
@@ -11,8 +11,8 @@
 // Max is the longest time that Parse returns.
 const Max = 24 * time.Hour
 
-// Parse reads a number of seconds, whole as in RFC 9110 or with a fraction, as some servers write.
-// It reports false for anything else; dates are not read.
+// Parse reads a number of seconds, an integer as in RFC 9110 or with a fraction, as some servers write it.
+// It reports false for anything else; HTTP dates are not supported.
 func Parse(text string) (time.Duration, bool) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(seconds) || seconds < 0 {
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a time that is misread, or that overflows.
+// Guards against values that are misread or that overflow.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"0": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, " 1 ": time.Second, "1e300": Max, "+Inf": Max,
