--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses for a time that a context can cut short.
+// Package wait pauses for a time unless a context ends first.
 package wait
 
 import (
