--- /dev/null
+++ b/internal/member/registration.go
@@ -0,0 +1,58 @@
+package member
+
+import (
+	"time"
+
+	"skylarklead/internal/fleet"
+)
+
+// registration is what is known of a name under which replicas register. It is kept for
+// TombstoneTTL after the replica is gone: a record of a removed replica may be read late,
+// and a record of an earlier incarnation may be written after one of a later incarnation.
+//
+// Invariant: born never decreases.
+type registration struct {
+	// id and born are those of the latest incarnation; id is "" before the first one.
+	id   string
+	born int64
+	// beat is the highest record number of that incarnation.
+	beat uint64
+	// ended is set once that incarnation is known to have ended, whatever its records say.
+	ended bool
+	// leaving is set once that incarnation has announced that it leaves. It is kept after
+	// the removal, since a record from before the announcement may be written again.
+	leaving bool
+	// removed is set once the name was removed from the list, last at offset removedAt.
+	removed   bool
+	removedAt uint64
+	// lastSeen is the time of the last record or report of this name.
+	lastSeen time.Duration
+}
+
+// advance makes a replica the latest incarnation of its name and returns the ID of the
+// one that it supersedes, "" for none. It reports false if a later incarnation is known
+// or this one has ended.
+//
+// Without it a replica that restarted under its name would be expected to hold its old
+// cache, refuse each order because of the order number, or get no work because the
+// previous incarnation was leaving. A replica that has once stated its start time always
+// does, so a record without one is not its own.
+func (n *registration) advance(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
+	if r.Born < n.born || r.ID == n.id && n.ended {
+		return "", false
+	}
+	n.lastSeen = now
+	if r.ID == n.id {
+		n.beat = max(n.beat, r.Beat)
+		return "", true
+	}
+	ended = n.id
+	n.id, n.born, n.beat, n.ended, n.leaving = r.ID, r.Born, r.Beat, false, false
+	return ended, true
+}
+
+// isStaleCopy reports whether a record is an old one of a replica that has since been
+// removed, which came back because the store was restored from an older copy.
+func (n *registration) isStaleCopy(r *fleet.Replica, position uint64) bool {
+	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.Beat <= n.beat
+}
