--- a/internal/direct/bulk.go
+++ b/internal/direct/bulk.go
@@ -24,30 +24,30 @@
 )
 
 const (
-	// bulkPath, with a topic's number, is where an entry gives its peers what doesn't fit
-	// into a datagram.
+	// bulkPath, followed by a topic ID, serves peers what does not fit in a datagram.
 	bulkPath = "/records/"
-	// bulkTimeout bounds a fetch: a list of thousands of replicas over a link of 20 Mbit/s
-	// takes some hundred milliseconds.
+	// bulkTimeout bounds a fetch. A list of thousands of replicas takes some hundred milliseconds
+	// over a link of 20 Mbit/s.
 	bulkTimeout = 2 * time.Second
-	// maxBulk bounds what a peer can make this entry build, in bytes.
-	maxBulk = 32 << 20
-	// bulkConnections bounds the connections kept to each peer.
+	// maxBulkBytes bounds the memory that a peer's answer can take in this entry.
+	maxBulkBytes = 32 << 20
+	// bulkConnections is the number of idle connections kept to each peer, bulkIdle how long they
+	// are kept.
 	bulkConnections = 1
 	bulkIdle        = 10 * time.Second
 )
 
 var (
-	errBulk = errors.New("direct: records not fetched from a peer")
+	errBulk = errors.New("direct: fetching records from a peer failed")
 
-	bulkMode = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16, ArrayElements: 1 << 20})
+	bulkDecoder = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16, ArrayElements: 1 << 20})
 )
 
-// bulk fetches from peers what doesn't fit into a datagram.
-type bulk struct{ client *http.Client }
+// bulkClient fetches from peers what does not fit in a datagram.
+type bulkClient struct{ client *http.Client }
 
-func newBulk() *bulk {
-	return &bulk{client: &http.Client{Transport: &http.Transport{
+func newBulk() *bulkClient {
+	return &bulkClient{client: &http.Client{Transport: &http.Transport{
 		DialContext:         upstream.Dialer().DialContext,
 		MaxIdleConnsPerHost: bulkConnections,
 		IdleConnTimeout:     bulkIdle,
@@ -55,65 +55,67 @@
 	}}}
 }
 
-// fetch fetches a topic from a peer, from what is known here on or whole.
+// fetch fetches a topic from a peer, from the known offset on or whole, and applies it.
 func (h *hub) fetch(f *follower, from netip.AddrPort) {
 	sent := h.boot()
 	began := time.Now()
-	t, err := h.fetchTopic(from, f.topicID, f.nextOf())
-	if err == nil && !t.possible() {
-		err = fmt.Errorf("%w: an age of %d ms", errBulk, max(t.MadeMs, t.AnsweredMs))
+	t, err := h.fetchTopic(from, f.topicID, f.queryPosition())
+	if err == nil && !t.valid() {
+		err = fmt.Errorf("%w: reported age of %d ms is out of range", errBulk, max(t.CallAgeMs, t.ResponseAgeMs))
 	}
 	if err != nil {
 		h.tel.Metrics.Count("records_fetches_failed", 1)
-		h.tel.Log.Info("records not fetched", "stream", f.topic, "from", from.String(), "error", err)
+		h.tel.Log.Info("fetching records from peer failed", "stream", f.topic, "from", from.String(), "error", err)
 		if !f.keyed {
-			f.askStore()
+			f.requestStoreRead()
 		}
 		return
 	}
-	h.tel.Log.Info("records fetched", "stream", f.topic, "from", from.String(), "whole", t.Whole,
-		"records", len(t.Records), "next", t.Next, "age_ms", t.MadeMs, "took_ms", ms(time.Since(began)))
-	r := t.reading(sent)
-	if !t.Whole {
+	h.tel.Log.Info("records fetched", "stream", f.topic, "from", from.String(), "whole", t.Snapshot,
+		"records", len(t.Records), "next", t.Next, "age_ms", t.CallAgeMs, "took_ms", ms(time.Since(began)))
+	r := t.read(sent)
+	if !t.Snapshot {
 		if !f.keyed {
-			f.begin(t.From)
+			f.startAt(t.From)
 		}
-		f.take(t.From, t.records(), r, from)
+		f.applyRecords(t.From, t.records(), r, from)
 		return
 	}
 	page := fleet.Page{Records: t.records(), Next: t.Next, End: t.Next}
-	f.takeWhole(page, r, from)
+	f.applySnapshot(page, r, from)
 }
 
-// mostBefore is how many peers an entry that starts asks for what the store may have lost.
-const mostBefore = 2
+// maxPreRestorePeers is how many peers a starting entry asks for records that the store may have
+// lost.
+const maxPreRestorePeers = 2
 
-// askBefore asks peers for a topic's records that the store may have lost when it came back from
-// an older copy: an entry that starts then, and reads the store itself, knows only the copy.
-func (h *hub) askBefore(f *follower) {
+// fetchPreRestore asks peers for records of a topic that the store may have lost when it was
+// restored from an older copy. An entry that starts after that and reads the store itself knows
+// only the copy.
+func (h *hub) fetchPreRestore(f *follower) {
 	h.mu.Lock()
 	addresses := slices.Collect(maps.Values(h.addresses))
 	h.mu.Unlock()
-	asked := 0
+	fetched := 0
 	for _, address := range addresses {
-		if asked == mostBefore {
+		if fetched == maxPreRestorePeers {
 			return
 		}
 		t, err := h.fetchTopic(address, f.topicID, 0)
-		if err != nil || !t.Whole {
+		if err != nil || !t.Snapshot {
 			h.tel.Metrics.Count("records_fetches_failed", 1)
 			continue
 		}
-		asked++
-		f.takeBefore(t.records())
+		fetched++
+		f.applyPreRestore(t.records())
 	}
 }
 
-func (b *bulk) get(from netip.AddrPort, number int, next uint64) (*wordTopic, error) {
+func (b *bulkClient) fetch(from netip.AddrPort, topicID int, next uint64) (*topicState, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), bulkTimeout)
 	defer cancel()
 	address := url.URL{
-		Scheme: "http", Host: from.String(), Path: bulkPath + strconv.Itoa(number),
+		Scheme: "http", Host: from.String(), Path: bulkPath + strconv.Itoa(topicID),
 		RawQuery: "next=" + strconv.FormatUint(next, 10),
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
@@ -126,91 +128,92 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: answered %d", errBulk, resp.StatusCode)
+		return nil, fmt.Errorf("%w: response status %d", errBulk, resp.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(resp.Body), maxBulk+1))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(resp.Body), maxBulkBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errBulk, err)
 	}
-	if len(data) > maxBulk {
-		return nil, fmt.Errorf("%w: more than %d bytes", errBulk, maxBulk)
+	if len(data) > maxBulkBytes {
+		return nil, fmt.Errorf("%w: response exceeds %d bytes", errBulk, maxBulkBytes)
 	}
-	var t wordTopic
-	if err := bulkMode.Unmarshal(data, &t); err != nil {
+	var t topicState
+	if err := bulkDecoder.Unmarshal(data, &t); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBulk, err)
 	}
 	return &t, nil
 }
 
-// serveBulk answers peers' fetches on a listener until it is closed.
+// serveBulk serves fetches of peers on a listener until the server is closed.
 func (h *hub) serveBulk(l net.Listener) *http.Server {
 	r := mux.NewRouter()
-	r.HandleFunc(bulkPath+"{number}", h.give).Methods(http.MethodGet)
+	r.HandleFunc(bulkPath+"{number}", h.serveTopic).Methods(http.MethodGet)
 	server := &http.Server{Handler: r, ReadHeaderTimeout: defaultLimits.HeaderTimeout, IdleTimeout: bulkIdle}
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			h.tel.Log.Error("peers are given no records any more", "error", err)
+			h.tel.Log.Error("server of records for peers stopped", "error", err)
 		}
 	}()
 	return server
 }
 
-func (h *hub) give(w http.ResponseWriter, r *http.Request) {
-	number, err := strconv.Atoi(mux.Vars(r)["number"])
+func (h *hub) serveTopic(w http.ResponseWriter, r *http.Request) {
+	topicID, err := strconv.Atoi(mux.Vars(r)["number"])
 	next, nextErr := strconv.ParseUint(r.URL.Query().Get("next"), 10, 64)
 	if err != nil || nextErr != nil {
-		http.Error(w, "a topic's number and an offset are wanted", http.StatusBadRequest)
+		http.Error(w, "expected a topic number and an offset", http.StatusBadRequest)
 		return
 	}
-	f := h.followed(number)
+	f := h.followerOf(topicID)
 	if f == nil {
 		http.NotFound(w, r)
 		return
 	}
-	t, ok := f.given(next)
+	t, ok := f.bulkState(next)
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	data, err := cbor.Marshal(t)
 	if err != nil {
-		panic(err) // it is made of plain values
+		panic(err) // the state consists of plain values
 	}
 	h.tel.Metrics.Count("records_given", int64(len(t.Records)))
 	out, err := flate.NewWriter(w, flate.BestSpeed)
 	if err != nil {
 		panic(err) // the level is a constant
 	}
-	// A peer that has gone reads on elsewhere.
+	// A peer whose connection broke fetches elsewhere.
 	_, _ = out.Write(data)
 	_ = out.Close()
 }
 
-// entriesHistory is how far back a peer is given the topic without keys: twice as long as the
-// longest lease. Who begins there lacks no lease that could hold.
-const entriesHistory = 10 * time.Second
+// unkeyedHistory is how far back the records of a topic without keys go that a new peer receives:
+// twice the longest lease. A peer that begins there misses no lease that may still hold.
+const unkeyedHistory = 10 * time.Second
 
-// givenFrom gives a peer that knows nothing of a topic without keys all that is kept of it; false
-// where that isn't enough, or where records are missing that it wants: they are at the store.
-// The caller holds mu.
-func (f *follower) givenFrom(t *wordTopic, next uint64) (*wordTopic, bool) {
-	first, records, ok := f.tail.Since(entriesHistory, f.boot())
-	if next > 0 || !ok || t.Next != f.belief.Next {
+// unkeyedBulk returns all records kept of a topic without keys, for a peer that knows nothing of
+// it. It returns false if the history is too short or if the peer lacks records that are no longer
+// kept; those must be read from the store. The caller holds mu.
+func (f *follower) unkeyedBulk(t *topicState, next uint64) (*topicState, bool) {
+	first, records, ok := f.tail.Since(unkeyedHistory, f.boot())
+	if next > 0 || !ok || t.Next != f.watermark.Next {
 		return nil, false
 	}
-	room := maxBulk
-	t.From, t.Records = first, fitting(records, &room)
+	room := maxBulkBytes
+	t.From, t.Records = first, fitRecords(records, &room)
 	return t, true
 }
 
-// given is what a peer is given that knows a topic up to next less one, 0 for nothing.
-func (f *follower) given(next uint64) (*wordTopic, bool) {
-	unbounded := maxBulk
+// bulkState returns the state of the topic for a peer at a position (see topicsQuery.Next; 0 if it
+// knows nothing), as a snapshot if the records after it are not kept.
+func (f *follower) bulkState(next uint64) (*topicState, bool) {
+	room := maxBulkBytes
 	f.mu.Lock()
-	reread := f.reread && f.keyed
+	reloading := f.reload && f.keyed
 	f.mu.Unlock()
-	t, known := f.told(next, f.boot(), &unbounded)
-	if !known || reread {
+	t, known := f.stateSince(next, f.boot(), &room)
+	if !known || reloading {
 		return nil, false
 	}
 	if t.From+uint64(len(t.Records)) >= t.Next && next > 0 {
@@ -219,15 +222,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.keyed {
-		return f.givenFrom(&t, next)
+		return f.unkeyedBulk(&t, next)
 	}
-	if t.Next != f.belief.Next {
-		return nil, false // it has just gone on; the peer asks again
+	if t.Next != f.watermark.Next {
+		return nil, false // new records were just applied; the peer retries
 	}
-	t.Whole, t.From, t.Records = true, 0, nil
+	t.Snapshot, t.From, t.Records = true, 0, nil
 	for _, r := range f.tail.Newest(f.boot()) {
 		offset := r.Offset
-		t.Records = append(t.Records, wordRecord{Key: r.Key, Value: r.Value, Offset: &offset})
+		t.Records = append(t.Records, topicRecord{Key: r.Key, Value: r.Value, Offset: &offset})
 	}
 	return &t, true
 }
--- a/internal/direct/digest.go
+++ b/internal/direct/digest.go
@@ -18,99 +18,107 @@
 	"skylarklead/internal/wait"
 )
 
-// Words from each entry to all others get rare as a fleet grows, and most of their bytes cross
-// between failure domains. So in a large fleet an entry tells its own failure domain only, more often;
-// one entry of each domain sums up what the domain has and tells it to one of each other domain,
-// which passes it on in its own.
+// If every entry sent to all others, messages would get rare as a fleet grows, and most of their
+// bytes would cross failure domains. In a large fleet an entry therefore sends to its own failure
+// domain only, more often. One entry of each domain aggregates the domain's loads into a digest and
+// sends it to one entry of each other domain, which forwards it within its own.
 const (
-	// allHear is up to how many entries all tell all others.
-	allHear = 32
-	// digestEvery is the pause between a domain's digests, about that of words in a domain.
-	digestEvery = 100 * time.Millisecond
-	// digestPart is how many replicas a part of a digest tells of, so that placements fit too.
-	digestPart = 44
-	// silentDomain is after which time without a word another entry of a domain is told.
-	silentDomain = 500 * time.Millisecond
-	// maxExports bounds the placements that wait for the next digest.
-	maxExports = 256
-	// exportsSeen bounds the placements remembered as told; each comes in two words.
-	exportsSeen = 4096
-	// partsSeparator is between a domain's name and the part's number in a digest's name.
-	partsSeparator = "\x00"
+	// fullMeshLimit is the largest number of entries at which each sends to all others.
+	fullMeshLimit = 32
+	// digestInterval is the pause between a domain's digests, about that of load messages within a
+	// domain.
+	digestInterval = 100 * time.Millisecond
+	// replicasPerDigest is the number of replicas in one part of a digest, which leaves room for
+	// placements.
+	replicasPerDigest = 44
+	// digestAckTimeout is how long an acknowledgement may be missing before the digest goes to
+	// another entry of the domain.
+	digestAckTimeout = 500 * time.Millisecond
+	// maxPendingPlacements bounds the placements that wait for the next digest.
+	maxPendingPlacements = 256
+	// maxSeenPlacements bounds the placements remembered as already queued; each arrives in two
+	// messages.
+	maxSeenPlacements = 4096
+	// digestNameSeparator separates a failure domain's name, the number of parts and the part's
+	// index in the name of a digest part.
+	digestNameSeparator = "\x00"
 )
 
-// digests is an entry's part in telling other failure domains what its own has.
+// digests sends digests of this entry's failure domain to other domains and forwards theirs.
 type digests struct {
 	peers *peers
-	// exports are placements of the domain to be told; the peers' mu guards them, as heardAt and
-	// tries, which are of each other domain.
-	exports []wordPlacement
-	seen    *lru.Cache[uint64, struct{}]
-	heardAt map[string]time.Duration
-	tries   map[string]int
-	triedAt map[string]time.Duration
-	// toldTaken and seq are the loop's that tells.
-	toldTaken map[uint64]uint16
-	seq       uint64
+	// pending holds placements of this domain for the next digest. The peers' mu guards it, as well
+	// as ackedAt, failedAttempts and attemptedAt, which are by other domain.
+	pending        []peerPlacement
+	seen           *lru.Cache[uint64, struct{}]
+	ackedAt        map[string]time.Duration
+	failedAttempts map[string]int
+	attemptedAt    map[string]time.Duration
+	// Only the goroutine of run uses advertisedTaken and seq.
+	advertisedTaken map[uint64]uint16
+	seq             uint64
 }
 
 func newDigests(p *peers) *digests {
-	seen, err := lru.New[uint64, struct{}](exportsSeen)
+	seen, err := lru.New[uint64, struct{}](maxSeenPlacements)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
 	return &digests{
-		peers: p, seen: seen, heardAt: make(map[string]time.Duration), tries: make(map[string]int),
-		triedAt: make(map[string]time.Duration), toldTaken: make(map[uint64]uint16),
+		peers: p, seen: seen, ackedAt: make(map[string]time.Duration), failedAttempts: make(map[string]int),
+		attemptedAt: make(map[string]time.Duration), advertisedTaken: make(map[uint64]uint16),
 	}
 }
 
-// large reports whether entries tell their own failure domain only. The caller holds mu.
-func (p *peers) large() bool { return len(p.known)+1 > allHear }
+// hierarchical reports whether entries send to their own failure domain only. The caller holds mu.
+func (p *peers) hierarchical() bool { return len(p.known)+1 > fullMeshLimit }
 
-// inDomain reports whether a peer is told words directly. The caller holds mu.
-func (p *peers) inDomain(a peerAddress) bool {
+// sameDomain reports whether a peer is in this failure domain or its domain is unknown. The caller
+// holds mu.
+func (p *peers) sameDomain(a peerAddress) bool {
 	return a.domain == "" || a.domain == p.entry.settings.FailureDomain
 }
 
-// near lists the addresses of those that this entry's words go to.
-func (p *peers) near() []netip.AddrPort {
+// directPeers returns the addresses that this entry's load messages go to.
+func (p *peers) directPeers() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	large := p.large()
+	large := p.hierarchical()
 	var list []netip.AddrPort
 	for _, a := range p.known {
-		if !large || p.inDomain(a) {
+		if !large || p.sameDomain(a) {
 			list = append(list, a.address)
 		}
 	}
 	return list
 }
 
-// run tells other domains while this entry speaks for its own, until ctx ends.
+// run sends digests while this entry is the one that sends them to some other domain, until ctx
+// ends.
 func (d *digests) run(ctx context.Context) {
-	for wait.For(ctx, digestEvery) == nil {
+	for wait.For(ctx, digestInterval) == nil {
 		if to := d.targets(d.peers.entry.clock.now()); len(to) > 0 {
-			d.tell(to)
+			d.send(to)
 		} else {
-			d.take(maxExports) // another entry tells them
+			d.dequeue(maxPendingPlacements) // another entry sends these placements
 		}
 	}
 }
 
-// targets are whom to tell now: one entry of each domain that this one speaks with.
+// targets returns the addresses to send a digest to now: one entry of each domain for which this
+// entry is the sender.
 func (d *digests) targets(now time.Duration) []netip.AddrPort {
 	p := d.peers
 	window := p.aliveWindow()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.large() {
+	if !p.hierarchical() {
 		return nil
 	}
 	own := p.entry.settings.FailureDomain
 	members := map[string][]string{own: {p.entry.settings.ID}}
 	for id, a := range p.known {
-		if a.domain != own || now-p.heardAt[id] <= window {
+		if a.domain != own || now-p.receivedAt[id] <= window {
 			members[a.domain] = append(members[a.domain], id)
 		}
 	}
@@ -119,105 +127,107 @@
 	var to []netip.AddrPort
 	for _, other := range domains {
 		if other != own && spread.Speaker(members[own], own, other, domains) == p.entry.settings.ID {
-			to = append(to, p.known[spread.Counterpart(members[other], own, other, domains, d.triesAt(other, now))].address)
+			to = append(to, p.known[spread.Counterpart(members[other], own, other, domains, d.attemptsWithoutAck(other, now))].address)
 		}
 	}
 	return to
 }
 
-// triesAt is how often a domain's entries were told in vain until now. The caller holds mu.
-func (d *digests) triesAt(other string, now time.Duration) int {
-	if _, begun := d.triedAt[other]; !begun {
-		d.triedAt[other] = now
+// attemptsWithoutAck counts the times that an acknowledgement of a domain was overdue, up to now.
+// The caller holds mu.
+func (d *digests) attemptsWithoutAck(other string, now time.Duration) int {
+	if _, begun := d.attemptedAt[other]; !begun {
+		d.attemptedAt[other] = now
 	}
-	if now-max(d.heardAt[other], d.triedAt[other]) > silentDomain {
-		d.tries[other]++
-		d.triedAt[other] = now
+	if now-max(d.ackedAt[other], d.attemptedAt[other]) > digestAckTimeout {
+		d.failedAttempts[other]++
+		d.attemptedAt[other] = now
 	}
-	return d.tries[other]
+	return d.failedAttempts[other]
 }
 
-// export takes a placement of this domain's, once.
-func (d *digests) export(list []wordPlacement) {
+// enqueue adds placements of this domain that have not been queued before.
+func (d *digests) enqueue(list []peerPlacement) {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
-	if !d.peers.large() {
+	if !d.peers.hierarchical() {
 		return
 	}
-	for _, placed := range list {
-		if known, _ := d.seen.ContainsOrAdd(placed.fingerprint(), struct{}{}); !known && len(d.exports) < maxExports {
-			d.exports = append(d.exports, placed)
+	for _, placement := range list {
+		if known, _ := d.seen.ContainsOrAdd(placement.fingerprint(), struct{}{}); !known && len(d.pending) < maxPendingPlacements {
+			d.pending = append(d.pending, placement)
 		}
 	}
 }
 
-// fingerprint tells placements apart.
-func (w *wordPlacement) fingerprint() uint64 {
+// fingerprint identifies a placement.
+func (p *peerPlacement) fingerprint() uint64 {
 	d := xxhash.New()
-	for _, n := range append(slices.Clone(w.Levels), w.Replica, w.Kept) {
-		_, _ = d.WriteString(strconv.FormatUint(n, 16) + ",") // a digest takes all
+	for _, n := range append(slices.Clone(p.Levels), p.Replica, p.Kept) {
+		_, _ = d.WriteString(strconv.FormatUint(n, 16) + ",") // writing to a hash never fails
 	}
-	_, _ = d.WriteString(strconv.FormatBool(w.Read))
+	_, _ = d.WriteString(strconv.FormatBool(p.Read))
 	return d.Sum64()
 }
 
-// take takes at most so many of the placements that are to be told.
-func (d *digests) take(most int) []wordPlacement {
+// dequeue removes and returns at most limit pending placements.
+func (d *digests) dequeue(limit int) []peerPlacement {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
-	most = min(most, len(d.exports))
-	taken := slices.Clone(d.exports[:most])
-	d.exports = slices.Delete(d.exports, 0, most)
-	return taken
+	limit = min(limit, len(d.pending))
+	removed := slices.Clone(d.pending[:limit])
+	d.pending = slices.Delete(d.pending, 0, limit)
+	return removed
 }
 
-// tell sends what the domain has at the replicas, in parts that each have always the same ones.
-func (d *digests) tell(to []netip.AddrPort) {
+// send sends the domain's loads and placements, in parts. A replica always belongs to the same
+// part.
+func (d *digests) send(to []netip.AddrPort) {
 	e := d.peers.entry
 	e.state.mu.Lock()
 	loads := e.state.feed.DomainLoads(e.clock.now())
 	e.state.mu.Unlock()
-	parts := uint64(1) << bits.Len(uint(max(0, len(loads)-1)/digestPart))
-	split := make([]map[uint64]route.Load, parts)
-	for i := range split {
-		split[i] = make(map[uint64]route.Load)
+	partCount := uint64(1) << bits.Len(uint(max(0, len(loads)-1)/replicasPerDigest))
+	parts := make([]map[uint64]route.Load, partCount)
+	for i := range parts {
+		parts[i] = make(map[uint64]route.Load)
 	}
 	for replica, l := range loads {
-		split[replica%parts][replica] = l
+		parts[replica%partCount][replica] = l
 	}
 	d.seq++
-	for i, part := range split {
-		w := &peerMessage{
-			From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Seq: d.seq, PassOn: true,
-			Of:         strings.Join([]string{e.settings.FailureDomain, strconv.Itoa(int(parts)), strconv.Itoa(i)}, partsSeparator),
-			Placements: d.take(maxWordPlacements),
+	for i, part := range parts {
+		m := &peerMessage{
+			From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Seq: d.seq, Forward: true,
+			DigestPart: strings.Join([]string{e.settings.FailureDomain, strconv.Itoa(int(partCount)), strconv.Itoa(i)}, digestNameSeparator),
+			Placements: d.dequeue(maxMessagePlacements),
 		}
-		w.Loads = telling(part, d.toldTaken, maxWordLoads-len(w.Placements)*placementLoads-digestRoom)
-		d.peers.sendTo(w, to...)
+		m.Loads = loadsToSend(part, d.advertisedTaken, maxMessageLoads-len(m.Placements)*loadsPerPlacement-digestNameLoads)
+		d.peers.sendTo(m, to...)
 	}
 }
 
-// digestRoom is what the name of a digest takes of a word's room, in loads.
-const digestRoom = 3
+// digestNameLoads is the room that the name of a digest part takes in a message, in loads.
+const digestNameLoads = 3
 
-// passed takes another domain's word that one there passes digests on.
-func (d *digests) passed(domain string) {
+// handleAck records that an entry of another domain forwards digests there.
+func (d *digests) handleAck(domain string) {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
-	d.heardAt[domain] = d.peers.entry.clock.now()
+	d.ackedAt[domain] = d.peers.entry.clock.now()
 }
 
-// heard passes a digest of another domain on in this one, if it came from there, and tells its
-// sender so: one that isn't told tries another entry.
-func (d *digests) heard(w *peerMessage, from netip.AddrPort) {
+// forward forwards a digest that came from another domain within this one and acknowledges it. A
+// sender without an acknowledgement tries another entry.
+func (d *digests) forward(m *peerMessage, from netip.AddrPort) {
 	p := d.peers
-	if !w.PassOn {
+	if !m.Forward {
 		return
 	}
-	if strings.HasSuffix(w.Of, partsSeparator+"0") {
-		p.sendTo(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Passed: p.entry.settings.FailureDomain}, from)
+	if strings.HasSuffix(m.DigestPart, digestNameSeparator+"0") {
+		p.sendTo(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), DigestAck: p.entry.settings.FailureDomain}, from)
 	}
-	passed := *w
-	passed.From, passed.PassOn = p.entry.settings.ID, false
-	p.sendTo(&passed, p.near()...)
+	forwarded := *m
+	forwarded.From, forwarded.Forward = p.entry.settings.ID, false
+	p.sendTo(&forwarded, p.directPeers()...)
 }
--- a/internal/direct/digest_test.go
+++ b/internal/direct/digest_test.go
@@ -12,20 +12,19 @@
 	"skylarklead/internal/settings"
 )
 
-// peerNode is an entry of which only the words between entries run, over loopback.
+// peerNode is an entry of which only the messages between entries run, over loopback.
 type peerNode struct {
 	*Entry
 	domain string
 }
 
-// address is where others reach the entry.
 func (e *peerNode) address() netip.AddrPort {
 	at := e.peers.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
 }
 
-// newPeerNodes returns entries of some failure domains, all of which know and have heard each
-// other, and ends them with the test.
+// newPeerNodes returns entries in several failure domains that know each other and count each other
+// as alive, and closes them at the end of the test.
 func newPeerNodes(t *testing.T, entries, domains int) []*peerNode {
 	t.Helper()
 	var all []*peerNode
@@ -46,29 +45,29 @@
 		for _, b := range all {
 			if a != b {
 				a.peers.known[b.settings.ID] = peerAddress{address: b.address(), domain: b.domain}
-				a.peers.heardAt[b.settings.ID] = time.Hour
+				a.peers.receivedAt[b.settings.ID] = time.Hour
 			}
 		}
-		a.peers.counted()
+		a.peers.applyList()
 		t.Cleanup(func() { a.peers.conn.Close() })
 	}
 	return all
 }
 
-// startPeerNodes is newTalkers whose entries speak.
+// startPeerNodes is newPeerNodes with entries that exchange messages.
 func startPeerNodes(t *testing.T, entries, domains int) []*peerNode {
 	t.Helper()
 	all := newPeerNodes(t, entries, domains)
 	for _, a := range all {
-		clear(a.peers.heardAt)
-		go a.peers.listen()
-		go a.peers.speak(t.Context())
+		clear(a.peers.receivedAt)
+		go a.peers.receive()
+		go a.peers.sendLoads(t.Context())
 		go a.peers.digests.run(t.Context())
 	}
 	return all
 }
 
-// place has an entry send a request to a replica.
+// place makes an entry place a request at a replica.
 func (e *peerNode) place(replica, prefix string) {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
@@ -81,9 +80,9 @@
 	e.state.feed.Placed(now, q, &choice)
 }
 
-// held is how many tokens an entry expects a replica to read anew of a prompt, and the wait
-// there.
-func (e *peerNode) held(replica, prefix string) (missed int, wait float64) {
+// estimate returns how many tokens of a prompt the entry expects the replica to prefill, and the
+// load that it expects there.
+func (e *peerNode) estimate(replica, prefix string) (missed int, wait float64) {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	q := &route.FeedQuery{
@@ -96,35 +95,35 @@
 	return choice.Missed, choice.Load
 }
 
-// Guards against a domain's loads and placements that no other domain, or one entry of it only, is told of.
+// A domain's loads and placements must reach every entry of every other domain.
 func TestOtherDomainsHearOfLoadsAndPlacements(t *testing.T) {
 	const entries, domains = 36, 3
 	all := startPeerNodes(t, entries, domains)
 	all[0].place("r1", "charter")
-	awaitHeard(t, all)
+	awaitPropagation(t, all)
 }
 
-// awaitHeard waits until all entries know that r1 is at work and holds the charter.
-func awaitHeard(t *testing.T, all []*peerNode) {
+// awaitPropagation waits until all entries know that r1 has a running request and holds the prefix.
+func awaitPropagation(t *testing.T, all []*peerNode) {
 	t.Helper()
 	limit := time.Now().Add(5 * time.Second)
 	for _, e := range all {
-		heard := false
-		for ; !heard && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
-			missed, wait := e.held("r1", "charter")
-			heard = missed == 0 && wait > 0
+		reached := false
+		for ; !reached && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+			missed, wait := e.estimate("r1", "charter")
+			reached = missed == 0 && wait > 0
 		}
-		if !heard {
-			t.Errorf("%s of %s hasn't heard of a request that entry-0 of domain-0 placed", e.settings.ID, e.domain)
+		if !reached {
+			t.Errorf("%s of %s does not know a request that entry-0 of domain-0 placed", e.settings.ID, e.domain)
 		}
 	}
 }
 
-// Guards against a load that counts twice, or comes back to its sender.
+// A domain's digest must not be counted in the domain that it describes, nor be counted twice.
 func TestADigestIsNotCountedInItsOwnDomain(t *testing.T) {
 	all := startPeerNodes(t, 36, 3)
 	all[0].place("r1", "charter")
-	awaitHeard(t, all)
+	awaitPropagation(t, all)
 	for _, e := range all {
 		e.state.mu.Lock()
 		own := e.state.feed.Loads()[route.ReplicaKey("r1")].Running
@@ -135,12 +134,13 @@
 			want = 1
 		}
 		if domain != want {
-			t.Errorf("%s of %s: its domain has %d requests there, %d of its own; want %d", e.settings.ID, e.domain, domain, own, want)
+			t.Errorf("%s of %s: its domain has %d requests at the replica, %d of its own; want %d", e.settings.ID, e.domain, domain, own, want)
 		}
 	}
 }
 
-// Guards against entries that pass digests on out of turn before anything was heard.
+// Before any acknowledgement arrives, the sender in one domain must choose the entry that is the
+// sender of the other domain.
 func TestTheFirstDigestGoesToTheEntryWhoseTurnItIs(t *testing.T) {
 	all := newPeerNodes(t, 36, 3)
 	byAddress := map[netip.AddrPort]*peerNode{}
@@ -151,24 +151,24 @@
 		for _, to := range e.peers.digests.targets(time.Hour) {
 			other := byAddress[to]
 			if back := other.peers.digests.targets(time.Hour); !slices.Contains(back, e.address()) {
-				t.Errorf("%s of %s tells %s of %s, which speaks with others", e.settings.ID, e.domain, other.settings.ID, other.domain)
+				t.Errorf("%s of %s sends to %s of %s, which does not send back to it", e.settings.ID, e.domain, other.settings.ID, other.domain)
 			}
 		}
 	}
 }
 
-// Guards against placements that are dropped where a digest has no room for them.
+// Placements that do not fit in one digest must be sent with the next ones.
 func TestPlacementsThatDoNotFitComeWithTheNextDigest(t *testing.T) {
-	const placed = 3 * maxWordPlacements
+	const placed = 3 * maxMessagePlacements
 	d := newPeerNodes(t, 36, 3)[0].peers.digests
 	for i := range placed {
-		d.export([]wordPlacement{{Levels: []uint64{uint64(i)}, Replica: 1, Read: true}})
+		d.enqueue([]peerPlacement{{Levels: []uint64{uint64(i)}, Replica: 1, Read: true}})
 	}
-	told := 0
+	dequeued := 0
 	for range 3 {
-		told += len(d.take(maxWordPlacements))
+		dequeued += len(d.dequeue(maxMessagePlacements))
 	}
-	if told != placed {
-		t.Errorf("%d of %d placements are told", told, placed)
+	if dequeued != placed {
+		t.Errorf("%d of %d placements were dequeued", dequeued, placed)
 	}
 }
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -109,7 +109,7 @@
 	e.hub = newHub(e)
 	e.hub.send = func(w *peerMessage, to netip.AddrPort) { e.peers.sendTo(w, to) }
 	bulk, server := newBulk(), e.hub.serveBulk(l)
-	e.hub.fetchTopic = bulk.get
+	e.hub.fetchTopic = bulk.fetch
 	e.hub.close = func() {
 		server.Close()
 		bulk.client.CloseIdleConnections()
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -14,45 +14,46 @@
 )
 
 const (
-	// topicPeers has a record for each entry: where the others reach it.
+	// topicPeers has a record for each entry with the address at which the others reach it.
 	topicPeers = "keyed.skylark.peers"
-	// peersWait is how long a read for new peers waits: less than the list may be old.
-	peersWait = 4 * time.Second
-	// peersEvery is the least pause between reads for new peers: at a start all of
-	// them are new.
-	peersEvery = time.Second
-	// helloPause is the pause between tries to tell the others where this entry is.
-	helloPause = time.Second
+	// peersReadWait is how long a read of the list of entries waits for a record: less than the
+	// list's maximum staleness.
+	peersReadWait = 4 * time.Second
+	// peersReadPause is the least pause between reads of the list. At a start many entries register
+	// in a short time.
+	peersReadPause = time.Second
+	// registerRetryPause is the pause between attempts to register this entry's address.
+	registerRetryPause = time.Second
 )
 
-// peerAddress is where an entry is.
+// peerAddress is the address and the failure domain of an entry.
 type peerAddress struct {
 	address netip.AddrPort
 	domain  string
 }
 
-// follow keeps the list of the other entries.
+// follow keeps the list of the other entries up to date.
 func (p *peers) follow(ctx context.Context) {
 	f := p.entry.newFollower(topicPeers)
-	f.keyed, f.readWait, f.readPause = true, peersWait, peersEvery
+	f.keyed, f.readWait, f.readPause = true, peersReadWait, peersReadPause
 	f.topicID = peersTopicID
 	f.onRecord = func(r fleet.Record) {
-		p.take(r)
-		p.counted()
+		p.applyRecord(r)
+		p.applyList()
 	}
 	f.onSnapshot = func(page fleet.Page) {
 		for _, r := range page.Records {
-			p.take(r)
+			p.applyRecord(r)
 		}
 		switch {
-		case !f.begun:
-			p.writtenBefore = p.written != ""
-			close(p.read)
-		case !slices.ContainsFunc(page.Records, func(r fleet.Record) bool { return p.own(r, page.Next) }):
-			// The store came back from a copy that is older than this entry's record.
-			go p.write(ctx)
+		case !f.loaded:
+			p.listedAtStart = p.ownRecord != ""
+			close(p.listRead)
+		case !slices.ContainsFunc(page.Records, func(r fleet.Record) bool { return p.isOwnRecord(r, page.Next) }):
+			// The store was restored from a copy that is older than this entry's record.
+			go p.putRegistration(ctx)
 		}
-		p.counted()
+		p.applyList()
 	}
 	f.onRead = func(r spread.Reading) {
 		p.entry.quotas.confirmed(r.Made)
@@ -61,18 +62,18 @@
 	f.run(ctx)
 }
 
-// counted has the others take how many entries there are, and where. Those that were heard of
-// before the list of entries was read are not all.
-func (p *peers) counted() {
+// applyList passes the number of entries, their IDs and their addresses on. Peers known only from
+// their messages are not all of them, so the number is used only once the list has been read.
+func (p *peers) applyList() {
 	select {
-	case <-p.read:
+	case <-p.listRead:
 		p.entry.state.counted(p.count())
-		names, self := p.names()
-		p.entry.quotas.listed(names, self, p.writtenBefore)
-		p.entry.limitsListed(names, self, p.writtenBefore)
+		names, self := p.listedIDs()
+		p.entry.quotas.listed(names, self, p.listedAtStart)
+		p.entry.limitsListed(names, self, p.listedAtStart)
 	default:
 	}
-	pause := p.pause()
+	pause := p.interval()
 	p.entry.state.mu.Lock()
 	p.entry.state.feed.PeersSpeakEvery(pause)
 	p.entry.state.mu.Unlock()
@@ -82,24 +83,24 @@
 	p.mu.Lock()
 	known := maps.Clone(p.known)
 	p.mu.Unlock()
-	p.entry.hub.listed(known)
+	p.entry.hub.setPeers(known)
 }
 
-// count is how many entries there are, this one included.
+// count returns the number of entries, including this one.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.known) + 1
 }
 
-// names are the entries listed; self says that this one is.
-func (p *peers) names() (names []string, self bool) {
+// listedIDs returns the IDs of the listed entries; self says whether this one is among them.
+func (p *peers) listedIDs() (names []string, self bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Keys(p.listed)), p.listed[p.entry.settings.ID]
 }
 
-// address is where an entry is, false if it isn't known.
+// address returns an entry's address, false if it is not known.
 func (p *peers) address(id string) (netip.AddrPort, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +108,7 @@
 	return a.address, ok
 }
 
-func (p *peers) take(r fleet.Record) {
+func (p *peers) applyRecord(r fleet.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.Value == nil {
@@ -116,62 +117,62 @@
 		p.listed[r.Key] = true
 	}
 	if r.Key == p.entry.settings.ID {
-		p.written = string(r.Value)
+		p.ownRecord = string(r.Value)
 		return
 	}
 	if r.Value == nil {
 		delete(p.known, r.Key)
-		p.entry.tel.Log.Info("peer gone", "peer", r.Key, "offset", r.Offset)
+		p.entry.tel.Log.Info("peer removed from list", "peer", r.Key, "offset", r.Offset)
 		return
 	}
-	// A build that passed nothing on wrote no failure domain.
+	// Older versions, which did not share reads, wrote no failure domain.
 	at, domain, _ := strings.Cut(string(r.Value), " ")
 	address, err := netip.ParseAddrPort(at)
 	if err != nil {
-		p.entry.malformed.report("peer's record skipped", r, err)
+		p.entry.malformed.report("malformed peer record skipped", r, err)
 		return
 	}
 	p.known[r.Key] = peerAddress{address: address, domain: domain}
 	p.entry.tel.Log.Info("peer listed", "peer", r.Key, "address", address.String(), "failure_domain", domain, "offset", r.Offset)
 }
 
-// record is what the others find of this entry.
-func (p *peers) record() string {
+// registration returns the value of this entry's record in the list.
+func (p *peers) registration() string {
 	return p.entry.settings.Direct.Peers + " " + p.entry.settings.FailureDomain
 }
 
-// hello tells the others where this entry is, until it is written. One that started again
-// at its address is written already.
-func (p *peers) hello(ctx context.Context) {
+// register registers this entry's address. An entry that restarted at the same address is already
+// registered.
+func (p *peers) register(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-p.read:
+	case <-p.listRead:
 	}
 	p.mu.Lock()
-	written := p.written == p.record()
+	written := p.ownRecord == p.registration()
 	p.mu.Unlock()
 	if !written {
-		p.write(ctx)
+		p.putRegistration(ctx)
 	}
 }
 
-// own reports whether a record is of this entry, and of the store's era at a position.
-func (p *peers) own(r fleet.Record, next uint64) bool {
+// isOwnRecord reports whether a record is this entry's and of the store's era at offset next.
+func (p *peers) isOwnRecord(r fleet.Record, next uint64) bool {
 	return r.Key == p.entry.settings.ID && fleet.Era(r.Offset) == fleet.Era(next)
 }
 
-// write puts this entry into the list of entries.
-func (p *peers) write(ctx context.Context) {
+// putRegistration writes this entry's record, with retries until ctx ends.
+func (p *peers) putRegistration(ctx context.Context) {
 	e := p.entry
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		err := e.platform.Store.Put(callCtx, topicPeers, e.settings.ID, []byte(p.record()))
+		err := e.platform.Store.Put(callCtx, topicPeers, e.settings.ID, []byte(p.registration()))
 		cancel()
 		if err == nil {
 			return
 		}
-		e.tel.Log.Warn("address not told to peers", "error", err)
-		_ = wait.For(ctx, helloPause) // the loop looks at ctx next
+		e.tel.Log.Warn("registering this entry's address failed", "error", err)
+		_ = wait.For(ctx, registerRetryPause) // the loop checks ctx next
 	}
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -14,88 +14,92 @@
 )
 
 const (
-	// callTimeout bounds a call that doesn't wait: many times the store's usual
-	// answer, and a fraction of the seconds within which a change must be in force.
+	// callTimeout bounds a call that does not wait for records: many times the store's usual
+	// response time, and a fraction of the seconds within which a change must be in force.
 	callTimeout = time.Second
-	// maxPause bounds the pause between tries while the store doesn't answer, so
-	// that what was missed is known soon after it is back.
-	maxPause = 400 * time.Millisecond
-	// operatorWait is how long a read for the operator's changes waits. A connection
-	// that has gone silent is noticed at its end and a call's own time: both together
-	// must be less than the three seconds of calm after which an entry is held to what
-	// the store has acknowledged.
-	operatorWait = 1500 * time.Millisecond
-	// replicasReadWait is like operatorWait for the replicas' records, replicasEvery the
-	// least pause between reads: after a crash of many their records come in a burst.
-	// It grows with the entries, as each change wakes them all, up to replicasMost, a
-	// third of the time in which a leaving replica must be left alone.
-	replicasReadWait     = operatorWait
-	replicasReadPause    = 40 * time.Millisecond
-	maxReplicasReadPause = 700 * time.Millisecond
-	// sharedReplicasReadPause is that pause where few entries read for all: a rollout over hundreds of
-	// replicas changes some thirty records a second, and what must be known sooner comes by
+	// maxRetryPause bounds the pause between retries while the store does not answer, so that
+	// missed records are read soon after its return.
+	maxRetryPause = 400 * time.Millisecond
+	// operatorReadWait is how long a read of the operator's topic waits for a record. A connection
+	// that has gone silent is noticed after this wait and callTimeout; together they must be less
+	// than the three seconds for which the store must have answered an entry before the entry is
+	// bound by acknowledged records.
+	operatorReadWait = 1500 * time.Millisecond
+	// replicasReadWait is the same for the replicas' topic, replicasPause the least pause between
+	// its reads: after a crash of many replicas their records arrive in a burst. The pause grows
+	// with the number of entries, because each change wakes them all, up to maxReplicasPause, a
+	// third of the time within which a leaving replica must get no more requests.
+	replicasReadWait = operatorReadWait
+	replicasPause    = 40 * time.Millisecond
+	maxReplicasPause = 700 * time.Millisecond
+	// sharedReplicasPause is that pause if a few entries read for all. A rollout over hundreds of
+	// replicas changes some thirty records a second, and the entries learn of urgent changes in
 	// other ways.
-	sharedReplicasReadPause = 150 * time.Millisecond
-	// entriesReadPause is the pause between reads of the entries' own topic. Notes come
-	// from peers at once, and are read there if a datagram was lost; what an entry
-	// appends itself it reads back at once.
+	sharedReplicasPause = 150 * time.Millisecond
+	// entriesReadPause is the pause between reads of the entries' own topic. Rollout records come
+	// from peers at once and are read from the store only if a datagram was lost. After an append
+	// the entry skips the pause to read its own record back.
 	entriesReadPause = 1200 * time.Millisecond
-	// entriesReadWait is how long a read of that topic waits for a record while no rollout
-	// is under way, which is most of the time: one read in 4.2 s in place of 1.2. A silent
-	// connection hides a holder's renewals for as long, which matters to none then.
+	// entriesReadWait is how long a read of the entries' topic waits for a record while no rollout
+	// is under way, which is most of the time: one read in 4.2 s instead of one in 1.2 s. A
+	// connection that has gone silent hides lease renewals for as long, which is harmless without a
+	// rollout.
 	entriesReadWait = 3 * time.Second
 )
 
-// follower keeps up with one topic: it reads the store and, where entries pass on what
-// that says (hub), takes what peers have read.
+// follower tracks one topic. It reads the store and, if the entries share their reads (hub),
+// applies what peers have read.
 type follower struct {
 	topic string
-	// keyed topics are read whole at the start and wherever records are missing.
+	// A keyed topic is read as a snapshot at the start and after any gap.
 	keyed bool
-	// readWait is how long a read waits for a record, readPause the pause after one that brought
-	// some.
+	// readWait is how long a read waits for a record, readPause the pause after a read that
+	// returned some.
 	readWait, readPause time.Duration
-	// onSnapshot takes all keys at once, record one change, caughtUp the end of a read
-	// that reached the end, skipped the oldest offset where earlier ones are gone.
+	// onSnapshot applies the newest records of all keys, onRecord one record. onCaughtUp is called
+	// after a read that reached the end of the topic, onGap with the oldest available offset if
+	// earlier records are gone.
 	onSnapshot func(fleet.Page)
 	onRecord   func(fleet.Record)
 	onCaughtUp func()
 	onGap      func(first uint64)
-	// onRestore is called, before anything of a new era of the store is taken, with the position
-	// from which on it is read.
+	// onRestore is called when the store was restored from an older copy (a new era), before any
+	// record of that era is applied, with the offset from which the topic is read.
 	onRestore func(first uint64)
 
 	store fleet.Store
 	pacer platform.Pacer
-	// boot is bootTime, or what stands for it in tests.
+	// boot is bootTime, or a replacement in tests.
 	boot func() time.Duration
-	// hub is where the entry's topics are passed on, nil where it reads all for itself;
-	// number is the topic's there, limit how old what is known may be.
+	// hub shares reads among the entries; nil if this entry reads every topic from the store
+	// itself. topicID is the topic's ID there, maxAge its maximum staleness.
 	hub     *hub
 	topicID int
-	limit   time.Duration
-	// wake says that a read may be due.
+	maxAge  time.Duration
+	// wake signals that a read may be due.
 	wake chan struct{}
-	// failures counts reads without an answer in a row.
+	// failures counts consecutive failed reads.
 	failures int
-	// readPauseFunc returns the readPauseFunc between reads where it varies, waits how long they wait;
-	// nil for every and wait.
+	// readPauseFunc returns the pause between reads if it varies, readWaitFunc how long reads wait;
+	// nil to use readPause and readWait.
 	readPauseFunc func() time.Duration
 	readWaitFunc  func() time.Duration
-	// skipPause cuts a pause between reads short; nil for none.
+	// skipPause ends a pause between reads; nil if nothing does.
 	skipPause <-chan struct{}
-	// onRead is called with each reading that makes what is known younger, failed after
-	// each call without an answer with when that was made, unless peers know meanwhile.
+	// onRead is called with each read of this entry, and with each read of a peer that makes the
+	// known state fresher. onReadFailed is called with the time of each failed call, unless peers
+	// have fresh data meanwhile.
 	onRead       func(spread.Reading)
 	onReadFailed func(made time.Time)
 
-	// mu guards the rest and is held while records are taken.
-	mu     sync.Mutex
-	belief spread.Belief
-	tail   *spread.Tail
-	// reread is set where a keyed topic must be read whole again, and one without keys from
-	// the store since no peer has enough of it; begun once the topic was read for the first time.
-	reread, begun bool
+	// mu guards the fields below and is held while records are applied.
+	mu        sync.Mutex
+	watermark spread.Belief
+	tail      *spread.Tail
+	// reload is set if a keyed topic must be read as a snapshot again, or if a topic without keys
+	// must be read from the store because no peer has enough of it. loaded is set once the topic
+	// has been read for the first time.
+	reload, loaded bool
 }
 
 func (e *Entry) newFollower(topic string) *follower {
@@ -107,7 +111,7 @@
 func newFollower(store fleet.Store, topic string, log *slog.Logger) *follower {
 	f := &follower{
 		store: store, topic: topic, boot: bootTime, wake: make(chan struct{}, 1),
-		pacer: platform.Pacer{Logger: log, Stream: topic, MaxPause: maxPause},
+		pacer: platform.Pacer{Logger: log, Stream: topic, MaxPause: maxRetryPause},
 	}
 	nothing := func() {}
 	f.onCaughtUp = nothing
@@ -118,10 +122,10 @@
 	return f
 }
 
-// run follows until ctx ends.
+// run follows the topic until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	f.mu.Lock()
-	f.belief = spread.NewBelief(f.boot())
+	f.watermark = spread.NewBelief(f.boot())
 	f.tail = spread.NewTail(f.keyed)
 	f.mu.Unlock()
 	if f.hub != nil {
@@ -129,25 +133,25 @@
 	}
 	for f.await(ctx) {
 		if f.hub != nil {
-			f.hub.reads()
+			f.hub.countRead()
 		}
 		made := time.Now()
-		err := f.step(ctx)
+		err := f.readOnce(ctx)
 		if err == nil {
 			f.failures = 0
 			continue
 		}
 		if ctx.Err() == nil {
 			f.failures++
-			f.missed(made)
+			f.handleReadFailure(made)
 			f.pacer.Failed(ctx, err)
 		}
 	}
 }
 
-// await returns when a read of the store is due; false once ctx has ended.
+// await blocks until a read of the store is due. It returns false once ctx has ended.
 func (f *follower) await(ctx context.Context) bool {
-	for f.hub != nil && !f.hub.due(f) {
+	for f.hub != nil && !f.hub.readDue(f) {
 		select {
 		case <-ctx.Done():
 			return false
@@ -159,12 +163,12 @@
 	return ctx.Err() == nil
 }
 
-// missed takes a call without an answer. It says nothing while peers pass on what the
-// store tells them: then it is this entry that the store doesn't answer.
-func (f *follower) missed(made time.Time) {
+// handleReadFailure handles a failed call to the store. The failure is not reported while peers
+// provide fresh data: then the store fails for this entry only.
+func (f *follower) handleReadFailure(made time.Time) {
 	if f.hub != nil {
-		f.hub.missed()
-		if f.age() < f.limit {
+		f.hub.storeFailed()
+		if f.age() < f.maxAge {
 			return
 		}
 	}
@@ -174,39 +178,39 @@
 func (f *follower) age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.belief.Age(f.boot())
+	return f.watermark.Age(f.boot())
 }
 
-func (f *follower) step(ctx context.Context) error {
+func (f *follower) readOnce(ctx context.Context) error {
 	f.mu.Lock()
-	whole := f.keyed && (f.reread || !f.belief.Known)
+	snapshot := f.keyed && (f.reload || !f.watermark.Known)
 	f.mu.Unlock()
-	if whole {
-		return f.readWhole(ctx)
+	if snapshot {
+		return f.readSnapshot(ctx)
 	}
-	return f.readOn(ctx)
+	return f.readNext(ctx)
 }
 
-// patience is how long a read may wait for a record, and in all. A call that begins
-// in an outage may hang to its end although the outage is over; so none of those is
-// given long. Their time grows and begins anew, for a store that is only slow.
-func (f *follower) patience() (wait, all time.Duration) {
+// readTimeouts returns how long a read may wait for a record, and its timeout. A call that begins
+// during an outage may hang until its timeout even if the outage ends meanwhile, so the timeouts
+// after a failure are short. They grow and start over, for a store that is merely slow.
+func (f *follower) readTimeouts() (wait, timeout time.Duration) {
 	if f.failures == 0 {
 		wait = f.readWait
 		if f.readWaitFunc != nil {
 			wait = f.readWaitFunc()
 		}
 		if f.hub != nil {
-			wait = f.hub.patience(f, wait)
+			wait = f.hub.readWait(f, wait)
 		}
 		return wait, wait + callTimeout
 	}
 	return 0, callTimeout / 2 << ((f.failures - 1) % 3)
 }
 
-func (f *follower) readWhole(ctx context.Context) error {
-	_, all := f.patience()
-	ctx, cancel := context.WithTimeout(ctx, all)
+func (f *follower) readSnapshot(ctx context.Context) error {
+	_, timeout := f.readTimeouts()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	made := f.boot()
 	page, err := f.store.Newest(ctx, f.topic)
@@ -214,60 +218,60 @@
 		return err
 	}
 	f.mu.Lock()
-	begins := !f.begun
+	begins := !f.loaded
 	f.mu.Unlock()
-	f.takeWhole(page, f.reading(page.Next, made), ownCall)
-	if begins && f.hub != nil && promised(f.topicID) && fleet.Era(page.Next) > 0 {
-		go f.hub.askBefore(f)
+	f.applySnapshot(page, f.ownRead(page.Next, made), fromStore)
+	if begins && f.hub != nil && mustBeFresh(f.topicID) && fleet.Era(page.Next) > 0 {
+		go f.hub.fetchPreRestore(f)
 	}
 	f.pacer.Answered(ctx, len(page.Records), 0, 0)
 	return nil
 }
 
-// reading is what an answer that has just come to a call of this entry shows.
-func (f *follower) reading(next uint64, made time.Duration) spread.Reading {
+// ownRead returns the read for an answer that this entry has just received from the store.
+func (f *follower) ownRead(next uint64, made time.Duration) spread.Reading {
 	r := spread.Reading{Next: next, Made: made, Answered: f.boot()}
 	if f.hub != nil {
-		f.hub.served()
+		f.hub.storeAnswered()
 		r.Reader = f.hub.self.ID
 	}
 	return r
 }
 
-func (f *follower) readOn(ctx context.Context) error {
+func (f *follower) readNext(ctx context.Context) error {
 	began, made := time.Now(), f.boot()
-	waited, _ := f.patience()
-	page, err := f.read(ctx, waited)
+	waited, _ := f.readTimeouts()
+	page, err := f.readStore(ctx, waited)
 	if errors.Is(err, fleet.ErrStoreExpired) || errors.Is(err, fleet.ErrStoreRewound) {
-		f.restart(page.First)
+		f.resumeAfterGap(page.First)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	r := f.reading(page.Next, made)
+	r := f.ownRead(page.Next, made)
 	if page.Next < page.End {
-		// There is more: nothing is known yet of what was written before the call.
+		// There are more records: the time before which all are known stays unconfirmed.
 		r.Made = 0
 	}
-	f.take(page.Next-uint64(len(page.Records)), page.Records, r, ownCall)
+	f.applyRecords(page.Next-uint64(len(page.Records)), page.Records, r, fromStore)
 	f.pacer.Answered(ctx, len(page.Records), waited, time.Since(began))
 	if f.hub == nil || len(page.Records) > 0 {
-		f.rest(ctx)
+		f.pauseReads(ctx)
 	}
 	return nil
 }
 
-// rest pauses between reads.
-func (f *follower) rest(ctx context.Context) {
-	every := f.readPause
+// pauseReads waits for the pause between reads.
+func (f *follower) pauseReads(ctx context.Context) {
+	pause := f.readPause
 	if f.readPauseFunc != nil {
-		every = f.readPauseFunc()
+		pause = f.readPauseFunc()
 	}
-	if every <= 0 {
+	if pause <= 0 {
 		return
 	}
-	timer := time.NewTimer(every)
+	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -276,132 +280,133 @@
 	}
 }
 
-func (f *follower) read(ctx context.Context, wait time.Duration) (fleet.Page, error) {
-	_, all := f.patience()
-	ctx, cancel := context.WithTimeout(ctx, all)
+func (f *follower) readStore(ctx context.Context, wait time.Duration) (fleet.Page, error) {
+	_, timeout := f.readTimeouts()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	f.mu.Lock()
-	from := f.belief.Next
+	from := f.watermark.Next
 	f.mu.Unlock()
 	return f.store.Read(ctx, f.topic, from, wait)
 }
 
-// ownCall stands for the store where a peer's address says who passed records on.
-var ownCall netip.AddrPort
+// fromStore is the sender of records that this entry read from the store itself.
+var fromStore netip.AddrPort
 
-// takeWhole takes the newest record of all keys from a peer or a call of this entry's own,
-// unless more is known already.
-func (f *follower) takeWhole(page fleet.Page, r spread.Reading, from netip.AddrPort) {
+// applySnapshot applies the newest record of each key, from a peer or from the store, unless the
+// follower already knows more.
+func (f *follower) applySnapshot(page fleet.Page, r spread.Reading, from netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.belief.Known && page.Next < f.belief.Next {
+	if f.watermark.Known && page.Next < f.watermark.Next {
 		return
 	}
 	f.onRead(r)
-	if f.belief.Known && fleet.Era(page.Next) > fleet.Era(f.belief.Next) {
+	if f.watermark.Known && fleet.Era(page.Next) > fleet.Era(f.watermark.Next) {
 		f.onRestore(page.Next)
 		f.tail.Rewound(f.boot())
 	}
 	f.onSnapshot(page)
 	f.tail.Start(page.Records, page.Next)
-	f.belief.Took(page.Next)
-	f.belief.Confirm(r)
-	f.reread, f.begun = false, true
+	f.watermark.Took(page.Next)
+	f.watermark.Confirm(r)
+	f.reload, f.loaded = false, true
 	if f.hub != nil {
-		f.hub.news(f, page.Next, nil, from)
+		f.hub.sendUpdate(f, page.Next, nil, from)
 	}
 }
 
-// takeBefore takes records of earlier eras, which the store's copy may lack. They say nothing
-// of how far the topic is known.
-func (f *follower) takeBefore(records []fleet.Record) {
+// applyPreRestore applies records of earlier eras, which the restored store may lack. They do not
+// change the known offset.
+func (f *follower) applyPreRestore(records []fleet.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, record := range records {
-		if fleet.Era(record.Offset) < fleet.Era(f.belief.Next) {
+		if fleet.Era(record.Offset) < fleet.Era(f.watermark.Next) {
 			f.onRecord(record)
 		}
 	}
 }
 
-// take takes records that follow each other from an offset on, as far as they are new and
-// leave no gap, and the reading that brought them, from a peer or a call of this entry's
-// own; one with Made 0 confirms nothing. It reports whether all that the reading speaks of is
-// known now.
-func (f *follower) take(from uint64, records []fleet.Record, r spread.Reading, by netip.AddrPort) bool {
-	own := by == ownCall
+// applyRecords applies consecutive records from an offset on, as far as they are new and leave no
+// gap, and the read that brought them, from a peer or from the store. A read with Made 0 confirms
+// nothing. It reports whether everything below the read's offset is known now.
+func (f *follower) applyRecords(from uint64, records []fleet.Record, r spread.Reading, sender netip.AddrPort) bool {
+	fromOwnRead := sender == fromStore
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.belief.Known && (f.keyed || !own) {
-		return false // it begins with a whole topic, or where a peer's records do
+	if !f.watermark.Known && (f.keyed || !fromOwnRead) {
+		return false // it begins with a snapshot, or where a peer's records begin
 	}
-	if own && !f.begun && f.belief.Next == 0 {
-		f.belief.Took(from) // the beginning of the store's era
+	if fromOwnRead && !f.loaded && f.watermark.Next == 0 {
+		f.watermark.Took(from) // the beginning of the store's era
 		f.tail.Start(nil, from)
 	}
-	next := f.belief.Next
-	fresh := records[min(uint64(len(records)), max(from, next)-from):]
+	next := f.watermark.Next
+	unseen := records[min(uint64(len(records)), max(from, next)-from):]
 	if from > next {
-		fresh = nil
+		unseen = nil
 	}
-	covers := next+uint64(len(fresh)) >= r.Next
-	if own || covers && r.Made > f.belief.Last().Made {
+	covers := next+uint64(len(unseen)) >= r.Next
+	if fromOwnRead || covers && r.Made > f.watermark.Last().Made {
 		f.onRead(r)
 	}
-	for _, record := range fresh {
+	for _, record := range unseen {
 		f.onRecord(record)
 		f.tail.Add(record, f.boot())
 	}
-	f.belief.Took(next + uint64(len(fresh)))
-	f.begun = true
-	if own && !f.keyed {
-		f.reread = false
+	f.watermark.Took(next + uint64(len(unseen)))
+	f.loaded = true
+	if fromOwnRead && !f.keyed {
+		f.reload = false
 	}
-	if f.belief.Confirm(r) {
+	if f.watermark.Confirm(r) {
 		f.onCaughtUp()
 	}
-	if f.hub != nil && len(fresh) > 0 {
-		f.hub.news(f, next, fresh, by)
+	if f.hub != nil && len(unseen) > 0 {
+		f.hub.sendUpdate(f, next, unseen, sender)
 	}
 	return covers
 }
 
-// begin has a topic without keys that isn't known begin at an offset, with a peer's records.
-func (f *follower) begin(first uint64) {
+// startAt makes a topic without keys, of which nothing is known, begin at the offset of a peer's
+// records.
+func (f *follower) startAt(first uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.belief.Known {
+	if f.watermark.Known {
 		return
 	}
-	f.belief.Took(first)
+	f.watermark.Took(first)
 	f.tail.Start(nil, first)
 	if first > 0 {
 		f.onGap(first)
 	}
 }
 
-// askStore has a topic read from the store since no peer can give it.
-func (f *follower) askStore() {
+// requestStoreRead requests a read from the store because no peer can provide the topic.
+func (f *follower) requestStoreRead() {
 	f.mu.Lock()
-	f.reread = true
+	f.reload = true
 	f.mu.Unlock()
 	nudge(f.wake)
 }
 
-// restart goes on where records are gone: with all keys, or from the oldest record.
-func (f *follower) restart(first uint64) {
+// resumeAfterGap resumes after records were lost: a keyed topic with a snapshot, any other at the
+// oldest available offset.
+func (f *follower) resumeAfterGap(first uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reread = f.keyed
+	f.reload = f.keyed
 	if f.keyed {
 		return
 	}
-	again := fleet.Era(first) > fleet.Era(f.belief.Next)
-	f.belief.Took(max(f.belief.Next, first))
-	f.tail.Start(nil, f.belief.Next)
-	if again {
-		f.onRestore(f.belief.Next)
+	restored := fleet.Era(first) > fleet.Era(f.watermark.Next)
+	f.watermark.Took(max(f.watermark.Next, first))
+	f.tail.Start(nil, f.watermark.Next)
+	if restored {
+		f.onRestore(f.watermark.Next)
 	} else {
-		f.onGap(f.belief.Next)
+		f.onGap(f.watermark.Next)
 	}
 }
--- a/internal/direct/hub.go
+++ b/internal/direct/hub.go
@@ -13,39 +13,41 @@
 	"skylarklead/internal/telemetry"
 )
 
-// The topics by their numbers in messages between entries.
+// Numbers of the topics in peer messages.
 const (
 	operatorTopicID = iota
 	replicasTopicID
 	entriesTopicID
 	peersTopicID
-	topics
+	topicCount
 )
 
-// topicNames are the topics' names in metrics, by their numbers.
-var topicNames = [topics]string{"operator", "replicas", "entries", "peers"}
+// topicNames are the topics' names in metrics, by topic ID.
+var topicNames = [topicCount]string{"operator", "replicas", "entries", "peers"}
 
 const (
-	// hubTick is the pause between looks at what to ask and to read: a third of the pause
-	// between questions.
-	hubTick = 50 * time.Millisecond
-	// askedFor is for how long one that asked is told news: several questions in a row
-	// would have to be lost.
-	askedFor = time.Second
-	// maxAskers bounds those that are told news: many times those that ask one entry.
-	maxAskers = 512
-	// entriesLimit and peersLimit are how old what is known of the entries' own topics may
-	// be. Leases are safe whatever is known of them; an entry spends less of organisations'
-	// limits where its list of entries is older.
-	entriesLimit = 10 * time.Second
-	peersLimit   = quota.DefaultJoinedWithin
-	// shortLease is how long a read of the entries' topic waits while a rollout is under
-	// way, so that a silent connection hides renewals for less than a lease lasts.
-	shortLease = entriesReadPause
+	// hubInterval is the pause between checks for queries to send and store reads that are due: a
+	// third of the pause between queries to a peer.
+	hubInterval = 50 * time.Millisecond
+	// subscriptionTTL is how long a peer receives updates after its last query. Peers query often
+	// enough that several queries in a row would have to be lost for a subscription to end.
+	subscriptionTTL = time.Second
+	// maxSubscribers bounds the peers that receive updates: many times the number that queries one
+	// entry.
+	maxSubscribers = 512
+	// maxEntriesAge and maxPeersAge bound the staleness of the entries' own topics. Leases are safe
+	// at any staleness, and an entry spends less of the organisations' limits while its list of
+	// entries is older.
+	maxEntriesAge = 10 * time.Second
+	maxPeersAge   = quota.DefaultJoinedWithin
+	// rolloutReadWait is how long a read of the entries' topic waits while a rollout is under way,
+	// so that a connection that has gone silent hides lease renewals for less than a lease lasts.
+	rolloutReadWait = entriesReadPause
 )
 
-// hub has an entry's topics passed on among the entries: it asks, answers and tells news. What
-// is asked, and when the store is read, package spread decides.
+// hub distributes the store's topics among the entries, so that only a few of them read the store.
+// It queries peers, answers their queries and sends updates. Package spread decides which peers to
+// query and when to read the store.
 //
 // Lock order: a follower's mu before the hub's.
 type hub struct {
@@ -53,39 +55,40 @@
 	tel   *telemetry.Telemetry
 	boot  func() time.Duration
 	self  spread.Peer
-	// send sends a message to an address. Errors are of no interest: each question is asked
-	// again.
+	// send sends a message to an address. It reports no errors, because every query is repeated.
 	send func(*peerMessage, netip.AddrPort)
-	// fetchTopic fetches from a peer what doesn't fit into a datagram: of the topic of a number what
-	// follows next less one, or all. close ends that, and what gives peers the same.
-	fetchTopic func(from netip.AddrPort, number int, next uint64) (*wordTopic, error)
+	// fetchTopic fetches over HTTP what does not fit in a datagram: the records of a topic from
+	// offset next-1 on, or the whole topic. close stops these fetches and the server that answers
+	// those of peers.
+	fetchTopic func(from netip.AddrPort, topicID int, next uint64) (*topicState, error)
 	close      func()
 
 	mu        sync.Mutex
-	sources   *spread.Sources
-	followers [topics]*follower
-	fetching  [topics]bool
+	upstreams *spread.Sources
+	followers [topicCount]*follower
+	fetching  [topicCount]bool
 	addresses map[string]netip.AddrPort
-	// peers are those listed that sources weren't told of yet, nil for none.
-	peers []spread.Peer
-	// askers is when each address asked last.
-	askers map[netip.AddrPort]time.Duration
-	// told is the latest that the log tells of.
-	told sourcing
+	// pendingPeers is a list of peers that has not been passed to upstreams yet; nil if there is
+	// none.
+	pendingPeers []spread.Peer
+	// subscribers holds the time of the last query from each address.
+	subscribers map[netip.AddrPort]time.Duration
+	// loggedStatus is the status that was last logged.
+	loggedStatus upstreamStatus
 }
 
-// sourcing is where the entry has had its records from, since when, and what the latest answer
-// lacked that wasn't young enough.
-type sourcing struct {
-	mode    spread.Mode
-	source  string
-	since   time.Duration
-	lacking lacking
+// upstreamStatus says where the entry gets its records from, since when, and which answer was last
+// rejected as stale.
+type upstreamStatus struct {
+	mode     spread.Mode
+	upstream string
+	since    time.Duration
+	stale    staleResponse
 }
 
-// lacking is why an answer wasn't young enough: the topic, how old it was told to be, and
-// who had read it; "" for a topic that it didn't tell of.
-type lacking struct {
+// staleResponse says why an answer was rejected: the topic, its reported age and the entry that
+// read it from the store. topic is "" if the answer lacked a required topic.
+type staleResponse struct {
 	peer, topic, reader string
 	age                 time.Duration
 }
@@ -94,102 +97,104 @@
 	self := spread.Peer{ID: e.settings.ID, FailureDomain: e.settings.FailureDomain}
 	return &hub{
 		entry: e, tel: e.tel, boot: e.boot, self: self,
-		sources:   spread.NewSources(self, spread.DefaultParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		addresses: make(map[string]netip.AddrPort),
-		askers:    make(map[netip.AddrPort]time.Duration),
+		upstreams:   spread.NewSources(self, spread.DefaultParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		addresses:   make(map[string]netip.AddrPort),
+		subscribers: make(map[netip.AddrPort]time.Duration),
 	}
 }
 
-// promised reports whether a promise hangs on how soon a topic's records are known. A source
-// must know these: the entries' own topics are told by other ways too.
-func promised(number int) bool { return number == operatorTopicID || number == replicasTopicID }
+// mustBeFresh reports whether a time limit on changes depends on the staleness of a topic. Only a
+// peer with fresh data for these topics may be the upstream; the entries' own topics also spread in
+// other ways.
+func mustBeFresh(topicID int) bool { return topicID == operatorTopicID || topicID == replicasTopicID }
 
-// limits are how old what is known of each topic may be.
-func limits(d *settings.Direct) [topics]time.Duration {
-	return [topics]time.Duration{
+// maxAges returns the maximum staleness of each topic.
+func maxAges(d *settings.Direct) [topicCount]time.Duration {
+	return [topicCount]time.Duration{
 		operatorTopicID: spread.Limit(d.ConfigurationWithin.D()),
 		replicasTopicID: spread.Limit(d.LeavingWithin.D()),
-		entriesTopicID:  entriesLimit,
-		peersTopicID:    peersLimit,
+		entriesTopicID:  maxEntriesAge,
+		peersTopicID:    maxPeersAge,
 	}
 }
 
-// tooOld reports whether an age of the topic's belief is too old for a source.
-func (f *follower) tooOld(age time.Duration) bool {
-	return float64(age) > spread.StaleAt*float64(f.limit)
+// tooStale reports whether a peer's data for the topic is too old to use that peer as upstream.
+func (f *follower) tooStale(age time.Duration) bool {
+	return float64(age) > spread.StaleAt*float64(f.maxAge)
 }
 
-// attach takes part in a topic.
+// attach registers the follower of a topic.
 func (h *hub) attach(f *follower) {
 	h.tel.Metrics.Gauge("known_age_ms_"+topicNames[f.topicID], func() int64 { return f.age().Milliseconds() })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f.limit = limits(h.entry.directSettings())[f.topicID]
+	f.maxAge = maxAges(h.entry.directSettings())[f.topicID]
 	h.followers[f.topicID] = f
 }
 
-// reads counts a read of the store by why it is made.
-func (h *hub) reads() {
+// countRead counts a read of the store under the mode that caused it.
+func (h *hub) countRead() {
 	now := h.boot()
 	h.mu.Lock()
-	mode := h.sources.Mode(now)
+	mode := h.upstreams.Mode(now)
 	h.mu.Unlock()
 	h.tel.Metrics.Count("store_reads_"+mode.String(), 1)
 }
 
-// followed returns the topic of a number, nil if there is none.
-func (h *hub) followed(number int) *follower {
+// followerOf returns the follower of a topic, nil if there is none.
+func (h *hub) followerOf(topicID int) *follower {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if number < 0 || number >= topics {
+	if topicID < 0 || topicID >= topicCount {
 		return nil
 	}
-	return h.followers[number]
+	return h.followers[topicID]
 }
 
-// due reports whether to read a topic from the store now.
-func (h *hub) due(f *follower) bool {
+// readDue reports whether to read a topic from the store now.
+func (h *hub) readDue(f *follower) bool {
 	now := h.boot()
 	f.mu.Lock()
-	part := float64(f.belief.Age(now)) / float64(f.limit)
-	// Who there is to ask is read from the store.
-	first := !f.belief.Known && f.topicID == peersTopicID || !f.keyed && f.reread
+	agePart := float64(f.watermark.Age(now)) / float64(f.maxAge)
+	// The list of peers to query comes from the store.
+	required := !f.watermark.Known && f.topicID == peersTopicID || !f.keyed && f.reload
 	f.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return first || h.sources.Due(part, now)
+	return required || h.upstreams.Due(agePart, now)
 }
 
-// patience is how long a read of the store waits, of an entry that others listen to no longer
-// than keeps their knowledge young, and of one that reads only this once not at all.
-func (h *hub) patience(f *follower, longest time.Duration) time.Duration {
+// readWait returns how long a read of the store may wait for a record. A read by an entry that
+// others query is short enough to keep their data fresh; a read that this entry makes only once,
+// outside the leading mode, does not wait.
+func (h *hub) readWait(f *follower, longest time.Duration) time.Duration {
 	now := h.boot()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.sources.Mode(now) != spread.Leading {
+	if h.upstreams.Mode(now) != spread.Leading {
 		return 0
 	}
 	if f.topicID == entriesTopicID && h.entry.rollouts.active.Load() {
-		return min(longest, shortLease)
+		return min(longest, rolloutReadWait)
 	}
-	return h.sources.ReadWait(f.limit, f.readPause, longest)
+	return h.upstreams.ReadWait(f.maxAge, f.readPause, longest)
 }
 
-// served says that the store has answered a call of this entry, missed that it hasn't.
-func (h *hub) served() {
+// storeAnswered records that the store answered a call of this entry, storeFailed that it did not.
+func (h *hub) storeAnswered() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sources.Served()
+	h.upstreams.Served()
 }
 
-func (h *hub) missed() {
+func (h *hub) storeFailed() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sources.Missed()
+	h.upstreams.Missed()
 }
 
-// listed takes where all other entries are.
-func (h *hub) listed(peers map[string]peerAddress) {
+// setPeers sets the addresses and failure domains of all other entries.
+func (h *hub) setPeers(peers map[string]peerAddress) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clear(h.addresses)
@@ -198,23 +203,23 @@
 		h.addresses[id] = p.address
 		list = append(list, spread.Peer{ID: id, FailureDomain: p.domain})
 	}
-	if h.peers = list; h.sources.Mode(h.boot()) == spread.Alone {
-		h.tellSources()
+	if h.pendingPeers = list; h.upstreams.Mode(h.boot()) == spread.Alone {
+		h.applyPendingPeers()
 	}
 }
 
-// tellSources has sources take the list of peers: at a start they come one by one, and their
-// order is worked out once for many. The caller holds mu.
-func (h *hub) tellSources() {
-	if h.peers != nil {
-		h.sources.Peers(h.peers)
-		h.peers = nil
+// applyPendingPeers passes the latest list of peers to upstreams. At a start peers are added one by
+// one, and computing their order once for many is cheaper. The caller holds mu.
+func (h *hub) applyPendingPeers() {
+	if h.pendingPeers != nil {
+		h.upstreams.Peers(h.pendingPeers)
+		h.pendingPeers = nil
 	}
 }
 
-// run asks and looks what to read until ctx ends.
+// run sends queries and wakes the followers until ctx ends.
 func (h *hub) run(ctx context.Context) {
-	tick := time.NewTicker(hubTick)
+	tick := time.NewTicker(hubInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -227,48 +232,48 @@
 	}
 }
 
-// step asks what is to be asked now and wakes the readers.
+// step sends the queries that are due and wakes the followers whose reads may be due.
 func (h *hub) step() {
 	now := h.boot()
 	h.mu.Lock()
-	h.tellSources()
-	questions := h.sources.Tick(now)
-	hints := h.addressesOf(h.sources.Hints(now))
-	was, is := h.told, sourcing{mode: h.sources.Mode(now), source: h.sources.Source(), since: now}
-	changed := is.mode != was.mode || is.source != was.source
+	h.applyPendingPeers()
+	queries := h.upstreams.Tick(now)
+	hints := h.addressesOf(h.upstreams.Hints(now))
+	previous, current := h.loggedStatus, upstreamStatus{mode: h.upstreams.Mode(now), upstream: h.upstreams.Source(), since: now}
+	changed := current.mode != previous.mode || current.upstream != previous.upstream
 	if changed {
-		h.told = is
+		h.loggedStatus = current
 	}
 	followers := h.followers
 	h.mu.Unlock()
 	if changed {
-		h.logSource(was, is)
+		h.logUpstreamChange(previous, current)
 	}
-	h.ask(questions)
+	h.sendQueries(queries)
 	for _, to := range hints {
 		h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Hint: true}, to)
 	}
 	for _, f := range followers {
-		if f != nil && (is.mode != spread.Listening || f.tooOld(f.age())) {
+		if f != nil && (current.mode != spread.Listening || f.tooStale(f.age())) {
 			nudge(f.wake)
 		}
 	}
 }
 
-func (h *hub) logSource(was, is sourcing) {
+func (h *hub) logUpstreamChange(previous, current upstreamStatus) {
 	h.tel.Metrics.Count("records_source_changes", 1)
-	if is.mode == spread.Leading {
+	if current.mode == spread.Leading {
 		h.tel.Metrics.Count("store_taken_over", 1)
 	}
-	lacks := was.lacking
-	h.tel.Log.Info("records' source", "mode", is.mode.String(), "source", is.source,
-		"before", was.mode.String(), "source_before", was.source, "after_ms", (is.since - was.since).Milliseconds(),
+	stale := previous.stale
+	h.tel.Log.Info("records upstream changed", "mode", current.mode.String(), "source", current.upstream,
+		"before", previous.mode.String(), "source_before", previous.upstream, "after_ms", (current.since - previous.since).Milliseconds(),
 		"list_age_ms", h.ageOf(replicasTopicID).Milliseconds(), "operator_age_ms", h.ageOf(operatorTopicID).Milliseconds(),
-		"old_at", lacks.peer, "old_topic", lacks.topic, "old_ms", lacks.age.Milliseconds(), "old_from", lacks.reader)
+		"old_at", stale.peer, "old_topic", stale.topic, "old_ms", stale.age.Milliseconds(), "old_from", stale.reader)
 }
 
-func (h *hub) ageOf(number int) time.Duration {
-	if f := h.followed(number); f != nil {
+func (h *hub) ageOf(topicID int) time.Duration {
+	if f := h.followerOf(topicID); f != nil {
 		return f.age()
 	}
 	return 0
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -16,14 +16,15 @@
 
 var somePeer = netip.MustParseAddrPort("10.0.0.2:7340")
 
-// testFollower is a follower of a topic without keys that takes records into a list.
+// testFollower returns a follower of a topic without keys that collects the offsets of applied
+// records.
 func testFollower(now *time.Duration) (*follower, *[]uint64) {
 	f := newFollower(nil, "topic", slog.New(slog.DiscardHandler))
 	f.boot = func() time.Duration { return *now }
-	f.belief, f.tail = spread.NewBelief(0), spread.NewTail(false)
-	taken := &[]uint64{}
-	f.onRecord = func(r fleet.Record) { *taken = append(*taken, r.Offset) }
-	return f, taken
+	f.watermark, f.tail = spread.NewBelief(0), spread.NewTail(false)
+	applied := &[]uint64{}
+	f.onRecord = func(r fleet.Record) { *applied = append(*applied, r.Offset) }
+	return f, applied
 }
 
 func recordsFrom(offset uint64, n int, size int) []fleet.Record {
@@ -34,66 +35,68 @@
 	return records
 }
 
-// Guards against a lease that still holds and is missing from what a peer gives as all.
+// A peer may only pass on its history of the leases' topic as complete if no lease that may still
+// hold is missing from it.
 func TestAPeerGivesTheLeasesTopicOnlyIfNoLeaseCanBeMissing(t *testing.T) {
-	const size = 4 << 10 // so that the oldest are dropped
+	const size = 4 << 10 // large enough that the oldest records are dropped
 	now := time.Second
-	giver, _ := testFollower(&now)
-	giver.take(0, recordsFrom(0, 100, size), spread.Reading{Next: 100, Made: now}, ownCall)
-	if given, ok := giver.given(0); !ok || given.From != 0 || len(given.Records) != 100 {
-		t.Fatalf("nothing was dropped, and not all is given: %v", ok)
+	sender, _ := testFollower(&now)
+	sender.applyRecords(0, recordsFrom(0, 100, size), spread.Reading{Next: 100, Made: now}, fromStore)
+	if served, ok := sender.bulkState(0); !ok || served.From != 0 || len(served.Records) != 100 {
+		t.Fatalf("no record was dropped, but the bulk state is incomplete (ok: %v)", ok)
 	}
-	giver.take(100, recordsFrom(100, 400, size), spread.Reading{Next: 500, Made: now + 1}, ownCall)
-	if _, ok := giver.given(0); ok {
-		t.Error("records that were taken just now were dropped, and the rest is given as if it were all")
+	sender.applyRecords(100, recordsFrom(100, 400, size), spread.Reading{Next: 500, Made: now + 1}, fromStore)
+	if _, ok := sender.bulkState(0); ok {
+		t.Error("recently applied records were dropped, but the rest is served as if it were complete")
 	}
-	now += entriesHistory
-	given, ok := giver.given(0)
+	now += unkeyedHistory
+	served, ok := sender.bulkState(0)
 	if !ok {
-		t.Fatal("not given though what was dropped is older than any lease")
+		t.Fatal("not served although all dropped records are older than any lease")
 	}
-	taker, taken := testFollower(&now)
+	receiver, applied := testFollower(&now)
 	skipped := uint64(0)
-	taker.onGap = func(first uint64) { skipped = first }
-	taker.begin(given.From)
-	taker.take(given.From, given.records(), given.reading(now), somePeer)
-	if skipped != given.From || len(*taken) != len(given.Records) || taker.belief.Next != 500 {
-		t.Errorf("begins at %d with %d records, known to %d", skipped, len(*taken), taker.belief.Next)
+	receiver.onGap = func(first uint64) { skipped = first }
+	receiver.startAt(served.From)
+	receiver.applyRecords(served.From, served.records(), served.read(now), somePeer)
+	if skipped != served.From || len(*applied) != len(served.Records) || receiver.watermark.Next != 500 {
+		t.Errorf("begins at %d with %d records, known up to %d", skipped, len(*applied), receiver.watermark.Next)
 	}
 }
 
-// Guards against records that take effect twice, out of order or not at all, as news come late and with gaps.
+// Updates arrive late and with gaps; records must not be applied twice, out of order or not at all.
 func TestRecordsAreTakenOnceAndInOrder(t *testing.T) {
 	now := time.Second
-	f, taken := testFollower(&now)
-	f.take(0, recordsFrom(0, 3, 1), spread.Reading{Next: 3, Made: now}, ownCall)
+	f, applied := testFollower(&now)
+	f.applyRecords(0, recordsFrom(0, 3, 1), spread.Reading{Next: 3, Made: now}, fromStore)
 	for _, c := range []struct {
 		from   uint64
 		n      int
 		covers bool
 	}{{1, 2, true}, {5, 2, false}, {2, 3, true}, {5, 2, true}, {0, 7, true}} {
-		if got := f.take(c.from, recordsFrom(c.from, c.n, 1), spread.Reading{Next: c.from + uint64(c.n)}, somePeer); got != c.covers {
-			t.Errorf("records %d to %d: all known %v", c.from, c.from+uint64(c.n), got)
+		if got := f.applyRecords(c.from, recordsFrom(c.from, c.n, 1), spread.Reading{Next: c.from + uint64(c.n)}, somePeer); got != c.covers {
+			t.Errorf("records %d to %d: covers reported as %v", c.from, c.from+uint64(c.n), got)
 		}
 	}
-	if got := fmt.Sprint(*taken); got != "[0 1 2 3 4 5 6]" {
-		t.Errorf("taken: %s", got)
+	if got := fmt.Sprint(*applied); got != "[0 1 2 3 4 5 6]" {
+		t.Errorf("applied: %s", got)
 	}
 }
 
-// Guards against news that make what is known look younger than it is.
+// An update proves nothing about earlier records, so it must not make the known state look fresher.
 func TestNewsProveNothing(t *testing.T) {
 	now := time.Second
 	f, _ := testFollower(&now)
-	f.take(0, recordsFrom(0, 3, 1), spread.Reading{Next: 3, Made: now}, ownCall)
+	f.applyRecords(0, recordsFrom(0, 3, 1), spread.Reading{Next: 3, Made: now}, fromStore)
 	now += 2 * time.Second
-	f.take(3, recordsFrom(3, 1, 1), spread.Reading{Next: 4}, somePeer)
+	f.applyRecords(3, recordsFrom(3, 1, 1), spread.Reading{Next: 4}, somePeer)
 	if age := f.age(); age != 2*time.Second {
-		t.Errorf("age %v; the last reading was made 2 s ago", age)
+		t.Errorf("age %v; the last read was made 2 s ago", age)
 	}
 }
 
-// Guards against lapsed replicas that are dropped after an outage by an entry that made no call in it.
+// An entry that made no call during an outage must notice the outage from its peers. Otherwise it
+// removes replicas whose records lapsed meanwhile.
 func TestAnOutageIsNoticedByAnEntryThatMadeNoCall(t *testing.T) {
 	tel := quietTelemetry(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -108,10 +111,10 @@
 		done := make(chan struct{})
 		go func() { e.sweep(ctx); close(done) }()
 		time.Sleep(time.Second)
-		passedOn := func() {
+		relayRead := func() {
 			e.listReached(spread.Reading{Made: e.clock.now(), Answered: e.clock.now(), Reader: "entry-2"}, e.clock.now())
 		}
-		passedOn()
+		relayRead()
 		e.takeReplica(fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")})
 		for range 12 {
 			time.Sleep(500 * time.Millisecond)
@@ -119,10 +122,10 @@
 			e.state.outage.Heard("entry-2", 0, e.clock.now())
 			e.state.mu.Unlock()
 		}
-		passedOn()
+		relayRead()
 		e.takeReplica(fleet.Record{Offset: 1, Key: "portal-1"})
 		if l.usable() == 0 {
-			t.Error("a replica whose record lapsed in an outage that all met is out of use at once")
+			t.Error("a replica whose record lapsed during an outage for all entries is out of use at once")
 		}
 		cancel()
 		<-done
--- a/internal/direct/hubtalk.go
+++ b/internal/direct/hubtalk.go
@@ -9,9 +9,8 @@
 	"skylarklead/internal/spread"
 )
 
-// ask sends questions.
-func (h *hub) ask(questions []spread.Question) {
-	for _, q := range questions {
+func (h *hub) sendQueries(queries []spread.Question) {
+	for _, q := range queries {
 		h.mu.Lock()
 		to, ok := h.addresses[q.Peer]
 		followers := h.followers
@@ -19,182 +18,186 @@
 		if !ok {
 			continue
 		}
-		asked := &wordAsk{Seq: q.Seq}
+		query := &topicsQuery{Seq: q.Seq}
 		for _, f := range followers {
-			asked.Next = append(asked.Next, f.nextOf())
+			query.Next = append(query.Next, f.queryPosition())
 		}
 		h.tel.Metrics.Count("records_asked", 1)
-		h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Ask: asked}, to)
+		h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Query: query}, to)
 	}
 }
 
-// nextOf is one more than the offset from which on a topic isn't known here, 0 where
-// nothing of it is.
-func (f *follower) nextOf() uint64 {
+// queryPosition returns the follower's position as a query encodes it: the next unknown offset plus
+// one, or 0 if nothing of the topic is known.
+func (f *follower) queryPosition() uint64 {
 	if f == nil {
 		return 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.belief.Known {
+	if !f.watermark.Known {
 		return 0
 	}
-	return f.belief.Next + 1
+	return f.watermark.Next + 1
 }
 
-// asked answers a peer's question.
-func (h *hub) asked(a *wordAsk, from netip.AddrPort) {
+// handleQuery answers a peer's query and subscribes the peer to updates.
+func (h *hub) handleQuery(query *topicsQuery, from netip.AddrPort) {
 	now := h.boot()
 	h.mu.Lock()
-	if _, known := h.askers[from]; known || len(h.askers) < maxAskers {
-		h.askers[from] = now
+	if _, known := h.subscribers[from]; known || len(h.subscribers) < maxSubscribers {
+		h.subscribers[from] = now
 	}
 	followers := h.followers
 	h.mu.Unlock()
-	out := &wordAnswer{Seq: a.Seq}
-	room := maxWord - wordOverhead
+	response := &topicsResponse{Seq: query.Seq}
+	room := maxMessageBytes - messageOverhead
 	for i, f := range followers {
-		if f == nil || i >= len(a.Next) {
+		if f == nil || i >= len(query.Next) {
 			continue
 		}
-		topic, known := f.told(a.Next[i], now, &room)
+		topic, known := f.stateSince(query.Next[i], now, &room)
 		if known {
-			topic.Number = uint8(i)
-			out.Topics = append(out.Topics, topic)
+			topic.TopicID = uint8(i)
+			response.Topics = append(response.Topics, topic)
 		}
 	}
 	h.tel.Metrics.Count("records_answered", 1)
-	h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Answer: out}, from)
+	h.send(&peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Response: response}, from)
 }
 
-// told is what an entry that knows a topic up to next less one, 0 for nothing, is told of it:
-// where it ends and as of when, and the records that it lacks as far as there is room.
-func (f *follower) told(next uint64, now time.Duration, room *int) (wordTopic, bool) {
+// stateSince returns the state of the topic for a peer at a position (see topicsQuery.Next; 0 if it
+// knows nothing): the known offset, its time, and as many of the records that the peer lacks as
+// there is room for. It returns false if no read has confirmed the topic yet.
+func (f *follower) stateSince(next uint64, now time.Duration, room *int) (topicState, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.belief.Confirmed() {
-		return wordTopic{}, false
+	if !f.watermark.Confirmed() {
+		return topicState{}, false
 	}
-	last := f.belief.Last()
-	t := wordTopic{
-		Next: f.belief.Next, Reader: last.Reader,
-		MadeMs: ageMs(now - last.Made), AnsweredMs: ageMs(now - last.Answered),
+	last := f.watermark.Last()
+	t := topicState{
+		Next: f.watermark.Next, Reader: last.Reader,
+		CallAgeMs: ageMs(now - last.Made), ResponseAgeMs: ageMs(now - last.Answered),
 	}
-	if next == 0 || next > f.belief.Next {
+	if next == 0 || next > f.watermark.Next {
 		return t, true
 	}
 	records, kept := f.tail.From(next - 1)
 	if kept {
 		t.From = next - 1
-		t.Records = fitting(records, room)
+		t.Records = fitRecords(records, room)
 	}
 	return t, true
 }
 
-// fitting are the first records that fit into a datagram's room, which they take.
-func fitting(records []fleet.Record, room *int) []wordRecord {
-	var out []wordRecord
+// fitRecords returns the longest prefix of records that fits in room, and subtracts its size from
+// room.
+func fitRecords(records []fleet.Record, room *int) []topicRecord {
+	var out []topicRecord
 	for _, r := range records {
 		takes := len(r.Key) + len(r.Value) + recordOverhead
 		if takes > *room {
 			break
 		}
 		*room -= takes
-		out = append(out, wordRecord{Key: r.Key, Value: r.Value, Gone: r.Value == nil})
+		out = append(out, topicRecord{Key: r.Key, Value: r.Value, Deleted: r.Value == nil})
 	}
 	return out
 }
 
-// ageMs is an age in milliseconds, rounded up: what is passed on never gets younger.
+// ageMs converts an age to milliseconds, rounded up: forwarding must never make data look younger.
 func ageMs(age time.Duration) uint64 {
 	return uint64((max(0, age) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// answered takes a peer's answer, or news that nobody asked for (Seq 0).
-func (h *hub) answered(peer string, a *wordAnswer, from netip.AddrPort) {
+// handleResponse processes a peer's answer, or an update that was not asked for (Seq 0).
+func (h *hub) handleResponse(peer string, a *topicsResponse, from netip.AddrPort) {
 	now := h.boot()
 	if a.Seq == 0 {
-		h.heardNews(peer, a, from)
+		h.handleUpdate(peer, a, from)
 		return
 	}
 	h.mu.Lock()
-	sent, ok := h.sources.Sent(peer, a.Seq)
+	sent, ok := h.upstreams.Sent(peer, a.Seq)
 	h.mu.Unlock()
 	if !ok {
 		h.tel.Metrics.Count("records_answers_late", 1)
 		return
 	}
-	told := [topics]bool{}
-	var lacks lacking
+	reported := [topicCount]bool{}
+	var stale staleResponse
 	for i := range a.Topics {
 		t := &a.Topics[i]
-		f := h.followed(int(t.Number))
+		f := h.followerOf(int(t.TopicID))
 		if f == nil {
 			continue
 		}
-		if !t.possible() {
+		if !t.valid() {
 			h.tel.Metrics.Count("peer_words_malformed", 1)
 			continue
 		}
-		told[t.Number] = true
-		r := t.reading(sent)
-		if promised(f.topicID) && (t.Reader == h.self.ID || f.tooOld(now-r.Made)) {
-			lacks = lacking{peer: peer, topic: f.topic, reader: t.Reader, age: now - r.Made}
+		reported[t.TopicID] = true
+		r := t.read(sent)
+		if mustBeFresh(f.topicID) && (t.Reader == h.self.ID || f.tooStale(now-r.Made)) {
+			stale = staleResponse{peer: peer, topic: f.topic, reader: t.Reader, age: now - r.Made}
 		}
-		h.take(f, t, r, from)
+		h.applyState(f, t, r, from)
 	}
-	if !told[operatorTopicID] || !told[replicasTopicID] {
-		lacks = lacking{peer: peer}
+	if !reported[operatorTopicID] || !reported[replicasTopicID] {
+		stale = staleResponse{peer: peer}
 	}
 	h.mu.Lock()
-	if lacks.peer != "" {
-		h.told.lacking = lacks
+	if stale.peer != "" {
+		h.loggedStatus.stale = stale
 	}
-	h.sources.Answered(a.Seq, lacks.peer == "", now)
+	h.upstreams.Answered(a.Seq, stale.peer == "", now)
 	h.mu.Unlock()
 	h.step()
 }
 
-// reading is what an answer shows to a question that was sent at a time: the ages run back
-// from then, so that the way of the answer, or a stop of this process, makes nothing young.
-func (t *wordTopic) reading(sent time.Duration) spread.Reading {
+// read converts the state in an answer into a read, given the time at which the query was sent.
+// Ages count back from that time, so that neither a slow answer nor a pause of this process makes
+// the data look younger than it is.
+func (t *topicState) read(sent time.Duration) spread.Reading {
 	return spread.Reading{
 		Next: t.Next, Reader: t.Reader,
-		Made:     sent - time.Duration(t.MadeMs)*time.Millisecond,
-		Answered: sent - time.Duration(t.AnsweredMs)*time.Millisecond,
+		Made:     sent - time.Duration(t.CallAgeMs)*time.Millisecond,
+		Answered: sent - time.Duration(t.ResponseAgeMs)*time.Millisecond,
 	}
 }
 
-// heardNews takes records that a peer has just read. Which peer doesn't matter: a record
-// is the same whoever passes it on.
-func (h *hub) heardNews(peer string, a *wordAnswer, from netip.AddrPort) {
+// handleUpdate applies records that a peer has just read. It does not matter which peer sent them:
+// a record is the same whoever forwards it.
+func (h *hub) handleUpdate(peer string, a *topicsResponse, from netip.AddrPort) {
 	behind := false
 	for i := range a.Topics {
 		t := &a.Topics[i]
-		if f := h.followed(int(t.Number)); f != nil {
-			behind = !f.take(t.From, t.records(), spread.Reading{Next: t.Next}, from) || behind
+		if f := h.followerOf(int(t.TopicID)); f != nil {
+			behind = !f.applyRecords(t.From, t.records(), spread.Reading{Next: t.Next}, from) || behind
 		}
 	}
 	if !behind {
 		return
 	}
 	h.mu.Lock()
-	h.sources.Hurry(peer, h.boot())
+	h.upstreams.Hurry(peer, h.boot())
 	h.mu.Unlock()
 	h.step()
 }
 
-// take takes what a peer tells of a topic, and fetches what isn't in its message.
-func (h *hub) take(f *follower, t *wordTopic, r spread.Reading, from netip.AddrPort) {
-	if f.take(t.From, t.records(), r, from) {
+// applyState applies the state of a topic from a peer, and fetches the records that did not fit in
+// the message.
+func (h *hub) applyState(f *follower, t *topicState, r spread.Reading, from netip.AddrPort) {
+	if f.applyRecords(t.From, t.records(), r, from) {
 		h.tel.Metrics.Count("records_from_peers", int64(len(t.Records)))
 		return
 	}
 	h.mu.Lock()
-	begun := h.fetching[f.topicID]
+	inProgress := h.fetching[f.topicID]
 	h.fetching[f.topicID] = true
 	h.mu.Unlock()
-	if begun {
+	if inProgress {
 		return
 	}
 	go func() {
@@ -205,65 +208,67 @@
 	}()
 }
 
-// heard takes a message between hubs. Where this entry reads all for itself it answers none.
-func (h *hub) heard(w *peerMessage, from netip.AddrPort) {
+// handle dispatches a message between hubs. An entry that reads every topic from the store itself
+// has no hub and ignores it.
+func (h *hub) handle(m *peerMessage, from netip.AddrPort) {
 	switch {
 	case h == nil:
-	case w.Ask != nil:
-		h.asked(w.Ask, from)
-	case w.Answer != nil:
-		h.answered(w.From, w.Answer, from)
-	case w.Hint:
-		h.hinted(w.From)
+	case m.Query != nil:
+		h.handleQuery(m.Query, from)
+	case m.Response != nil:
+		h.handleResponse(m.From, m.Response, from)
+	case m.Hint:
+		h.handleHint(m.From)
 	}
 }
 
-// hinted takes a peer's word that the store answers it.
-func (h *hub) hinted(peer string) {
+// handleHint processes a peer's hint that the store answers it.
+func (h *hub) handleHint(peer string) {
 	h.mu.Lock()
-	h.sources.Hinted(peer, h.boot())
+	h.upstreams.Hinted(peer, h.boot())
 	h.mu.Unlock()
 	h.step()
 }
 
-// news tells of records that this entry has just taken, by whom they came to it, those that
-// ask it and the one that it asks; with none, that there are some, which they ask for. What an
-// entry writes, and reads back, reaches all others so within milliseconds, and not only
-// those that ask it: a hundred entries would claim a free lease after one of them got it. A
-// record that is known already goes no further. The follower's mu is held.
-func (h *hub) news(f *follower, from uint64, records []fleet.Record, by netip.AddrPort) {
+// sendUpdate forwards records that have just been applied to the subscribers and to the upstream,
+// except to their sender. Without records it only advertises the new offset, and the peers query
+// the rest. An entry reads back what it appends, so its records reach all others within
+// milliseconds, not only its subscribers; otherwise a hundred entries would try to claim a free
+// lease that one of them already has. Records that are already known are not forwarded again. The
+// caller holds the follower's mu.
+func (h *hub) sendUpdate(f *follower, from uint64, records []fleet.Record, sender netip.AddrPort) {
 	now := h.boot()
 	var to []netip.AddrPort
 	h.mu.Lock()
-	for address, at := range h.askers {
-		if now-at > askedFor {
-			delete(h.askers, address)
-		} else if address != by {
+	for address, at := range h.subscribers {
+		if now-at > subscriptionTTL {
+			delete(h.subscribers, address)
+		} else if address != sender {
 			to = append(to, address)
 		}
 	}
-	if source, ok := h.addresses[h.sources.Source()]; ok && source != by && !slices.Contains(to, source) {
-		to = append(to, source)
+	if upstream, ok := h.addresses[h.upstreams.Source()]; ok && upstream != sender && !slices.Contains(to, upstream) {
+		to = append(to, upstream)
 	}
 	h.mu.Unlock()
 	if len(to) == 0 {
 		return
 	}
 	for first := true; first || len(records) > 0; first = false {
-		room := maxWord - wordOverhead
-		part := fitting(records, &room)
-		t := wordTopic{Number: uint8(f.topicID), From: from, Next: from + uint64(len(part)), Records: part}
-		if len(part) == 0 {
+		room := maxMessageBytes - messageOverhead
+		batch := fitRecords(records, &room)
+		t := topicState{TopicID: uint8(f.topicID), From: from, Next: from + uint64(len(batch)), Records: batch}
+		if len(batch) == 0 {
 			t.Next = from + uint64(len(records))
 		}
-		w := &peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Answer: &wordAnswer{Topics: []wordTopic{t}}}
+		m := &peerMessage{From: h.self.ID, Epoch: uint64(h.tel.Epoch), Response: &topicsResponse{Topics: []topicState{t}}}
 		for _, address := range to {
-			h.send(w, address)
+			h.send(m, address)
 		}
-		if len(part) == 0 {
-			return // the next one is too long for a datagram
+		if len(batch) == 0 {
+			return // the next record does not fit in a datagram
 		}
-		from += uint64(len(part))
-		records = records[len(part):]
+		from += uint64(len(batch))
+		records = records[len(batch):]
 	}
 }
--- a/internal/direct/hubtalk_test.go
+++ b/internal/direct/hubtalk_test.go
@@ -13,133 +13,134 @@
 	"skylarklead/internal/spread"
 )
 
-// listening is an entry whose clock a test sets, with one peer before it in the order, and what
-// it sends.
-type listening struct {
+// testNode is an entry with a clock that the test sets, one peer that precedes it in the preference
+// order, and the messages that it sends.
+type testNode struct {
 	*hub
 	now  time.Duration
 	peer string
 	sent []*peerMessage
 }
 
-// startListening returns an entry that knows the list of replicas up to offset 2, as of 1 s.
-func startListening(t *testing.T) *listening {
+// startTestNode returns an entry that knows all topics up to offset 2, as of 1 s.
+func startTestNode(t *testing.T) *testNode {
 	t.Helper()
-	l := &listening{now: time.Second}
+	n := &testNode{now: time.Second}
 	s := &settings.Settings{ID: "entry-2", Direct: &settings.Direct{
 		Memory: 16, LeavingWithin: settings.Duration(4 * time.Second), ConfigurationWithin: settings.Duration(4 * time.Second),
 	}}
-	// The first in the order is asked by the other one.
-	if s.ID, l.peer = "entry-1", "entry-2"; isFirst(s.ID, l.peer) {
-		s.ID, l.peer = l.peer, s.ID
+	// An entry queries only those that precede it in the order.
+	if s.ID, n.peer = "entry-1", "entry-2"; isFirst(s.ID, n.peer) {
+		s.ID, n.peer = n.peer, s.ID
 	}
 	e := newEntry(s, quietTelemetry(t), Platform{Records: listRecords{}})
-	e.boot = func() time.Duration { return l.now }
-	l.hub = newHub(e)
-	l.hub.send = func(w *peerMessage, _ netip.AddrPort) { l.sent = append(l.sent, w) }
-	l.hub.fetchTopic = func(netip.AddrPort, int, uint64) (*wordTopic, error) { return nil, errBulk }
-	for number := range topics {
-		f := e.newFollower(topicNames[number])
-		f.hub, f.topicID, f.keyed = l.hub, number, true
-		f.belief, f.tail = spread.NewBelief(0), spread.NewTail(true)
+	e.boot = func() time.Duration { return n.now }
+	n.hub = newHub(e)
+	n.hub.send = func(m *peerMessage, _ netip.AddrPort) { n.sent = append(n.sent, m) }
+	n.hub.fetchTopic = func(netip.AddrPort, int, uint64) (*topicState, error) { return nil, errBulk }
+	for topicID := range topicCount {
+		f := e.newFollower(topicNames[topicID])
+		f.hub, f.topicID, f.keyed = n.hub, topicID, true
+		f.watermark, f.tail = spread.NewBelief(0), spread.NewTail(true)
 		f.onSnapshot, f.onRecord = func(fleet.Page) {}, func(fleet.Record) {}
-		l.attach(f)
-		f.takeWhole(fleet.Page{Next: 2, End: 2}, spread.Reading{Next: 2, Made: l.now, Answered: l.now}, somePeer)
+		n.attach(f)
+		f.applySnapshot(fleet.Page{Next: 2, End: 2}, spread.Reading{Next: 2, Made: n.now, Answered: n.now}, somePeer)
 	}
-	l.listed(map[string]peerAddress{l.peer: {address: somePeer}})
-	return l
+	n.setPeers(map[string]peerAddress{n.peer: {address: somePeer}})
+	return n
 }
 
-// isFirst reports whether an entry comes before another in the order that all share.
+// isFirst reports whether an entry precedes another in the preference order.
 func isFirst(id, other string) bool {
 	s := spread.NewSources(spread.Peer{ID: id}, spread.DefaultParams, nil)
 	s.Peers([]spread.Peer{{ID: other}})
 	return s.Mode(0) == spread.Leading
 }
 
-// ask has the entry ask its peer and returns the question's number.
-func (l *listening) ask(t *testing.T) uint64 {
+// ask makes the entry query its peer and returns the query's number.
+func (n *testNode) ask(t *testing.T) uint64 {
 	t.Helper()
-	l.step()
-	for _, w := range l.sent {
-		if w.Ask != nil {
-			return w.Ask.Seq
+	n.step()
+	for _, m := range n.sent {
+		if m.Query != nil {
+			return m.Query.Seq
 		}
 	}
-	t.Fatal("the peer isn't asked")
+	t.Fatal("the peer receives no query")
 	return 0
 }
 
-// told is an answer that tells of all topics, at offset 2, with an age.
-func told(seq, ageMs uint64) *wordAnswer {
-	a := &wordAnswer{Seq: seq}
-	for number := range topics {
-		a.Topics = append(a.Topics, wordTopic{Number: uint8(number), Next: 2, From: 2, MadeMs: ageMs, AnsweredMs: ageMs, Reader: "entry-3"})
+// fullResponse returns a response with the state of all topics, at offset 2 and with a given age.
+func fullResponse(seq, ageMs uint64) *topicsResponse {
+	a := &topicsResponse{Seq: seq}
+	for topicID := range topicCount {
+		a.Topics = append(a.Topics, topicState{TopicID: uint8(topicID), Next: 2, From: 2, CallAgeMs: ageMs, ResponseAgeMs: ageMs, Reader: "entry-3"})
 	}
 	return a
 }
 
-// Guards against knowledge that grows younger by the way of an answer.
+// The ages in a response count from the query. Counted from the response's arrival, each hop would
+// make the data look younger.
 func TestAnAnswersAgeRunsFromItsQuestion(t *testing.T) {
 	const (
 		underWay = 100 * time.Millisecond
 		age      = 700 * time.Millisecond
 	)
-	l := startListening(t)
-	l.now += 5 * time.Second
-	seq := l.ask(t)
-	l.now += underWay
-	l.answered(l.peer, told(seq, uint64(age.Milliseconds())), somePeer)
-	if got := l.ageOf(replicasTopicID); got != underWay+age {
+	n := startTestNode(t)
+	n.now += 5 * time.Second
+	seq := n.ask(t)
+	n.now += underWay
+	n.handleResponse(n.peer, fullResponse(seq, uint64(age.Milliseconds())), somePeer)
+	if got := n.ageOf(replicasTopicID); got != underWay+age {
 		t.Errorf("the list is %v old; want %v", got, underWay+age)
 	}
-	if l.sources.Source() != l.peer {
-		t.Error("a peer that knows more isn't listened to")
+	if n.upstreams.Source() != n.peer {
+		t.Error("a peer with fresher data is not the upstream")
 	}
 }
 
-// Guards against an age too long for a time, which would turn into one that lies ahead.
+// An age that overflows a duration would turn into a time in the future.
 func TestAnAgeThatCannotBeIsMalformed(t *testing.T) {
 	for _, age := range []uint64{math.MaxUint64, math.MaxInt64, math.MaxInt64/uint64(time.Millisecond) + 1} {
-		l := startListening(t)
-		l.now += 5 * time.Second
-		before := l.ageOf(replicasTopicID)
-		l.answered(l.peer, told(l.ask(t), age), somePeer)
-		if got := l.ageOf(replicasTopicID); got != before {
-			t.Errorf("told an age of %d ms the list is %v old; it is %v", age, got, before)
+		n := startTestNode(t)
+		n.now += 5 * time.Second
+		before := n.ageOf(replicasTopicID)
+		n.handleResponse(n.peer, fullResponse(n.ask(t), age), somePeer)
+		if got := n.ageOf(replicasTopicID); got != before {
+			t.Errorf("after a reported age of %d ms the list is %v old; want %v", age, got, before)
 		}
-		if l.sources.Source() != "" {
-			t.Errorf("a peer that tells an age of %d ms is listened to", age)
+		if n.upstreams.Source() != "" {
+			t.Errorf("a peer that reports an age of %d ms is the upstream", age)
 		}
 	}
 }
 
-// Whatever comes by datagram, no belief gets younger than its question and nothing panics.
+// Whatever message arrives, no topic gets fresher than the time of the query, and nothing panics.
 func FuzzHubMessage(f *testing.F) {
-	for _, a := range []*wordAnswer{told(1, 0), told(1, math.MaxUint64), {Seq: 0, Topics: []wordTopic{{Number: 255, From: math.MaxUint64, Next: 1}}}} {
-		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Answer: a})
+	for _, a := range []*topicsResponse{fullResponse(1, 0), fullResponse(1, math.MaxUint64), {Seq: 0, Topics: []topicState{{TopicID: 255, From: math.MaxUint64, Next: 1}}}} {
+		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Response: a})
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(data)
 	}
-	data, err := cbor.Marshal(&peerMessage{From: "entry-1", Ask: &wordAsk{Seq: 1, Next: []uint64{0, 1, 2, 3, math.MaxUint64}}})
+	data, err := cbor.Marshal(&peerMessage{From: "entry-1", Query: &topicsQuery{Seq: 1, Next: []uint64{0, 1, 2, 3, math.MaxUint64}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w peerMessage
-		if messageDecoder.Unmarshal(data, &w) != nil {
+		var m peerMessage
+		if messageDecoder.Unmarshal(data, &m) != nil {
 			return
 		}
-		l := startListening(t)
-		l.now += 5 * time.Second
-		l.ask(t)
-		l.heard(&w, somePeer)
-		for number := range topics {
-			if age := l.ageOf(number); age < 0 {
-				t.Errorf("topic %d is known as of %v from now", number, -age)
+		n := startTestNode(t)
+		n.now += 5 * time.Second
+		n.ask(t)
+		n.handle(&m, somePeer)
+		for topicID := range topicCount {
+			if age := n.ageOf(topicID); age < 0 {
+				t.Errorf("topic %d is known as of %v in the future", topicID, -age)
 			}
 		}
 	})
--- a/internal/direct/hubword.go
+++ b/internal/direct/hubword.go
@@ -3,68 +3,69 @@
 import "skylarklead/internal/fleet"
 
 const (
-	// wordOverhead is what a message has beside its records, at most: the sender, four
-	// topics with their numbers and readers. recordOverhead is the same for a record.
-	wordOverhead   = 360
-	recordOverhead = 12
+	// messageOverhead is the maximum size in bytes of a message without its records: the sender and
+	// four topics with their numbers and readers. recordOverhead is the maximum size of a record
+	// without its key and value.
+	messageOverhead = 360
+	recordOverhead  = 12
 )
 
-// wordAsk asks a peer what it knows of each topic, in the order of their numbers.
-type wordAsk struct {
+// topicsQuery asks a peer for the state of every topic, in the order of the topic IDs.
+type topicsQuery struct {
 	Seq uint64 `cbor:"1,keyasint"`
-	// Next has one more than the offset from which on the topic isn't known, 0 for nothing.
+	// Next holds, for each topic, the next unknown offset plus one; 0 if nothing is known.
 	Next []uint64 `cbor:"2,keyasint"`
 }
 
-// wordAnswer is the answer to the question of the same Seq; 0 for news.
-type wordAnswer struct {
-	Seq    uint64      `cbor:"1,keyasint,omitempty"`
-	Topics []wordTopic `cbor:"2,keyasint"`
+// topicsResponse answers the query with the same Seq; an update that was not asked for has Seq 0.
+type topicsResponse struct {
+	Seq    uint64       `cbor:"1,keyasint,omitempty"`
+	Topics []topicState `cbor:"2,keyasint"`
 }
 
-// wordTopic is what an entry tells of a topic. The ages are as of when it was sent; news
+// topicState is what an entry knows of a topic. Ages are relative to the time of sending; updates
 // have none.
-type wordTopic struct {
-	Number uint8 `cbor:"1,keyasint"`
-	// Next is the offset up to which it is known.
+type topicState struct {
+	TopicID uint8 `cbor:"1,keyasint"`
+	// Next is the offset below which all records are known.
 	Next uint64 `cbor:"2,keyasint"`
-	// MadeMs is how long ago the call was made that showed so, AnsweredMs its answer came
-	// to the entry named by Reader.
-	MadeMs     uint64 `cbor:"3,keyasint,omitempty"`
-	AnsweredMs uint64 `cbor:"4,keyasint,omitempty"`
-	Reader     string `cbor:"5,keyasint,omitempty"`
-	// Records follow each other from the offset From on or, of the Whole topic, are the
-	// newest of each key.
-	From    uint64       `cbor:"6,keyasint,omitempty"`
-	Records []wordRecord `cbor:"7,keyasint,omitempty"`
-	Whole   bool         `cbor:"8,keyasint,omitempty"`
+	// CallAgeMs is the time since the entry named by Reader made the store call that showed this
+	// state, ResponseAgeMs the time since it received the store's answer.
+	CallAgeMs     uint64 `cbor:"3,keyasint,omitempty"`
+	ResponseAgeMs uint64 `cbor:"4,keyasint,omitempty"`
+	Reader        string `cbor:"5,keyasint,omitempty"`
+	// Records are consecutive from offset From on. In a Snapshot they are the newest record of each
+	// key.
+	From     uint64        `cbor:"6,keyasint,omitempty"`
+	Records  []topicRecord `cbor:"7,keyasint,omitempty"`
+	Snapshot bool          `cbor:"8,keyasint,omitempty"`
 }
 
-// maxTold bounds the ages that a message may tell, in milliseconds: an hour, many times what
-// any topic allows. A longer one is no age, and would turn into a time that lies ahead.
-const maxTold = 3_600_000
+// maxAgeMs bounds the ages in a message, in milliseconds. It is an hour, many times what any topic
+// allows; a larger value could overflow into a time in the future.
+const maxAgeMs = 3_600_000
 
-// possible reports whether the ages are ones that an entry tells.
-func (t *wordTopic) possible() bool { return t.MadeMs <= maxTold && t.AnsweredMs <= maxTold }
+// valid reports whether the ages are within bounds.
+func (t *topicState) valid() bool { return t.CallAgeMs <= maxAgeMs && t.ResponseAgeMs <= maxAgeMs }
 
-// wordRecord is a record as the store has it; Gone says that its key is. Offset is there
-// only in a whole topic.
-type wordRecord struct {
-	Key    string  `cbor:"1,keyasint,omitempty"`
-	Value  []byte  `cbor:"2,keyasint,omitempty"`
-	Gone   bool    `cbor:"3,keyasint,omitempty"`
-	Offset *uint64 `cbor:"4,keyasint,omitempty"`
+// topicRecord is a record of the store; Deleted marks a deleted key. Offset is set only in a
+// snapshot.
+type topicRecord struct {
+	Key     string  `cbor:"1,keyasint,omitempty"`
+	Value   []byte  `cbor:"2,keyasint,omitempty"`
+	Deleted bool    `cbor:"3,keyasint,omitempty"`
+	Offset  *uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// records are the topic's records with their offsets.
-func (t *wordTopic) records() []fleet.Record {
+// records returns the topic's records with their offsets.
+func (t *topicState) records() []fleet.Record {
 	records := make([]fleet.Record, len(t.Records))
 	for i, r := range t.Records {
 		record := fleet.Record{Offset: t.From + uint64(i), Key: r.Key, Value: r.Value}
 		if r.Offset != nil {
 			record.Offset = *r.Offset
 		}
-		if !r.Gone && record.Value == nil {
+		if !r.Deleted && record.Value == nil {
 			record.Value = []byte{}
 		}
 		records[i] = record
--- a/internal/direct/malformed.go
+++ b/internal/direct/malformed.go
@@ -11,63 +11,64 @@
 )
 
 const (
-	// malformedKeys bounds the keys whose last problem is remembered: several times the
-	// replicas of the largest deployment that entries feed directly.
-	malformedKeys = 1024
-	// malformedEvery is the least time between two lines about the same problem of one
-	// key. A writer that repeats itself with each heartbeat would otherwise fill the log.
-	malformedEvery = 10 * time.Second
-	// malformedKeyShown bounds how much of a key is written, in bytes.
-	malformedKeyShown = 64
+	// maxMalformedKeys bounds the keys whose last problem is remembered: several times the replicas
+	// of the largest deployment that entries route to directly.
+	maxMalformedKeys = 1024
+	// malformedLogInterval is the least time between two log lines about the same problem of one
+	// key. A writer that repeats the record with each heartbeat would otherwise flood the log.
+	malformedLogInterval = 10 * time.Second
+	// maxLoggedKeyBytes bounds how much of a key is logged.
+	maxLoggedKeyBytes = 64
 )
 
-// malformedRecords reports records of the store that can't be used: each is counted, and the
-// log says of each key what is wrong with it, again only if that changes or persists.
+// malformedRecords reports malformed records of the store. Each is counted; a key's problem is
+// logged only when it changes or persists.
 type malformedRecords struct {
 	tel  *telemetry.Telemetry
 	mu   sync.Mutex
 	last *lru.Cache[string, *problem]
 }
 
-// problem is what was last wrong with a key's record.
+// problem is the last problem with a key's record.
 type problem struct {
 	text     string
 	loggedAt time.Time
-	// hidden counts the records since that were not logged.
-	hidden int
+	// suppressed counts the records since then that were not logged.
+	suppressed int
 }
 
 func newMalformedRecords(tel *telemetry.Telemetry) *malformedRecords {
-	last, err := lru.New[string, *problem](malformedKeys)
+	last, err := lru.New[string, *problem](maxMalformedKeys)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
 	return &malformedRecords{tel: tel, last: last}
 }
 
-// report counts a record that can't be used and, where that is news, logs it.
+// report counts a malformed record and logs it unless it repeats a recent problem of its key.
 func (m *malformedRecords) report(what string, r fleet.Record, err error) {
 	m.tel.Metrics.Count("records_malformed", 1)
-	hidden, news := m.news(r.Key, what+": "+err.Error(), time.Now())
-	if !news {
+	suppressed, due := m.shouldLog(r.Key, what+": "+err.Error(), time.Now())
+	if !due {
 		return
 	}
-	m.tel.Log.Error(what, "key", r.Key[:min(len(r.Key), malformedKeyShown)], "offset", r.Offset,
-		"bytes", len(r.Value), "not_logged", hidden, "error", err)
+	m.tel.Log.Error(what, "key", r.Key[:min(len(r.Key), maxLoggedKeyBytes)], "offset", r.Offset,
+		"bytes", len(r.Value), "not_logged", suppressed, "error", err)
 }
 
-// news reports whether to log a problem, and how many records of the key weren't.
-func (m *malformedRecords) news(key, text string, now time.Time) (hidden int, news bool) {
+// shouldLog reports whether to log a problem, and how many records of the key were not logged
+// before it.
+func (m *malformedRecords) shouldLog(key, text string, now time.Time) (suppressed int, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p, known := m.last.Get(key)
-	if known && p.text == text && now.Sub(p.loggedAt) < malformedEvery {
-		p.hidden++
+	if known && p.text == text && now.Sub(p.loggedAt) < malformedLogInterval {
+		p.suppressed++
 		return 0, false
 	}
 	if known {
-		hidden = p.hidden
+		suppressed = p.suppressed
 	}
 	m.last.Add(key, &problem{text: text, loggedAt: now})
-	return hidden, true
+	return suppressed, true
 }
--- a/internal/direct/naming.go
+++ b/internal/direct/naming.go
@@ -9,50 +9,51 @@
 	"skylarklead/internal/wait"
 )
 
-// namingSpread spreads the entries that would write down when a version was named: the
-// first does, the others have read it by their turn.
-const namingSpread = 300 * time.Millisecond
+// announcementSpread spreads the entries' attempts to record when a version was announced: the
+// first entry records it, and the others have read that when their own attempt is due.
+const announcementSpread = 300 * time.Millisecond
 
-// namingHeard is what an entry waits beside that has the version from a peer: the one that
-// has read it has written it down by then, and that was passed on too. namingEach
-// spreads those entries further where it hasn't, as it was lost.
+// relayedAnnouncementDelay is the least wait of an entry that received the version from a peer. By
+// then the entry that read the version has recorded the announcement, and that record was forwarded
+// too. announcementSpreadPerEntry spreads the remaining attempts in case the recording entry was
+// lost.
 const (
-	namingHeard = time.Second
-	namingEach  = 50 * time.Millisecond
+	relayedAnnouncementDelay   = time.Second
+	announcementSpreadPerEntry = 50 * time.Millisecond
 )
 
-// An entry that starts finds a version of weights named and can't tell since when. Taken
-// for overdue, all replicas on the one before would be refused. So who reads a new version
-// writes down when.
+// A starting entry that finds an announced version of weights can't tell when it was announced. If
+// it took the version for overdue, it would reject all replicas that serve the previous one.
+// Therefore an entry that reads a new version records the time.
 
-// tellNaming writes down when a version was named unless another entry does first; relayed
-// says that a peer has read the version.
-func (e *Entry) tellNaming(n rollout.Naming, relayed bool) {
-	pause := rand.N(namingSpread)
+// recordAnnouncement records when a version was announced, unless another entry does so first.
+// relayed says that a peer read the version.
+func (e *Entry) recordAnnouncement(n rollout.Naming, relayed bool) {
+	pause := rand.N(announcementSpread)
 	if relayed {
-		pause = namingHeard + rand.N(namingEach*time.Duration(e.state.count()))
+		pause = relayedAnnouncementDelay + rand.N(announcementSpreadPerEntry*time.Duration(e.state.count()))
 	}
-	if wait.For(context.Background(), pause) != nil || e.namingKnown(&n) {
+	if wait.For(context.Background(), pause) != nil || e.announcementKnown(&n) {
 		return
 	}
-	e.writeNaming(&n)
+	e.writeAnnouncement(&n)
 }
 
-// rewriteAnnouncements writes again when the newest versions were named, after the store came back
-// from an older copy that may lack it; the first one to come to its turn does.
+// rewriteAnnouncements records the announcement times of the newest versions again after the store
+// was restored from an older copy that may lack them. The first entry whose delay ends does so.
 func (e *Entry) rewriteAnnouncements() {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	clear(e.state.namingsRead)
 	for model, d := range e.state.demands {
 		if n := e.state.namings[modelVersion{model, d.Newest()}]; n != nil {
-			go e.rewriteNaming(*n)
+			go e.rewriteAnnouncement(*n)
 		}
 	}
 }
 
-func (e *Entry) rewriteNaming(n rollout.Naming) {
-	pause := namingHeard + rand.N(namingEach*time.Duration(e.state.count()))
+func (e *Entry) rewriteAnnouncement(n rollout.Naming) {
+	pause := relayedAnnouncementDelay + rand.N(announcementSpreadPerEntry*time.Duration(e.state.count()))
 	if wait.For(context.Background(), pause) != nil {
 		return
 	}
@@ -60,67 +61,67 @@
 	read := e.state.namingsRead[modelVersion{n.Model, n.Version}]
 	e.state.mu.Unlock()
 	if !read {
-		e.writeNaming(&n)
+		e.writeAnnouncement(&n)
 	}
 }
 
-func (e *Entry) writeNaming(n *rollout.Naming) {
+func (e *Entry) writeAnnouncement(n *rollout.Naming) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	envelope := rollout.Envelope{Named: n}
 	if _, err := e.platform.Store.Append(ctx, topicEntries, nil, [][]byte{envelope.Encode()}); err != nil {
-		e.tel.Log.Warn("time of a version's naming not written", "model", n.Model, "version", n.Version, "error", err)
+		e.tel.Log.Warn("writing version announcement failed", "model", n.Model, "version", n.Version, "error", err)
 		return
 	}
 	nudge(e.rollouts.reread)
 }
 
-func (e *Entry) namingKnown(n *rollout.Naming) bool {
+func (e *Entry) announcementKnown(n *rollout.Naming) bool {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	return e.state.namings[modelVersion{n.Model, n.Version}] != nil
 }
 
-// applyAnnouncement takes an entry's word when a version was named. Of several the earliest
-// counts: each has read the version a little after it was named.
+// applyAnnouncement applies an entry's record of when a version was announced. Of several records
+// the earliest counts, because each entry read the version a little after its announcement.
 func (e *Entry) applyAnnouncement(n *rollout.Naming) {
 	s := e.state
 	s.mu.Lock()
 	key := modelVersion{n.Model, n.Version}
 	s.namingsRead[key] = true
 	known := s.namings[key]
-	news := known == nil || n.AtMs < known.AtMs
-	if news {
+	isNew := known == nil || n.AtMs < known.AtMs
+	if isNew {
 		s.namings[key] = n
-		e.applyNamings(n.Model)
+		e.applyAnnouncements(n.Model)
 	}
 	s.mu.Unlock()
-	if news {
-		e.tel.Log.Info("weights named", "model", n.Model, "version", n.Version, "at_ms", n.AtMs)
+	if isNew {
+		e.tel.Log.Info("weights version announced", "model", n.Model, "version", n.Version, "at_ms", n.AtMs)
 	}
 }
 
-// modelVersion is a version of a model's weights.
 type modelVersion struct {
 	model   string
 	version uint64
 }
 
-// applyNamings has versions that were there at the start count as named when entries say
-// that they were, those before them too. The caller holds the state's lock.
-func (e *Entry) applyNamings(model string) {
+// applyAnnouncements applies the recorded announcement times of a model's versions, newest first,
+// to versions that were already there at the start, and to the versions before them. The caller
+// holds the state's lock.
+func (e *Entry) applyAnnouncements(model string) {
 	d := e.state.demands[model]
 	if d == nil {
 		return
 	}
-	overdue := e.namedAt(true)
+	overdue := e.announcedAt(true)
 	for version := d.Newest(); version != 0; {
 		n := e.state.namings[modelVersion{model, version}]
 		if n == nil {
 			return
 		}
 		d.Followed(version, n.Before, overdue)
-		if at, ok := e.namedSince(n); ok {
+		if at, ok := e.announcedSince(n); ok {
 			d.NamedSince(version, at)
 			d.NamedBy(version, at)
 		}
@@ -128,10 +129,10 @@
 	}
 }
 
-// namedSince is since when a version counts as named by an entry's word. Clocks of two
-// instances may differ, by a skew for which it counts as named earlier. A time that lies
-// ahead tells that they differ by more, and says nothing.
-func (e *Entry) namedSince(n *rollout.Naming) (time.Duration, bool) {
+// announcedSince returns since when a version counts as announced according to a record. Clocks of
+// two instances may differ by up to the configured skew, so the version counts as announced earlier
+// by that much. A time in the future shows that they differ by more, and is ignored.
+func (e *Entry) announcedSince(n *rollout.Naming) (time.Duration, bool) {
 	age := time.Since(time.UnixMilli(n.AtMs))
 	return e.clock.now() - age - e.directSettings().ClockSkew.D(), age >= 0
 }
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -18,21 +18,18 @@
 	wantedWithin = 10 * time.Second
 )
 
-// wantedRecords decodes each of the operator's records as a name of version 2.
+// wantedRecords decodes each of the operator's records as an announcement of version 2.
 type wantedRecords struct{ listRecords }
 
 func (wantedRecords) Operator(string, []byte) (*fleet.Configuration, *fleet.Wanted, error) {
 	return nil, &fleet.Wanted{Model: wantedModel, Version: 2}, nil
 }
 
-// Symptom: an entry begins requests on weights that were replaced longer ago than allowed,
-// while its peers don't.
-//
-// Sequence: the store turns that entry away for nine seconds; a version of weights is named
-// just after the first of them. The entry reads that when the store serves it again, and
-// what its peers wrote down of when it was named.
-//
-// Cause: a version counts as named from its reading, which may be long after it was.
+// Weights announced during an outage must be overdue in time. The store rejects one entry for nine
+// seconds, and a version is announced just after the outage begins. The entry reads the version,
+// and its peers' records of when it was announced, after the outage. If the time of the read
+// counted as the announcement, the entry would begin requests on replaced weights for longer than
+// allowed.
 func TestWeightsNamedInAnOutageAreOverdueInTime(t *testing.T) {
 	s := &settings.Settings{ID: "entry-1", Role: "direct", Direct: &settings.Direct{
 		Memory: 16, WeightsWithin: settings.Duration(wantedWithin),
@@ -43,7 +40,7 @@
 	}
 	for _, hangs := range []bool{false, true} {
 		for phase := time.Duration(0); phase < 4500*time.Millisecond; phase += 150 * time.Millisecond {
-			for _, wordFirst := range []bool{false, true} {
+			for _, announcementFirst := range []bool{false, true} {
 				synctest.Test(t, func(t *testing.T) {
 					began := time.Now()
 					named := began.Add(2 * time.Second)
@@ -53,7 +50,7 @@
 						writes: []write{{at: named, record: fleet.Record{Key: "version", Value: []byte("2")}}},
 						from:   began.Add(time.Second), to: back, hangs: hangs,
 					}})
-					word := &rollout.Naming{Model: wantedModel, Version: 2, Before: 1, AtMs: named.UnixMilli()}
+					announcement := &rollout.Naming{Model: wantedModel, Version: 2, Before: 1, AtMs: named.UnixMilli()}
 					ctx, cancel := context.WithCancel(t.Context())
 					done := make(chan struct{})
 					go func() { e.followOperator(ctx); close(done) }()
@@ -61,22 +58,22 @@
 					if touch := back.Add(bindsAfter); touch.After(binds) {
 						binds = touch
 					}
-					if wordFirst {
+					if announcementFirst {
 						time.Sleep(back.Sub(began))
-						e.applyAnnouncement(word)
+						e.applyAnnouncement(announcement)
 					}
 					time.Sleep(time.Until(binds.Add(-500 * time.Millisecond)))
-					e.applyAnnouncement(word)
+					e.applyAnnouncement(announcement)
 					time.Sleep(time.Until(binds))
 					e.state.mu.Lock()
 					oldest := e.state.demands[wantedModel].Oldest(e.clock.now())
 					e.state.mu.Unlock()
 					cancel()
 					<-done
-					time.Sleep(namingSpread) // what would write the naming down has read it by then
+					time.Sleep(announcementSpread) // a pending goroutine that would record the announcement has read the peers' record by then
 					if oldest != 2 {
-						t.Errorf("hangs=%v phase=%v wordFirst=%v: requests may begin on weights before %d, %v after the store's return",
-							hangs, phase, wordFirst, oldest, binds.Sub(back))
+						t.Errorf("hangs=%v phase=%v announcementFirst=%v: requests may begin on weights before %d, %v after the end of the outage",
+							hangs, phase, announcementFirst, oldest, binds.Sub(back))
 					}
 				})
 			}
--- a/internal/direct/notes.go
+++ b/internal/direct/notes.go
@@ -6,26 +6,26 @@
 	"skylarklead/internal/rollout"
 )
 
-// publish writes notes of a model; this entry heeds them at once, its peers when their datagram
-// comes.
-func (r *rollouts) publish(ctx context.Context, model string, notes []rollout.Note) {
-	records := make([][]byte, len(notes))
-	for i := range notes {
-		envelope := rollout.Envelope{Note: &notes[i]}
-		records[i] = envelope.Encode()
-		r.takeNote(&notes[i])
+// publish applies rollout records of a model to this entry at once, sends them to the peers, which
+// apply them on arrival, and appends them to the entries' topic.
+func (r *rollouts) publish(ctx context.Context, model string, records []rollout.Note) {
+	encoded := make([][]byte, len(records))
+	for i := range records {
+		envelope := rollout.Envelope{Note: &records[i]}
+		encoded[i] = envelope.Encode()
+		r.takeNote(&records[i])
 	}
-	r.entry.peers.tell(notes)
+	r.entry.peers.sendRolloutRecords(records)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	if _, err := r.entry.platform.Store.Append(ctx, topicEntries, nil, records); err != nil {
-		r.entry.tel.Log.Warn("notes not written", "model", model, "notes", len(notes), "error", err)
+	if _, err := r.entry.platform.Store.Append(ctx, topicEntries, nil, encoded); err != nil {
+		r.entry.tel.Log.Warn("writing rollout records failed", "model", model, "notes", len(records), "error", err)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range notes {
-		r.cores[model].Announced(notes[i].Replica, r.entry.clock.now())
+	for i := range records {
+		r.cores[model].Announced(records[i].Replica, r.entry.clock.now())
 	}
 	r.poke()
 }
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -10,19 +10,19 @@
 	"skylarklead/internal/spread"
 )
 
-// followOperator keeps the configuration and the wanted versions of weights.
+// followOperator keeps the configuration and the wanted versions of weights up to date.
 func (e *Entry) followOperator(ctx context.Context) {
 	topic, _ := e.platform.Records.Topics()
 	f := e.newFollower(topic)
-	f.keyed, f.readWait = true, operatorWait
+	f.keyed, f.readWait = true, operatorReadWait
 	f.topicID = operatorTopicID
-	var gap operatorGap
+	var gap readGap
 	var relayed bool
-	var mu sync.Mutex // calls without an answer are told by another goroutine than records
+	var mu sync.Mutex // failed calls are reported by a different goroutine than records
 	f.onReadFailed = func(made time.Time) {
 		mu.Lock()
 		defer mu.Unlock()
-		gap.missed(made.Sub(e.clock.start))
+		gap.failed(made.Sub(e.clock.start))
 	}
 	f.onRead = func(r spread.Reading) {
 		mu.Lock()
@@ -30,84 +30,84 @@
 		relayed = r.Reader != "" && r.Reader != e.settings.ID
 		gap.answered(e.clock.fromBoot(r.Answered, f.boot()), e.clock.now())
 	}
-	when := func(first bool) namedWhen {
+	when := func(first bool) announcementContext {
 		mu.Lock()
 		defer mu.Unlock()
-		return namedWhen{first: first, relayed: relayed, gap: gap.at(e.clock.now())}
+		return announcementContext{first: first, relayed: relayed, gap: gap.at(e.clock.now())}
 	}
-	f.onRecord = func(r fleet.Record) { e.takeOperator(r, when(false)) }
+	f.onRecord = func(r fleet.Record) { e.applyOperatorRecord(r, when(false)) }
 	f.onSnapshot = func(page fleet.Page) {
 		for _, r := range page.Records {
-			e.takeOperator(r, when(!f.begun))
+			e.applyOperatorRecord(r, when(!f.loaded))
 		}
 	}
 	f.run(ctx)
 }
 
-// operatorGap is the time before an answer of the store in which nothing of the operator's
-// records could be read: it began with the answer before, and lastMissed is when the last
-// call in it was made. An answer that comes long after the one before ends such a time too:
-// this process stood still, or the peers from which it has its answers were lost.
-type operatorGap struct {
-	away              bool
-	since, lastMissed time.Duration
+// readGap is the period before an answer of the store in which the operator's records could not be
+// read. It begins with the previous answer (since); lastFailed is when the last failed call in it
+// was made. A long time between two answers counts as such a period even without a failed call:
+// this process was suspended, or the peers that provide its reads were lost.
+type readGap struct {
+	failing           bool
+	since, lastFailed time.Duration
 	answeredAt        time.Duration
 }
 
-// gapNoticed is from which pause between answers on there was such a time: longer than a read
-// that waits, and its answer, take while all is well.
-const gapNoticed = operatorWait + callTimeout
+// minReadGap is the least time between answers that counts as a gap: longer than a waiting read and
+// its answer take while the store is available.
+const minReadGap = operatorReadWait + callTimeout
 
-func (g *operatorGap) missed(made time.Duration) { g.away, g.lastMissed = true, made }
+func (g *readGap) failed(made time.Duration) { g.failing, g.lastFailed = true, made }
 
-// answered takes an answer that came to its reader at a time, and here now.
-func (g *operatorGap) answered(at, now time.Duration) {
+// answered records an answer that its reader received at one time and this entry at another.
+func (g *readGap) answered(at, now time.Duration) {
 	g.since = now
-	if g.away || now-g.answeredAt > gapNoticed {
+	if g.failing || now-g.answeredAt > minReadGap {
 		g.since = g.answeredAt
 	}
-	g.away, g.answeredAt = false, at
+	g.failing, g.answeredAt = false, at
 }
 
-// at is the gap that a record which is taken now may have been written in.
-func (g operatorGap) at(now time.Duration) operatorGap {
-	if !g.away && now-g.answeredAt > gapNoticed {
+// at returns the period in which a record that is applied now may have been written.
+func (g readGap) at(now time.Duration) readGap {
+	if !g.failing && now-g.answeredAt > minReadGap {
 		g.since = g.answeredAt
 	}
 	return g
 }
 
-// namedWhen is what is known of when a version was named that is read now.
-type namedWhen struct {
-	// first says that it was there when the entry first read any, relayed that a peer has
-	// read it.
+// announcementContext tells when a version that is read now may have been announced.
+type announcementContext struct {
+	// first says that the version was there when this entry first read the topic, relayed that a
+	// peer read it.
 	first, relayed bool
-	gap            operatorGap
+	gap            readGap
 }
 
-// takeOperator takes a record of the operator.
-func (e *Entry) takeOperator(r fleet.Record, when namedWhen) {
+// applyOperatorRecord applies a record of the operator.
+func (e *Entry) applyOperatorRecord(r fleet.Record, when announcementContext) {
 	if r.Value == nil {
-		e.tel.Log.Warn("operator's record removed; what it said stays in force", "key", r.Key, "offset", r.Offset)
+		e.tel.Log.Warn("operator's record removed; its last value stays in force", "key", r.Key, "offset", r.Offset)
 		return
 	}
 	config, wanted, err := e.platform.Records.Operator(r.Key, r.Value)
 	switch {
 	case err != nil:
-		e.malformed.report("operator's record skipped; the last good one stays in force", r, err)
+		e.malformed.report("operator's record skipped; the last valid one stays in force", r, err)
 	case config != nil:
-		e.takeConfiguration(config, r.Offset)
+		e.applyConfiguration(config, r.Offset)
 	case wanted != nil:
-		e.takeWanted(wanted, r.Offset, when)
+		e.applyWanted(wanted, r.Offset, when)
 	default:
 		e.tel.Log.Info("operator's record of an unknown kind skipped", "key", r.Key, "offset", r.Offset)
 	}
 }
 
-// takeConfiguration puts a configuration in force. Versions only go forward: a
-// store that serves stale reads for a while, or answers that arrive out of order,
-// would otherwise bring back a route or key that was taken away.
-func (e *Entry) takeConfiguration(c *fleet.Configuration, offset uint64) {
+// applyConfiguration puts a configuration in force. Versions only go forward: a store that serves
+// stale reads for a while, or answers that arrive out of order, would otherwise bring back a route
+// or key that was removed.
+func (e *Entry) applyConfiguration(c *fleet.Configuration, offset uint64) {
 	old := e.state.config.Load()
 	if old != nil && c.Version <= old.Version {
 		return
@@ -126,17 +126,17 @@
 }
 
 const (
-	// weightsMargin is kept off the time within which named weights must be in use:
-	// reading the name and handing a request over take some of it.
+	// weightsMargin is subtracted from the time within which announced weights must be in use:
+	// reading the announcement and dispatching a request take part of it.
 	weightsMargin = 600 * time.Millisecond
-	// startGrace is how long an entry that has just started still uses weights that
-	// were to be replaced when it started.
+	// startGrace is how long an entry that has just started keeps using weights whose replacement
+	// was due when it started.
 	startGrace = 3 * time.Second
 )
 
-// namedAt is when a version that is read now counts as named. One that was there at
-// the start may be long overdue; nobody says since when.
-func (e *Entry) namedAt(first bool) time.Duration {
+// announcedAt returns when a version that is read now counts as announced. A version that was there
+// at the start may be long overdue, and nothing in its record tells since when.
+func (e *Entry) announcedAt(first bool) time.Duration {
 	now := e.clock.now()
 	if first {
 		return now + startGrace - e.directSettings().WeightsWithin.D()
@@ -144,15 +144,16 @@
 	return now
 }
 
-// namedEarliest is when a version that is read now can have been named at the earliest:
-// since the answer before. Older weights stay in use, however, for as long as the operator allows
-// after an outage: the entry is held to the naming only once the store has answered it for a while.
-func (e *Entry) namedEarliest(gap operatorGap) time.Duration {
+// earliestAnnouncement returns the earliest time at which a version that is read now can have been
+// announced: the previous answer of the store. After an outage older weights remain allowed,
+// however, for as long as the operator permits: an entry is bound by an announcement only after the
+// store has answered it for a while.
+func (e *Entry) earliestAnnouncement(gap readGap) time.Duration {
 	inForce := e.directSettings().WeightsWithin.D() - weightsMargin
-	return max(gap.since, gap.lastMissed+heeds-placing-inForce)
+	return max(gap.since, gap.lastFailed+heeds-placing-inForce)
 }
 
-func (e *Entry) takeWanted(w *fleet.Wanted, offset uint64, when namedWhen) {
+func (e *Entry) applyWanted(w *fleet.Wanted, offset uint64, when announcementContext) {
 	e.state.mu.Lock()
 	d := e.state.demands[w.Model]
 	if d == nil {
@@ -160,17 +161,17 @@
 		e.state.demands[w.Model] = d
 	}
 	before := d.Newest()
-	news := d.Named(w.Version, e.namedAt(when.first))
-	if news && !when.first {
-		d.ReadLate(w.Version, e.namedEarliest(when.gap))
+	isNew := d.Named(w.Version, e.announcedAt(when.first))
+	if isNew && !when.first {
+		d.ReadLate(w.Version, e.earliestAnnouncement(when.gap))
 	}
-	e.applyNamings(w.Model)
+	e.applyAnnouncements(w.Model)
 	e.state.mu.Unlock()
-	if !news {
+	if !isNew {
 		return
 	}
 	if !when.first {
-		go e.tellNaming(rollout.Naming{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
+		go e.recordAnnouncement(rollout.Naming{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
 	}
 	e.tel.Log.Info("weights wanted", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
 	e.rollouts.poke()
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -21,84 +21,98 @@
 )
 
 const (
-	// minMessageInterval is the pause between words to each peer: a fraction of the time that
-	// a prompt takes to be read. With many peers it grows, so that an entry sends no
-	// more than wordsPerSecond.
-	minMessageInterval = 50 * time.Millisecond
-	wordsPerSecond     = 200
-	// peerExpiry is when a silent peer's word is dropped.
+	// minMessageInterval is the least pause between load messages to each peer, a fraction of the
+	// time that prefilling a prompt takes. The pause grows with the number of peers, so that an
+	// entry sends at most maxMessagesPerSecond.
+	minMessageInterval   = 50 * time.Millisecond
+	maxMessagesPerSecond = 200
+	// peerExpiry is how long the data of a silent peer is kept.
 	peerExpiry = 10 * time.Second
-	// maxWord bounds a word, in bytes: what a datagram carries without fragments over links
-	// of 1,500 bytes.
-	maxWord = 1472
-	// maxWordLoads bounds the replicas in a word without placements; each of those takes the
-	// room of placementLoads.
-	maxWordLoads   = 70
-	placementLoads = 2
-	// wordRepeats is how many words have a placement, so that one lost datagram
-	// doesn't hide it.
-	wordRepeats = 2
-	// toldFor is how long a placement is told at least, maxWordPlacements how many are in
-	// one word: an entry with twenty requests a second and a hundred peers places as many
-	// between two words.
-	toldFor           = 150 * time.Millisecond
-	maxWordPlacements = 20
-	// maxWordLevels bounds the levels of a placement, the longest of them, which fewest
-	// replicas hold.
-	maxWordLevels = 3
-	// maxWordNotes bounds the notes in a word likewise, maxWordStrikes the strikes.
-	maxWordNotes   = 12
-	maxWordStrikes = 32
-	// maxWordServed bounds the time for which a word says that the store has answered:
-	// many times the longest outage in which peers' words matter.
-	maxWordServed = time.Hour
+	// maxMessageBytes bounds a message: what a datagram carries without fragmentation over links
+	// with an MTU of 1,500 bytes.
+	maxMessageBytes = 1472
+	// maxMessageLoads bounds the loads in a message without placements. Each placement takes the
+	// room of loadsPerPlacement loads.
+	maxMessageLoads   = 70
+	loadsPerPlacement = 2
+	// placementRepeats is how many messages carry each placement, so that the loss of one datagram
+	// does not hide it.
+	placementRepeats = 2
+	// minPlacementAge is the least time for which a placement is advertised, maxMessagePlacements
+	// how many fit in one message. An entry with twenty requests a second and a hundred peers makes
+	// that many placements between two messages.
+	minPlacementAge      = 150 * time.Millisecond
+	maxMessagePlacements = 20
+	// maxPlacementLevels bounds the prefix levels of a placement. The longest levels are kept,
+	// since the fewest replicas hold them.
+	maxPlacementLevels = 3
+	// maxMessageRolloutRecords bounds the rollout records in a message, maxMessageCrashes the crash
+	// reports, so that each kind fits in a datagram.
+	maxMessageRolloutRecords = 12
+	maxMessageCrashes        = 32
+	// maxStoreReachable bounds the advertised time for which the store has answered: many times the
+	// longest outage in which this evidence from peers matters.
+	maxStoreReachable = time.Hour
 )
 
-// peerMessage is what an entry tells its peers.
+// peerMessage is a datagram between entries.
 type peerMessage struct {
 	From  string     `cbor:"1,keyasint"`
 	Epoch uint64     `cbor:"2,keyasint"`
 	Seq   uint64     `cbor:"3,keyasint"`
-	Loads []wordLoad `cbor:"4,keyasint,omitempty"`
-	// Placements are the latest; each is in several words, as one may be lost.
-	Placements []wordPlacement `cbor:"6,keyasint,omitempty"`
-	// RolloutRecords are of a rollout; a word with them has no loads, and Seq is 0.
+	Loads []peerLoad `cbor:"4,keyasint,omitempty"`
+	// Placements are the most recent ones. Each is repeated in several messages, because one may be
+	// lost.
+	Placements []peerPlacement `cbor:"6,keyasint,omitempty"`
+	// RolloutRecords are sent without loads and with Seq 0.
 	RolloutRecords []rollout.Note `cbor:"5,keyasint,omitempty"`
-	// StoreReachable is for how long the store has answered the reader of the list of replicas
-	// without a break, in milliseconds and one; 1 says that it doesn't, 0 nothing.
+	// StoreReachable is the time for which the store has answered the reader of the list of
+	// replicas without interruption, in milliseconds plus one; 1 means that it does not answer now,
+	// 0 that the message says nothing about it.
 	StoreReachable uint32 `cbor:"8,keyasint,omitempty"`
-	// Crashes are of requests at replicas that were lost; a word with them has nothing
-	// else, nor has one of those that follow.
+	// Crashes are crashes of replicas that are counted against requests. A message with these
+	// carries nothing else. The same holds for the fields below, except that DigestPart and Forward
+	// come with loads and placements.
 	Crashes []attempt.Strike `cbor:"7,keyasint,omitempty"`
-	// Ask and Answer pass on what the store says. Hint says that the store answers the
-	// sender, though it doesn't answer the receiver.
-	Ask    *wordAsk    `cbor:"9,keyasint,omitempty"`
-	Answer *wordAnswer `cbor:"10,keyasint,omitempty"`
-	Hint   bool        `cbor:"11,keyasint,omitempty"`
-	// Of names the part of a failure domain's digest whose loads and placements these are, "" for
-	// the sender's own; PassOn asks the receiver to pass it on in its own domain.
-	Of     string `cbor:"13,keyasint,omitempty"`
-	PassOn bool   `cbor:"14,keyasint,omitempty"`
-	// Passed says that the sender, of the failure domain named, passes digests on.
-	Passed string `cbor:"15,keyasint,omitempty"`
-	// Reports are what replicas have said of themselves while the store is away.
-	Reports []wordReport `cbor:"12,keyasint,omitempty"`
-	// Quota is about units of an organisation's limit.
+	// Query and Response distribute the topics of the store. Hint tells a peer that the store
+	// answers the sender although it does not answer the receiver.
+	Query    *topicsQuery    `cbor:"9,keyasint,omitempty"`
+	Response *topicsResponse `cbor:"10,keyasint,omitempty"`
+	Hint     bool            `cbor:"11,keyasint,omitempty"`
+	// DigestPart names the part of a failure domain's digest that Loads and Placements belong to;
+	// "" if they are the sender's own. Forward asks the receiver to forward the part within its own
+	// domain.
+	DigestPart string `cbor:"13,keyasint,omitempty"`
+	Forward    bool   `cbor:"14,keyasint,omitempty"`
+	// DigestAck acknowledges a digest: it names the sender's failure domain, in which the sender
+	// forwards digests.
+	DigestAck string `cbor:"15,keyasint,omitempty"`
+	// Reports are states that replicas reported while the store was unavailable.
+	Reports []replicaReport `cbor:"12,keyasint,omitempty"`
+	// Quota lends, borrows or returns units of an organisation's limit.
 	Quota *wordQuota `cbor:"16,keyasint,omitempty"`
-	// Notices are what replicas have said of themselves; a word with them has nothing else.
+	// Notices are what replicas said about themselves in responses.
 	Notices []wordNotice `cbor:"17,keyasint,omitempty"`
 }
 
-// wordLoad is a route.Load; Replica is its route.ReplicaKey.
-type wordLoad struct {
-	_       struct{} `cbor:",toarray"`
+// peerLoad is the load of an entry or of a failure domain at a replica. The fields are encoded as
+// an array, in this order.
+type peerLoad struct {
+	_ struct{} `cbor:",toarray"`
+	// Replica is the hash of the replica's ID.
 	Replica uint64
+	// Reading is the number of prompt tokens that are not prefilled yet, Running the number of
+	// requests in flight.
 	Reading uint32
 	Running uint32
-	Taken   uint16
+	// Taken counts the prompt tokens sent to the replica, in coarse units; it wraps around.
+	Taken uint16
 }
 
-type wordPlacement struct {
+// peerPlacement is a placement of a request: the prefix levels that were sent to a replica, or to a
+// store of kept cache (Kept). Read is set once the replica has prefilled them. The fields are
+// encoded as an array, in this order.
+type peerPlacement struct {
 	_       struct{} `cbor:",toarray"`
 	Levels  []uint64
 	Replica uint64
@@ -108,29 +122,31 @@
 
 var messageDecoder = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
 
-// peers exchanges loads with the other entries over UDP. A lost word costs nothing:
-// the next one says all again.
+// peers exchanges messages with the other entries over UDP and keeps the list of entries. A lost
+// load message is harmless, because the next one repeats the loads.
 type peers struct {
 	entry *Entry
 	conn  *net.UDPConn
 
-	// read is closed once the list of entries was read; written tells where it has this one.
-	read    chan struct{}
-	written string
-	// writtenBefore says that it had this one when it was read first.
-	writtenBefore bool
+	// listRead is closed once the list of entries has been read. ownRecord is this entry's record
+	// in the list, "" if it has none.
+	listRead  chan struct{}
+	ownRecord string
+	// listedAtStart says that the first read of the list contained this entry.
+	listedAtStart bool
 
 	mu    sync.Mutex
 	known map[string]peerAddress
-	// listed are the names in the list of entries, this one's among them once it is there.
+	// listed holds the IDs in the list of entries, including this entry's own once it is
+	// registered.
 	listed map[string]bool
 	seq    uint64
-	// toldTaken is the count of tokens taken in that was last told of each replica; only the
-	// loop that speaks uses it.
-	toldTaken map[uint64]uint16
-	digests   *digests
-	// heardAt is when each peer's last message came, on the entry's clock.
-	heardAt map[string]time.Duration
+	// advertisedTaken is the last advertised count of accepted prompt tokens at each replica. Only
+	// the goroutine of sendLoads uses it.
+	advertisedTaken map[uint64]uint16
+	digests         *digests
+	// receivedAt is the time of each peer's last message, on the entry's clock.
+	receivedAt map[string]time.Duration
 }
 
 func newPeers(e *Entry) (*peers, error) {
@@ -143,49 +159,49 @@
 		return nil, fmt.Errorf("direct: peers: %w", err)
 	}
 	p := &peers{
-		entry: e, conn: conn, read: make(chan struct{}),
+		entry: e, conn: conn, listRead: make(chan struct{}),
 		known: make(map[string]peerAddress), listed: make(map[string]bool),
-		heardAt:   make(map[string]time.Duration),
-		toldTaken: make(map[uint64]uint16),
+		receivedAt:      make(map[string]time.Duration),
+		advertisedTaken: make(map[uint64]uint16),
 	}
 	p.digests = newDigests(p)
 	return p, nil
 }
 
-// tell sends notes of a rollout to the others at once. One that is lost is read from
-// the entries' topic.
-func (p *peers) tell(notes []rollout.Note) {
-	for part := range slices.Chunk(notes, maxWordNotes) {
-		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), RolloutRecords: part})
+// sendRolloutRecords sends rollout records to all peers at once. A peer that loses the datagram
+// reads the records from the entries' topic.
+func (p *peers) sendRolloutRecords(records []rollout.Note) {
+	for batch := range slices.Chunk(records, maxMessageRolloutRecords) {
+		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), RolloutRecords: batch})
 	}
 }
 
-// sendCrashes sends strikes to the others at once.
-func (p *peers) sendCrashes(strikes []attempt.Strike) {
-	for part := range slices.Chunk(strikes, maxWordStrikes) {
-		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Crashes: part})
+// sendCrashes sends crashes that are counted against requests to all peers at once.
+func (p *peers) sendCrashes(crashes []attempt.Strike) {
+	for batch := range slices.Chunk(crashes, maxMessageCrashes) {
+		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Crashes: batch})
 	}
 }
 
-func (p *peers) broadcast(w *peerMessage) { p.sendTo(w, p.addresses()...) }
+func (p *peers) broadcast(m *peerMessage) { p.sendTo(m, p.addresses()...) }
 
-func (p *peers) sendTo(w *peerMessage, to ...netip.AddrPort) {
-	data, err := cbor.Marshal(w)
+func (p *peers) sendTo(m *peerMessage, to ...netip.AddrPort) {
+	data, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // a word is made of plain values
+		panic(err) // the message consists of plain values
 	}
 	for _, address := range to {
-		// A peer that can't be reached is no news here.
+		// Unreachable peers are noticed by the lack of messages from them.
 		_, _ = p.conn.WriteToUDPAddrPort(data, address)
 	}
 }
 
-// speak sends this entry's loads to the others until ctx ends.
-func (p *peers) speak(ctx context.Context) {
-	for wait.For(ctx, p.pause()) == nil {
-		w := p.word()
-		p.digests.export(w.Placements)
-		p.sendTo(w, p.near()...)
+// sendLoads sends this entry's loads to its direct peers until ctx ends.
+func (p *peers) sendLoads(ctx context.Context) {
+	for wait.For(ctx, p.interval()) == nil {
+		m := p.loadMessage()
+		p.digests.enqueue(m.Placements)
+		p.sendTo(m, p.directPeers()...)
 	}
 }
 
@@ -199,16 +215,16 @@
 	return list
 }
 
-// aliveWindow is for how long a peer counts as alive after its last message.
-func (p *peers) aliveWindow() time.Duration { return max(aliveFor, aliveWords*p.pause()) }
+// aliveWindow is how long a peer counts as alive after its last message.
+func (p *peers) aliveWindow() time.Duration { return max(minAliveWindow, aliveMessages*p.interval()) }
 
-// alive lists the peers that were heard of lately.
+// alive returns the IDs of the peers from which a message came within the alive window.
 func (p *peers) alive(now time.Duration) []string {
 	window := p.aliveWindow()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var ids []string
-	for id, at := range p.heardAt {
+	for id, at := range p.receivedAt {
 		if now-at <= window {
 			ids = append(ids, id)
 		}
@@ -216,160 +232,161 @@
 	return ids
 }
 
-// pause is the time between this entry's words.
-func (p *peers) pause() time.Duration {
-	return max(minMessageInterval, time.Duration(len(p.near()))*time.Second/wordsPerSecond)
+// interval is the pause between this entry's load messages.
+func (p *peers) interval() time.Duration {
+	return max(minMessageInterval, time.Duration(len(p.directPeers()))*time.Second/maxMessagesPerSecond)
 }
 
-// aliveFor is the least time for which a peer counts as alive after its last message, and
-// aliveWords how many of its words would have to be lost: with many peers they are rarer.
+// minAliveWindow is the least time for which a peer counts as alive after its last message;
+// aliveMessages is how many of its messages would have to be lost. Messages are rarer with many
+// peers.
 const (
-	aliveFor   = 1500 * time.Millisecond
-	aliveWords = 3
+	minAliveWindow = 1500 * time.Millisecond
+	aliveMessages  = 3
 )
 
-func (p *peers) word() *peerMessage {
+func (p *peers) loadMessage() *peerMessage {
 	s := p.entry.state
 	s.mu.Lock()
 	loads := s.feed.Loads()
 	now := p.entry.clock.now()
-	placements := s.feed.Placements(now-max(toldFor, (wordRepeats+1)*p.pause()), wordRepeats, maxWordPlacements)
+	placements := s.feed.Placements(now-max(minPlacementAge, (placementRepeats+1)*p.interval()), placementRepeats, maxMessagePlacements)
 	served := s.outage.Served(now)
 	s.mu.Unlock()
 	p.seq++
-	w := &peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, StoreReachable: wordServed(served)}
-	w.Loads = telling(loads, p.toldTaken, maxWordLoads-len(placements)*placementLoads)
-	for _, placed := range placements {
-		levels := placed.Levels[max(0, len(placed.Levels)-maxWordLevels):]
-		w.Placements = append(w.Placements, wordPlacement{Levels: levels, Replica: placed.Replica, Read: placed.Read, Kept: placed.Kept})
+	m := &peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, StoreReachable: encodeStoreReachable(served)}
+	m.Loads = loadsToSend(loads, p.advertisedTaken, maxMessageLoads-len(placements)*loadsPerPlacement)
+	for _, placement := range placements {
+		levels := placement.Levels[max(0, len(placement.Levels)-maxPlacementLevels):]
+		m.Placements = append(m.Placements, peerPlacement{Levels: levels, Replica: placement.Replica, Read: placement.Read, Kept: placement.Kept})
 	}
-	return w
+	return m
 }
 
-// telling are the loads to tell now: of replicas that have work and then of those that have taken
-// something in since they were told of, as toldTaken has it. Peers know nothing of a load that
-// isn't told, and take the replica for idle, and a word has no room for all of them.
-func telling(loads map[uint64]route.Load, toldTaken map[uint64]uint16, most int) []wordLoad {
-	var out []wordLoad
+// loadsToSend returns at most limit loads to advertise: those of replicas with running requests
+// first, then those whose count of accepted tokens differs from advertisedTaken. Peers assume that
+// a replica without an advertised load is idle, and a message has no room for all loads.
+func loadsToSend(loads map[uint64]route.Load, advertisedTaken map[uint64]uint16, limit int) []peerLoad {
+	var out []peerLoad
 	for id, l := range loads {
-		news := l.Running > 0 || toldTaken[id] != l.Taken
-		if news {
-			out = append(out, wordLoad{Replica: id, Reading: uint32(l.Reading), Running: uint32(l.Running), Taken: l.Taken})
+		changed := l.Running > 0 || advertisedTaken[id] != l.Taken
+		if changed {
+			out = append(out, peerLoad{Replica: id, Reading: uint32(l.Reading), Running: uint32(l.Running), Taken: l.Taken})
 		}
 	}
-	slices.SortFunc(out, func(a, b wordLoad) int {
+	slices.SortFunc(out, func(a, b peerLoad) int {
 		return cmp.Or(cmp.Compare(b.Reading, a.Reading), cmp.Compare(b.Running, a.Running), cmp.Compare(a.Replica, b.Replica))
 	})
-	out = out[:min(len(out), most)]
+	out = out[:min(len(out), limit)]
 	for _, l := range out {
-		toldTaken[l.Replica] = l.Taken
+		advertisedTaken[l.Replica] = l.Taken
 	}
 	return out
 }
 
-// wordServed is what a word says of the store.
-func wordServed(served time.Duration) uint32 {
-	return uint32(min(served, maxWordServed).Milliseconds()) + 1
+// encodeStoreReachable returns the value of peerMessage.StoreReachable.
+func encodeStoreReachable(served time.Duration) uint32 {
+	return uint32(min(served, maxStoreReachable).Milliseconds()) + 1
 }
 
-// listen takes the others' words until the socket is closed.
-func (p *peers) listen() {
-	buffer := make([]byte, maxWord)
+// receive handles messages from peers until the socket is closed.
+func (p *peers) receive() {
+	buffer := make([]byte, maxMessageBytes)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an answer that a peer's port is closed
+			continue // an ICMP error: the port of some peer is closed
 		}
-		p.heard(buffer[:n], from)
+		p.handle(buffer[:n], from)
 	}
 }
 
-func (p *peers) heard(data []byte, from netip.AddrPort) {
+func (p *peers) handle(data []byte, from netip.AddrPort) {
 	e := p.entry
-	var w peerMessage
-	if err := messageDecoder.Unmarshal(data, &w); err != nil || w.From == "" {
+	var m peerMessage
+	if err := messageDecoder.Unmarshal(data, &m); err != nil || m.From == "" {
 		e.tel.Metrics.Count("peer_words_malformed", 1)
 		return
 	}
-	p.heardOf(w.From, from)
+	p.markReceived(m.From, from)
 	switch {
-	case len(w.RolloutRecords) > 0:
-		e.rollouts.heardNotes(w.RolloutRecords)
-	case len(w.Crashes) > 0:
-		e.heardStrikes(w.Crashes, w.From)
-	case len(w.Reports) > 0:
-		e.heardReports(w.Reports)
-	case w.Ask != nil || w.Answer != nil || w.Hint:
-		e.hub.heard(&w, from)
-	case len(w.Notices) > 0:
-		e.heardNotices(w.Notices, w.From)
-	case w.Quota != nil:
-		e.quotas.heard(&w, from)
-	case w.Passed != "":
-		p.digests.passed(w.Passed)
+	case len(m.RolloutRecords) > 0:
+		e.rollouts.heardNotes(m.RolloutRecords)
+	case len(m.Crashes) > 0:
+		e.heardStrikes(m.Crashes, m.From)
+	case len(m.Reports) > 0:
+		e.handleReports(m.Reports)
+	case m.Query != nil || m.Response != nil || m.Hint:
+		e.hub.handle(&m, from)
+	case len(m.Notices) > 0:
+		e.heardNotices(m.Notices, m.From)
+	case m.Quota != nil:
+		e.quotas.heard(&m, from)
+	case m.DigestAck != "":
+		p.digests.handleAck(m.DigestAck)
 	default:
-		p.heardLoads(&w, from)
+		p.handleLoads(&m, from)
 	}
 }
 
-// heardOf notes that a peer was heard of. One that isn't listed here is known from now on: an
-// entry that the store turns away right after its start would have nobody to ask otherwise,
-// though all the others speak to it.
-func (p *peers) heardOf(id string, from netip.AddrPort) {
+// markReceived records that a message came from a peer. A peer that is not listed here is added to
+// the known ones: an entry that the store rejects right after its start would otherwise have no
+// peer to query, although all the others send to it.
+func (p *peers) markReceived(id string, from netip.AddrPort) {
 	p.mu.Lock()
-	p.heardAt[id] = p.entry.clock.now()
+	p.receivedAt[id] = p.entry.clock.now()
 	_, known := p.known[id]
 	if !known && id != p.entry.settings.ID {
 		p.known[id] = peerAddress{address: from}
 	}
 	p.mu.Unlock()
 	if !known && id != p.entry.settings.ID {
-		p.entry.tel.Log.Info("peer heard of", "peer", id, "address", from.String())
-		p.counted()
+		p.entry.tel.Log.Info("message received from unlisted peer", "peer", id, "address", from.String())
+		p.applyList()
 	}
 }
 
-// heardLoads takes what a peer has at the replicas.
-func (p *peers) heardLoads(w *peerMessage, from netip.AddrPort) {
+// handleLoads applies the loads and placements of a peer or of another failure domain.
+func (p *peers) handleLoads(m *peerMessage, from netip.AddrPort) {
 	e := p.entry
-	loads := make(map[uint64]route.Load, len(w.Loads))
-	for _, l := range w.Loads {
+	loads := make(map[uint64]route.Load, len(m.Loads))
+	for _, l := range m.Loads {
 		loads[l.Replica] = route.Load{Reading: float64(l.Reading), Running: int(l.Running), Taken: l.Taken}
 	}
-	placements := make([]route.Placement, len(w.Placements))
-	for i, placed := range w.Placements {
-		placements[i] = route.Placement{Levels: placed.Levels, Replica: placed.Replica, Read: placed.Read, Kept: placed.Kept}
+	placements := make([]route.Placement, len(m.Placements))
+	for i, placement := range m.Placements {
+		placements[i] = route.Placement{Levels: placement.Levels, Replica: placement.Replica, Read: placement.Read, Kept: placement.Kept}
 	}
-	if w.Of == "" {
-		p.digests.export(w.Placements)
+	if m.DigestPart == "" {
+		p.digests.enqueue(m.Placements)
 	} else {
-		p.digests.heard(w, from)
+		p.digests.forward(m, from)
 	}
 	now := e.clock.now()
 	e.state.mu.Lock()
-	if w.Of == "" {
-		e.state.feed.Heard(w.From, w.Epoch, w.Seq, loads, now)
+	if m.DigestPart == "" {
+		e.state.feed.Heard(m.From, m.Epoch, m.Seq, loads, now)
 	} else {
-		e.state.feed.HeardDomain(w.Of, w.Epoch, w.Seq, loads, now)
+		e.state.feed.HeardDomain(m.DigestPart, m.Epoch, m.Seq, loads, now)
 	}
 	e.state.feed.HeardPlacements(placements, now)
-	if w.StoreReachable > 0 {
-		e.state.outage.Heard(w.From, time.Duration(w.StoreReachable-1)*time.Millisecond, now)
+	if m.StoreReachable > 0 {
+		e.state.outage.Heard(m.From, time.Duration(m.StoreReachable-1)*time.Millisecond, now)
 	}
 	e.state.mu.Unlock()
 }
 
-// run exchanges loads until ctx ends.
+// run exchanges messages until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){p.follow, p.hello, p.speak, p.digests.run} {
+	for _, loop := range []func(context.Context){p.follow, p.register, p.sendLoads, p.digests.run} {
 		loops.Go(func() { loop(ctx) })
 	}
-	p.listen()
+	p.receive()
 	loops.Wait()
 }
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -12,57 +12,57 @@
 	"skylarklead/internal/settings"
 )
 
-// Symptom: an entry hears nothing of a peer, and both send to the same replicas.
-// Sequence: a fleet of many replicas is under load; a word with all of them, and as many
-// placements as it may have, is longer than the reader's buffer.
-// Cause: bounds of the parts that don't add up to the whole.
+// The longest message must fit in a datagram. A fleet of many replicas under load fills a message
+// with loads and placements; if the separate bounds exceed the receiver's buffer together, peers
+// lose the message and send to the same replicas.
 func TestTheLongestWordFitsADatagram(t *testing.T) {
-	w := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64, Seq: math.MaxUint32, StoreReachable: math.MaxUint32}
-	for range maxWordLoads - maxWordPlacements*placementLoads {
-		w.Loads = append(w.Loads, wordLoad{Replica: math.MaxUint64, Reading: math.MaxUint32, Running: 200, Taken: math.MaxUint16})
+	m := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64, Seq: math.MaxUint32, StoreReachable: math.MaxUint32}
+	for range maxMessageLoads - maxMessagePlacements*loadsPerPlacement {
+		m.Loads = append(m.Loads, peerLoad{Replica: math.MaxUint64, Reading: math.MaxUint32, Running: 200, Taken: math.MaxUint16})
 	}
-	levels := make([]uint64, maxWordLevels)
+	levels := make([]uint64, maxPlacementLevels)
 	for i := range levels {
 		levels[i] = math.MaxUint64
 	}
-	for range maxWordPlacements {
-		w.Placements = append(w.Placements, wordPlacement{Levels: levels, Replica: math.MaxUint64, Read: true})
+	for range maxMessagePlacements {
+		m.Placements = append(m.Placements, peerPlacement{Levels: levels, Replica: math.MaxUint64, Read: true})
 	}
-	checkLength(t, w)
-	for range maxWordPlacements * placementLoads {
-		w.Loads = append(w.Loads, w.Loads[0])
+	checkLength(t, m)
+	for range maxMessagePlacements * loadsPerPlacement {
+		m.Loads = append(m.Loads, m.Loads[0])
 	}
-	w.Placements = nil
-	checkLength(t, w)
+	m.Placements = nil
+	checkLength(t, m)
 }
 
-// Guards against notices of replicas that don't fit a datagram together.
+// The longest message with replicas' notices must fit in a datagram.
 func TestTheLongestNoticesFitADatagram(t *testing.T) {
-	w := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
+	m := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
 	for range maxWordNotices {
-		w.Notices = append(w.Notices, wordNotice{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
+		m.Notices = append(m.Notices, wordNotice{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
 	}
-	checkLength(t, w)
+	checkLength(t, m)
 }
 
-func checkLength(t *testing.T, w *peerMessage) {
+func checkLength(t *testing.T, m *peerMessage) {
 	t.Helper()
-	data, err := cbor.Marshal(w)
+	data, err := cbor.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(data) > maxWord {
-		t.Errorf("%d bytes; the reader takes %d", len(data), maxWord)
+	if len(data) > maxMessageBytes {
+		t.Errorf("%d bytes; the receive buffer has %d", len(data), maxMessageBytes)
 	}
 }
 
-// Guards against words that leave out replicas at work, as these don't all fit.
+// Loads of replicas with running requests must be in every message, though not all loads fit in
+// one.
 func TestAWordTellsOfTheReplicasAtWork(t *testing.T) {
 	const (
 		replicas = 160
 		atWork   = 10
 	)
-	toldTaken := make(map[uint64]uint16)
+	advertisedTaken := make(map[uint64]uint16)
 	loads := make(map[uint64]route.Load)
 	for id := range uint64(replicas) {
 		loads[id] = route.Load{Taken: uint16(id + 1)}
@@ -70,28 +70,29 @@
 			loads[id] = route.Load{Running: 1, Reading: 4000, Taken: uint16(id + 1)}
 		}
 	}
-	told := map[uint64]bool{}
-	for words := 0; words*maxWordLoads < replicas+2*maxWordLoads; words++ {
+	advertised := map[uint64]bool{}
+	for messages := 0; messages*maxMessageLoads < replicas+2*maxMessageLoads; messages++ {
 		working := 0
-		for _, l := range telling(loads, toldTaken, maxWordLoads) {
-			told[l.Replica] = true
+		for _, l := range loadsToSend(loads, advertisedTaken, maxMessageLoads) {
+			advertised[l.Replica] = true
 			if l.Running > 0 {
 				working++
 			}
 		}
 		if working != atWork {
-			t.Fatalf("word %d tells of %d replicas at work of %d", words, working, atWork)
+			t.Fatalf("message %d has loads of %d replicas with running requests out of %d", messages, working, atWork)
 		}
 	}
-	if len(told) != replicas {
-		t.Errorf("%d of %d replicas' counts were told", len(told), replicas)
+	if len(advertised) != replicas {
+		t.Errorf("counts of %d of %d replicas were advertised", len(advertised), replicas)
 	}
-	if again := telling(loads, toldTaken, maxWordLoads); len(again) != atWork {
-		t.Errorf("a word has %d loads though nothing but %d has changed", len(again), atWork)
+	if again := loadsToSend(loads, advertisedTaken, maxMessageLoads); len(again) != atWork {
+		t.Errorf("a message has %d loads though only %d replicas have running requests or changes", len(again), atWork)
 	}
 }
 
-// Guards against too large a share of the retry budget before the list of entries was read.
+// Before the list of entries was read, an entry must not take the peers that it received messages
+// from for all there are: its share of the retry budget would be too large.
 func TestPeersHeardOfAreNotAllThereAre(t *testing.T) {
 	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{Memory: 16, Peers: "127.0.0.1:0"}}
 	e := newEntry(s, quietTelemetry(t), Platform{})
@@ -102,13 +103,13 @@
 	defer p.conn.Close()
 	e.peers = p
 	for i := range 2 {
-		p.heardOf(fmt.Sprint("peer-", i), somePeer)
+		p.markReceived(fmt.Sprint("peer-", i), somePeer)
 	}
 	if n := e.state.count(); n < unknownEntries {
 		t.Errorf("the budget is shared among %d entries before the list of them was read", n)
 	}
-	close(p.read)
-	p.counted()
+	close(p.listRead)
+	p.applyList()
 	if n := e.state.count(); n != 3 {
 		t.Errorf("%d entries are counted once the list was read; there are 3", n)
 	}
--- a/internal/direct/ports.go
+++ b/internal/direct/ports.go
@@ -7,44 +7,43 @@
 	"skylarklead/internal/fleet"
 )
 
-// Headers translates the headers of requests and answers.
+// Headers translates the headers of requests and responses between the platform and the entry.
 type Headers interface {
-	// Request decodes what a caller's headers say.
+	// Request decodes the headers of a caller's request.
 	Request(http.Header) (fleet.Request, error)
-	// ToReplica returns the headers for a replica.
+	// ToReplica returns the headers of a request to a replica.
 	ToReplica(http.Header, *fleet.HandOver) http.Header
-	// Answer decodes the head of a replica's answer.
+	// Answer decodes the status and headers of a replica's response.
 	Answer(status int, h http.Header) fleet.Answer
-	// ToCaller returns the headers for a caller.
+	// ToCaller returns the headers of a response to a caller.
 	ToCaller(http.Header) http.Header
-	// Refusal sets the headers of an answer of the entry's own.
+	// Refusal sets the headers of a response that the entry itself generates.
 	Refusal(h http.Header, requestID string)
 }
 
-// Records decodes the records of the platform's store.
+// Records decodes the records in the platform's store.
 type Records interface {
-	// Topics names the topics of the operator and of the replicas.
+	// Topics returns the names of the operator's topic and the replicas' topic.
 	Topics() (operator, replicas string)
-	// Operator decodes a record of the operator; both results are nil for one that
-	// isn't known.
+	// Operator decodes a record of the operator; both results are nil if its kind is unknown.
 	Operator(key string, value []byte) (*fleet.Configuration, *fleet.Wanted, error)
 	// Replica decodes a replica's record.
 	Replica(key string, value []byte) (*fleet.Replica, error)
 }
 
-// Replicas calls the replicas of models. Whatever the answer, the notice is what the replica says
-// of itself in its head.
+// Replicas calls the replicas of models. The notice is what the replica says about itself in the
+// headers of its response, and is valid whatever the outcome of the call.
 type Replicas interface {
 	Order(context.Context, *fleet.Order) (fleet.Reply, fleet.Notice, error)
 	Report(context.Context, *fleet.Replica) (fleet.Report, fleet.Notice, error)
 }
 
-// Platform is what the adapter of a platform gives.
+// Platform is what the adapter of a platform provides.
 type Platform struct {
 	Store    fleet.Store
 	Headers  Headers
 	Records  Records
 	Replicas Replicas
-	// ReadyPath is where the platform asks whether new connections may come.
+	// ReadyPath is the path at which the platform checks whether the entry accepts new connections.
 	ReadyPath string
 }
--- a/internal/direct/reload.go
+++ b/internal/direct/reload.go
@@ -12,49 +12,49 @@
 	"skylarklead/internal/settings"
 )
 
-// rereadEvery is the pause between looks at the settings file: it may change without
-// a signal, and no bound hangs on how soon that is noticed.
-const rereadEvery = 5 * time.Second
+// settingsPollInterval is the pause between checks of the settings file. It may change without a
+// signal, and nothing depends on how soon that is noticed.
+const settingsPollInterval = 5 * time.Second
 
-// SettingsLoader reads the settings again, as at the start.
+// SettingsLoader reads the settings again, in the same way as at the start.
 type SettingsLoader func() (*settings.Settings, error)
 
-// directSettings returns the settings in force of the role.
+// directSettings returns the settings of the direct role that are in force.
 func (e *Entry) directSettings() *settings.Direct { return e.tunable.Load() }
 
-// reload follows the settings file: at SIGHUP, and where it has changed by itself.
-// Without a handler the signal would end the process and cut every stream.
+// reload reloads the settings on SIGHUP and when their file changes. Without a handler the signal
+// would end the process and cut every stream.
 func (e *Entry) reload(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	tick := time.NewTicker(rereadEvery)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
-			e.reread("SIGHUP")
+			e.reloadSettings("SIGHUP")
 		case <-tick.C:
-			e.reread("")
+			e.reloadSettings("")
 		}
 	}
 }
 
-// reread puts changed settings in force. Those of sockets and of the entry's name
-// hold from its start; a file that can't be read or is wrong leaves all as they are.
-func (e *Entry) reread(by string) {
+// reloadSettings puts changed settings in force. Those of sockets and of the entry's ID stay as
+// they were at the start. A file that is unreadable or invalid leaves all settings unchanged.
+func (e *Entry) reloadSettings(by string) {
 	if e.source == nil {
 		return
 	}
 	s, err := e.source()
 	if err != nil {
-		e.tel.Log.Error("settings not reloaded; those in force stay", "by", by, "error", err)
+		e.tel.Log.Error("settings not reloaded; current settings stay in force", "by", by, "error", err)
 		return
 	}
 	if s.Direct == nil || s.Role != e.settings.Role {
-		e.tel.Log.Error("settings not reloaded; those in force stay", "by", by, "error", "not of this role")
+		e.tel.Log.Error("settings not reloaded; current settings stay in force", "by", by, "error", "settings are for another role")
 		return
 	}
 	next, now := *s.Direct, *e.directSettings()
@@ -71,7 +71,7 @@
 	}
 }
 
-// retryBudgetParams is what all entries together may send a second time to a service.
+// retryBudgetParams returns the retry budget that all entries together have for a service.
 func retryBudgetParams(d *settings.Direct) attempt.BudgetParams {
 	return attempt.BudgetParams{Share: d.RetryShare * budgetMargin, Burst: d.RetryExtra * budgetMargin}
 }
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -21,7 +21,7 @@
 	placing = 200 * time.Millisecond
 	// missSeen is within which time the reader notices that the store doesn't answer: a
 	// pause, a read that waits, and the time that its answer may take.
-	missSeen = maxReplicasReadPause + replicasReadWait + callTimeout
+	missSeen = maxReplicasPause + replicasReadWait + callTimeout
 	// wordFresh is how old a peer's word may be: at 25 entries eight of them in a row would
 	// have to be lost. Over 200 entries words are rarer than that, and tell nothing here.
 	wordFresh = time.Second
@@ -35,12 +35,10 @@
 func (e *Entry) followReplicas(ctx context.Context) {
 	_, topic := e.platform.Records.Topics()
 	f := e.newFollower(topic)
-	f.keyed, f.readWait, f.readPause = true, replicasReadWait, sharedReplicasReadPause
+	f.keyed, f.readWait, f.readPause = true, replicasReadWait, sharedReplicasPause
 	f.topicID = replicasTopicID
 	if e.hub == nil {
-		f.readPauseFunc = func() time.Duration {
-			return min(maxReplicasReadPause, replicasReadPause*time.Duration(e.state.count()))
-		}
+		f.readPauseFunc = func() time.Duration { return min(maxReplicasPause, replicasPause*time.Duration(e.state.count())) }
 	}
 	f.onReadFailed = e.listMissed
 	f.onRead = func(r spread.Reading) { e.listReached(r, f.boot()) }
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -8,8 +8,9 @@
 	"skylarklead/internal/member"
 )
 
-// supplyIfClosed returns when the replicas of a service that could take a request for a model take
-// something again, if none of them does now and of each it is known why. The caller holds mu.
+// supplyIfClosed returns when the replicas of a service that could take a request for a model
+// accept requests again. It returns false if any replica of the service accepts requests now or is
+// not known to refuse them. The caller holds mu.
 func (s *state) supplyIfClosed(service *fleet.Service, model string, now time.Duration) (admit.Supply, bool) {
 	var supply admit.Supply
 	for _, id := range s.replicas.IDs() {
@@ -28,7 +29,7 @@
 	return supply, len(supply) > 0
 }
 
-// opening returns when a replica takes something again, false if it isn't known to take nothing
+// opening returns when a replica accepts requests again, false if it is not known to refuse them
 // now. The caller holds mu.
 func (s *state) opening(id string, now time.Duration) (admit.Opening, bool) {
 	opening := admit.Opening{At: max(s.replicas.RestsUntil(id), s.limits.Next(id, now)), Rate: admit.Unlimited}
@@ -38,8 +39,8 @@
 	return opening, opening.At > now
 }
 
-// rejectBeyondSupply ends the wait of those for whom the replicas will have no place in time, the
-// last in turn first. The caller holds mu.
+// rejectBeyondSupply rejects the waiting requests for which the replicas will have no capacity in
+// time, the last in the queue first. The caller holds mu.
 func (s *state) rejectBeyondSupply(g *gate, now time.Duration) {
 	t := g.line.Next(now)
 	if t == nil {
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -12,48 +12,49 @@
 )
 
 const (
-	// unheardAfter is how long the store may be silent before replicas are asked
-	// themselves: a second try has failed by then.
-	unheardAfter = 700 * time.Millisecond
-	// askEvery is the pause between questions to each replica. What they report is a
-	// few hundred milliseconds old anyway.
-	askEvery = 400 * time.Millisecond
+	// pollAfter is how long the store may be unavailable before replicas are polled directly: a
+	// second call has failed by then.
+	pollAfter = 700 * time.Millisecond
+	// pollInterval is the pause between polls of each replica. Reports are a few hundred
+	// milliseconds old in any case.
+	pollInterval = 400 * time.Millisecond
 )
 
-// reportsTold is how often what has changed of a replica's word is told to the peers: a
+// reportRepeats is how many times a changed report of a replica is sent to the peers, because a
 // datagram may be lost.
-const reportsTold = 2
-
-// markStoreDown says that the store doesn't answer, storeBack that it does again.
-func (w *replicaMonitor) markStoreDown(at time.Duration) {
-	w.mu.Lock()
-	w.lost, w.lostAt = true, at
-	w.mu.Unlock()
+const reportRepeats = 2
+
+// markStoreDown records that the store does not answer since a time, markStoreUp that it answers
+// again.
+func (m *replicaMonitor) markStoreDown(at time.Duration) {
+	m.mu.Lock()
+	m.storeDown, m.storeDownSince = true, at
+	m.mu.Unlock()
 }
 
-func (w *replicaMonitor) markStoreUp() {
-	w.mu.Lock()
-	w.lost = false
-	w.mu.Unlock()
+func (m *replicaMonitor) markStoreUp() {
+	m.mu.Lock()
+	m.storeDown = false
+	m.mu.Unlock()
 }
 
-// unheard returns the replicas of models to ask for their state now.
+// replicasToPoll returns the replicas with models whose state is to be polled now.
 //
-// An entry that is cut off from the store hears no notes of a rollout. It would send
-// requests to replicas that load weights, or expect weights that have been replaced,
-// and each refusal takes from the budget that crashes need. So it asks.
-func (w *replicaMonitor) unheard() []*fleet.Replica {
-	e := w.entry
+// An entry that is cut off from the store receives no rollout records. It would send requests to
+// replicas that are loading weights, or expect weights that have been replaced, and each refusal
+// uses up retry budget that is needed after crashes. Polling avoids that.
+func (m *replicaMonitor) replicasToPoll() []*fleet.Replica {
+	e := m.entry
 	now := e.clock.now()
-	w.mu.Lock()
-	due := w.lost && now-w.lostAt > unheardAfter && now-w.asked > askEvery
+	m.mu.Lock()
+	due := m.storeDown && now-m.storeDownSince > pollAfter && now-m.polledAt > pollInterval
 	if due {
-		w.asked = now
+		m.polledAt = now
 	}
-	if !w.lost {
-		clear(w.told)
+	if !m.storeDown {
+		clear(m.sentReports)
 	}
-	w.mu.Unlock()
+	m.mu.Unlock()
 	if !due {
 		return nil
 	}
@@ -75,31 +76,31 @@
 	return replicas
 }
 
-// ask takes a replica's own word on its weights.
-func (w *replicaMonitor) ask(ctx context.Context, r *fleet.Replica) {
-	e := w.entry
-	ctx, cancel := context.WithTimeout(ctx, askEvery)
+// poll asks a replica for its state and applies the answer.
+func (m *replicaMonitor) poll(ctx context.Context, r *fleet.Replica) {
+	e := m.entry
+	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
-	asked := e.clock.now()
+	sent := e.clock.now()
 	report, notice, err := e.platform.Replicas.Report(ctx, r)
-	e.noticed(r.ID, &notice, asked, false)
-	var other *fleet.MisdirectedError
+	e.noticed(r.ID, &notice, sent, false)
+	var misdirected *fleet.MisdirectedError
 	switch {
-	case errors.As(err, &other):
-		e.handleReplaced(r, other.Instance, 0)
+	case errors.As(err, &misdirected):
+		e.handleReplaced(r, misdirected.Instance, 0)
 	case err != nil:
-		// The next question comes soon; requests meet what is wrong before.
+		// The next poll follows soon, and requests detect a failure earlier.
 	case !r.Is(report.Born):
 		e.handleReplaced(r, r.Name, report.Born)
 	default:
-		e.takeReport(r, &report)
-		w.tell(r, &report)
+		e.applyReport(r, &report)
+		m.sendReport(r, &report)
 	}
 }
 
-// wordReport is what a replica has said of itself, which peers that the store doesn't
-// answer needn't ask again.
-type wordReport struct {
+// replicaReport is a replica's report, sent to peers that the store does not answer either, so that
+// they need not poll the replica.
+type replicaReport struct {
 	Replica  string            `cbor:"1,keyasint"`
 	Weights  map[string]uint64 `cbor:"2,keyasint,omitempty"`
 	Draining bool              `cbor:"3,keyasint,omitempty"`
@@ -107,53 +108,53 @@
 	Orders   uint64            `cbor:"5,keyasint,omitempty"`
 }
 
-func (a *wordReport) equal(b *wordReport) bool {
+func (a *replicaReport) equal(b *replicaReport) bool {
 	return a.Replica == b.Replica && maps.Equal(a.Weights, b.Weights) &&
 		a.Draining == b.Draining && a.Busy == b.Busy && a.Orders == b.Orders
 }
 
-// toldReport is a report and how often it was told.
-type toldReport struct {
-	wordReport
+// sentReport is a report and how many times it was sent.
+type sentReport struct {
+	replicaReport
 	times int
 }
 
-// tell tells the peers of a report that is news. Each replica is asked by few of those that
-// hear each other: all entries asking all replicas would be many more questions than
+// sendReport sends a report to the peers if it has changed. Only a few of the entries that receive
+// each other's messages poll each replica: polls of all replicas by all entries would outnumber the
 // requests.
-func (w *replicaMonitor) tell(r *fleet.Replica, report *fleet.Report) {
-	if w.entry.hub == nil {
+func (m *replicaMonitor) sendReport(r *fleet.Replica, report *fleet.Report) {
+	if m.entry.hub == nil {
 		return
 	}
-	said := wordReport{Replica: r.ID, Weights: report.Weights, Draining: report.Draining, Busy: report.Busy, Orders: report.Orders}
-	w.mu.Lock()
-	last := w.told[r.ID]
-	if last == nil || !last.equal(&said) {
-		last = &toldReport{wordReport: said}
-		w.told[r.ID] = last
+	current := replicaReport{Replica: r.ID, Weights: report.Weights, Draining: report.Draining, Busy: report.Busy, Orders: report.Orders}
+	m.mu.Lock()
+	last := m.sentReports[r.ID]
+	if last == nil || !last.equal(&current) {
+		last = &sentReport{replicaReport: current}
+		m.sentReports[r.ID] = last
 	}
 	last.times++
-	news := last.times <= reportsTold
-	w.mu.Unlock()
-	if news {
-		w.entry.peers.broadcast(&peerMessage{From: w.entry.settings.ID, Epoch: uint64(w.entry.tel.Epoch), Reports: []wordReport{said}})
+	due := last.times <= reportRepeats
+	m.mu.Unlock()
+	if due {
+		m.entry.peers.broadcast(&peerMessage{From: m.entry.settings.ID, Epoch: uint64(m.entry.tel.Epoch), Reports: []replicaReport{current}})
 	}
 }
 
-// heardReports takes what peers have heard from replicas. The number of orders that a replica
-// has taken says which of two reports is the later one.
-func (e *Entry) heardReports(reports []wordReport) {
-	for _, said := range reports {
+// handleReports applies reports that peers received from replicas. The count of orders that a
+// replica has accepted tells which of two reports is newer.
+func (e *Entry) handleReports(reports []replicaReport) {
+	for _, received := range reports {
 		e.state.mu.Lock()
-		r := e.state.replicas.Get(said.Replica)
+		r := e.state.replicas.Get(received.Replica)
 		e.state.mu.Unlock()
 		if r != nil {
-			e.takeReport(r, &fleet.Report{Weights: said.Weights, Draining: said.Draining, Busy: said.Busy, Orders: said.Orders})
+			e.applyReport(r, &fleet.Report{Weights: received.Weights, Draining: received.Draining, Busy: received.Busy, Orders: received.Orders})
 		}
 	}
 }
 
-func (e *Entry) takeReport(r *fleet.Replica, report *fleet.Report) {
+func (e *Entry) applyReport(r *fleet.Replica, report *fleet.Report) {
 	now := e.clock.now()
 	s := e.state
 	s.mu.Lock()
@@ -176,13 +177,12 @@
 	}
 }
 
-// handleReplaced takes the word of another incarnation at a replica's address, of the name
-// given and, where it says so, of its start: the one that was known is gone for good.
-// The new one is asked what it is, as the list that would tell may be out of reach; an
-// address may also go to another service.
+// handleReplaced handles an answer from another incarnation at a replica's address, with its name
+// and, if known, its start time. The known incarnation is gone for good. The new one is asked for
+// its state, because the list of replicas may be out of reach; the address may also belong to
+// another service now.
 //
-// A replica that says it started before the one that is known is none to follow: what
-// it said was long under way.
+// An answer from an incarnation that started before the known one is ignored: it was delayed.
 func (e *Entry) handleReplaced(r *fleet.Replica, name string, born int64) {
 	if name == r.Name && born <= r.Born {
 		return
@@ -201,14 +201,14 @@
 	}()
 }
 
-// adopt takes up a restarted replica of a model before the list tells of it, if it
-// serves the same models: their names belong to one service.
+// adopt adds a restarted replica before the list of replicas has it, provided that it serves the
+// same models: a model's name belongs to one service only.
 func (e *Entry) adopt(old *fleet.Replica, name string) {
-	ctx, cancel := context.WithTimeout(context.Background(), askEvery)
+	ctx, cancel := context.WithTimeout(context.Background(), pollInterval)
 	defer cancel()
 	report, notice, err := e.platform.Replicas.Report(ctx, old.Restarted(name, 0))
 	if err != nil || report.Draining || notice.Leaving {
-		return // the list will tell
+		return // the list of replicas will have it
 	}
 	for model := range old.Weights {
 		if _, serves := report.Weights[model]; !serves {
@@ -217,23 +217,23 @@
 	}
 	born := report.Born
 	if old.Born == 0 {
-		born = 0 // the records here don't say, and would count as outdated
+		born = 0 // records without start times would count as outdated
 	}
-	fresh := old.Restarted(name, born)
-	fresh.Weights = report.Weights
+	restarted := old.Restarted(name, born)
+	restarted.Weights = report.Weights
 	e.state.mu.Lock()
-	known := e.state.replicas.Get(fresh.ID) != nil
+	known := e.state.replicas.Get(restarted.ID) != nil
 	if known {
 		e.state.mu.Unlock()
-		return // the list has told
+		return // the list already has it
 	}
-	listing := e.state.replicas.Adopt(fresh, e.clock.now())
-	e.listed(fresh, &listing, false)
+	listing := e.state.replicas.Adopt(restarted, e.clock.now())
+	e.listed(restarted, &listing, false)
 	e.state.mu.Unlock()
 	if listing.Outdated {
-		e.tel.Log.Info("replica not taken up", "replica", fresh.ID, "address", fresh.Address, "reason", "its record was removed")
+		e.tel.Log.Info("restarted replica not adopted", "replica", restarted.ID, "address", restarted.Address, "reason", "its record was removed")
 		return
 	}
-	e.followed(fresh, &listing)
-	e.logListing(fresh, &listing, false, 0)
+	e.followed(restarted, &listing)
+	e.logListing(restarted, &listing, false, 0)
 }
--- a/internal/direct/watch.go
+++ b/internal/direct/watch.go
@@ -10,72 +10,72 @@
 )
 
 const (
-	// watchEvery is the pause between looks at what is under way.
-	watchEvery = 50 * time.Millisecond
-	// silentAfter is how long a replica may send nothing to a request before a
-	// connection to it is tried. Nine of ten answers begin within it, and pauses
-	// between a stream's events are a tenth of it.
-	silentAfter = 450 * time.Millisecond
+	// monitorInterval is the pause between checks of the requests in flight.
+	monitorInterval = 50 * time.Millisecond
+	// silenceTimeout is how long a replica may send nothing for a request before a connection to it
+	// is probed. Nine of ten responses begin within this time, and pauses between a stream's events
+	// are a tenth of it.
+	silenceTimeout = 450 * time.Millisecond
 )
 
-// inFlightRequest is one request under way at a replica.
+// inFlightRequest is a request that a replica is processing.
 type inFlightRequest struct {
 	replica *fleet.Replica
-	// heard is when the replica last sent something.
-	heard      time.Time
-	repeatable bool
-	cancel     context.CancelFunc
+	// lastReceived is when the replica last sent something for the request.
+	lastReceived time.Time
+	repeatable   bool
+	cancel       context.CancelFunc
 }
 
-// replicaMonitor notices replicas that have fallen silent.
+// replicaMonitor detects replicas that have stopped responding.
 //
-// A machine that loses power resets no connection. The kernel finds out after
-// seconds, and all that while requests hang on it, and new ones are sent after them
-// over connections that look idle; it is seen as timeouts at one replica while its
-// neighbours are free. So where a request hears nothing for a while a new connection
-// is tried: a replica that is only slow takes it at once. If it doesn't, it gets
-// no new work, and requests that may be repeated are taken from it.
+// A machine that loses power resets no connection. The kernel notices only after seconds. Until
+// then requests hang and new ones follow over connections that look idle, so callers see timeouts
+// at one replica while others have capacity. A request that receives nothing for a while therefore
+// triggers a probe with a new connection, which a replica that is merely slow accepts at once. If
+// the probe fails, the replica gets no new requests, and its repeatable requests are cancelled and
+// retried elsewhere.
 type replicaMonitor struct {
-	entry *Entry
-	mu    sync.Mutex
-	under map[*inFlightRequest]struct{}
-	// lost is set while the store doesn't answer, since lostAt.
-	lost   bool
-	lostAt time.Duration
-	asked  time.Duration
-	// told is what peers were told last of each replica's word.
-	told map[string]*toldReport
+	entry    *Entry
+	mu       sync.Mutex
+	inFlight map[*inFlightRequest]struct{}
+	// storeDown is set while the store does not answer, since storeDownSince.
+	storeDown      bool
+	storeDownSince time.Duration
+	polledAt       time.Duration
+	// sentReports holds, for each replica, the report that was last sent to the peers.
+	sentReports map[string]*sentReport
 }
 
 func newReplicaMonitor(e *Entry) *replicaMonitor {
-	return &replicaMonitor{entry: e, under: make(map[*inFlightRequest]struct{}), told: make(map[string]*toldReport)}
+	return &replicaMonitor{entry: e, inFlight: make(map[*inFlightRequest]struct{}), sentReports: make(map[string]*sentReport)}
 }
 
-// begin watches a request until the function that it returns is called.
-func (w *replicaMonitor) begin(r *fleet.Replica, repeatable bool, cancel context.CancelFunc) *inFlightRequest {
-	x := &inFlightRequest{replica: r, heard: time.Now(), repeatable: repeatable, cancel: cancel}
-	w.mu.Lock()
-	w.under[x] = struct{}{}
-	w.mu.Unlock()
+// begin watches a request until it is passed to end.
+func (m *replicaMonitor) begin(r *fleet.Replica, repeatable bool, cancel context.CancelFunc) *inFlightRequest {
+	x := &inFlightRequest{replica: r, lastReceived: time.Now(), repeatable: repeatable, cancel: cancel}
+	m.mu.Lock()
+	m.inFlight[x] = struct{}{}
+	m.mu.Unlock()
 	return x
 }
 
-func (w *replicaMonitor) end(x *inFlightRequest) {
-	w.mu.Lock()
-	delete(w.under, x)
-	w.mu.Unlock()
+func (m *replicaMonitor) end(x *inFlightRequest) {
+	m.mu.Lock()
+	delete(m.inFlight, x)
+	m.mu.Unlock()
 }
 
-// received notes that the replica has sent something.
-func (w *replicaMonitor) received(x *inFlightRequest) {
-	w.mu.Lock()
-	x.heard = time.Now()
-	w.mu.Unlock()
+// received records that the replica has sent something for a request.
+func (m *replicaMonitor) received(x *inFlightRequest) {
+	m.mu.Lock()
+	x.lastReceived = time.Now()
+	m.mu.Unlock()
 }
 
-// run looks for silent and unreachable replicas until ctx ends.
-func (w *replicaMonitor) run(ctx context.Context) {
-	tick := time.NewTicker(watchEvery)
+// run probes silent and unreachable replicas until ctx ends.
+func (m *replicaMonitor) run(ctx context.Context) {
+	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -83,25 +83,25 @@
 			return
 		case <-tick.C:
 		}
-		w.entry.state.mu.Lock()
-		w.entry.refuseWaiting()
-		w.entry.state.dispatchAll(w.entry.clock.now())
-		w.entry.state.mu.Unlock()
-		w.entry.tellNotices()
-		for _, r := range w.due() {
-			go w.probe(ctx, r)
+		m.entry.state.mu.Lock()
+		m.entry.refuseWaiting()
+		m.entry.state.dispatchAll(m.entry.clock.now())
+		m.entry.state.mu.Unlock()
+		m.entry.tellNotices()
+		for _, r := range m.replicasToProbe() {
+			go m.probe(ctx, r)
 		}
-		for _, r := range w.unheard() {
-			go w.ask(ctx, r)
+		for _, r := range m.replicasToPoll() {
+			go m.poll(ctx, r)
 		}
 	}
 }
 
-// due returns the replicas to which a connection is to be tried.
-func (w *replicaMonitor) due() []*fleet.Replica {
-	s := w.entry.state
-	now := w.entry.clock.now()
-	silent := w.silent()
+// replicasToProbe returns the replicas to which a connection is to be probed.
+func (m *replicaMonitor) replicasToProbe() []*fleet.Replica {
+	s := m.entry.state
+	now := m.entry.clock.now()
+	silent := m.silentReplicas()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := s.replicas.Probes(now)
@@ -113,64 +113,65 @@
 	return due
 }
 
-func (w *replicaMonitor) silent() []*fleet.Replica {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *replicaMonitor) silentReplicas() []*fleet.Replica {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var silent []*fleet.Replica
-	before := time.Now().Add(-silentAfter)
-	for x := range w.under {
-		if x.heard.Before(before) {
+	before := time.Now().Add(-silenceTimeout)
+	for x := range m.inFlight {
+		if x.lastReceived.Before(before) {
 			silent = append(silent, x.replica)
 		}
 	}
 	return silent
 }
 
-func (w *replicaMonitor) probe(ctx context.Context, r *fleet.Replica) {
-	e := w.entry
+func (m *replicaMonitor) probe(ctx context.Context, r *fleet.Replica) {
+	e := m.entry
 	if err := e.pool.Probe(ctx, upstream.Replica{ID: r.ID, Address: r.Address}); err != nil {
 		e.markUnreachable(r, "probe", err)
 		return
 	}
 	e.state.mu.Lock()
-	news := e.state.replicas.Reachable(r.ID)
-	if news {
+	changed := e.state.replicas.Reachable(r.ID)
+	if changed {
 		e.state.signal()
 	}
 	e.state.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
 	e.tel.Log.Info("replica reachable", "replica", r.ID)
 	if len(r.Weights) > 0 {
-		// It may have started again: what it held and how many orders it took is over.
-		w.ask(ctx, r)
+		// The replica may have restarted: its cache and its count of orders would be gone.
+		m.poll(ctx, r)
 	}
 }
 
-// markUnreachable takes a connection that could not be made.
+// markUnreachable handles a connection to a replica that could not be established.
 func (e *Entry) markUnreachable(r *fleet.Replica, by string, err error) {
 	e.state.mu.Lock()
-	news := e.state.replicas.Unreachable(r.ID, e.clock.now())
+	changed := e.state.replicas.Unreachable(r.ID, e.clock.now())
 	e.state.mu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
 	e.replicaLost(r.ID)
-	taken := e.watch.cancelRepeatable(r.ID)
-	e.tel.Log.Warn("replica unreachable", "replica", r.ID, "by", by, "taken_from_it", taken, "error", err)
+	cancelled := e.watch.cancelRepeatable(r.ID)
+	e.tel.Log.Warn("replica unreachable", "replica", r.ID, "by", by, "taken_from_it", cancelled, "error", err)
 }
 
-// cancelRepeatable breaks off the requests at a replica that may run again elsewhere.
-func (w *replicaMonitor) cancelRepeatable(id string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	taken := 0
-	for x := range w.under {
+// cancelRepeatable cancels the requests at a replica that may run again elsewhere, and returns
+// their number.
+func (m *replicaMonitor) cancelRepeatable(id string) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	cancelled := 0
+	for x := range m.inFlight {
 		if x.replica.ID == id && x.repeatable {
 			x.cancel()
-			taken++
+			cancelled++
 		}
 	}
-	return taken
+	return cancelled
 }
