--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -13,55 +13,55 @@
 )
 
 const (
-	// wholeLimit is the longest answer that is taken whole before any of it is passed
-	// on, in bytes. One that breaks off can then be asked for again.
-	wholeLimit = 256 << 10
-	eventType  = "text/event-stream"
+	// maxBufferedAnswer bounds, in bytes, an answer that is read whole before it is forwarded,
+	// so that the request can be retried if the answer breaks off.
+	maxBufferedAnswer = 256 << 10
+	eventStreamType   = "text/event-stream"
 )
 
-// wholeAnswer is a replica's answer, complete.
-type wholeAnswer struct {
+// bufferedAnswer is a replica's complete answer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// answer passes a replica's answer on, or tells why it can't be.
-func (j *request) answer(p *placement, x *upstream.Exchange) (loss attempt.Loss, done bool) {
-	head := j.entry.platform.Headers.Answer(x.Status, x.Header)
-	j.noteVersion(p, &head)
-	j.noteNotice(p, &head)
+// forwardAnswer forwards a replica's answer to the caller. If it can't, loss says why.
+func (req *request) forwardAnswer(p *placement, x *upstream.Exchange) (loss attempt.Loss, done bool) {
+	head := req.entry.platform.Headers.Answer(x.Status, x.Header)
+	req.updateVersion(p, &head)
+	req.handleNotice(p, &head)
 	if head.NotRun {
-		j.noteRefusal(p, &head)
+		req.handleNotRun(p, &head)
 		return attempt.LossNotRun, false
 	}
 	success := x.Status/100 == 2
 	if success && !head.Sealed {
-		return j.garbled(p), false
+		return req.handleUnsealed(p), false
 	}
-	if success && strings.HasPrefix(x.Header.Get("Content-Type"), eventType) {
-		return j.stream(p, x)
+	if success && strings.HasPrefix(x.Header.Get("Content-Type"), eventStreamType) {
+		return req.forwardStream(p, x)
 	}
-	whole, err := readWhole(x)
+	answer, err := bufferAnswer(x)
 	if err != nil {
-		return j.broken(p, err), false
+		return req.handleBrokenAnswer(p, err), false
 	}
-	if x.Status >= http.StatusInternalServerError || promisesNotRun(x.Status) {
-		j.worked(p)
-		if head.Sealed && !promisesNotRun(x.Status) {
-			j.failure = whole
+	if x.Status >= http.StatusInternalServerError || impliesNotRun(x.Status) {
+		req.recordSuccess(p)
+		if head.Sealed && !impliesNotRun(x.Status) {
+			req.fallbackAnswer = answer
 		}
 		return attempt.LossFailed, false
 	}
-	j.worked(p)
-	j.pass(whole)
+	req.recordSuccess(p)
+	req.writeAnswer(answer)
 	return 0, true
 }
 
-// promisesNotRun reports whether callers take a status for the word that a request
-// has not run. Passed on from a replica that doesn't say so itself, it would have
-// them send again what may have run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request has not run.
+// Forwarded from a replica that doesn't say so itself, it would make them resend a request that may
+// have run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -69,95 +69,96 @@
 	return false
 }
 
-// readWhole reads a complete answer.
-func readWhole(x *upstream.Exchange) (*wholeAnswer, error) {
-	body, err := io.ReadAll(io.LimitReader(x.Body, wholeLimit))
+// bufferAnswer reads a complete answer of less than maxBufferedAnswer bytes.
+func bufferAnswer(x *upstream.Exchange) (*bufferedAnswer, error) {
+	body, err := io.ReadAll(io.LimitReader(x.Body, maxBufferedAnswer))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) == wholeLimit {
+	if len(body) == maxBufferedAnswer {
 		return nil, io.ErrShortBuffer
 	}
-	return &wholeAnswer{status: x.Status, header: x.Header, body: body}, nil
+	return &bufferedAnswer{status: x.Status, header: x.Header, body: body}, nil
 }
 
-// pass gives the caller a complete answer.
-func (j *request) pass(a *wholeAnswer) {
-	j.outcome = outcomeServed
+// writeAnswer sends the caller a complete answer.
+func (req *request) writeAnswer(a *bufferedAnswer) {
+	req.outcome = outcomeServed
 	if a.status/100 != 2 {
-		j.outcome, j.reason = outcomeFailed, "the replica's own answer"
+		req.outcome, req.reason = outcomeFailed, "error answer from the replica"
 	}
-	j.status = a.status
-	j.first = j.entry.clock.now() - j.began
-	j.head(a.header)
-	j.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	j.w.WriteHeader(a.status)
-	_, _ = j.w.Write(a.body) // the caller may have gone
+	req.status = a.status
+	req.firstByte = req.entry.clock.now() - req.started
+	req.copyHeaders(a.header)
+	req.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
+	req.w.WriteHeader(a.status)
+	_, _ = req.w.Write(a.body) // the caller may have gone
 }
 
-// head copies a replica's headers to the caller's answer.
-func (j *request) head(h http.Header) {
-	out := j.w.Header()
-	for name, values := range j.entry.platform.Headers.Return(h) {
+// copyHeaders copies a replica's headers to the caller's answer.
+func (req *request) copyHeaders(h http.Header) {
+	out := req.w.Header()
+	for name, values := range req.entry.platform.Headers.Return(h) {
 		out[name] = values
 	}
-	if j.entry.draining() {
+	if req.entry.draining() {
 		out.Set("Connection", "close")
 	}
 }
 
-// worked notes a good answer.
-func (j *request) worked(p *placement) {
-	s := j.entry.state
+// recordSuccess records a good answer of the replica to the request.
+func (req *request) recordSuccess(p *placement) {
+	s := req.entry.state
 	s.mu.Lock()
-	s.replicas.Worked(p.replica.ID, j.entry.clock.now())
-	s.crashes.Worked(j.print, p.replica.ID)
+	s.replicas.Worked(p.replica.ID, req.entry.clock.now())
+	s.crashes.Worked(req.fingerprint, p.replica.ID)
 	s.mu.Unlock()
 }
 
-func (j *request) fault(p *placement, f member.Fault) {
-	s := j.entry.state
+// recordFault counts a fault of the replica.
+func (req *request) recordFault(p *placement, f member.Fault) {
+	s := req.entry.state
 	s.mu.Lock()
-	s.replicas.Faulty(p.replica.ID, f, j.entry.clock.now())
+	s.replicas.Faulty(p.replica.ID, f, req.entry.clock.now())
 	s.mu.Unlock()
 }
 
-// garbled takes an answer that nobody vouches for.
-func (j *request) garbled(p *placement) attempt.Loss {
-	j.fault(p, member.FaultGarbled)
+// handleUnsealed handles a success without the replica's seal: its origin is unverified.
+func (req *request) handleUnsealed(p *placement) attempt.Loss {
+	req.recordFault(p, member.FaultGarbled)
 	return attempt.LossUnknown
 }
 
-// broken takes an answer that broke off.
-func (j *request) broken(p *placement, err error) attempt.Loss {
-	j.hands[len(j.hands)-1].err = err
-	if j.ctx.Err() == nil {
-		j.fault(p, member.FaultBroken)
-		j.broke(p)
+// handleBrokenAnswer handles an answer that broke off.
+func (req *request) handleBrokenAnswer(p *placement, err error) attempt.Loss {
+	req.dispatches[len(req.dispatches)-1].err = err
+	if req.ctx.Err() == nil {
+		req.recordFault(p, member.FaultBroken)
+		req.recordBrokenRun(p)
 	}
 	return attempt.LossUnknown
 }
 
-// noteVersion takes the weights that an answer was begun on.
-func (j *request) noteVersion(p *placement, head *fleet.Answer) {
-	if j.params.Model == "" || head.Version == 0 {
+// updateVersion records the version of the weights that an answer was begun on.
+func (req *request) updateVersion(p *placement, head *fleet.Answer) {
+	if req.params.Model == "" || head.Version == 0 {
 		return
 	}
-	s := j.entry.state
+	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.board.Saw(p.replica.ID, j.params.Model, head.Version, 0) {
-		s.feed.Emptied(p.replica.ID, j.entry.clock.now())
+	if s.board.Saw(p.replica.ID, req.params.Model, head.Version, 0) {
+		s.feed.Emptied(p.replica.ID, req.entry.clock.now())
 	}
 }
 
-// noteRefusal learns from a replica that didn't run the request. If it is full or
-// busy with an order it is left alone for a moment. If it is the one expected and
-// still says that the request was for another, its weights are newer than believed:
-// versions only grow. An entry that is cut off from the store, and so hears no
-// notes, finds the version out in this way instead of being refused at each try.
-func (j *request) noteRefusal(p *placement, head *fleet.Answer) {
-	e := j.entry
+// handleNotRun updates the replica's state after it refused to run the request. If it is full or
+// executing an order, it gets no requests for a moment. If it is the intended instance and
+// still reports the request as misdirected, its weights are newer than known here, because versions
+// only grow. An entry that is cut off from the store receives no rollout records; it finds the new
+// version this way instead of being refused at each try.
+func (req *request) handleNotRun(p *placement, head *fleet.Answer) {
+	e := req.entry
 	s := e.state
 	now := e.clock.now()
 	s.mu.Lock()
@@ -167,8 +168,8 @@
 		s.replicas.Busy(p.replica.ID, now)
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.replaced(p.replica, head.Instance, 0)
-	case j.params.Model != "":
-		s.board.Saw(p.replica.ID, j.params.Model, p.version+1, 0)
+	case req.params.Model != "":
+		s.board.Saw(p.replica.ID, req.params.Model, p.version+1, 0)
 		s.feed.Emptied(p.replica.ID, now)
 	}
 }
--- a/internal/direct/charge.go
+++ b/internal/direct/charge.go
@@ -8,167 +8,167 @@
 	"skylarklead/internal/quota"
 )
 
-// keptFor is how long units that a request has withdrawn are kept for it: it takes some of
-// the time within which they must be spent to reach a replica.
-const keptFor = quota.DefaultSpendWithin / 2
+// reservationLifetime is how long reserved units are kept for a request. Units must be spent within
+// quota.DefaultSpendWithin, and sending the request to a replica takes part of that.
+const reservationLifetime = quota.DefaultSpendWithin / 2
 
-// charge is what a request has taken of its organisation's limit.
-type charge struct {
+// quotaReservation holds the units that a request has reserved of its organisation's quota.
+type quotaReservation struct {
 	units float64
-	// own are units of this entry's part, borrowed those of others.
+	// own units are from this entry's share, borrowed ones from other entries' shares.
 	own      float64
-	borrowed []borrowed
-	// at is when they were withdrawn, on the boot clock.
-	at time.Duration
-	// spent units went with a request to a replica.
+	borrowed []quotaLoan
+	// reservedAt is on the boot clock.
+	reservedAt time.Duration
+	// spent is set while the units count as used by a replica.
 	spent bool
 }
 
-// borrowed are units of a lender.
-type borrowed struct {
+// quotaLoan holds units borrowed from a lender.
+type quotaLoan struct {
 	lender string
 	seq    uint64
 	units  float64
 }
 
-// charging is what a request's line tells of its charges: the entries asked for units, those of
-// them that were silent, whether nobody that might have units is heard, who lent last, for how
-// long, and how often it was charged.
-type charging struct {
-	units    float64
-	asked    int
-	silent   int
-	unheard  bool
-	took     time.Duration
-	lender   string
-	wait     time.Duration
-	attempts int
+// quotaStats is what a request's log line says of its quota: how many lenders were asked and did not
+// answer, whether no entry that might have units could be reached, the last lender, the time
+// that reserving took, the Retry-After and the number of reservations.
+type quotaStats struct {
+	units         float64
+	lendersAsked  int
+	lendersSilent int
+	unreachable   bool
+	took          time.Duration
+	lender        string
+	retryAfter    time.Duration
+	attempts      int
 }
 
-// limited reports whether the request counts towards a limit.
-func (j *request) limited() bool {
-	return j.organisation != nil && j.organisation.Quota.Limited()
+// hasQuota reports whether the request counts against a quota.
+func (req *request) hasQuota() bool {
+	return req.organisation != nil && req.organisation.Quota.Limited()
 }
 
-// reserve withdraws the request's units unless it has them and they may still be spent. It
-// reports false if the organisation's limit has no room now.
-func (j *request) reserve() bool {
-	if !j.limited() {
+// reserveQuota reserves the request's units unless it holds units that may still be spent. It reports
+// false if the organisation's quota has no room now.
+func (req *request) reserveQuota() bool {
+	if !req.hasQuota() {
 		return true
 	}
-	q := j.entry.quotas
-	if c := j.charge; c != nil && !c.spent && j.entry.bootClock()-c.at <= keptFor {
+	q := req.entry.quotas
+	if c := req.reservation; c != nil && !c.spent && req.entry.bootClock()-c.reservedAt <= reservationLifetime {
 		return true
 	}
-	j.release()
-	began := j.entry.bootClock()
-	c := &charge{units: j.organisation.Quota.Units(&j.params), at: began}
-	ok := j.withdraw(c)
-	j.charging.units = c.units
-	j.charging.attempts++
-	j.charging.took += j.entry.bootClock() - began
+	req.releaseQuota()
+	began := req.entry.bootClock()
+	c := &quotaReservation{units: req.organisation.Quota.Units(&req.params), reservedAt: began}
+	ok := req.withdrawQuota(c)
+	req.quotaStats.units = c.units
+	req.quotaStats.attempts++
+	req.quotaStats.took += req.entry.bootClock() - began
 	if !ok {
-		q.giveBack(j.organisation.Name, c)
+		q.returnUnits(req.organisation.Name, c)
 		return false
 	}
-	j.charge = c
+	req.reservation = c
 	return true
 }
 
-// withdraw takes units of this entry's part, or else of others'.
-func (j *request) withdraw(c *charge) bool {
-	q, name := j.entry.quotas, j.organisation.Name
-	if q.take(name, c.units) {
+// withdrawQuota takes units from this entry's share, or else from other entries'.
+func (req *request) withdrawQuota(c *quotaReservation) bool {
+	q, name := req.entry.quotas, req.organisation.Name
+	if q.takeOwn(name, c.units) {
 		c.own = c.units
 		return true
 	}
-	left := c.units
-	lenders, reached := q.lenders(name, left)
-	j.charging.unheard = !reached
+	missing := c.units
+	lenders, reached := q.lenders(name, missing)
+	req.quotaStats.unreachable = !reached
 	for _, lender := range lenders {
-		j.charging.asked++
-		seq, lent, answered := q.borrow(j.ctx, name, lender, left)
+		req.quotaStats.lendersAsked++
+		seq, lent, answered := q.borrow(req.ctx, name, lender, missing)
 		if !answered {
-			j.charging.silent++
-			j.charging.unheard = j.charging.silent == j.charging.asked
+			req.quotaStats.lendersSilent++
+			req.quotaStats.unreachable = req.quotaStats.lendersSilent == req.quotaStats.lendersAsked
 		}
 		if lent > 0 {
-			j.charging.lender = lender
-			c.borrowed = append(c.borrowed, borrowed{lender, seq, lent})
-			left -= lent
+			req.quotaStats.lender = lender
+			c.borrowed = append(c.borrowed, quotaLoan{lender, seq, lent})
+			missing -= lent
 		}
-		if left <= 0 {
+		if missing <= 0 {
 			return true
 		}
-		if j.ctx.Err() != nil {
+		if req.ctx.Err() != nil {
 			return false
 		}
 	}
-	if len(c.borrowed) > 0 && q.take(name, left) {
-		c.own = left
+	if len(c.borrowed) > 0 && q.takeOwn(name, missing) {
+		c.own = missing
 		return true
 	}
 	return false
 }
 
-// release gives back what the request has withdrawn and not spent.
-func (j *request) release() {
-	if c := j.charge; c != nil && !c.spent {
-		j.entry.quotas.giveBack(j.organisation.Name, c)
+// releaseQuota returns units that are reserved but not spent.
+func (req *request) releaseQuota() {
+	if c := req.reservation; c != nil && !c.spent {
+		req.entry.quotas.returnUnits(req.organisation.Name, c)
 	}
-	j.charge = nil
+	req.reservation = nil
 }
 
-// spend says that the request goes to a replica.
-func (j *request) spend() {
-	if j.charge != nil {
-		j.charge.spent = true
+// spendQuota marks the units as spent: the request is sent to a replica.
+func (req *request) spendQuota() {
+	if req.reservation != nil {
+		req.reservation.spent = true
 	}
 }
 
-// unspend says that the replica has not run it.
-func (j *request) unspend() {
-	if j.charge != nil {
-		j.charge.spent = false
+// unspendQuota undoes spendQuota: the replica has not run the request.
+func (req *request) unspendQuota() {
+	if req.reservation != nil {
+		req.reservation.spent = false
 	}
 }
 
-// overLimit answers a request that its organisation's limit has no room for.
-func (j *request) overLimit() {
+// answerOverQuota answers a request that its organisation's quota has no room for.
+func (req *request) answerOverQuota() {
 	switch {
-	case j.ctx.Err() != nil:
-		j.ended()
-	case j.first > 0:
-		j.cut("organisation's limit")
-	case j.failure != nil:
-		j.pass(j.failure)
-	case j.forward.Tainted():
-		j.fail(http.StatusBadGateway, "organisation's limit", 0)
-	case j.charging.unheard:
-		j.entry.tel.Metrics.Count("quota_unheard", 1)
-		j.refuse("no entry that has units of the organisation's limit answers", defaultRetryAfter)
+	case req.ctx.Err() != nil:
+		req.answerEnded()
+	case req.firstByte > 0:
+		req.abort("organisation's limit")
+	case req.fallbackAnswer != nil:
+		req.writeAnswer(req.fallbackAnswer)
+	case req.attempts.Tainted():
+		req.fail(http.StatusBadGateway, "organisation's limit", 0)
+	case req.quotaStats.unreachable:
+		req.entry.tel.Metrics.Count("quota_unheard", 1)
+		req.refuse("no entry that has units of the organisation's limit answers", defaultRetryAfter)
 	default:
-		j.entry.tel.Metrics.Count("quota_refused", 1)
-		j.charging.wait = j.entry.quotas.refused(j.organisation.Name, j.charging.units)
-		j.outcome = outcomeRefused
-		j.reply(http.StatusTooManyRequests, "organisation's limit", j.charging.wait)
+		req.entry.tel.Metrics.Count("quota_refused", 1)
+		req.quotaStats.retryAfter = req.entry.quotas.recordRefusal(req.organisation.Name, req.quotaStats.units)
+		req.outcome = outcomeRefused
+		req.reply(http.StatusTooManyRequests, "organisation's limit", req.quotaStats.retryAfter)
 	}
 }
 
-// quotaAttr renders what the request took of its organisation's limit.
-func (j *request) quotaAttr() slog.Attr {
-	c := &j.charging
+// quotaAttr is the log attribute of the request's quota.
+func (req *request) quotaAttr() slog.Attr {
+	c := &req.quotaStats
 	fields := []any{slog.Float64("units", c.units)}
-	if s, ok := j.entry.quotas.state(j.organisation.Name); ok {
+	if s, ok := req.entry.quotas.state(req.organisation.Name); ok {
 		fields = append(fields, slog.Float64("rate", s.Rate), slog.Float64("burst", s.Burst), slog.Float64("part", s.Part),
-			slog.Float64("left", round(s.Level)), slog.Bool("list_too_old", s.Stale))
+			slog.Float64("left", oneDecimal(s.Level)), slog.Bool("list_too_old", s.Stale))
 	}
-	if c.asked > 0 {
-		fields = append(fields, slog.Int("asked", c.asked), slog.Int("silent", c.silent), slog.String("lender", c.lender),
+	if c.lendersAsked > 0 {
+		fields = append(fields, slog.Int("asked", c.lendersAsked), slog.Int("silent", c.lendersSilent), slog.String("lender", c.lender),
 			slog.Float64("took_ms", ms(c.took)))
 	}
-	if c.wait > 0 {
-		fields = append(fields, slog.Int64("retry_after_ms", c.wait.Milliseconds()))
+	if c.retryAfter > 0 {
+		fields = append(fields, slog.Int64("retry_after_ms", c.retryAfter.Milliseconds()))
 	}
 	if c.attempts > 1 {
 		fields = append(fields, slog.Int("charged", c.attempts))
@@ -176,28 +176,28 @@
 	return slog.Group("quota", fields...)
 }
 
-// take withdraws units of this entry's part.
-func (q *quotas) take(organisation string, units float64) bool {
+// takeOwn takes units from this entry's share; it succeeds if the organisation has no quota.
+func (q *quotas) takeOwn(organisation string, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return !q.ledger.Limited(organisation) || q.ledger.Take(organisation, units, q.entry.bootClock())
 }
 
-// lenders lists the entries to ask for units. reached is false if all that might have some are
-// silent.
+// lenders lists the entries to borrow units from. reached is false if all that might have units are
+// unresponsive.
 func (q *quotas) lenders(organisation string, units float64) (list []string, reached bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.entry.bootClock()
-	answers := func(id string) bool { return now >= q.silent[id] }
+	answers := func(id string) bool { return now >= q.unresponsiveUntil[id] }
 	return q.ledger.Lenders(organisation, units, answers, now), q.ledger.Reached(organisation, answers, now)
 }
 
-// giveBack returns the units of a charge that were not spent to where they came from.
-func (q *quotas) giveBack(organisation string, c *charge) {
+// returnUnits returns unspent units of a reservation to where they came from.
+func (q *quotas) returnUnits(organisation string, c *quotaReservation) {
 	if c.own > 0 {
 		q.mu.Lock()
-		q.ledger.Give(organisation, c.own, c.at, q.entry.bootClock())
+		q.ledger.Give(organisation, c.own, c.reservedAt, q.entry.bootClock())
 		q.mu.Unlock()
 	}
 	for _, b := range c.borrowed {
@@ -208,8 +208,8 @@
 	c.own, c.borrowed = 0, nil
 }
 
-// refused counts refused units; it returns when the limit has room for them.
-func (q *quotas) refused(organisation string, units float64) time.Duration {
+// recordRefusal counts refused units; it returns the time until the quota has room for them.
+func (q *quotas) recordRefusal(organisation string, units float64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Refused(organisation, units, q.entry.bootClock())
--- a/internal/direct/drain.go
+++ b/internal/direct/drain.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// lastConnections is how long new connections come as before after SIGTERM: the
-	// platform asks once a second and turns away after the second miss.
-	lastConnections = 2500 * time.Millisecond
-	// anyRequest is how long after SIGTERM any request is still taken; from then on
-	// only those that are expected to end in time.
-	anyRequest = 2800 * time.Millisecond
-	// stopMargin is kept free of the time until the process is killed.
+	// notReadyDelay is how long after SIGTERM new connections still arrive as before: the
+	// platform probes readiness once a second and stops routing after the second failure.
+	notReadyDelay = 2500 * time.Millisecond
+	// unrestrictedPeriod is how long after SIGTERM any request is accepted; later, only
+	// requests that are expected to finish in time are.
+	unrestrictedPeriod = 2800 * time.Millisecond
+	// stopMargin is reserved before the process is killed.
 	stopMargin = 500 * time.Millisecond
-	// drainPoll is the pause between looks at whether the last request has ended.
-	drainPoll = 50 * time.Millisecond
-	// plainTime is what a plain request takes at the most, as a rule, and streamTime a
-	// stream's beginning under load; streamSpread is the factor by which the rest of a
-	// stream may exceed what is expected of it.
-	plainTime    = time.Second
-	streamTime   = 2500 * time.Millisecond
-	streamSpread = 3
-	// drainWait bounds how long a request that such an entry took waits for a place.
-	drainWait = 200 * time.Millisecond
+	// drainPollInterval is the pause between checks whether the last request has ended.
+	drainPollInterval = 50 * time.Millisecond
+	// plainRequestTime is the usual maximum duration of a plain request, streamStartTime of
+	// the time until a stream begins under load. streamTimeFactor is the factor by which the
+	// rest of a stream may exceed its expected duration.
+	plainRequestTime = time.Second
+	streamStartTime  = 2500 * time.Millisecond
+	streamTimeFactor = 3
+	// drainQueueWait bounds the wait for a placement after unrestrictedPeriod.
+	drainQueueWait = 200 * time.Millisecond
 )
 
-// drain counts the requests under way, and knows when a draining entry ends.
+// drain counts requests in flight and knows when a draining entry exits.
 type drain struct {
 	mu       sync.Mutex
-	underWay int
-	began    time.Time
-	ends     time.Time
+	inFlight int
+	// began and ends are zero unless the entry is draining.
+	began time.Time
+	ends  time.Time
 }
 
 func newDrain() *drain { return &drain{} }
 
-func (d *drain) enter() {
+func (d *drain) requestStarted() {
 	d.mu.Lock()
-	d.underWay++
+	d.inFlight++
 	d.mu.Unlock()
 }
 
-func (d *drain) leave() {
+func (d *drain) requestEnded() {
 	d.mu.Lock()
-	d.underWay--
+	d.inFlight--
 	d.mu.Unlock()
 }
 
@@ -59,94 +60,92 @@
 	d.ends = d.began.Add(grace - stopMargin)
 }
 
-// idle reports whether nothing is under way.
+// idle reports whether no request is in flight.
 func (d *drain) idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.underWay == 0
+	return d.inFlight == 0
 }
 
-// state returns when the drain began and ends; both are zero before it.
-func (d *drain) state() (began, ends time.Time) {
+// window returns when the drain began and when it ends; both are zero if the entry isn't draining.
+func (d *drain) window() (began, ends time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.began, d.ends
 }
 
-// endsWithin reports whether the entry is draining and ends within a time.
+// endsWithin reports whether the entry is draining and exits within t.
 func (d *drain) endsWithin(t time.Duration) bool {
-	_, ends := d.state()
+	_, ends := d.window()
 	return !ends.IsZero() && time.Until(ends) < t
 }
 
 // draining reports whether the entry is draining.
 func (e *Entry) draining() bool {
-	began, _ := e.drain.state()
+	began, _ := e.drain.window()
 	return !began.IsZero()
 }
 
-// endsInTime reports whether a request may be begun: always, but in the last seconds
-// of a draining entry only if it is expected to end before. Others would be cut.
-func (j *request) endsInTime() bool {
-	began, ends := j.entry.drain.state()
-	if began.IsZero() || time.Since(began) < anyRequest {
+// canFinish reports whether a request may be started. In the last seconds of a draining entry it may
+// only if it is expected to end before the entry exits; its answer would be cut off otherwise.
+func (req *request) canFinish() bool {
+	began, ends := req.entry.drain.window()
+	if began.IsZero() || time.Since(began) < unrestrictedPeriod {
 		return true
 	}
-	s := j.entry.state
+	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Until(ends) > j.expected()
+	return time.Until(ends) > req.expectedDuration()
 }
 
-// expected is how long a request takes that is begun now, at the most as a rule. The
-// caller holds the state's lock.
-func (j *request) expected() time.Duration {
-	if j.params.OutputTokens <= 0 {
-		return plainTime
+// expectedDuration is the usual maximum duration of the request if it is started now. The caller
+// holds the state's lock.
+func (req *request) expectedDuration() time.Duration {
+	if req.params.OutputTokens <= 0 {
+		return plainRequestTime
 	}
-	q := j.newQuery()
-	return streamTime + streamSpread*j.entry.state.feed.StreamTime(&q)
+	q := req.newQuery()
+	return streamStartTime + streamTimeFactor*req.entry.state.feed.StreamTime(&q)
 }
 
-// refuseLateQueued turns away those that wait for a place at an entry that ends before
-// they could be served: their connections would be closed without an answer. The
-// caller holds the state's lock.
+// refuseLateQueued refuses waiting requests that can't finish before this draining entry exits: their
+// connections would be closed without an answer. The caller holds the state's lock.
 func (e *Entry) refuseLateQueued() {
-	began, ends := e.drain.state()
-	if began.IsZero() || time.Since(began) < anyRequest {
+	began, ends := e.drain.window()
+	if began.IsZero() || time.Since(began) < unrestrictedPeriod {
 		return
 	}
-	left := time.Until(ends)
-	for _, g := range e.state.queues {
-		late := g.waiting.Take(func(t *admit.Ticket) bool { return left <= t.Value.(*request).expected() })
+	remaining := time.Until(ends)
+	for _, q := range e.state.queues {
+		late := q.waiting.Take(func(t *admit.Ticket) bool { return remaining <= t.Value.(*request).expectedDuration() })
 		for _, t := range late {
 			t.Value.(*request).placed <- nil
 		}
 	}
 }
 
-// shutDown ends the server without cutting a request: it says that it isn't ready,
-// serves on while callers come and their requests can end in time, and ends with
-// the last of them, or as late as the platform lets it. The listener stays open
-// till then: in a rolling restart all entries may be draining together, and callers
-// would find none that takes a connection.
+// shutDown stops the server without cutting off requests. It reports that it isn't ready, serves
+// requests that arrive and can finish in time, and returns after the last of them, or at the latest
+// time that the platform allows. The listener stays open until then: in a rolling restart all entries
+// may be draining at once, and callers would find none that accepts a connection.
 //
-// The entry that gives the orders of a rollout stays for them although it is idle:
-// after its end nobody may give one for as long as two holders must be apart, seen as
-// seconds without an order while requests are refused for overdue weights. It gives the
-// lease back lastOrders before the end at the latest.
+// An idle entry that holds the lease for orders stays as long as a rollout needs it: after it
+// exits, no entry may issue orders for the time that two holders must be apart, and requests would
+// be refused for overdue weights for those seconds. It returns the lease leaseReturnMargin before
+// it exits at the latest.
 func (e *Entry) shutDown(server *http.Server) {
 	e.drain.begin(e.direct().Grace.D())
-	began, ends := e.drain.state()
+	began, ends := e.drain.window()
 	e.tel.Log.Info("draining", "grace_ms", e.direct().Grace.D().Milliseconds())
-	time.Sleep(min(lastConnections, time.Until(ends)))
-	for (!e.drain.idle() || e.rollouts.keeps()) && time.Now().Before(ends) {
-		time.Sleep(drainPoll)
+	time.Sleep(min(notReadyDelay, time.Until(ends)))
+	for (!e.drain.idle() || e.rollouts.keepsLease()) && time.Now().Before(ends) {
+		time.Sleep(drainPollInterval)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), ends)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		e.tel.Log.Warn("requests cut at the end of the grace", "error", err)
+		e.tel.Log.Warn("requests cut off at the end of the drain period", "error", err)
 		server.Close()
 	}
 	e.tel.Log.Info("drained", "took_ms", time.Since(began).Milliseconds())
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	// configurationWait is how long callers' first connections wait in the kernel's
-	// queue for the configuration with its limits; they give up after a second.
-	configurationWait = 700 * time.Millisecond
-	// sweepEvery is the pause between looks at idle connections and lapsed replicas.
-	sweepEvery = 250 * time.Millisecond
-	// bodyShare is the part of the memory, as its divisor, that callers' bodies may
-	// take.
-	bodyShare = 4
-	// retryBudgetMargin keeps a part of the allowed share free: requests that are counted
-	// here at their arrival are counted by replicas a little later.
+	// initialConfigTimeout is how long the first connections wait in the kernel's accept queue
+	// for a configuration with its limits; callers give up after one second.
+	initialConfigTimeout = 700 * time.Millisecond
+	// sweepInterval is the pause between checks for idle connections and lapsed replicas.
+	sweepInterval = 250 * time.Millisecond
+	// bodyMemoryDivisor is the divisor of the memory setting that gives the memory for
+	// request bodies.
+	bodyMemoryDivisor = 4
+	// retryBudgetMargin scales down the allowed retry budget: a request counts here when it
+	// arrives but at replicas a little later, so their count of requests lags.
 	retryBudgetMargin = 0.75
 )
 
-// defaultLimits hold until the first configuration is known.
+// defaultLimits apply until the first configuration is known.
 var defaultLimits = fleet.Limits{
 	HeaderBytes:   16 << 10,
 	BodyBytes:     4 << 20,
@@ -43,17 +43,17 @@
 	IdleTimeout:   15 * time.Second,
 }
 
-// Entry is a direct entry.
+// Entry is an entry that dispatches requests to replicas itself.
 type Entry struct {
 	settings *settings.Settings
-	// reloadable are the settings that may change while it runs, source rereads them.
+	// reloadable holds the settings that may change at run time; source rereads them.
 	reloadable atomic.Pointer[settings.Direct]
 	source     Source
 	tel        *telemetry.Telemetry
 	platform   Platform
 	clock      clock
-	// bootClock is bootTime, which counts the time for which the machine was suspended too, or what
-	// stands for it in tests.
+	// bootClock is bootTime, which includes time during which the machine was suspended;
+	// tests substitute it.
 	bootClock func() time.Duration
 	state     *state
 	pool      *upstream.Pool
@@ -61,46 +61,47 @@
 	watch     *watch
 	peers     *peers
 	quotas    *quotas
-	// hub is nil where each entry reads the store for itself.
-	hub      *hub
-	bodies   *semaphore.Weighted
-	bodyRoom int64
-	drain    *drain
-	// malformed reports records that can't be used.
+	// hub is nil if every entry reads the store for itself.
+	hub *hub
+	// bodyMemory limits the bytes of request bodies held at once, bodyCapacity is its size.
+	bodyMemory   *semaphore.Weighted
+	bodyCapacity int64
+	drain        *drain
+	// malformed reports records that can't be decoded.
 	malformed *malformed
 }
 
 // Run serves callers until ctx ends, then drains and returns.
-// source rereads the settings, nil for none.
+// source rereads the settings; nil if they can't change.
 func Run(ctx context.Context, s *settings.Settings, source Source, tel *telemetry.Telemetry, p Platform) error {
 	e := newEntry(s, tel, p)
 	e.source = source
-	front, err := net.Listen("tcp", s.Direct.Listen)
+	callers, err := net.Listen("tcp", s.Direct.Listen)
 	if err != nil {
 		return fmt.Errorf("direct: callers: %w", err)
 	}
 	ready, err := net.Listen("tcp", s.Direct.Ready)
 	if err != nil {
-		front.Close()
+		callers.Close()
 		return fmt.Errorf("direct: readiness: %w", err)
 	}
 	if e.peers, err = newPeers(e); err != nil {
-		front.Close()
+		callers.Close()
 		ready.Close()
 		return err
 	}
 	if s.Direct.StoreReaders == settings.ReadersFew {
 		if err := e.startHub(); err != nil {
-			front.Close()
+			callers.Close()
 			ready.Close()
 			e.peers.conn.Close()
 			return err
 		}
 	}
-	return e.run(ctx, front, ready)
+	return e.run(ctx, callers, ready)
 }
 
-// startHub has this entry take part in passing on what the store says.
+// startHub makes this entry take part in relaying what a few entries read from the store.
 func (e *Entry) startHub() error {
 	l, err := net.Listen("tcp", e.settings.Direct.Peers)
 	if err != nil {
@@ -119,29 +120,29 @@
 
 func newEntry(s *settings.Settings, tel *telemetry.Telemetry, p Platform) *Entry {
 	d := s.Direct
-	room := int64(d.Memory) << 20 / bodyShare
+	capacity := int64(d.Memory) << 20 / bodyMemoryDivisor
 	e := &Entry{
-		settings:  s,
-		tel:       tel,
-		platform:  p,
-		clock:     clock{time.Now()},
-		bootClock: bootTime,
-		state:     newState(s.ID, budgetOf(d)),
-		pool:      upstream.NewPool(),
-		bodies:    semaphore.NewWeighted(room),
-		bodyRoom:  room,
-		drain:     newDrain(),
-		malformed: newMalformed(tel),
+		settings:     s,
+		tel:          tel,
+		platform:     p,
+		clock:        clock{time.Now()},
+		bootClock:    bootTime,
+		state:        newState(s.ID, budgetOf(d)),
+		pool:         upstream.NewPool(),
+		bodyMemory:   semaphore.NewWeighted(capacity),
+		bodyCapacity: capacity,
+		drain:        newDrain(),
+		malformed:    newMalformed(tel),
 	}
 	e.reloadable.Store(d)
-	e.state.learns = e.showSpeeds
+	e.state.onNewEngineService = e.exportEngineSpeeds
 	e.rollouts = newRollouts(e)
 	e.watch = newWatch(e)
 	e.quotas = newQuotas(e)
 	return e
 }
 
-func (e *Entry) run(ctx context.Context, front, ready net.Listener) error {
+func (e *Entry) run(ctx context.Context, callers, ready net.Listener) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var loops sync.WaitGroup
 	running := []func(context.Context){e.followOperator, e.followReplicas, e.rollouts.follow, e.rollouts.run, e.sweep, e.watch.run, e.peers.run, e.reload}
@@ -153,9 +154,9 @@
 	}
 	readiness := e.serveReady(ready)
 	e.awaitConfiguration(ctx)
-	server := e.server()
+	server := e.newServer()
 	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(front) }()
+	go func() { failed <- server.Serve(callers) }()
 	var err error
 	select {
 	case err = <-failed:
@@ -172,10 +173,10 @@
 	return err
 }
 
-// awaitConfiguration waits a little for the first configuration, whose limits the
-// server of callers takes.
+// awaitConfiguration waits up to initialConfigTimeout for the first configuration, because the
+// HTTP server takes its limits from it.
 func (e *Entry) awaitConfiguration(ctx context.Context) {
-	deadline := time.NewTimer(configurationWait)
+	deadline := time.NewTimer(initialConfigTimeout)
 	defer deadline.Stop()
 	for e.state.config.Load() == nil {
 		e.state.mu.Lock()
@@ -201,17 +202,17 @@
 	return defaultLimits
 }
 
-func (e *Entry) server() *http.Server {
+func (e *Entry) newServer() *http.Server {
 	limits := e.limits()
 	return &http.Server{
-		Handler:           http.HandlerFunc(e.serve),
+		Handler:           http.HandlerFunc(e.serveHTTP),
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    limits.HeaderBytes,
 	}
 }
 
-// serveReady answers whether new connections may come.
+// serveReady serves the readiness endpoint: 503 if no new connections should come.
 func (e *Entry) serveReady(l net.Listener) *http.Server {
 	r := mux.NewRouter()
 	r.HandleFunc(e.platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -222,7 +223,7 @@
 	server := &http.Server{Handler: r, ReadHeaderTimeout: defaultLimits.HeaderTimeout}
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			e.tel.Log.Error("readiness page ended", "error", err)
+			e.tel.Log.Error("readiness server failed", "error", err)
 		}
 	}()
 	return server
@@ -232,10 +233,10 @@
 	return !e.draining() && e.state.ready()
 }
 
-// showSpeeds has the metrics page show what was learnt of a service's engines, in
+// exportEngineSpeeds registers gauges for the measured speed of a service's engines, in
 // thousandths of the units of route.EngineSpeed.
-func (e *Entry) showSpeeds(service string) {
-	shown := func(of func(route.EngineSpeed) float64) func() int64 {
+func (e *Entry) exportEngineSpeeds(service string) {
+	gauge := func(of func(route.EngineSpeed) float64) func() int64 {
 		return func() int64 {
 			e.state.mu.Lock()
 			defer e.state.mu.Unlock()
@@ -243,14 +244,14 @@
 		}
 	}
 	m := e.tel.Metrics
-	m.Gauge("engine_tokens_a_second_"+service, shown(func(s route.EngineSpeed) float64 { return s.TokensPerMs }))
-	m.Gauge("engine_overhead_us_"+service, shown(func(s route.EngineSpeed) float64 { return s.OverheadMs }))
-	m.Gauge("engine_running_us_"+service, shown(func(s route.EngineSpeed) float64 { return s.RunningMs }))
+	m.Gauge("engine_tokens_a_second_"+service, gauge(func(s route.EngineSpeed) float64 { return s.TokensPerMs }))
+	m.Gauge("engine_overhead_us_"+service, gauge(func(s route.EngineSpeed) float64 { return s.OverheadMs }))
+	m.Gauge("engine_running_us_"+service, gauge(func(s route.EngineSpeed) float64 { return s.RunningMs }))
 }
 
-// sweep closes connections that are no longer of use and ends lapsed replicas.
+// sweep periodically closes idle connections and removes replicas whose record has lapsed.
 func (e *Entry) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -259,7 +260,7 @@
 		case <-tick.C:
 		}
 		now := e.clock.now()
-		e.listSilent(now)
+		e.checkListSilence(now)
 		e.state.mu.Lock()
 		removed := e.state.replicas.Tick(now)
 		for _, id := range removed {
@@ -273,7 +274,7 @@
 		}
 		e.state.mu.Unlock()
 		for _, id := range removed {
-			e.tel.Log.Info("replica gone", "replica", id, "reason", "not back after an outage of the store")
+			e.tel.Log.Info("replica gone", "replica", id, "reason", "record not renewed after an outage of the store")
 		}
 		e.pool.Sweep(func(r upstream.Replica) bool { return known[r.ID] })
 	}
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -8,159 +8,161 @@
 )
 
 const (
-	// maxWaiting bounds the requests that wait for one service at an entry; beyond it
-	// a wait would outlast any caller.
-	maxWaiting = 2048
-	// waitShare is the part of a caller's time, as its divisor, that a request may
-	// wait for a place: the rest is for running, and for coming back if it is
-	// refused.
-	waitShare = 2.5
-	// goesOn ranks streams that go on at another replica: their callers have part of
-	// the answer.
-	goesOn = -1
+	// maxQueued bounds the requests that wait for one service at an entry. In a longer queue,
+	// waiting would outlast any caller.
+	maxQueued = 2048
+	// waitDivisor is the divisor of a request's remaining time that gives how long it may wait
+	// for a placement. The rest is for running, and for the caller to retry after a refusal.
+	waitDivisor = 2.5
+	// resumedPriority puts streams that resume at another replica first: their callers have
+	// part of the answer.
+	resumedPriority = -1
 )
 
-// serviceQueue is where requests for one service wait for a place at one of its replicas.
+// serviceQueue holds the requests for one service that wait for a placement.
 type serviceQueue struct {
+	// waiting orders requests that can still be in time first, by priority and then by fairness
+	// between organisations.
 	waiting *admit.Line
-	// window is nil for plain services: their replicas answer at once or refuse.
+	// window bounds the work that is sent but not yet being answered. It is nil for plain
+	// services: their replicas answer or refuse at once.
 	window *admit.Window
 }
 
-// gateOf returns a service's gate. The caller holds mu.
-func (s *state) gateOf(service *fleet.Service) *serviceQueue {
-	g := s.queues[service.Name]
-	if g == nil {
-		g = &serviceQueue{waiting: admit.NewLine()}
+// queueOf returns a service's queue. The caller holds mu.
+func (s *state) queueOf(service *fleet.Service) *serviceQueue {
+	q := s.queues[service.Name]
+	if q == nil {
+		q = &serviceQueue{waiting: admit.NewLine()}
 		if service.Engine != nil {
-			s.learns(service.Name)
-			g.window = admit.NewWindow(admit.DefaultWindowParams)
+			s.onNewEngineService(service.Name)
+			q.window = admit.NewWindow(admit.DefaultWindowParams)
 		}
-		s.queues[service.Name] = g
+		s.queues[service.Name] = q
 	}
-	return g
+	return q
 }
 
-// dispatch hands places to those whose turn it is. The caller holds mu.
-func (s *state) dispatch(g *serviceQueue, now time.Duration) {
+// placeQueued assigns replicas to waiting requests, in the queue's order. The caller holds mu.
+func (s *state) placeQueued(q *serviceQueue, now time.Duration) {
 	for {
-		t := g.waiting.Next(now)
-		if t == nil || g.window != nil && !s.feed.Informed(now) && !g.window.Open(t.Work) {
+		t := q.waiting.Next(now)
+		if t == nil || q.window != nil && !s.feed.Informed(now) && !q.window.Open(t.Work) {
 			return
 		}
-		j := t.Value.(*request)
-		j.query.MaxLoad = t.LoadBound(now, j.loadBound())
-		p := j.pick(now)
+		req := t.Value.(*request)
+		req.query.MaxLoad = t.LoadBound(now, req.maxLoad())
+		p := req.pickReplica(now)
 		if p == nil {
 			return
 		}
-		g.waiting.Remove(t)
-		g.waiting.Given(t.Organisation, t.Work, now)
-		if g.window != nil {
-			p.window, p.work = g.window, t.Work
-			g.window.Sent(t.Work)
+		q.waiting.Remove(t)
+		q.waiting.Given(t.Organisation, t.Work, now)
+		if q.window != nil {
+			p.window, p.work = q.window, t.Work
+			q.window.Sent(t.Work)
 		}
-		j.placed <- p
+		req.placed <- p
 	}
 }
 
-// placeAllQueued looks at all gates. The caller holds mu.
+// placeAllQueued refuses expired requests and places waiting ones, for all services. The caller
+// holds mu.
 func (s *state) placeAllQueued(now time.Duration) {
-	for _, g := range s.queues {
-		for _, t := range g.waiting.Expired(now) {
+	for _, q := range s.queues {
+		for _, t := range q.waiting.Expired(now) {
 			t.Value.(*request).placed <- nil
 		}
-		s.dispatch(g, now)
-		s.refuseBeyond(g, now)
+		s.placeQueued(q, now)
+		s.refuseBeyond(q, now)
 	}
 }
 
-// place waits for a replica's place. It returns nil when there is none in time.
-func (j *request) place() *placement {
-	e := j.entry
+// awaitPlacement waits for a placement. It returns nil if there is none in time.
+func (req *request) awaitPlacement() *placement {
+	e := req.entry
 	s := e.state
 	began := e.clock.now()
-	j.placed = make(chan *placement, 1)
+	req.placed = make(chan *placement, 1)
 	s.mu.Lock()
-	ticket := j.ticket(began)
-	g := s.gateOf(j.service)
-	if g.waiting.Len() >= maxWaiting {
+	ticket := req.newTicket(began)
+	q := s.queueOf(req.service)
+	if q.waiting.Len() >= maxQueued {
 		s.mu.Unlock()
 		return nil
 	}
-	g.waiting.Add(ticket)
-	s.dispatch(g, began)
-	s.refuseBeyond(g, began)
+	q.waiting.Add(ticket)
+	s.placeQueued(q, began)
+	s.refuseBeyond(q, began)
 	s.mu.Unlock()
-	defer func() { j.waited += e.clock.now() - began }()
+	defer func() { req.waited += e.clock.now() - began }()
 	select {
-	case p := <-j.placed:
+	case p := <-req.placed:
 		return p
 	default:
-		// Units of a limit that are kept while it waits would lapse.
-		j.release()
+		// Quota units kept during the wait would expire.
+		req.releaseQuota()
 	}
 	select {
-	case p := <-j.placed:
+	case p := <-req.placed:
 		return p
-	case <-j.ctx.Done():
+	case <-req.ctx.Done():
 	}
 	s.mu.Lock()
-	g.waiting.Remove(ticket)
+	q.waiting.Remove(ticket)
 	s.mu.Unlock()
 	select {
-	case p := <-j.placed:
-		// Its turn came as its time ended.
-		j.unplace(p)
+	case p := <-req.placed:
+		// The placement came just as the request's time ended.
+		req.cancelPlacement(p)
 	default:
 	}
 	return nil
 }
 
-// unplace gives back a place that isn't used.
-func (j *request) unplace(p *placement) {
+// cancelPlacement frees a placement that isn't used.
+func (req *request) cancelPlacement(p *placement) {
 	if p == nil {
 		return
 	}
-	s := j.entry.state
+	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.feed.Ended(&j.query, &p.choice, false)
-	p.done()
+	s.feed.Ended(&req.query, &p.choice, false)
+	p.endWork()
 }
 
-// done takes the request's work out of the window, once. The caller holds the
-// state's lock.
-func (p *placement) done() {
+// endWork removes the request's work from the window, once. The caller holds the state's lock.
+func (p *placement) endWork() {
 	if p.window != nil {
 		p.window.Done(p.work)
 		p.window = nil
 	}
 }
 
-// ticket is the request's place in the line. The caller holds the state's lock.
-func (j *request) ticket(now time.Duration) *admit.Ticket {
-	feed := j.entry.state.feed
-	work := feed.ReadTime(&j.query, j.query.PromptTokens-j.query.SharedTokens)
+// newTicket is the request's ticket for the queue. The caller holds the state's lock.
+func (req *request) newTicket(now time.Duration) *admit.Ticket {
+	feed := req.entry.state.feed
+	work := feed.ReadTime(&req.query, req.query.PromptTokens-req.query.SharedTokens)
 	t := &admit.Ticket{
-		Priority: j.priority(),
+		Priority: req.priority(),
 		Work:     work,
-		Arrived:  j.began,
-		OnTime:   j.ends,
-		GiveUp:   now + time.Duration(float64(j.left())/waitShare),
-		Value:    j,
+		Arrived:  req.started,
+		OnTime:   req.deadline,
+		GiveUp:   now + time.Duration(float64(req.timeLeft())/waitDivisor),
+		Value:    req,
 	}
-	if began, _ := j.entry.drain.state(); !began.IsZero() && time.Since(began) > anyRequest {
-		t.GiveUp = min(t.GiveUp, now+drainWait)
+	if began, _ := req.entry.drain.window(); !began.IsZero() && time.Since(began) > unrestrictedPeriod {
+		t.GiveUp = min(t.GiveUp, now+drainQueueWait)
 	}
-	if j.organisation != nil {
-		t.Organisation = j.organisation.Name
+	if req.organisation != nil {
+		t.Organisation = req.organisation.Name
 	}
-	if j.route.Objective > 0 {
-		t.OnTime = j.began + j.route.Objective - time.Duration((work+feed.Overhead(&j.query))*float64(time.Millisecond))
+	if req.route.Objective > 0 {
+		t.OnTime = req.started + req.route.Objective - time.Duration((work+feed.Overhead(&req.query))*float64(time.Millisecond))
 	}
-	if j.first > 0 {
-		t.Priority, t.OnTime = goesOn, j.ends
+	if req.firstByte > 0 {
+		t.Priority, t.OnTime = resumedPriority, req.deadline
 	}
 	return t
 }
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -15,266 +15,267 @@
 )
 
 const (
-	// spareEntries is how many entries that aren't known yet a replica's connections
-	// are shared with: those that are just being added.
-	spareEntries = 1
-	// minConnections is what an entry may always open.
+	// expectedNewEntries is added to the number of entries that share a replica's connections:
+	// entries that are just being added aren't known yet.
+	expectedNewEntries = 1
+	// minConnections to a replica are allowed to every entry.
 	minConnections = 4
 )
 
-// placement is a replica that was picked for the request.
+// placement is a request's assignment to a replica.
 type placement struct {
 	replica *fleet.Replica
 	choice  route.FeedChoice
 	version uint64
-	// at is when it was picked.
-	at time.Duration
-	// source is the address that a missing prefix is fetched from, keep the store
-	// that it is saved to; "" for none.
-	source, keep string
-	watched      *exchange
-	// window holds work of the request until it begins to be answered.
+	// pickedAt is when the replica was picked.
+	pickedAt time.Duration
+	// fetchFrom is the address to fetch a missing prefix from, saveTo the store to save the
+	// prefix to; "" for none.
+	fetchFrom, saveTo string
+	watched           *exchange // under watch for silence while in flight
+	// window counts work until the answer begins; nil afterwards and for plain services.
 	window *admit.Window
 	work   float64
 }
 
-// handOn places the request until it has its answer.
-func (j *request) handOn() {
-	defer j.release()
-	for !j.givenUp() {
-		if !j.reserve() {
-			j.overLimit()
+// dispatch places the request and forwards it, again after a loss, until it is answered.
+func (req *request) dispatch() {
+	defer req.releaseQuota()
+	for !req.answerIfPoison() {
+		if !req.reserveQuota() {
+			req.answerOverQuota()
 			return
 		}
-		p := j.place()
+		p := req.awaitPlacement()
 		if p == nil {
-			j.unplaced()
+			req.answerUnplaced()
 			return
 		}
-		// Its units were given back if it had to wait.
-		if !j.reserve() {
-			j.unplace(p)
-			j.overLimit()
+		// awaitPlacement gave the units back if the request had to wait.
+		if !req.reserveQuota() {
+			req.cancelPlacement(p)
+			req.answerOverQuota()
 			return
 		}
-		j.spend()
-		loss, done := j.handOver(p)
+		req.spendQuota()
+		loss, done := req.forward(p)
 		if done {
 			return
 		}
 		if loss == attempt.LossNotRun || loss == attempt.LossNotSent {
-			j.unspend()
+			req.unspendQuota()
 		}
-		if j.ctx.Err() != nil {
-			j.ended()
+		if req.ctx.Err() != nil {
+			req.answerEnded()
 			return
 		}
-		if !j.again(p, loss) {
+		if !req.handleLoss(p, loss) {
 			return
 		}
 	}
 }
 
-// again takes a loss; it reports whether to place the request once more, and
-// answers it if not.
-func (j *request) again(p *placement, loss attempt.Loss) bool {
-	e := j.entry
+// handleLoss reports whether to place the request again after a loss; if not, it answers it.
+func (req *request) handleLoss(p *placement, loss attempt.Loss) bool {
+	e := req.entry
 	e.state.mu.Lock()
-	next := j.forward.Lost(loss, e.clock.now())
-	if loss == attempt.LossUnknown && e.state.crashes.Suspect(j.print, e.clock.now()) {
-		next = attempt.Next{Reason: "suspected of crashing replicas"}
+	next := req.attempts.Lost(loss, e.clock.now())
+	if loss == attempt.LossUnknown && e.state.crashes.Suspect(req.fingerprint, e.clock.now()) {
+		next = attempt.Next{Reason: "not retried: suspected of crashing replicas"}
 	}
 	e.state.mu.Unlock()
 	if next.Again {
 		e.tel.Metrics.Retries.Inc(1)
-		j.query.Exclude = append(j.query.Exclude, p.replica.ID)
+		req.query.Exclude = append(req.query.Exclude, p.replica.ID)
 		return true
 	}
 	switch {
-	case j.first > 0:
-		// Part of the answer is with the caller. Only a cut tells it that the rest
+	case req.firstByte > 0:
+		// The caller has part of the answer. Only an aborted connection tells it that the rest
 		// is missing.
-		j.cut(next.Reason)
+		req.abort(next.Reason)
 	case next.NotRun:
-		j.refuse(next.Reason, defaultRetryAfter)
-	case j.failure != nil:
-		j.pass(j.failure)
+		req.refuse(next.Reason, defaultRetryAfter)
+	case req.fallbackAnswer != nil:
+		req.writeAnswer(req.fallbackAnswer)
 	default:
-		j.fail(http.StatusBadGateway, next.Reason, 0)
+		req.fail(http.StatusBadGateway, next.Reason, 0)
 	}
 	return false
 }
 
-// unplaced answers a request that no replica may take.
-func (j *request) unplaced() {
+// answerUnplaced answers a request for which there was no placement in time.
+func (req *request) answerUnplaced() {
 	switch {
-	case j.ctx.Err() != nil:
-		j.ended()
-	case j.first > 0:
-		j.cut("no replica to go on")
-	case j.failure != nil:
-		j.pass(j.failure)
-	case j.forward.Tainted():
-		j.fail(http.StatusBadGateway, "no replica to try again", 0)
-	case !j.endsInTime():
-		j.refuse(shuttingDown, defaultRetryAfter)
-	case j.capacityIn > 0:
-		j.entry.tel.Metrics.Count("refused_replicas_closed", 1)
-		j.refuse("replicas take nothing more for now", j.capacityIn)
+	case req.ctx.Err() != nil:
+		req.answerEnded()
+	case req.firstByte > 0:
+		req.abort("no replica can resume the stream")
+	case req.fallbackAnswer != nil:
+		req.writeAnswer(req.fallbackAnswer)
+	case req.attempts.Tainted():
+		req.fail(http.StatusBadGateway, "no replica available for a retry", 0)
+	case !req.canFinish():
+		req.refuse(reasonShuttingDown, defaultRetryAfter)
+	case req.capacityIn > 0:
+		req.entry.tel.Metrics.Count("refused_replicas_closed", 1)
+		req.refuse("all replicas are rate limited or asked for a backoff", req.capacityIn)
 	default:
-		j.refuse("no replica can take it", defaultRetryAfter)
+		req.refuse("no replica can take the request", defaultRetryAfter)
 	}
 }
 
-// ended answers a request whose time is over or whose caller has left.
-func (j *request) ended() {
+// answerEnded answers a request whose deadline has passed or whose caller has left.
+func (req *request) answerEnded() {
 	switch {
-	case j.gone():
-		j.outcome, j.reason = outcomeLeft, "caller closed the connection"
+	case req.callerLeft():
+		req.outcome, req.reason = outcomeCallerLeft, "caller closed the connection"
 		panic(http.ErrAbortHandler)
-	case j.first > 0:
-		j.cut("time over")
+	case req.firstByte > 0:
+		req.abort("deadline exceeded")
 	default:
-		j.fail(http.StatusGatewayTimeout, "time over", 0)
+		req.fail(http.StatusGatewayTimeout, "deadline exceeded", 0)
 	}
 }
 
-// cut breaks the answer off: it must not look complete.
-func (j *request) cut(reason string) {
-	j.outcome, j.reason = outcomeCut, reason
+// abort breaks off the answer by closing the connection, so that it doesn't look complete.
+func (req *request) abort(reason string) {
+	req.outcome, req.reason = outcomeCut, reason
 	panic(http.ErrAbortHandler)
 }
 
-// pick picks a replica now, nil if there is none. The caller holds the state's lock.
-func (j *request) pick(now time.Duration) *placement {
-	s := j.entry.state
-	j.query.Wanted = s.wanted(j.params.Model)
+// pickReplica picks a replica now; nil if none can take the request. The caller holds the state's
+// lock.
+func (req *request) pickReplica(now time.Duration) *placement {
+	s := req.entry.state
+	req.query.Wanted = s.wantedVersion(req.params.Model)
 	var candidates []route.FeedCandidate
-	candidates, j.excluded = s.candidates(j.service, j.params.Model, now)
-	j.query.Sample = s.sample(len(candidates))
-	choice, ok := s.feed.Pick(now, &j.query, candidates)
+	candidates, req.excluded = s.candidates(req.service, req.params.Model, now)
+	req.query.Sample = s.sampleSize(len(candidates))
+	choice, ok := s.feed.Pick(now, &req.query, candidates)
 	if !ok {
-		// Replicas that refused it once may take it now.
-		j.query.Exclude = nil
+		// Replicas that refused the request before may be tried again at the next pick.
+		req.query.Exclude = nil
 		return nil
 	}
-	s.feed.Placed(now, &j.query, &choice)
+	s.feed.Placed(now, &req.query, &choice)
 	limit, _ := s.rateLimits.State(choice.ID, now)
 	s.rateLimits.Take(choice.ID, now)
-	p := &placement{replica: s.replicas.Get(choice.ID), choice: choice, at: now}
-	if j.params.Model != "" {
-		p.version = s.board.Version(choice.ID, j.params.Model)
+	p := &placement{replica: s.replicas.Get(choice.ID), choice: choice, pickedAt: now}
+	if req.params.Model != "" {
+		p.version = s.board.Version(choice.ID, req.params.Model)
 	}
-	j.cacheSource(p)
-	j.hands = append(j.hands, hand{
+	req.setCacheSource(p)
+	req.dispatches = append(req.dispatches, dispatchRecord{
 		replica: choice.ID, reason: choice.Reason, score: choice.Score, load: choice.Load,
-		missed: choice.Missed, source: p.source, of: choice.Of, version: p.version,
-		listAge: now - time.Duration(s.listReadAt.Load()), listFrom: s.listFrom(), offList: s.replicas.OffList(choice.ID, now),
-		limit: limit,
+		missedTokens: choice.Missed, fetchFrom: p.fetchFrom, candidateCount: choice.Of, version: p.version,
+		listAge: now - time.Duration(s.listReadAt.Load()), listReader: s.replicaListReader(), offListFor: s.replicas.OffList(choice.ID, now),
+		rateLimit: limit,
 	})
 	return p
 }
 
-// cacheSource sets where the replica can fetch what it lacks of the prefix, and where
-// it is kept. The caller holds the state's lock.
-func (j *request) cacheSource(p *placement) {
-	s := j.entry.state
-	use := s.feed.Cache(j.entry.clock.now(), &j.query, &p.choice, j.salt(p.version), j.config.KeptCaches())
-	p.source, p.keep = use.Store, use.KeepIn
-	if r := s.replicas.Get(use.Holder); r != nil {
-		p.source = r.Address
+// setCacheSource sets where the replica can fetch the missing part of the prefix and where it
+// saves the prefix. The caller holds the state's lock.
+func (req *request) setCacheSource(p *placement) {
+	s := req.entry.state
+	source := s.feed.Cache(req.entry.clock.now(), &req.query, &p.choice, req.cacheSalt(p.version), req.config.KeptCaches())
+	p.fetchFrom, p.saveTo = source.Store, source.KeepIn
+	if r := s.replicas.Get(source.Holder); r != nil {
+		p.fetchFrom = r.Address
 	}
 }
 
-// handOver sends the request to a replica and passes its answer on. If there is
-// none to pass on it tells why.
-func (j *request) handOver(p *placement) (loss attempt.Loss, done bool) {
-	e := j.entry
-	h := &j.hands[len(j.hands)-1]
+// forward sends the request to a replica and forwards its answer. done is false if there is
+// nothing to forward; loss then says why.
+func (req *request) forward(p *placement) (loss attempt.Loss, done bool) {
+	e := req.entry
+	record := &req.dispatches[len(req.dispatches)-1]
 	began := e.clock.now()
-	startedFirst := j.first > 0
+	startedFirst := req.firstByte > 0
 	defer func() {
-		h.took = e.clock.now() - began
+		record.took = e.clock.now() - began
 		e.state.mu.Lock()
-		e.state.feed.Ended(&j.query, &p.choice, !startedFirst && j.first > 0)
-		p.done()
+		e.state.feed.Ended(&req.query, &p.choice, !startedFirst && req.firstByte > 0)
+		p.endWork()
 		e.state.mu.Unlock()
 	}()
-	j.forward.Placed()
-	ctx, cancel := context.WithCancel(j.ctx)
+	req.attempts.Placed()
+	ctx, cancel := context.WithCancel(req.ctx)
 	defer cancel()
-	p.watched = e.watch.begin(p.replica, j.route.Repeatable(), cancel)
+	p.watched = e.watch.begin(p.replica, req.route.Repeatable(), cancel)
 	defer e.watch.end(p.watched)
 	x, err := e.pool.Do(ctx, upstream.Replica{ID: p.replica.ID, Address: p.replica.Address},
-		j.connections(), j.upstreamRequest(p), j.belongs)
+		req.connectionLimit(), req.upstreamRequest(p), req.matchesRequestID)
 	if err != nil {
-		return j.sendFailed(p, h, err), false
+		return req.handleSendError(p, record, err), false
 	}
 	defer x.Close()
-	h.status = x.Status
-	loss, done = j.answer(p, x)
-	h.outcome = loss.String()
+	record.status = x.Status
+	loss, done = req.forwardAnswer(p, x)
+	record.outcome = loss.String()
 	if done {
-		h.outcome = outcomeServed
+		record.outcome = outcomeServed
 	}
 	return loss, done
 }
 
-// connections is this entry's share of a replica's connections.
-func (j *request) connections() int {
-	s := j.entry.state
+// connectionLimit is this entry's share of a replica's connections.
+func (req *request) connectionLimit() int {
+	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(minConnections, j.service.MaxConnections/(s.entries+spareEntries))
+	return max(minConnections, req.service.MaxConnections/(s.entries+expectedNewEntries))
 }
 
-func (j *request) upstreamRequest(p *placement) *upstream.Request {
-	last := j.lastEvent()
-	over := &fleet.HandOver{
+func (req *request) upstreamRequest(p *placement) *upstream.Request {
+	lastEvent := req.resumeAfter()
+	dispatch := &fleet.HandOver{
 		Replica:   p.replica.Name,
-		Deadline:  j.left(),
+		Deadline:  req.timeLeft(),
 		Version:   p.version,
-		Salt:      j.salt(p.version),
-		Priority:  j.priority(),
-		FetchFrom: p.source,
-		SaveTo:    p.keep,
-		LastEvent: last,
+		Salt:      req.cacheSalt(p.version),
+		Priority:  req.priority(),
+		FetchFrom: p.fetchFrom,
+		SaveTo:    p.saveTo,
+		LastEvent: lastEvent,
 	}
-	if j.organisation != nil {
-		over.Organisation = j.organisation.Name
+	if req.organisation != nil {
+		dispatch.Organisation = req.organisation.Name
 	}
 	return &upstream.Request{
-		Method: j.r.Method,
-		Target: j.r.RequestURI,
-		Host:   j.r.Host,
-		Header: j.entry.platform.Headers.HandOver(j.r.Header, over),
-		Body:   j.body,
+		Method: req.httpRequest.Method,
+		Target: req.httpRequest.RequestURI,
+		Host:   req.httpRequest.Host,
+		Header: req.entry.platform.Headers.HandOver(req.httpRequest.Header, dispatch),
+		Body:   req.body,
 	}
 }
 
-// belongs reports whether an answer is to this request.
-func (j *request) belongs(h http.Header) bool {
-	id := j.entry.platform.Headers.Answer(http.StatusOK, h).RequestID
-	return id == "" || id == j.params.ID
+// matchesRequestID reports whether an answer belongs to this request. Replicas may leave out the ID.
+func (req *request) matchesRequestID(h http.Header) bool {
+	id := req.entry.platform.Headers.Answer(http.StatusOK, h).RequestID
+	return id == "" || id == req.params.ID
 }
 
-// sendFailed takes a hand-over without an answer.
-func (j *request) sendFailed(p *placement, h *hand, err error) attempt.Loss {
-	e := j.entry
+// handleSendError classifies an exchange that ended without an answer, and records it against the
+// replica.
+func (req *request) handleSendError(p *placement, record *dispatchRecord, err error) attempt.Loss {
+	e := req.entry
 	var send *upstream.SendError
 	loss := attempt.LossUnknown
 	if errors.As(err, &send) && !send.Sent {
 		loss = attempt.LossNotSent
 	}
-	h.outcome, h.err = loss.String(), err
-	if j.ctx.Err() != nil || errors.Is(err, upstream.ErrFull) {
+	record.outcome, record.err = loss.String(), err
+	if req.ctx.Err() != nil || errors.Is(err, upstream.ErrFull) {
 		return loss
 	}
 	if loss == attempt.LossNotSent {
-		e.unreachable(p.replica, "request "+j.params.ID, err)
+		e.unreachable(p.replica, "request "+req.params.ID, err)
 		return loss
 	}
-	j.fault(p, member.FaultBroken)
-	j.broke(p)
+	req.recordFault(p, member.FaultBroken)
+	req.recordBrokenRun(p)
 	return loss
 }
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -121,7 +121,7 @@
 		}
 		passedOn()
 		e.applyReplicaRecord(fleet.Record{Offset: 1, Key: "portal-1"})
-		if l.usable() == 0 {
+		if l.usableReplicas() == 0 {
 			t.Error("a replica whose record lapsed in an outage that all met is out of use at once")
 		}
 		cancel()
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -13,29 +13,31 @@
 	"skylarklead/internal/route"
 )
 
-// errTimeout ends a request whose time is over.
-var errTimeout = errors.New("direct: the request's time is over")
+// errTimeout is the cause with which a request's context ends at its deadline.
+var errTimeout = errors.New("direct: request deadline exceeded")
 
-// hand is one hand-over as the request's log line tells it.
-type hand struct {
+// dispatchRecord describes one dispatch to a replica for the request's log line.
+type dispatchRecord struct {
+	// replica was picked for reason among candidates, at score and load in milliseconds.
 	replica string
 	reason  string
 	score   float64
 	load    float64
-	missed  int
-	// source is where the replica was told to fetch missing cached parts from.
-	source  string
-	of      int
-	version uint64
-	// listAge is how long ago the call was made that showed the list of replicas, listFrom
+	// missedTokens is the part of the prefix that the replica didn't have cached, in tokens.
+	missedTokens int
+	// fetchFrom is where the replica was told to fetch missing cached prefixes from.
+	fetchFrom      string
+	candidateCount int
+	version        uint64
+	// listAge is how long ago the call was made that returned the replica list, listReader
 	// the entry that made it.
-	listAge  time.Duration
-	listFrom string
-	// offList is how long ago the replica's record was removed, 0 if it wasn't.
-	offList time.Duration
-	// limit is what was known of the replica's rate limit, zero for none.
-	limit ratelimit.State
-	// notice is what the replica said of itself in the head of its answer.
+	listAge    time.Duration
+	listReader string
+	// offListFor is how long ago the replica's record was removed; 0 if it wasn't.
+	offListFor time.Duration
+	// rateLimit is what was known of the replica's rate limit; zero for none.
+	rateLimit ratelimit.State
+	// notice is what the replica announced of itself in the head of its answer.
 	notice  fleet.Notice
 	outcome string
 	status  int
@@ -43,166 +45,173 @@
 	took    time.Duration
 }
 
-// request is one request of a caller.
+// request is one request of a caller, from its arrival to the answer.
 type request struct {
-	entry  *Entry
-	w      http.ResponseWriter
-	r      *http.Request
-	ctx    context.Context
-	cancel context.CancelFunc
+	entry       *Entry
+	w           http.ResponseWriter
+	httpRequest *http.Request
+	ctx         context.Context
+	cancel      context.CancelFunc
 
 	config       *configuration
 	route        *fleet.Route
 	service      *fleet.Service
 	organisation *fleet.Organisation
-	params       fleet.Request
-	body         []byte
-	began        time.Duration
-	// ends is when the request must have its final answer.
-	ends    time.Duration
-	forward *attempt.Forward
-	query   route.FeedQuery
-	// print is the request's fingerprint.
-	print uint64
-	// placed brings the place that the request waits for, nil if there is none in time.
+	// params is what the caller's headers say.
+	params fleet.Request
+	body   []byte
+	// started is when it arrived, on the entry's clock.
+	started time.Duration
+	// deadline is when the final answer is due.
+	deadline time.Duration
+	// attempts decides whether the request may be sent again after a loss.
+	attempts *attempt.Forward
+	query    route.FeedQuery
+	// fingerprint identifies repetitions of the request; see computeFingerprint.
+	fingerprint uint64
+	// placed delivers the placement that the request waits for; nil if there is none in time.
 	placed chan *placement
-	// failure is a replica's own failure, passed on if nothing better comes.
-	failure *wholeAnswer
+	// fallbackAnswer is a replica's error answer, forwarded if no retry brings a better one.
+	fallbackAnswer *bufferedAnswer
 
-	// capacityIn is the time until replicas that take nothing now have a place again, 0 if that isn't
-	// why there is none.
+	// capacityIn is the time until replicas that are closed now accept requests again; 0 if the
+	// request has no placement for another reason.
 	capacityIn time.Duration
 
-	hands []hand
-	// excluded is of the latest try to place the request.
+	dispatches []dispatchRecord
+	// excluded is from the latest attempt to place the request.
 	excluded exclusions
-	waited   time.Duration
-	// charge is what it has taken of its organisation's limit, nil for nothing.
-	charge   *charge
-	charging charging
-	first    time.Duration
-	status   int
-	outcome  string
-	reason   string
-	events   int
-	// lastID is the id of the last event that the caller was sent.
-	lastID  string
-	resumed int
+	// waited is the time spent waiting for placements.
+	waited time.Duration
+	// reservation holds the units reserved of the organisation's quota; nil for none.
+	reservation *quotaReservation
+	quotaStats  quotaStats
+	// firstByte is the time from arrival to the first byte sent to the caller; 0 before.
+	firstByte time.Duration
+	status    int
+	outcome   string
+	reason    string
+	// eventCount is the number of events sent to the caller.
+	eventCount int
+	// lastEventID is the ID of the last event that the caller was sent.
+	lastEventID string
+	resumed     int
 }
 
-// left is the time until the final answer is due.
-func (j *request) left() time.Duration { return j.ends - j.entry.clock.now() }
+// timeLeft is the time until the final answer is due.
+func (req *request) timeLeft() time.Duration { return req.deadline - req.entry.clock.now() }
 
-// late reports whether the request's time is over, gone whether its caller left.
-func (j *request) late() bool { return errors.Is(context.Cause(j.ctx), errTimeout) }
+// timedOut reports whether the deadline has passed.
+func (req *request) timedOut() bool { return errors.Is(context.Cause(req.ctx), errTimeout) }
 
-func (j *request) gone() bool { return j.ctx.Err() != nil && !j.late() }
+// callerLeft reports whether the caller has disconnected.
+func (req *request) callerLeft() bool { return req.ctx.Err() != nil && !req.timedOut() }
 
-// log writes the request's line.
-func (j *request) log() {
-	e := j.entry
-	took := e.clock.now() - j.began
+// log writes the request's log line and metrics.
+func (req *request) log() {
+	e := req.entry
+	took := e.clock.now() - req.started
 	e.tel.Metrics.Requests.Mark(1)
-	e.tel.Metrics.Count("status_"+j.outcome, 1)
+	e.tel.Metrics.Count("status_"+req.outcome, 1)
 	attrs := []slog.Attr{
-		slog.String("request", j.params.ID),
-		slog.String("outcome", j.outcome),
-		slog.Int("status", j.status),
+		slog.String("request", req.params.ID),
+		slog.String("outcome", req.outcome),
+		slog.Int("status", req.status),
 		slog.Float64("took_ms", ms(took)),
 	}
-	if j.reason != "" {
-		attrs = append(attrs, slog.String("reason", j.reason))
+	if req.reason != "" {
+		attrs = append(attrs, slog.String("reason", req.reason))
 	}
-	if j.config != nil {
-		attrs = append(attrs, slog.Uint64("config", j.config.Version), slog.Int64("config_age_ms", (j.began-j.config.appliedAt).Milliseconds()))
+	if req.config != nil {
+		attrs = append(attrs, slog.Uint64("config", req.config.Version), slog.Int64("config_age_ms", (req.started-req.config.appliedAt).Milliseconds()))
 	}
-	if j.route != nil {
-		attrs = append(attrs, slog.String("route", j.route.Name), slog.String("kind", j.route.Kind.String()))
+	if req.route != nil {
+		attrs = append(attrs, slog.String("route", req.route.Name), slog.String("kind", req.route.Kind.String()))
 	}
-	if j.service != nil {
-		attrs = append(attrs, slog.String("service", j.service.Name))
+	if req.service != nil {
+		attrs = append(attrs, slog.String("service", req.service.Name))
 	}
-	if j.organisation != nil {
-		attrs = append(attrs, slog.String("organisation", j.organisation.Name))
+	if req.organisation != nil {
+		attrs = append(attrs, slog.String("organisation", req.organisation.Name))
 	}
-	if j.charging.units > 0 {
-		attrs = append(attrs, j.quotaAttr())
+	if req.quotaStats.units > 0 {
+		attrs = append(attrs, req.quotaAttr())
 	}
-	if j.waited > time.Millisecond {
-		attrs = append(attrs, slog.Float64("waited_ms", ms(j.waited)))
+	if req.waited > time.Millisecond {
+		attrs = append(attrs, slog.Float64("waited_ms", ms(req.waited)))
 	}
-	if j.first > 0 {
-		attrs = append(attrs, slog.Float64("first_ms", ms(j.first)))
-		e.tel.Metrics.FirstToken(j.route.Name, j.first)
+	if req.firstByte > 0 {
+		attrs = append(attrs, slog.Float64("first_ms", ms(req.firstByte)))
+		e.tel.Metrics.FirstToken(req.route.Name, req.firstByte)
 	}
-	if j.events > 0 {
-		attrs = append(attrs, slog.Int("events", j.events))
+	if req.eventCount > 0 {
+		attrs = append(attrs, slog.Int("events", req.eventCount))
 	}
-	if j.resumed > 0 {
-		attrs = append(attrs, slog.Int("resumed", j.resumed))
+	if req.resumed > 0 {
+		attrs = append(attrs, slog.Int("resumed", req.resumed))
 	}
-	for i := range j.hands {
-		attrs = append(attrs, j.hands[i].attr())
+	for i := range req.dispatches {
+		attrs = append(attrs, req.dispatches[i].attr())
 	}
-	if j.outcome == outcomeRefused && j.service != nil {
-		attrs = append(attrs, j.excluded.attr())
+	if req.outcome == outcomeRefused && req.service != nil {
+		attrs = append(attrs, req.excluded.attr())
 	}
 	e.tel.Log.LogAttrs(context.Background(), slog.LevelInfo, "request", attrs...)
 }
 
-// attr renders which replicas could not take a request.
+// attr is the log attribute of the replicas that could not take a request.
 func (x *exclusions) attr() slog.Attr {
-	return slog.Group("replicas", slog.Int("listed", x.listed), slog.Int("left", x.left),
-		slog.Int("down", x.down), slog.Int("ordered", x.ordered), slog.Int("overdue", x.overdue), slog.Int("unfit", x.unfit), slog.Int("limited", x.limited), slog.Int("resting", x.resting))
+	return slog.Group("replicas", slog.Int("listed", x.listed), slog.Int("left", x.leaving),
+		slog.Int("down", x.down), slog.Int("ordered", x.ordered), slog.Int("overdue", x.overdue), slog.Int("unfit", x.otherModel), slog.Int("limited", x.limited), slog.Int("resting", x.backingOff))
 }
 
-// attr renders a hand-over: what it was decided by, how old that was, and what
-// came of it.
-func (h *hand) attr() slog.Attr {
+// attr is the log attribute of a dispatch: what the decision was based on, how old that was, and the
+// outcome.
+func (d *dispatchRecord) attr() slog.Attr {
 	fields := []any{
-		slog.String("replica", h.replica),
-		slog.String("chosen", h.reason),
-		slog.Int("of", h.of),
-		slog.Float64("score_ms", round(h.score)),
-		slog.Float64("load_ms", round(h.load)),
-		slog.Int64("list_age_ms", h.listAge.Milliseconds()), slog.String("list_from", h.listFrom),
-		slog.String("outcome", h.outcome),
-		slog.Float64("took_ms", ms(h.took)),
+		slog.String("replica", d.replica),
+		slog.String("chosen", d.reason),
+		slog.Int("of", d.candidateCount),
+		slog.Float64("score_ms", oneDecimal(d.score)),
+		slog.Float64("load_ms", oneDecimal(d.load)),
+		slog.Int64("list_age_ms", d.listAge.Milliseconds()), slog.String("list_from", d.listReader),
+		slog.String("outcome", d.outcome),
+		slog.Float64("took_ms", ms(d.took)),
 	}
-	if h.offList > 0 {
-		fields = append(fields, slog.Int64("off_list_ms", h.offList.Milliseconds()))
+	if d.offListFor > 0 {
+		fields = append(fields, slog.Int64("off_list_ms", d.offListFor.Milliseconds()))
 	}
-	if h.missed > 0 {
-		fields = append(fields, slog.Int("missed_tokens", h.missed))
+	if d.missedTokens > 0 {
+		fields = append(fields, slog.Int("missed_tokens", d.missedTokens))
 	}
-	if h.source != "" {
-		fields = append(fields, slog.String("fetch_from", h.source))
+	if d.fetchFrom != "" {
+		fields = append(fields, slog.String("fetch_from", d.fetchFrom))
 	}
-	if h.status != 0 {
-		fields = append(fields, slog.Int("status", h.status))
+	if d.status != 0 {
+		fields = append(fields, slog.Int("status", d.status))
 	}
-	if h.version > 0 {
-		fields = append(fields, slog.Uint64("weights", h.version))
+	if d.version > 0 {
+		fields = append(fields, slog.Uint64("weights", d.version))
 	}
-	if h.limit.Among > 0 {
-		fields = append(fields, slog.Float64("rate_limit", h.limit.Rate), slog.Float64("rate_part", h.limit.Part),
-			slog.Int64("rate_limit_age_ms", h.limit.Age.Milliseconds()))
+	if d.rateLimit.Among > 0 {
+		fields = append(fields, slog.Float64("rate_limit", d.rateLimit.Rate), slog.Float64("rate_part", d.rateLimit.Part),
+			slog.Int64("rate_limit_age_ms", d.rateLimit.Age.Milliseconds()))
 	}
-	if h.notice.Rest > 0 {
-		fields = append(fields, slog.Int64("asks_rest_ms", h.notice.Rest.Milliseconds()))
+	if d.notice.Rest > 0 {
+		fields = append(fields, slog.Int64("asks_rest_ms", d.notice.Rest.Milliseconds()))
 	}
-	if h.notice.Leaving {
+	if d.notice.Leaving {
 		fields = append(fields, slog.Bool("says_leaving", true))
 	}
-	if h.notice.Limited {
-		fields = append(fields, slog.Float64("named_rate_limit", h.notice.Rate))
+	if d.notice.Limited {
+		fields = append(fields, slog.Float64("named_rate_limit", d.notice.Rate))
 	}
-	if h.err != nil {
-		fields = append(fields, slog.String("error", h.err.Error()))
+	if d.err != nil {
+		fields = append(fields, slog.String("error", d.err.Error()))
 	}
 	return slog.Group("hand", fields...)
 }
 
-func ms(d time.Duration) float64 { return round(float64(d) / float64(time.Millisecond)) }
+func ms(d time.Duration) float64 { return oneDecimal(float64(d) / float64(time.Millisecond)) }
 
-func round(x float64) float64 { return float64(int64(x*10)) / 10 }
+func oneDecimal(x float64) float64 { return float64(int64(x*10)) / 10 }
--- a/internal/direct/leaving_test.go
+++ b/internal/direct/leaving_test.go
@@ -17,21 +17,21 @@
 
 const (
 	listTopic = "replicas"
-	// leftAlone is when a replica that leaves must be left alone, after its record was
-	// removed; bindsAfter is for how long the store must have answered an entry before that
-	// binds it. Both are the platform's.
-	leftAlone  = 2 * time.Second
-	bindsAfter = 3 * time.Second
-	// answerTakes is how long the store takes to answer.
-	answerTakes = 4 * time.Millisecond
+	// leavingWithin is the time after the removal of its record within which a replica must get
+	// no more requests; storeBindsWithin is how long the store must have answered an entry
+	// before that applies to it. Both are the platform's.
+	leavingWithin    = 2 * time.Second
+	storeBindsWithin = 3 * time.Second
+	// storeLatency is how long the store takes to answer.
+	storeLatency = 4 * time.Millisecond
 )
 
-// listStore is a store with a list of replicas that is written at given times and that
-// doesn't answer one entry for a while. Calls that meet that time are refused, or hang
-// until their caller gives up, also where the time is over.
+// listStore is a store whose replica list is written at given times, and that is unavailable to one
+// entry from from to to. Calls in that time are refused or, with hangs, block until their context
+// ends, even past to.
 type listStore struct {
 	fleet.Store
-	// topic is the one that is written, listTopic where it isn't set.
+	// topic is the topic that is written; listTopic if empty.
 	topic    string
 	writes   []listWrite
 	from, to time.Time
@@ -45,10 +45,10 @@
 
 func (s *listStore) has(topic string) bool { return topic == cmp.Or(s.topic, listTopic) }
 
-func (s *listStore) away(at time.Time) bool { return !at.Before(s.from) && at.Before(s.to) }
+func (s *listStore) unavailable(at time.Time) bool { return !at.Before(s.from) && at.Before(s.to) }
 
-// missed is how a call ends that meets the time without answers.
-func (s *listStore) missed(ctx context.Context) error {
+// failCall is how a call ends that meets the unavailable time.
+func (s *listStore) failCall(ctx context.Context) error {
 	if s.hangs {
 		<-ctx.Done()
 		return ctx.Err()
@@ -67,9 +67,9 @@
 }
 
 func (s *listStore) Newest(ctx context.Context, topic string) (fleet.Page, error) {
-	time.Sleep(answerTakes)
-	if s.away(time.Now()) {
-		return fleet.Page{}, s.missed(ctx)
+	time.Sleep(storeLatency)
+	if s.unavailable(time.Now()) {
+		return fleet.Page{}, s.failCall(ctx)
 	}
 	var page fleet.Page
 	if s.has(topic) {
@@ -81,10 +81,10 @@
 }
 
 func (s *listStore) Read(ctx context.Context, topic string, from uint64, wait time.Duration) (fleet.Page, error) {
-	time.Sleep(answerTakes)
+	time.Sleep(storeLatency)
 	for began := time.Now(); ; time.Sleep(time.Millisecond) {
-		if s.away(time.Now()) || s.hangs && s.away(began) {
-			return fleet.Page{}, s.missed(ctx)
+		if s.unavailable(time.Now()) || s.hangs && s.unavailable(began) {
+			return fleet.Page{}, s.failCall(ctx)
 		}
 		if ctx.Err() != nil {
 			return fleet.Page{}, ctx.Err()
@@ -101,8 +101,8 @@
 }
 
 func (s *listStore) Append(ctx context.Context, _ string, _ *uint64, _ [][]byte) (uint64, error) {
-	if s.away(time.Now()) {
-		return 0, s.missed(ctx)
+	if s.unavailable(time.Now()) {
+		return 0, s.failCall(ctx)
 	}
 	return 0, nil
 }
@@ -116,7 +116,7 @@
 	return &fleet.Replica{ID: key, Name: key, Service: "portal", Address: "10.0.0.1:80", Slots: 8}, nil
 }
 
-// listEntry is an entry of which only the reader of the list runs.
+// listEntry is an entry of which only the reader of the replica list and the sweep run.
 type listEntry struct {
 	*Entry
 	store  *listStore
@@ -124,7 +124,7 @@
 	loops  sync.WaitGroup
 }
 
-func startLister(t *testing.T, tel *telemetry.Telemetry, store *listStore) *listEntry {
+func startListEntry(t *testing.T, tel *telemetry.Telemetry, store *listStore) *listEntry {
 	t.Helper()
 	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{Memory: 16}}
 	e := newEntry(s, tel, Platform{Store: store, Records: listRecords{}})
@@ -141,19 +141,20 @@
 	l.loops.Wait()
 }
 
-func (l *listEntry) usable() int {
+// usableReplicas counts the replicas that may get a request now.
+func (l *listEntry) usableReplicas() int {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	candidates, _ := l.state.candidates(&fleet.Service{Name: "portal"}, "", l.clock.now())
 	return len(candidates)
 }
 
-// lastUse is the last time at which the replica could get a request.
+// lastUse is the last time before until at which the replica could get a request.
 func (l *listEntry) lastUse(until time.Time) time.Time {
-	const look = 5 * time.Millisecond
+	const interval = 5 * time.Millisecond
 	var last time.Time
-	for ; time.Now().Before(until); time.Sleep(look) {
-		if l.usable() > 0 {
+	for ; time.Now().Before(until); time.Sleep(interval) {
+		if l.usableReplicas() > 0 {
 			last = time.Now()
 		}
 	}
@@ -169,38 +170,35 @@
 	return tel
 }
 
-// Symptom: requests reach a replica more than two seconds after it has left; all of them
-// are of one entry, and the others left the replica alone at once.
+// Guards against an entry that, after an outage of the store which it alone met, sends requests to a
+// replica for more than two seconds after the replica has left.
 //
-// Sequence: the store doesn't answer that entry for some seconds; soon after, or still in
-// that time, a replica leaves by having its record removed. The entry reads that, takes it
-// for a record that lapsed while the store was away, and keeps the replica in use.
-//
-// Cause: the two seconds in which a lapsed record may come back run from the store's
-// return. They were counted from when the entry read the removal, which may be long
-// after both, and ended only when the sweep came by. That it is this: the lines of the lapse and
-// of the requests, and this test, where nothing but the reader and the sweep runs.
+// During or soon after the outage the replica leaves by having its record removed. The entry can't
+// tell this from a record that lapsed in the outage, and keeps the replica in use for the grace
+// period. That must run from the store's return and end on time: counted from when the entry
+// reads the removal, or ended by the next sweep, it lasts too long. Only the reader of the list and
+// the sweep run here.
 func TestReplicaThatLeftAfterAnOutageIsLeftAlone(t *testing.T) {
 	tel := quietTelemetry(t)
 	for _, hangs := range []bool{false, true} {
-		// How calls end and begin anew repeats within some seconds.
+		// The phase in which calls fail and are retried repeats within some seconds.
 		for phase := time.Duration(0); phase < 4500*time.Millisecond; phase += 150 * time.Millisecond {
 			for _, leaves := range []time.Duration{-3 * time.Second, -100 * time.Millisecond, 100 * time.Millisecond,
 				500 * time.Millisecond, time.Second, 1400 * time.Millisecond, 2 * time.Second, 3500 * time.Millisecond} {
 				name := fmt.Sprintf("hangs=%v/phase=%v/leaves=%v", hangs, phase, leaves)
 				t.Run(name, func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { leavesAfterAnOutage(t, tel, hangs, phase, leaves) })
+					synctest.Test(t, func(t *testing.T) { testLeavingAfterOutage(t, tel, hangs, phase, leaves) })
 				})
 			}
 		}
 	}
 }
 
-func leavesAfterAnOutage(t *testing.T, tel *telemetry.Telemetry, hangs bool, phase, leaves time.Duration) {
+func testLeavingAfterOutage(t *testing.T, tel *telemetry.Telemetry, hangs bool, phase, leaves time.Duration) {
 	began := time.Now()
 	back := began.Add(7*time.Second + phase)
 	left := back.Add(leaves)
-	l := startLister(t, tel, &listStore{
+	l := startListEntry(t, tel, &listStore{
 		writes: []listWrite{
 			{at: began, record: fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")}},
 			{at: left, record: fleet.Record{Offset: 1, Key: "portal-1"}},
@@ -212,28 +210,25 @@
 	if last.IsZero() {
 		t.Fatal("the replica was never usable")
 	}
-	binds := left.Add(leftAlone)
-	if touch := back.Add(bindsAfter); touch.After(binds) {
-		binds = touch
+	deadline := left.Add(leavingWithin)
+	if bindsAt := back.Add(storeBindsWithin); bindsAt.After(deadline) {
+		deadline = bindsAt
 	}
-	if last.After(binds) {
+	if last.After(deadline) {
 		t.Errorf("usable until %v after it left, %v after the store's return", last.Sub(left), last.Sub(back))
 	}
 }
 
-// Symptom: after an outage of the store no replica is left, though all run.
-//
-// Sequence: the store is away for longer than a record lives, which lapses; the replica
-// writes it again 1.4 s after the store's return.
-//
-// Cause: a lapse taken for leaving.
+// Guards against treating the lapse of a record as leaving: no replica would be usable after an outage
+// of the store, though all run. The store is unavailable for longer than a record lives; the replica
+// writes its record again 1.4 s after the store's return.
 func TestReplicaThatLapsedInAnOutageStaysInUse(t *testing.T) {
 	tel := quietTelemetry(t)
 	for phase := time.Duration(0); phase < 2*time.Second; phase += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			back := began.Add(7*time.Second + phase)
-			l := startLister(t, tel, &listStore{
+			l := startListEntry(t, tel, &listStore{
 				writes: []listWrite{
 					{at: began, record: fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")}},
 					{at: back.Add(-time.Second), record: fleet.Record{Offset: 1, Key: "portal-1"}},
@@ -243,7 +238,7 @@
 			})
 			time.Sleep(time.Second) // the list is read by then
 			for ; time.Now().Before(back.Add(6 * time.Second)); time.Sleep(5 * time.Millisecond) {
-				if l.usable() == 0 {
+				if l.usableReplicas() == 0 {
 					t.Errorf("not usable %v after the store's return", time.Since(back))
 					break
 				}
@@ -253,9 +248,9 @@
 	}
 }
 
-// lapse is the list in a time without answers that ends at back: the replica's record is
-// removed a second before, and in again 1.9 s after, if it is.
-func lapse(began, back time.Time, again bool) []listWrite {
+// lapseWrites is the list around an outage that ends at back: the replica's record is removed one
+// second before back and, if again is set, written again 1.9 s after it.
+func lapseWrites(began, back time.Time, again bool) []listWrite {
 	writes := []listWrite{
 		{at: began, record: fleet.Record{Offset: 0, Key: "portal-1", Value: []byte("ready")}},
 		{at: back.Add(-time.Second), record: fleet.Record{Offset: 1, Key: "portal-1"}},
@@ -266,8 +261,8 @@
 	return writes
 }
 
-// eachOutage runs a test on simulated clocks for outages in which calls are refused or hang,
-// of lengths at which the calls end differently.
+// eachOutage runs a test with simulated clocks for outages in which calls are refused or hang, with
+// lengths that end at different phases of the calls.
 func eachOutage(t *testing.T, test func(t *testing.T, hangs bool, lasts time.Duration)) {
 	t.Helper()
 	for _, hangs := range []bool{false, true} {
@@ -279,13 +274,9 @@
 	}
 }
 
-// Symptom: an entry that alone was turned away by the store sends requests to a replica that
-// has left for two more seconds than its peers.
-//
-// Sequence: the store doesn't answer one entry of two for some seconds; meanwhile a replica's
-// record is removed.
-//
-// Cause: an entry takes its own outage for the store's, as it has no other evidence.
+// Guards against an entry that takes its own outage for the store's although a peer was served, and
+// so sends requests to a replica that has left for two seconds longer than its peer. The store is
+// unavailable to one of two entries for some seconds, in which a replica's record is removed.
 func TestPeerThatWasServedTellsWhoseOutageItWas(t *testing.T) {
 	const soon = 50 * time.Millisecond
 	tel := quietTelemetry(t)
@@ -293,9 +284,9 @@
 		began := time.Now()
 		from := began.Add(time.Second)
 		back := from.Add(lasts)
-		alone := startLister(t, tel, &listStore{writes: lapse(began, back, false), from: from, to: back, hangs: hangs})
-		served := startLister(t, tel, &listStore{writes: lapse(began, back, false)})
-		stop := startTalk(t, alone, served)
+		alone := startListEntry(t, tel, &listStore{writes: lapseWrites(began, back, false), from: from, to: back, hangs: hangs})
+		served := startListEntry(t, tel, &listStore{writes: lapseWrites(began, back, false)})
+		stop := startExchange(t, alone, served)
 		last := alone.lastUse(back.Add(6 * time.Second))
 		alone.state.mu.Lock()
 		read := alone.state.outage.Excuse(0).Ended
@@ -307,14 +298,11 @@
 	})
 }
 
-// Symptom: an outage of the store that all entries met leaves no replica in use until their
-// records are back, though all run.
-//
-// Sequence: the store answers neither of two entries for some seconds, in which a replica's
-// record lapses; it is back 1.9 s after the store's return.
-//
-// Cause: the shorter time that is safe where nothing tells whose outage it was, used although
-// a peer tells that it was away too.
+// Guards against an outage of the store, met by all entries, after which no replica is usable until
+// the records are back, though all run. The store answers neither of two entries for some seconds; a
+// replica's record lapses meanwhile and is back 1.9 s after the store's return. An entry must not
+// use the shorter grace period, which is safe if nothing tells whose outage it was, when a peer says
+// that it met the outage too.
 func TestPeerThatWasAwayTooTellsOfTheStoresOutage(t *testing.T) {
 	tel := quietTelemetry(t)
 	eachOutage(t, func(t *testing.T, hangs bool, lasts time.Duration) {
@@ -323,12 +311,12 @@
 		back := from.Add(lasts)
 		both := make([]*listEntry, 2)
 		for i := range both {
-			both[i] = startLister(t, tel, &listStore{writes: lapse(began, back, true), from: from, to: back, hangs: hangs})
+			both[i] = startListEntry(t, tel, &listStore{writes: lapseWrites(began, back, true), from: from, to: back, hangs: hangs})
 		}
-		stop := startTalk(t, both...)
+		stop := startExchange(t, both...)
 		time.Sleep(time.Second) // the list is read by then
 		for ; time.Now().Before(back.Add(4 * time.Second)); time.Sleep(5 * time.Millisecond) {
-			if both[0].usable() == 0 {
+			if both[0].usableReplicas() == 0 {
 				t.Errorf("not usable %v after the store's return", time.Since(back))
 				break
 			}
@@ -337,30 +325,30 @@
 	})
 }
 
-// startTalk has entries tell each other what their words say of the store, until the function
-// that it returns is called, which ends the entries too.
-func startTalk(t *testing.T, entries ...*listEntry) (stop func()) {
+// startExchange makes entries send each other how long the store has answered them, until the returned
+// function is called, which also stops the entries.
+func startExchange(t *testing.T, entries ...*listEntry) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	var words sync.WaitGroup
-	words.Go(func() {
+	var sender sync.WaitGroup
+	sender.Go(func() {
 		for ; ctx.Err() == nil; time.Sleep(wordEvery) {
 			for i, from := range entries {
-				from.tellService(fmt.Sprint("entry-", i), entries)
+				from.sendServed(fmt.Sprint("entry-", i), entries)
 			}
 		}
 	})
 	return func() {
 		cancel()
-		words.Wait()
+		sender.Wait()
 		for _, e := range entries {
 			e.stop()
 		}
 	}
 }
 
-// tellService tells the others for how long the store has answered this entry.
-func (l *listEntry) tellService(id string, others []*listEntry) {
+// sendServed sends the others how long the store has answered this entry.
+func (l *listEntry) sendServed(id string, others []*listEntry) {
 	l.state.mu.Lock()
 	served := l.state.outage.Served(l.clock.now())
 	l.state.mu.Unlock()
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -58,7 +58,7 @@
 					done := make(chan struct{})
 					go func() { e.followOperator(ctx); close(done) }()
 					binds := named.Add(wantedWithin)
-					if touch := back.Add(bindsAfter); touch.After(binds) {
+					if touch := back.Add(storeBindsWithin); touch.After(binds) {
 						binds = touch
 					}
 					if wordFirst {
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maxWordNotices bounds the notices in a word, with names of replicas of some 50 bytes.
-	maxWordNotices = 20
-	// leavingTold is how often it is told that a replica leaves: a datagram may be lost.
-	leavingTold = 2
+	// maxMessageNotices bounds the notices in a message; names of replicas have some 50 bytes.
+	maxMessageNotices = 20
+	// leavingSends is how often peers are notified that a replica leaves: a datagram may be lost.
+	leavingSends = 2
 )
 
-// noticeMessage is what a replica has said of itself to another entry: that it leaves, or else a
-// ratelimit.Word.
+// noticeMessage is what a replica has announced to another entry: that it leaves, or else a rate
+// limit or its end.
 type noticeMessage struct {
 	Replica string  `cbor:"1,keyasint"`
 	Rate    float64 `cbor:"2,keyasint,omitempty"`
@@ -24,19 +24,19 @@
 	Leaving bool    `cbor:"4,keyasint,omitempty"`
 }
 
-// noteNotice takes what a replica says of itself in the head of an answer.
-func (j *request) noteNotice(p *placement, head *fleet.Answer) {
-	j.hands[len(j.hands)-1].notice = head.Notice
+// handleNotice handles what a replica announces of itself in the head of an answer.
+func (req *request) handleNotice(p *placement, head *fleet.Answer) {
+	req.dispatches[len(req.dispatches)-1].notice = head.Notice
 	if head.Instance != "" && head.Instance != p.replica.Name {
 		return // another replica has the address
 	}
-	j.entry.applyNotice(p.replica.ID, &head.Notice, p.at, head.Sealed || head.NotRun && !head.Misdirected)
+	req.entry.applyNotice(p.replica.ID, &head.Notice, p.pickedAt, head.Sealed || head.NotRun && !head.Misdirected)
 }
 
-// applyNotice takes what a replica says of itself in an answer to what was sent at a time. whole says
-// that the answer is to a caller's request: only from those does it follow that what they don't
-// say doesn't hold.
-func (e *Entry) applyNotice(replica string, n *fleet.Notice, sent time.Duration, whole bool) {
+// applyNotice applies what a replica announces in an answer to what was sent at the given time.
+// complete says that the answer is to a caller's request: only from such an answer does the absence of a
+// notice mean that it no longer holds.
+func (e *Entry) applyNotice(replica string, n *fleet.Notice, sent time.Duration, complete bool) {
 	if n.Malformed {
 		e.tel.Metrics.Count("replica_notices_malformed", 1)
 	}
@@ -45,39 +45,39 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.Leaving && s.replicas.Leaving(replica) {
-		s.leavingNews[replica] = leavingTold
+		s.leavingToSend[replica] = leavingSends
 		e.tel.Log.Info("replica is leaving", "replica", replica, "by", "its answer")
 	}
 	if n.Rest > 0 && s.replicas.Rest(replica, n.Rest, now) {
 		e.tel.Metrics.Count("replica_rests", 1)
-		e.tel.Log.Info("replica rests", "replica", replica, "rest_ms", n.Rest.Milliseconds())
+		e.tel.Log.Info("replica asked for a backoff", "replica", replica, "rest_ms", n.Rest.Milliseconds())
 	}
 	switch {
 	case n.Limited:
 		if s.replicas.Get(replica) != nil && s.rateLimits.Named(replica, n.Rate, now) {
-			e.limitNamed(replica, "its answer", now)
+			e.logRateLimit(replica, "its answer", now)
 		}
-	case whole && !n.Malformed && s.rateLimits.Unnamed(replica, sent):
-		e.limitLifted(replica, "its answer")
+	case complete && !n.Malformed && s.rateLimits.Unnamed(replica, sent):
+		e.endRateLimit(replica, "its answer")
 	}
 }
 
-// limitNamed logs a replica's rate limit. The caller holds the state's lock.
-func (e *Entry) limitNamed(replica, by string, now time.Duration) {
+// logRateLimit logs a replica's rate limit. The caller holds the state's lock.
+func (e *Entry) logRateLimit(replica, by string, now time.Duration) {
 	limit, _ := e.state.rateLimits.State(replica, now)
 	e.tel.Metrics.Count("replica_rate_limits_named", 1)
 	e.tel.Log.Info("replica's rate limit", "replica", replica, "rate_limit", limit.Rate, "rate_part", limit.Part,
 		"among", limit.Among, "by", by)
 }
 
-// limitLifted logs the end of a rate limit. The caller holds the state's lock.
-func (e *Entry) limitLifted(replica, by string) {
+// endRateLimit logs the end of a rate limit and notifies. The caller holds the state's lock.
+func (e *Entry) endRateLimit(replica, by string) {
 	e.tel.Log.Info("replica's rate limit is over", "replica", replica, "by", by)
 	e.state.notifyChanged()
 }
 
-// sendNotices tells the others what replicas have said of themselves: an entry that sends nothing
-// to a replica gets no answer of it.
+// sendNotices sends peers what replicas announced to this entry: an entry that sends no requests to a
+// replica gets no answers from it.
 func (e *Entry) sendNotices() {
 	s := e.state
 	s.mu.Lock()
@@ -85,19 +85,19 @@
 	for _, l := range s.rateLimits.Words(e.clock.now()) {
 		notices = append(notices, noticeMessage{Replica: l.Replica, Rate: l.Rate, Lifted: l.Lifted})
 	}
-	for replica, times := range s.leavingNews {
+	for replica, times := range s.leavingToSend {
 		notices = append(notices, noticeMessage{Replica: replica, Leaving: true})
-		if s.leavingNews[replica] = times - 1; times <= 1 {
-			delete(s.leavingNews, replica)
+		if s.leavingToSend[replica] = times - 1; times <= 1 {
+			delete(s.leavingToSend, replica)
 		}
 	}
 	s.mu.Unlock()
-	for part := range slices.Chunk(notices, maxWordNotices) {
-		e.peers.send(&word{From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Notices: part})
+	for chunk := range slices.Chunk(notices, maxMessageNotices) {
+		e.peers.send(&word{From: e.settings.ID, Epoch: uint64(e.tel.Epoch), Notices: chunk})
 	}
 }
 
-// receiveNotices takes what replicas have said of themselves to another entry.
+// receiveNotices applies what replicas announced to another entry.
 func (e *Entry) receiveNotices(notices []noticeMessage, from string) {
 	now := e.clock.now()
 	s := e.state
@@ -114,15 +114,15 @@
 			}
 		case !s.rateLimits.Heard(ratelimit.Word{Replica: n.Replica, Rate: n.Rate, Lifted: n.Lifted}, now):
 		case n.Lifted:
-			e.limitLifted(n.Replica, from)
+			e.endRateLimit(n.Replica, from)
 		default:
-			e.limitNamed(n.Replica, from, now)
+			e.logRateLimit(n.Replica, from, now)
 		}
 	}
 }
 
-// setRateLimitEntries takes the list of entries, among which replicas' rate limits are divided. self says
-// that it has this one, known that it had when it was read first.
+// setRateLimitEntries sets the entries among which replicas' rate limits are divided. self says that
+// the list contains this entry, known that it did when it was first read.
 func (e *Entry) setRateLimitEntries(entries []string, self, known bool) {
 	now := e.clock.now()
 	s := e.state
@@ -134,7 +134,7 @@
 	}
 }
 
-// rateLimitEntriesConfirmed says as of when the list of entries is known.
+// rateLimitEntriesConfirmed sets the time as of which the list of entries is known.
 func (e *Entry) rateLimitEntriesConfirmed(asOf time.Duration) {
 	s := e.state
 	s.mu.Lock()
--- a/internal/direct/notices_test.go
+++ b/internal/direct/notices_test.go
@@ -9,7 +9,7 @@
 	"skylarklead/internal/fleet"
 )
 
-// Guards against another entry's notices that name replicas nobody knows, or rates that can't be.
+// Guards against notices from peers that name unknown replicas or impossible rates.
 func FuzzNotices(f *testing.F) {
 	const known = "r-1"
 	for _, list := range [][]noticeMessage{
@@ -33,29 +33,29 @@
 		e.receiveNotices(w.Notices, w.From)
 		now := e.clock.now()
 		if s, limited := e.state.rateLimits.State(known, now); limited && !(s.Rate >= 0 && s.Rate <= math.MaxFloat64) {
-			t.Errorf("a rate of %v is believed", s.Rate)
+			t.Errorf("accepted a rate of %v", s.Rate)
 		}
 		for _, n := range w.Notices {
 			if _, limited := e.state.rateLimits.State(n.Replica, now); limited && n.Replica != known {
-				t.Errorf("a limit of %q is believed, which isn't known", n.Replica)
+				t.Errorf("accepted a rate limit of the unknown replica %q", n.Replica)
 			}
 		}
 	})
 }
 
-// Guards against an answer of a replica that has another's address, and is taken for that one's.
+// Guards against applying an answer to a replica whose address now belongs to another replica.
 func TestAnotherReplicasAnswerTellsNothingOfTheOneMeant(t *testing.T) {
 	e := newTalkers(t, 1, 1)[0]
 	r := &fleet.Replica{ID: "r-1", Name: "r-1"}
 	e.state.replicas.Put(r, 1, 0)
-	j := &request{entry: e.Entry, hands: make([]hand, 1)}
+	req := &request{entry: e.Entry, dispatches: make([]dispatchRecord, 1)}
 	notice := fleet.Notice{Leaving: true, Limited: true, Rate: 1}
-	j.noteNotice(&placement{replica: r}, &fleet.Answer{Instance: "r-2", NotRun: true, Misdirected: true, Notice: notice})
+	req.handleNotice(&placement{replica: r}, &fleet.Answer{Instance: "r-2", NotRun: true, Misdirected: true, Notice: notice})
 	if _, limited := e.state.rateLimits.State(r.ID, e.clock.now()); limited || e.state.replicas.Draining(r.ID) {
-		t.Error("another replica's notice is taken")
+		t.Error("another replica's notice was applied")
 	}
-	j.noteNotice(&placement{replica: r}, &fleet.Answer{Instance: r.Name, NotRun: true, Misdirected: true, Notice: notice})
+	req.handleNotice(&placement{replica: r}, &fleet.Answer{Instance: r.Name, NotRun: true, Misdirected: true, Notice: notice})
 	if _, limited := e.state.rateLimits.State(r.ID, e.clock.now()); !limited || !e.state.replicas.Draining(r.ID) {
-		t.Error("the replica's own notice isn't taken")
+		t.Error("the replica's own notice wasn't applied")
 	}
 }
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -39,7 +39,7 @@
 // Guards against notices of replicas that don't fit a datagram together.
 func TestTheLongestNoticesFitADatagram(t *testing.T) {
 	w := &word{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
-	for range maxWordNotices {
+	for range maxMessageNotices {
 		w.Notices = append(w.Notices, noticeMessage{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
 	}
 	checkLength(t, w)
--- a/internal/direct/quotas.go
+++ b/internal/direct/quotas.go
@@ -13,64 +13,65 @@
 )
 
 const (
-	// lendTimeout is how long a lender's answer may take, many times a datagram's way within
-	// a region and the lender's turn on its processor.
-	lendTimeout = 60 * time.Millisecond
-	// silentFor is how long an entry that did not answer is asked for nothing: several times
-	// what a start takes. In a large fleet only the own failure domain's entries are heard
-	// of otherwise.
-	silentFor = time.Second
-	// maxUnits bounds what a message may ask for.
+	// borrowTimeout bounds the wait for a lender's answer: many times a datagram's transit within
+	// a region plus the time until the lender gets to run.
+	borrowTimeout = 60 * time.Millisecond
+	// unresponsiveFor is how long an entry that did not answer isn't asked again: several times
+	// what a start takes. In a large fleet, nothing else tells that an entry of another failure
+	// domain is back, as only those of the own domain send messages regularly.
+	unresponsiveFor = time.Second
+	// maxUnits bounds the units in a message.
 	maxUnits = 1e12
 )
 
-// quotas holds organisations to their limits together with the other entries.
+// quotas enforces organisations' quotas together with the other entries.
 type quotas struct {
 	entry *Entry
 
 	mu     sync.Mutex
 	ledger *quota.Ledger
-	seq    uint64
-	// asked are the questions without an answer so far.
-	asked map[uint64]*lending
-	// silent is until when entries that did not answer are left alone.
-	silent map[string]time.Duration
+	// seq numbers the requests to lenders.
+	seq uint64
+	// pending are requests to lenders that are unanswered, by their number.
+	pending map[uint64]*pendingBorrow
+	// unresponsiveUntil is until when entries that did not answer aren't asked again.
+	unresponsiveUntil map[string]time.Duration
 }
 
-// lending is a question to a lender; answer brings the units lent.
-type lending struct {
+// pendingBorrow is a request to a lender; granted delivers the units lent.
+type pendingBorrow struct {
 	organisation, lender string
-	answer               chan float64
+	granted              chan float64
 }
 
-// quotaMessage is about units of an organisation's limit: a question, its answer, or units that
-// are given back.
+// quotaMessage is a peer message about units of a quota: a request to lend, its answer, or a return
+// of units.
 type quotaMessage struct {
 	Kind         uint8   `cbor:"1,keyasint"`
 	Seq          uint64  `cbor:"2,keyasint"`
 	Organisation string  `cbor:"3,keyasint"`
 	Units        float64 `cbor:"4,keyasint,omitempty"`
-	// Left, in an answer, is what the lender has left.
+	// Left, in an answer, is what remains of the lender's share.
 	Left float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// The kinds of wordQuota.
+// The kinds of quotaMessage.
 const (
-	quotaAsk uint8 = iota
+	quotaBorrow uint8 = iota
 	quotaAnswer
 	quotaReturn
 )
 
 func newQuotas(e *Entry) *quotas {
 	return &quotas{
-		entry:  e,
-		ledger: quota.NewLedger(e.settings.ID, quotaParams(e.settings.Direct), rand.IntN),
-		asked:  make(map[uint64]*lending),
-		silent: make(map[string]time.Duration),
+		entry:             e,
+		ledger:            quota.NewLedger(e.settings.ID, quotaParams(e.settings.Direct), rand.IntN),
+		pending:           make(map[uint64]*pendingBorrow),
+		unresponsiveUntil: make(map[string]time.Duration),
 	}
 }
 
-// quotaParams are a limit's parts by the settings.
+// quotaParams returns the parameters of quotas that the settings set.
 func quotaParams(d *settings.Direct) quota.Params {
 	return quota.Params{
 		Window: d.QuotaWindow.D(), Excess: d.QuotaExcess, Slack: d.QuotaSlack,
@@ -78,14 +79,14 @@
 	}
 }
 
-// setParams takes other settings.
+// setParams applies changed settings.
 func (q *quotas) setParams(d *settings.Direct) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Resize(quotaParams(d), q.entry.bootClock())
 }
 
-// setLimits takes the setLimits of a configuration.
+// setLimits applies the quotas of a configuration.
 func (q *quotas) setLimits(c *fleet.Configuration) {
 	limits := make(map[string]fleet.Quota)
 	for _, o := range c.Organisations {
@@ -98,8 +99,8 @@
 	q.ledger.Limits(limits, q.entry.bootClock())
 }
 
-// setEntries takes the list of entries. self says that it has this one, known that it had
-// when it was read first.
+// setEntries sets the entries that quotas are divided among. self says that the list contains this
+// entry, known that it did when it was first read.
 func (q *quotas) setEntries(entries []string, self, known bool) {
 	now := q.entry.bootClock()
 	q.mu.Lock()
@@ -110,14 +111,14 @@
 	}
 }
 
-// entriesConfirmed says as of when the list of entries is known, by the boot clock.
+// entriesConfirmed sets the time, on the boot clock, as of which the list of entries is known.
 func (q *quotas) entriesConfirmed(asOf time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.Confirmed(asOf, q.entry.bootClock())
 }
 
-// receive takes a peer's message.
+// receive handles a quota message from a peer.
 func (q *quotas) receive(w *word, from netip.AddrPort) {
 	m := w.Quota
 	if !(m.Units >= 0 && m.Units <= maxUnits && m.Left >= 0 && m.Left <= maxUnits) {
@@ -126,7 +127,7 @@
 	}
 	by := quota.Loan{Entry: w.From, Epoch: w.Epoch, Seq: m.Seq}
 	switch m.Kind {
-	case quotaAsk:
+	case quotaBorrow:
 		q.mu.Lock()
 		lent := q.ledger.Lend(m.Organisation, m.Units, by, q.entry.bootClock())
 		q.mu.Unlock()
@@ -135,7 +136,7 @@
 		}
 		q.send(&quotaMessage{Kind: quotaAnswer, Seq: m.Seq, Organisation: m.Organisation, Units: lent.Units, Left: max(0, lent.Left)}, from)
 	case quotaAnswer:
-		q.answered(m, w.From, from)
+		q.handleAnswer(m, w.From, from)
 	case quotaReturn:
 		q.mu.Lock()
 		q.ledger.Returned(m.Organisation, m.Units, by, q.entry.bootClock())
@@ -145,19 +146,19 @@
 	}
 }
 
-// answered takes a lender's answer. One that nobody waits for any more is given back.
-func (q *quotas) answered(m *quotaMessage, peer string, from netip.AddrPort) {
+// handleAnswer handles a lender's answer. Units that no request waits for any more are returned.
+func (q *quotas) handleAnswer(m *quotaMessage, peer string, from netip.AddrPort) {
 	q.mu.Lock()
-	asked := q.asked[m.Seq]
-	mine := asked != nil && asked.lender == peer && asked.organisation == m.Organisation
-	if mine {
-		delete(q.asked, m.Seq)
-		delete(q.silent, peer)
+	borrow := q.pending[m.Seq]
+	awaited := borrow != nil && borrow.lender == peer && borrow.organisation == m.Organisation
+	if awaited {
+		delete(q.pending, m.Seq)
+		delete(q.unresponsiveUntil, peer)
 		q.ledger.Heard(m.Organisation, peer, m.Left, q.entry.bootClock())
 	}
 	q.mu.Unlock()
-	if mine {
-		asked.answer <- m.Units
+	if awaited {
+		borrow.granted <- m.Units
 	} else if m.Units > 0 {
 		q.send(&quotaMessage{Kind: quotaReturn, Seq: m.Seq, Organisation: m.Organisation, Units: m.Units}, from)
 	}
@@ -167,35 +168,35 @@
 	q.entry.peers.sendTo(&word{From: q.entry.settings.ID, Epoch: uint64(q.entry.tel.Epoch), Quota: m}, to)
 }
 
-// borrow asks a lender for units. answered is false if none came in time.
+// borrow requests units from a lender. answered is false if no answer came in time.
 func (q *quotas) borrow(ctx context.Context, organisation, lender string, units float64) (seq uint64, lent float64, answered bool) {
 	to, ok := q.entry.peers.address(lender)
 	if !ok {
 		return 0, 0, false
 	}
-	l := &lending{organisation: organisation, lender: lender, answer: make(chan float64, 1)}
+	l := &pendingBorrow{organisation: organisation, lender: lender, granted: make(chan float64, 1)}
 	q.mu.Lock()
 	q.seq++
 	seq = q.seq
-	q.asked[seq] = l
+	q.pending[seq] = l
 	q.mu.Unlock()
-	q.send(&quotaMessage{Kind: quotaAsk, Seq: seq, Organisation: organisation, Units: units}, to)
-	timeout := time.NewTimer(lendTimeout)
+	q.send(&quotaMessage{Kind: quotaBorrow, Seq: seq, Organisation: organisation, Units: units}, to)
+	timeout := time.NewTimer(borrowTimeout)
 	defer timeout.Stop()
 	select {
-	case lent = <-l.answer:
+	case lent = <-l.granted:
 		return seq, lent, true
 	case <-timeout.C:
 	case <-ctx.Done():
 	}
 	q.mu.Lock()
-	delete(q.asked, seq)
+	delete(q.pending, seq)
 	if ctx.Err() == nil {
-		q.silent[lender] = q.entry.bootClock() + silentFor
+		q.unresponsiveUntil[lender] = q.entry.bootClock() + unresponsiveFor
 	}
 	q.mu.Unlock()
 	select {
-	case lent = <-l.answer: // it came meanwhile
+	case lent = <-l.granted: // it arrived after the timeout
 		return seq, lent, true
 	default:
 		return seq, 0, false
--- a/internal/direct/quotas_test.go
+++ b/internal/direct/quotas_test.go
@@ -11,8 +11,8 @@
 	"skylarklead/internal/fleet"
 )
 
-// Guards against an entry of a large fleet that asks only its own failure domain, whose words alone
-// it hears, for units that entries of others hold.
+// Guards against an entry of a large fleet that borrows only from its own failure domain, the only one
+// whose messages it receives regularly, and refuses requests though entries elsewhere hold units.
 func TestUnitsAreLentAcrossFailureDomains(t *testing.T) {
 	const entries, each = 40, 1000
 	all := startTalkers(t, entries, 4)
@@ -39,17 +39,17 @@
 	}
 	refused := 0
 	for _, e := range all {
-		j := &request{entry: e.Entry, ctx: t.Context(), organisation: organisation}
-		if !j.reserve() {
+		req := &request{entry: e.Entry, ctx: t.Context(), organisation: organisation}
+		if !req.reserveQuota() {
 			refused++
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d entries got no units of a limit that is not used up", refused, entries)
+		t.Errorf("%d of %d entries got no units of a quota that is not exhausted", refused, entries)
 	}
 }
 
-// Guards against a request that waits for entries that don't answer, each time anew.
+// Guards against requests that each wait anew for entries that don't answer.
 func TestASilentLenderIsLeftAlone(t *testing.T) {
 	all := newTalkers(t, 3, 1) // nobody listens
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 1000, Burst: 1000}}
@@ -58,20 +58,20 @@
 	e.quotas.setEntries([]string{"entry-1", "entry-2"}, false, false)
 	for try := range 2 {
 		began := time.Now()
-		j := &request{entry: e.Entry, ctx: context.Background(), organisation: organisation}
-		if j.reserve() || !j.charging.unheard {
-			t.Errorf("try %d: units of nobody, or no word that nobody answers", try)
+		req := &request{entry: e.Entry, ctx: context.Background(), organisation: organisation}
+		if req.reserveQuota() || !req.quotaStats.unreachable {
+			t.Errorf("try %d: got units though no lender answers, or lenders not reported unreachable", try)
 		}
-		if took := time.Since(began); try > 0 && took > lendTimeout/2 {
+		if took := time.Since(began); try > 0 && took > borrowTimeout/2 {
 			t.Errorf("the second request waited %v", took)
 		}
 	}
 }
 
-// Whatever comes by datagram, no more is left of a part than may be saved up, and nothing panics.
+// Whatever datagrams arrive, a share never holds more than its maximum, and nothing panics.
 func FuzzQuotaMessage(f *testing.F) {
 	for _, m := range []*quotaMessage{
-		{Kind: quotaAsk, Seq: 1, Organisation: "derwent", Units: 500},
+		{Kind: quotaBorrow, Seq: 1, Organisation: "derwent", Units: 500},
 		{Kind: quotaAnswer, Seq: 1, Organisation: "derwent", Units: maxUnits, Left: -1},
 		{Kind: quotaReturn, Seq: 1, Organisation: "derwent", Units: math.MaxFloat64},
 		{Kind: 200, Seq: math.MaxUint64, Units: math.NaN()},
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// afterOutage is how long a replica that fell off the list in an outage may take
-	// to come back: the platform's two seconds of the store's return.
-	afterOutage = 2 * time.Second
-	// storeBindsAfter is for how long the store must have answered an entry before that is held to
-	// what was written, by the platform's word; placing is the time that a request needs
-	// from its decision to its replica, many times what links and a busy entry take.
+	// recoveryGrace is how long after the store's return a replica whose record lapsed in an
+	// outage may take to write it again: two seconds by the platform's rules.
+	recoveryGrace = 2 * time.Second
+	// storeBindsAfter is how long the store must have answered an entry before the platform
+	// holds the entry to what was written. dispatchTime is the time from a request's placement
+	// to its arrival at the replica, many times what links and a busy entry take.
 	storeBindsAfter = 3 * time.Second
 	dispatchTime    = 200 * time.Millisecond
-	// missSeen is within which time the reader notices that the store doesn't answer: a
-	// pause, a read that waits, and the time that its answer may take.
-	missSeen = replicasMost + replicasWait + callTimeout
-	// wordFresh is how old a peer's word may be: at 25 entries eight of them in a row would
-	// have to be lost. Over 200 entries words are rarer than that, and tell nothing here.
-	wordFresh = time.Second
-	// outageShown is for how long after an outage the lines of removals tell of it.
-	outageShown = 10 * time.Second
+	// outageNoticedWithin is the time within which the reader notices that the store doesn't
+	// answer: a pause, a read that waits, and the time-out of its answer.
+	outageNoticedWithin = replicasMost + replicasWait + callTimeout
+	// peerMessageMaxAge bounds the age of a peer's message that counts as evidence: at 25 entries
+	// eight in a row would have to be lost. Over 200 entries messages come less often than that
+	// and are no evidence.
+	peerMessageMaxAge = time.Second
+	// outageLogPeriod is how long after an outage log lines of removals mention it.
+	outageLogPeriod = 10 * time.Second
 )
 
-var outageParams = member.OutageParams{Back: afterOutage, Unheeded: storeBindsAfter - dispatchTime, Seen: missSeen, Fresh: wordFresh}
+var outageParams = member.OutageParams{Back: recoveryGrace, Unheeded: storeBindsAfter - dispatchTime, Seen: outageNoticedWithin, Fresh: peerMessageMaxAge}
 
-// followReplicas keeps the list of replicas.
+// followReplicas keeps the replica list up to date.
 func (e *Entry) followReplicas(ctx context.Context) {
 	_, topic := e.platform.Records.Topics()
 	f := e.newFollower(topic)
@@ -40,10 +41,10 @@
 	if e.hub == nil {
 		f.pause = func() time.Duration { return min(replicasMost, replicasEvery*time.Duration(e.state.entryCount())) }
 	}
-	f.failed = e.listMissed
+	f.failed = e.listCallFailed
 	f.reached = func(r spread.Reading) { e.listAnswered(r, f.boot()) }
 	f.record = e.applyReplicaRecord
-	f.whole = e.takeReplicas
+	f.whole = e.applyReplicaList
 	f.rewound = func(first uint64) {
 		e.tel.Log.Warn("store is back from an older copy", "stream", topic, "era", fleet.Era(first))
 		e.state.mu.Lock()
@@ -53,8 +54,8 @@
 	f.run(ctx)
 }
 
-// listMissed takes a call for the list that got no answer, with when it was made.
-func (e *Entry) listMissed(made time.Time) {
+// listCallFailed handles a call for the replica list, made at the given time, that got no answer.
+func (e *Entry) listCallFailed(made time.Time) {
 	now := e.clock.now()
 	e.state.mu.Lock()
 	begins := e.state.outage.Missed(made.Sub(e.clock.start), now)
@@ -64,19 +65,20 @@
 	}
 }
 
-// listSilent looks whether nobody's answer for the list has come for too long.
-func (e *Entry) listSilent(now time.Duration) {
+// checkListSilence starts an outage if no answer about the replica list arrived from any reader for
+// too long.
+func (e *Entry) checkListSilence(now time.Duration) {
 	e.state.mu.Lock()
 	begins := e.state.outage.Silent(now)
 	e.state.mu.Unlock()
 	if begins {
-		e.tel.Log.Warn("list of replicas not heard of", "list_age_ms", (now - time.Duration(e.state.listReadAt.Load())).Milliseconds())
+		e.tel.Log.Warn("replica list is stale: no answer from any reader", "list_age_ms", (now - time.Duration(e.state.listReadAt.Load())).Milliseconds())
 		e.watch.storeLost(now)
 	}
 }
 
-// listAnswered takes an answer to a call for the list, of this entry or of the one that the
-// reading names; boot is the time of the readings' clock.
+// listAnswered handles an answer to a call for the replica list, made by this entry or by the one
+// that the reading names. boot is the present time of the reading's clock.
 func (e *Entry) listAnswered(r spread.Reading, boot time.Duration) {
 	if r.Made > 0 {
 		e.state.listReadAt.Store(int64(e.clock.sinceBoot(r.Made, boot)))
@@ -90,8 +92,8 @@
 	}
 }
 
-// takeReplicas takes the whole list.
-func (e *Entry) takeReplicas(page fleet.Page) {
+// applyReplicaList applies the whole list.
+func (e *Entry) applyReplicaList(page fleet.Page) {
 	listed := make(map[string]bool, len(page.Records))
 	for _, r := range page.Records {
 		listed[r.Key] = true
@@ -99,15 +101,16 @@
 	}
 	e.state.mu.Lock()
 	missing := e.state.replicas.Missing(listed)
-	grace := e.state.rewoundUntil()
-	e.state.listed = true
+	grace := e.state.rewindGraceEnd()
+	e.state.listRead = true
 	e.state.mu.Unlock()
 	for _, name := range missing {
-		// The next record written comes at the list's end.
+		// The next record is written at the list's end.
 		e.removeReplica(name, max(page.End, 1)-1, grace)
 	}
 }
 
+// applyReplicaRecord applies one record of the replica list.
 func (e *Entry) applyReplicaRecord(r fleet.Record) {
 	if r.Value == nil {
 		e.removeReplica(r.Key, r.Offset, 0)
@@ -115,7 +118,7 @@
 	}
 	replica, err := e.platform.Records.Replica(r.Key, r.Value)
 	if err != nil {
-		e.refuseRecord(r, err)
+		e.dropRecord(r, err)
 		return
 	}
 	now := e.clock.now()
@@ -128,10 +131,10 @@
 	e.logListing(replica, &listing, known, r.Offset)
 }
 
-// refuseRecord takes a record that isn't a replica's own: it is of another writer, or
-// can't be read. It names no replica to use, and none that had its key before: an entry
-// that starts now, and finds only this record, knows of none either.
-func (e *Entry) refuseRecord(r fleet.Record, err error) {
+// dropRecord handles a record that isn't a replica's own or can't be decoded. It removes the replica
+// that had its key before: an entry that starts now and finds only this record knows no such replica
+// either.
+func (e *Entry) dropRecord(r fleet.Record, err error) {
 	e.malformed.report("replica's record skipped", r, err)
 	now := e.clock.now()
 	e.state.mu.Lock()
@@ -145,8 +148,8 @@
 	}
 }
 
-// applyListing takes what a replica says of itself; known says that something was known of it
-// before. The caller holds the state's lock.
+// applyListing applies a replica's record; known says that the replica was known before. The caller
+// holds the state's lock.
 func (e *Entry) applyListing(r *fleet.Replica, listing *member.Listing, known bool) {
 	if listing.Outdated || e.state.replicas.Get(r.ID) == nil {
 		return
@@ -165,7 +168,7 @@
 	}
 }
 
-// endPredecessor ends what was under way at the incarnation that a replica has endPredecessor.
+// endPredecessor ends what is under way at the incarnation that a replica replaces.
 func (e *Entry) endPredecessor(r *fleet.Replica, listing *member.Listing) {
 	if listing.Ended == "" {
 		return
@@ -187,29 +190,30 @@
 	}
 }
 
-// removeReplica takes a replica off the list, at once or, where its record may have
-// lapsed while the store was away, if it isn't back soon; in any case not before grace.
+// removeReplica removes a replica whose record is gone: at once or, if the record may have lapsed
+// because of an outage of the store, when the grace period for its return is over, but not before
+// grace.
 func (e *Entry) removeReplica(name string, offset uint64, grace time.Duration) {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	excuse := e.state.outage.Excuse(now)
+	outageGrace := e.state.outage.Excuse(now)
 	removed := ""
-	until := max(excuse.Until, grace)
-	kept := until > now
-	if kept {
+	until := max(outageGrace.Until, grace)
+	lapsed := until > now
+	if lapsed {
 		e.state.replicas.Lapse(name, offset, now, until)
 	} else if removed = e.state.replicas.Remove(name, offset, now); removed != "" {
 		e.state.forgetReplica(removed)
 	}
 	e.state.mu.Unlock()
-	outage := slog.Group("outage", "peers", excuse.Witness.String(), "began_ms_ago", (now - excuse.Began).Milliseconds(),
-		"missed_ms_ago", (now - excuse.Missed).Milliseconds(), "ended_ms_ago", (now - excuse.Ended).Milliseconds())
+	outage := slog.Group("outage", "peers", outageGrace.Witness.String(), "began_ms_ago", (now - outageGrace.Began).Milliseconds(),
+		"missed_ms_ago", (now - outageGrace.Missed).Milliseconds(), "ended_ms_ago", (now - outageGrace.Ended).Milliseconds())
 	switch {
-	case kept:
+	case lapsed:
 		e.tel.Metrics.Count("replicas_lapsed", 1)
 		e.tel.Log.Info("replica lapsed during an outage of the store", "replica", name, "offset", offset,
 			"gone_in_ms", (until - now).Milliseconds(), outage)
-	case removed != "" && excuse.Known && now-excuse.Ended < outageShown:
+	case removed != "" && outageGrace.Known && now-outageGrace.Ended < outageLogPeriod:
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset, outage)
 	case removed != "":
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset)
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -16,43 +16,44 @@
 )
 
 const (
-	// topicEntries is the entries' own topic: leases and notes of rollouts.
+	// topicEntries is the entries' own topic: leases, rollout records, version announcements
+	// and crash counts.
 	topicEntries = "skylark.entries"
-	// giverLease is the lease of the right to give orders.
-	giverLease = lease.Name("rollout")
-	// activeTick and idleTick are the pauses between looks at the rollouts.
-	activeTick = 25 * time.Millisecond
-	idleTick   = time.Second
-	// giverStays is how long others leave the lease to its last holder, whose orders
-	// need no time to settle; giverSpread, and giverSpreadEach for each entry, spread the first
-	// claims of all, so that the first one's is known to the others before their turn.
-	giverStays      = 500 * time.Millisecond
-	giverSpread     = 100 * time.Millisecond
-	giverSpreadEach = 20 * time.Millisecond
-	// giverLeaves is how long an entry that is shutting down leaves the lease to the
-	// others. It takes it if they all are: a rolling restart of all entries takes
-	// longer than weights may.
-	giverLeaves = 700 * time.Millisecond
-	// lastOrders is how long before its end such an entry gives the lease back, so
-	// that its last order has its reply.
-	lastOrders = 1200 * time.Millisecond
-	// orderDelay is how long after its note an order is given at the latest, as a
-	// rule.
-	orderDelay = 300 * time.Millisecond
-	// lastGiverFor is how long a holder counts as the last one.
-	lastGiverFor = time.Minute
+	// orderLease is the lease whose holder may issue orders.
+	orderLease = lease.Name("rollout")
+	// activeInterval and idleInterval are the pauses between steps of the rollouts.
+	activeInterval = 25 * time.Millisecond
+	idleInterval   = time.Second
+	// previousHolderHeadStart is how long other entries leave the lease to its previous holder,
+	// which need not wait for another's orders to settle. claimSpread, and claimSpreadPerEntry
+	// for each entry, spread first claims, so that the first one is known to the other entries
+	// before they claim.
+	previousHolderHeadStart = 500 * time.Millisecond
+	claimSpread             = 100 * time.Millisecond
+	claimSpreadPerEntry     = 20 * time.Millisecond
+	// shutdownClaimDelay is how long an entry that is shutting down leaves the lease to other
+	// entries. It claims it if all are shutting down: a rolling restart of all entries takes
+	// longer than a change of weights may.
+	shutdownClaimDelay = 700 * time.Millisecond
+	// leaseReturnMargin is how long before it exits such an entry returns the lease, so that
+	// the reply to its last order arrives.
+	leaseReturnMargin = 1200 * time.Millisecond
+	// maxOrderDelay is the usual maximum time from a rollout record to its order.
+	maxOrderDelay = 300 * time.Millisecond
+	// previousHolderExpiry is how long a holder counts as the previous one.
+	previousHolderExpiry = time.Minute
 )
 
-// leaseParams are for replicas that check fencing numbers: an old holder is refused
-// by them, so that a short lease is safe.
+// leaseParams apply if replicas check fencing numbers: they refuse a former holder's orders, so that
+// a short lease is safe.
 var leaseParams = lease.Params{
 	Duration: 2 * time.Second, Margin: 300 * time.Millisecond, RenewBefore: 1200 * time.Millisecond,
 	OrderMargin: 400 * time.Millisecond, RetryMin: 50 * time.Millisecond, RetryMax: 400 * time.Millisecond,
 	RestartReclaims: true,
 }
 
-// leaseParamsFor keeps two holders' orders apart by the platform's time where
-// replicas take any fencing number.
+// leaseParamsFor returns parameters that, if replicas don't check fencing numbers, keep the orders of
+// two holders apart by the time that the platform sets.
 func leaseParamsFor(d *settings.Direct) lease.Params {
 	p := leaseParams
 	if d.FencesChecked {
@@ -66,53 +67,57 @@
 	return p
 }
 
-// rollouts drives the changes of weights: it follows the entries' topic, and gives
-// the orders while this entry holds the lease.
+// rollouts drives the rollouts of weights: it follows the entries' topic, and issues orders while
+// this entry holds the lease.
 type rollouts struct {
 	entry *Entry
-	// self names this entry's machine in leases: a process of the same name and address
-	// comes only after the one before it.
-	self string
+	// holderID identifies this entry in leases. A process with the same name and address starts
+	// only after the one before it has ended.
+	holderID string
+	// wake triggers a step.
 	wake chan struct{}
-	// reread has the topic read now.
+	// reread triggers a read of the topic.
 	reread chan struct{}
 	follow func(context.Context)
-	// active is set while something is to be brought up to date.
+	// active is set while replicas are to be updated.
 	active atomic.Bool
 
-	mu          sync.Mutex
-	leases      *lease.Leases
-	cores       map[string]*rollout.Core
-	dueSince    time.Duration
-	lastGiver   string
-	lastGiverAt time.Duration
-	// foreignAt is when another holder's latest order was heard of.
-	foreignAt time.Duration
-	fence     uint64
-	holds     bool
-	// next is the offset at which the topic goes on after what was read.
-	next uint64
+	mu     sync.Mutex
+	leases *lease.Leases
+	// cores holds the rollout of each model.
+	cores map[string]*rollout.Core
+	// claimAt is when this entry may claim the lease; 0 while nothing is to be updated.
+	claimAt      time.Duration
+	lastHolder   string
+	lastHolderAt time.Duration
+	// foreignOrderAt is when another holder's latest order was received.
+	foreignOrderAt time.Duration
+	// fence is the fencing number of the lease while holds is set.
+	fence uint64
+	holds bool
+	// nextOffset is the offset after the last record read from the topic.
+	nextOffset uint64
 }
 
 func newRollouts(e *Entry) *rollouts {
 	self := e.settings.ID + "@" + e.settings.Direct.Peers
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	r := &rollouts{
-		entry:  e,
-		self:   self,
-		wake:   make(chan struct{}, 1),
-		reread: make(chan struct{}, 1),
-		leases: lease.NewLeases(self, protocol.Epoch(e.tel.Epoch), leaseParamsFor(e.settings.Direct), rng),
-		cores:  make(map[string]*rollout.Core),
+		entry:    e,
+		holderID: self,
+		wake:     make(chan struct{}, 1),
+		reread:   make(chan struct{}, 1),
+		leases:   lease.NewLeases(self, protocol.Epoch(e.tel.Epoch), leaseParamsFor(e.settings.Direct), rng),
+		cores:    make(map[string]*rollout.Core),
 	}
 	r.follow = r.followEntries
 	return r
 }
 
-// trigger has the rollouts looked at now.
+// trigger wakes run to do a step now.
 func (r *rollouts) trigger() { trySignal(r.wake) }
 
-// trySignal sends on a channel of one unless something is in it.
+// trySignal sends on a channel with a buffer of one unless the buffer is full.
 func trySignal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -120,30 +125,30 @@
 	}
 }
 
-// followEntries reads the entries' topic. Leases number records from 1.
+// followEntries follows the entries' topic. Leases number records from 1, the topic from 0.
 func (r *rollouts) followEntries(ctx context.Context) {
 	f := r.entry.newFollower(topicEntries)
 	f.every, f.poke = entriesEvery, r.reread
 	f.number = numberEntries
 	f.waits = r.readWait
-	f.record = r.take
+	f.record = r.applyStoreRecord
 	f.skipped = func(first uint64) {
 		r.mu.Lock()
-		r.next = first
-		r.act(ctx, r.leases.Gap(first+1, bootTime()))
+		r.nextOffset = first
+		r.applyLeaseActions(ctx, r.leases.Gap(first+1, bootTime()))
 		r.mu.Unlock()
 	}
 	f.rewound = func(first uint64) {
 		r.mu.Lock()
-		r.next = first
-		r.act(ctx, r.leases.Rewound(first+1, bootTime()))
+		r.nextOffset = first
+		r.applyLeaseActions(ctx, r.leases.Rewound(first+1, bootTime()))
 		r.mu.Unlock()
 		r.entry.tel.Log.Warn("store is back from an older copy", "stream", topicEntries, "era", fleet.Era(first))
 		r.entry.rewriteNamings()
 	}
 	f.caughtUp = func() {
 		r.mu.Lock()
-		r.act(ctx, r.leases.CaughtUp(bootTime()))
+		r.applyLeaseActions(ctx, r.leases.CaughtUp(bootTime()))
 		r.mu.Unlock()
 	}
 	f.run(ctx)
@@ -157,20 +162,21 @@
 	return entriesWait
 }
 
-func (r *rollouts) take(record fleet.Record) {
+// applyStoreRecord applies a record of the entries' topic.
+func (r *rollouts) applyStoreRecord(record fleet.Record) {
 	e := r.entry
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next = record.Offset + 1
+	r.nextOffset = record.Offset + 1
 	envelope, err := rollout.Decode(record.Value)
 	if err != nil {
-		e.malformed.report("entries' record skipped", record, err)
+		e.malformed.report("malformed record of the entries' topic skipped", record, err)
 		return
 	}
 	if envelope.Lease != nil {
-		r.act(context.Background(), r.leases.Record(record.Offset+1, envelope.Lease, bootTime()))
-		if grant, held := r.leases.Table().Holder(giverLease); held {
-			r.lastGiver, r.lastGiverAt = grant.Holder, r.entry.clock.now()
+		r.applyLeaseActions(context.Background(), r.leases.Record(record.Offset+1, envelope.Lease, bootTime()))
+		if grant, held := r.leases.Table().Holder(orderLease); held {
+			r.lastHolder, r.lastHolderAt = grant.Holder, r.entry.clock.now()
 		}
 		r.trigger()
 		return
@@ -180,56 +186,56 @@
 		return
 	}
 	if envelope.Strike != nil {
-		r.entry.heardStrike(envelope.Strike, topicEntries)
+		r.entry.receiveCrash(envelope.Strike, topicEntries)
 		return
 	}
-	r.hearNote(envelope.Note)
+	r.receiveRecord(envelope.Note)
 }
 
-// hearNote takes another entry's note, or reads back one's own. The caller holds mu.
-func (r *rollouts) hearNote(n *rollout.Note) {
+// receiveRecord applies a rollout record, of another entry or read back. The caller holds mu.
+func (r *rollouts) receiveRecord(n *rollout.Note) {
 	if n.Phase == rollout.PhaseOrdered && n.Holder != r.entry.settings.ID {
-		r.foreignAt = r.entry.clock.now()
+		r.foreignOrderAt = r.entry.clock.now()
 	}
 	r.applyRecord(n)
 }
 
-// receiveRecords takes notes that a peer sent directly.
+// receiveRecords applies rollout records that a peer sent directly.
 func (r *rollouts) receiveRecords(notes []rollout.Note) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range notes {
 		if notes[i].Valid() {
-			r.hearNote(&notes[i])
+			r.receiveRecord(&notes[i])
 		}
 	}
 }
 
-// applyRecord applies a note to what is believed of a replica.
+// applyRecord applies a rollout record to what is known of its replica.
 func (r *rollouts) applyRecord(n *rollout.Note) {
 	e := r.entry
 	s := e.state
 	s.mu.Lock()
-	news := s.board.Take(n, e.clock.now())
-	if news {
+	changed := s.board.Take(n, e.clock.now())
+	if changed {
 		s.feed.Emptied(n.Replica, e.clock.now())
 	}
 	if n.Phase == rollout.PhaseServing || n.Phase == rollout.PhaseReleased {
 		s.notifyChanged()
 	}
 	s.mu.Unlock()
-	e.tel.Log.Info("weights note", "replica", n.Replica, "model", n.Model, "version", n.Version,
-		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.Orders, "news", news)
+	e.tel.Log.Info("rollout record applied", "replica", n.Replica, "model", n.Model, "version", n.Version,
+		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.Orders, "news", changed)
 }
 
-// run looks at the rollouts until ctx ends.
+// run steps the rollouts until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := idleTick
+		pause := idleInterval
 		active := r.step(ctx)
 		r.active.Store(active)
 		if active {
-			pause = activeTick
+			pause = activeInterval
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -241,57 +247,57 @@
 	}
 }
 
-// step advances all rollouts; it reports whether there is something under way.
+// step advances all rollouts; it reports whether one is under way.
 func (r *rollouts) step(ctx context.Context) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.entry.clock.now()
-	due := r.states(now)
+	due := r.dueStates(now)
 	if len(due) == 0 {
-		r.dueSince = 0
-		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
+		r.claimAt = 0
+		r.applyLeaseActions(ctx, r.leases.Drop(orderLease, bootTime()))
 		return false
 	}
-	if r.dueSince == 0 {
-		r.dueSince = now + r.patience(now)
+	if r.claimAt == 0 {
+		r.claimAt = now + r.claimDelay(now)
 	}
-	if now < r.dueSince {
+	if now < r.claimAt {
 		return true
 	}
-	if r.entry.drain.endsWithin(lastOrders) {
-		r.lost()
-		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
+	if r.entry.drain.endsWithin(leaseReturnMargin) {
+		r.stopIssuing()
+		r.applyLeaseActions(ctx, r.leases.Drop(orderLease, bootTime()))
 		return true
 	}
-	r.act(ctx, r.leases.Want(giverLease, bootTime()))
-	fence, ok := r.leases.Check(giverLease, bootTime())
+	r.applyLeaseActions(ctx, r.leases.Want(orderLease, bootTime()))
+	fence, ok := r.leases.Check(orderLease, bootTime())
 	if !ok {
-		r.lost()
+		r.stopIssuing()
 		return true
 	}
 	if !r.holds || fence != r.fence {
-		r.lost()
+		r.stopIssuing()
 		r.holds, r.fence = true, fence
-		r.entry.tel.Log.Info("giving orders", "fence", fence, "foreign_heard_ms_ago", (now - r.foreignAt).Milliseconds())
+		r.entry.tel.Log.Info("issuing orders", "fence", fence, "foreign_heard_ms_ago", (now - r.foreignOrderAt).Milliseconds())
 	}
-	if r.foreignAt > 0 && now-r.foreignAt < r.entry.direct().Lease.D()+orderDelay {
+	if r.foreignOrderAt > 0 && now-r.foreignOrderAt < r.entry.direct().Lease.D()+maxOrderDelay {
 		return true
 	}
 	for model, states := range due {
-		r.drive(ctx, model, r.cores[model].Step(now, fence, states))
+		r.applyActions(ctx, model, r.cores[model].Step(now, fence, states))
 	}
 	return true
 }
 
-// keeps reports whether this entry gives the orders still.
-func (r *rollouts) keeps() bool {
+// keepsLease reports whether this entry has the lease for orders or has not yet read back its return.
+func (r *rollouts) keepsLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leases.Keeps(giverLease)
+	return r.leases.Keeps(orderLease)
 }
 
-// lost forgets what was under way when the lease ended.
-func (r *rollouts) lost() {
+// stopIssuing discards what was under way when the lease ended.
+func (r *rollouts) stopIssuing() {
 	if !r.holds {
 		return
 	}
@@ -299,26 +305,26 @@
 	for _, c := range r.cores {
 		c.Stop()
 	}
-	r.entry.tel.Log.Info("no longer giving orders", "fence", r.fence)
+	r.entry.tel.Log.Info("no longer issuing orders", "fence", r.fence)
 }
 
-// patience is how long to leave the lease to others.
-func (r *rollouts) patience(now time.Duration) time.Duration {
-	spread := rand.N(max(giverSpread, giverSpreadEach*time.Duration(r.entry.state.entryCount())))
+// claimDelay is how long to leave the lease to other entries.
+func (r *rollouts) claimDelay(now time.Duration) time.Duration {
+	delay := rand.N(max(claimSpread, claimSpreadPerEntry*time.Duration(r.entry.state.entryCount())))
 	if r.entry.draining() {
-		spread += giverLeaves
+		delay += shutdownClaimDelay
 	}
 	switch {
-	case r.lastGiver == r.self:
+	case r.lastHolder == r.holderID:
 		return 0
-	case r.lastGiver != "" && now-r.lastGiverAt < lastGiverFor:
-		return giverStays + spread
+	case r.lastHolder != "" && now-r.lastHolderAt < previousHolderExpiry:
+		return previousHolderHeadStart + delay
 	}
-	return spread
+	return delay
 }
 
-// states returns the replicas of each model that has some to bring up to date.
-func (r *rollouts) states(now time.Duration) map[string][]rollout.State {
+// dueStates returns the replicas of each model that has some to update.
+func (r *rollouts) dueStates(now time.Duration) map[string][]rollout.State {
 	s := r.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -330,7 +336,7 @@
 			r.cores[model] = c
 		}
 		c.Want(demand.Newest())
-		states := s.states(model, now)
+		states := s.rolloutStates(model, now)
 		if c.Due(states) || c.Active() {
 			due[model] = states
 		}
@@ -338,12 +344,12 @@
 	return due
 }
 
-// act carries out what the leases ask for. The caller holds mu.
-func (r *rollouts) act(ctx context.Context, actions []lease.Action) {
+// applyLeaseActions executes what the leases request. The caller holds mu.
+func (r *rollouts) applyLeaseActions(ctx context.Context, actions []lease.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case lease.Append:
-			go r.appendLease(ctx, a, r.condition(a))
+			go r.appendLease(ctx, a, r.claimOffset(a))
 		case lease.Granted:
 			r.entry.tel.Log.Info("lease granted", "lease", string(a.Name), "fence", a.Fence)
 		case lease.Lost:
@@ -352,14 +358,14 @@
 	}
 }
 
-// condition is where on the topic a record must land, nil for anywhere. A claim that
-// another record came before is void, and makes the others' claims void that are on
-// their way; with many entries none would get the lease. The caller holds mu.
-func (r *rollouts) condition(a lease.Append) *uint64 {
+// claimOffset is the offset at which a record must be appended, nil for any. A claim that another
+// record precedes is void, and would void the claims of other entries that are on their way; with
+// many entries none would get the lease. The caller holds mu.
+func (r *rollouts) claimOffset(a lease.Append) *uint64 {
 	if !a.Claim {
 		return nil
 	}
-	at := r.next
+	at := r.nextOffset
 	return &at
 }
 
@@ -373,26 +379,26 @@
 	case err == nil:
 		return
 	case errors.Is(err, fleet.ErrStoreMoved):
-		r.entry.tel.Log.Info("lease not claimed, another record came first", "seq", a.Seq, "at", *at)
+		r.entry.tel.Log.Info("lease claim failed: another record was appended first", "seq", a.Seq, "at", *at)
 	default:
-		r.entry.tel.Log.Warn("lease record not written", "seq", a.Seq, "error", err)
+		r.entry.tel.Log.Warn("lease record not written to the store", "seq", a.Seq, "error", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.act(ctx, r.leases.Failed(a.Seq, bootTime()))
+	r.applyLeaseActions(ctx, r.leases.Failed(a.Seq, bootTime()))
 }
 
-// drive carries out a rollout's actions. The caller holds mu.
-func (r *rollouts) drive(ctx context.Context, model string, actions []rollout.Action) {
+// applyActions executes a rollout's actions. The caller holds mu.
+func (r *rollouts) applyActions(ctx context.Context, model string, actions []rollout.Action) {
 	var notes []rollout.Note
 	for _, a := range actions {
 		switch a := a.(type) {
 		case rollout.Announce:
 			notes = append(notes, a.Note)
 		case rollout.Give:
-			go r.give(ctx, model, a.Order)
+			go r.sendOrder(ctx, model, a.Order)
 		case rollout.Ask:
-			go r.ask(ctx, model, a.Replica)
+			go r.requestReport(ctx, model, a.Replica)
 		}
 	}
 	if len(notes) > 0 {
@@ -400,15 +406,15 @@
 	}
 }
 
-// errLeaseOver says that the lease ended between a decision and its order.
-var errLeaseOver = errors.New("direct: the lease is over")
+// errLeaseLost means that the lease ended between a decision and its order.
+var errLeaseLost = errors.New("direct: lease for orders lost")
 
-// give sends an order, if the lease still holds right before.
-func (r *rollouts) give(ctx context.Context, model string, o fleet.Order) {
+// sendOrder sends an order if the lease is still held immediately before.
+func (r *rollouts) sendOrder(ctx context.Context, model string, o fleet.Order) {
 	e := r.entry
 	began := e.clock.now()
-	reply, notice, err := fleet.ReplyNotSent, fleet.Notice{}, errLeaseOver
-	if r.stillHolds(o.Fence) {
+	reply, notice, err := fleet.ReplyNotSent, fleet.Notice{}, errLeaseLost
+	if r.holdsLease(o.Fence) {
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		reply, notice, err = e.platform.Replicas.Order(callCtx, &o)
 		cancel()
@@ -423,41 +429,41 @@
 	e.tel.Log.Info("order", attrs...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drive(ctx, model, r.cores[model].Replied(o.Replica.ID, reply, now))
+	r.applyActions(ctx, model, r.cores[model].Replied(o.Replica.ID, reply, now))
 	if reply == fleet.ReplyFenced {
-		r.foreignAt = now
-		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
+		r.foreignOrderAt = now
+		r.applyLeaseActions(ctx, r.leases.Drop(orderLease, bootTime()))
 	}
 	r.trigger()
 }
 
-func (r *rollouts) stillHolds(fence uint64) bool {
+func (r *rollouts) holdsLease(fence uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held, ok := r.leases.Check(giverLease, bootTime())
+	held, ok := r.leases.Check(orderLease, bootTime())
 	return ok && held == fence
 }
 
-// ask reads a replica's state.
-func (r *rollouts) ask(ctx context.Context, model string, replica *fleet.Replica) {
+// requestReport reads a replica's state.
+func (r *rollouts) requestReport(ctx context.Context, model string, replica *fleet.Replica) {
 	e := r.entry
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
-	asked := e.clock.now()
+	sent := e.clock.now()
 	report, notice, err := e.platform.Replicas.Report(callCtx, replica)
 	cancel()
 	notice.Leaving = notice.Leaving || report.Draining
-	e.applyNotice(replica.ID, &notice, asked, false)
+	e.applyNotice(replica.ID, &notice, sent, false)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		e.tel.Log.Warn("replica gave no report", "replica", replica.ID, "error", err)
-		r.drive(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
+		e.tel.Log.Warn("replica report failed", "replica", replica.ID, "error", err)
+		r.applyActions(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
 		return
 	}
 	if !replica.Is(report.Born) {
 		e.replaced(replica, replica.Name, report.Born)
-		r.drive(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
+		r.applyActions(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
 		return
 	}
-	r.drive(ctx, model, r.cores[model].Reported(replica.ID, &report, e.clock.now()))
+	r.applyActions(ctx, model, r.cores[model].Reported(replica.ID, &report, e.clock.now()))
 }
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -18,97 +18,98 @@
 const (
 	// bodyTimeout bounds how long a caller may take to send its body.
 	bodyTimeout = 5 * time.Second
-	// unknownBody is the room taken for a body whose length isn't said, in bytes.
-	unknownBody = 256 << 10
-	// defaultDeadline bounds a request of which neither caller nor route says more.
-	defaultDeadline = 30 * time.Second
-	// loadShare is the part of its objective that a request may wait at a replica.
-	loadShare = 0.4
-	// defaultRetryAfter is when a refused caller is told to return: after a load of weights
-	// or a restart has made a place free.
+	// unknownBodySize is the memory reserved for a body without Content-Length, in bytes.
+	unknownBodySize = 256 << 10
+	// defaultTimeout applies if neither the caller nor the route sets one.
+	defaultTimeout = 30 * time.Second
+	// maxLoadFraction is the fraction of its route's objective that a request may wait at a replica.
+	maxLoadFraction = 0.4
+	// defaultRetryAfter is the Retry-After of a refusal: by then a load of weights or a restart
+	// has freed capacity.
 	defaultRetryAfter = 300 * time.Millisecond
 )
 
-// shuttingDown is why a draining entry refuses what would outlast it.
-const shuttingDown = "this entry is shutting down"
+// reasonShuttingDown refuses requests that can't finish before a draining entry exits.
+const reasonShuttingDown = "this entry is shutting down"
 
-// Outcomes in logs and metrics.
+// Outcomes of requests, as logs and metrics name them.
 const (
-	outcomeServed  = "served"
-	outcomeRefused = "refused"
-	outcomeFailed  = "failed"
-	outcomeCut     = "cut"
-	outcomeLeft    = "caller_left"
-	outcomeDenied  = "denied"
+	outcomeServed     = "served"
+	outcomeRefused    = "refused"
+	outcomeFailed     = "failed"
+	outcomeCut        = "cut"
+	outcomeCallerLeft = "caller_left"
+	outcomeDenied     = "denied"
 )
 
-// serve answers one request.
-func (e *Entry) serve(w http.ResponseWriter, r *http.Request) {
-	j := &request{entry: e, w: w, r: r, began: e.clock.now()}
-	defer j.log()
+// serveHTTP handles one request of a caller.
+func (e *Entry) serveHTTP(w http.ResponseWriter, r *http.Request) {
+	req := &request{entry: e, w: w, httpRequest: r, started: e.clock.now()}
+	defer req.log()
 	if e.draining() {
 		w.Header().Set("Connection", "close")
 	}
-	e.drain.enter()
-	defer e.drain.leave()
-	if !j.admit() {
+	e.drain.requestStarted()
+	defer e.drain.requestEnded()
+	if !req.admit() {
 		return
 	}
-	defer j.cancel()
-	if !j.readBody() {
+	defer req.cancel()
+	if !req.readBody() {
 		return
 	}
-	defer e.bodies.Release(j.room())
-	j.run()
+	defer e.bodyMemory.Release(req.bodyReservation())
+	req.run()
 }
 
-// admit decides whether the request may be served at all.
-func (j *request) admit() bool {
-	e := j.entry
-	asked, err := e.platform.Headers.Request(j.r.Header)
-	j.params = asked
-	j.config = e.state.config.Load()
-	if j.config == nil {
-		return j.refuse("no configuration is known yet", defaultRetryAfter)
+// admit authenticates and routes the request; it answers the request and returns false if that
+// may not be served.
+func (req *request) admit() bool {
+	e := req.entry
+	params, err := e.platform.Headers.Request(req.httpRequest.Header)
+	req.params = params
+	req.config = e.state.config.Load()
+	if req.config == nil {
+		return req.refuse("no configuration received yet", defaultRetryAfter)
 	}
 	if err != nil {
-		return j.deny(http.StatusBadRequest, err.Error())
+		return req.deny(http.StatusBadRequest, err.Error())
 	}
-	j.route = j.config.Match(hostOf(j.r.Host), pathOf(j.r.RequestURI))
-	if j.route == nil {
-		return j.deny(http.StatusNotFound, "no route")
+	req.route = req.config.Match(hostWithoutPort(req.httpRequest.Host), rawPath(req.httpRequest.RequestURI))
+	if req.route == nil {
+		return req.deny(http.StatusNotFound, "no matching route")
 	}
-	if j.config.Keyed && !j.route.Public {
-		j.organisation = j.config.Keys[asked.Key]
-		if j.organisation == nil {
-			return j.deny(http.StatusUnauthorized, "unknown key")
+	if req.config.Keyed && !req.route.Public {
+		req.organisation = req.config.Keys[params.Key]
+		if req.organisation == nil {
+			return req.deny(http.StatusUnauthorized, "unknown API key")
 		}
 	}
-	j.service = j.config.Services[j.pickService()]
-	if !j.endsInTime() {
-		return j.refuse(shuttingDown, defaultRetryAfter)
+	req.service = req.config.Services[req.selectService()]
+	if !req.canFinish() {
+		return req.refuse(reasonShuttingDown, defaultRetryAfter)
 	}
-	j.bound()
+	req.setDeadline()
 	return true
 }
 
-// hostOf strips the port of a Host header.
-func hostOf(host string) string {
+// hostWithoutPort returns a Host header in lower case without its port.
+func hostWithoutPort(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
 	return strings.ToLower(host)
 }
 
-// pathOf is the path of a request line's target, as the caller wrote it.
-func pathOf(target string) string {
+// rawPath returns the path of a request target without decoding it.
+func rawPath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// pickService draws one of the route's services by weight.
-func (j *request) pickService() string {
-	targets := j.route.Targets
+// selectService picks one of the route's services at random by weight.
+func (req *request) selectService() string {
+	targets := req.route.Targets
 	if len(targets) == 0 {
 		return ""
 	}
@@ -116,184 +117,184 @@
 	for _, t := range targets {
 		total += t.Weight
 	}
-	draw := rand.IntN(max(1, total))
+	pick := rand.IntN(max(1, total))
 	for _, t := range targets {
-		if draw -= t.Weight; draw < 0 {
+		if pick -= t.Weight; pick < 0 {
 			return t.Service
 		}
 	}
 	return targets[0].Service
 }
 
-// bound sets when the request must be over, and ends its context then.
-func (j *request) bound() {
-	limit := defaultDeadline
-	if j.route.Timeout > 0 {
-		limit = j.route.Timeout
+// setDeadline sets the request's deadline from the caller and the route, and its context's.
+func (req *request) setDeadline() {
+	timeout := defaultTimeout
+	if req.route.Timeout > 0 {
+		timeout = req.route.Timeout
 	}
-	if j.params.Deadline > 0 {
-		limit = min(limit, j.params.Deadline)
+	if req.params.Deadline > 0 {
+		timeout = min(timeout, req.params.Deadline)
 	}
-	j.ends = j.began + limit
-	// A caller that takes nothing must not hold its answer's memory for ever. A
-	// connection that can't take deadlines is a test's; nothing is lost.
-	_ = http.NewResponseController(j.w).SetWriteDeadline(time.Now().Add(limit + writeMargin))
-	j.ctx, j.cancel = context.WithTimeoutCause(j.r.Context(), limit, errTimeout)
+	req.deadline = req.started + timeout
+	// A caller that stops reading must not hold the memory of its answer for ever.
+	// An error means that the connection has no deadlines, as in tests; it is ignored.
+	_ = http.NewResponseController(req.w).SetWriteDeadline(time.Now().Add(timeout + writeMargin))
+	req.ctx, req.cancel = context.WithTimeoutCause(req.httpRequest.Context(), timeout, errTimeout)
 }
 
-// room is what the body takes of the memory for bodies.
-func (j *request) room() int64 {
-	n := j.r.ContentLength
+// bodyReservation is the memory reserved for the body, in bytes.
+func (req *request) bodyReservation() int64 {
+	n := req.httpRequest.ContentLength
 	if n < 0 {
-		n = unknownBody
+		n = unknownBodySize
 	}
-	return min(n, j.entry.bodyRoom)
+	return min(n, req.entry.bodyCapacity)
 }
 
-// readBody takes the whole body, so that it can be handed on again and a refusal
-// after it is known to be true.
-func (j *request) readBody() bool {
-	e := j.entry
+// readBody reads the whole body, so that the request can be sent again to another replica, and
+// so that a later refusal can truthfully say that the request has not run.
+func (req *request) readBody() bool {
+	e := req.entry
 	limit := e.limits().BodyBytes
-	if j.r.ContentLength > limit {
-		return j.deny(http.StatusRequestEntityTooLarge, "body too long")
+	if req.httpRequest.ContentLength > limit {
+		return req.deny(http.StatusRequestEntityTooLarge, "body too large")
 	}
-	if !e.bodies.TryAcquire(j.room()) {
-		return j.refuse("no memory for another body", defaultRetryAfter)
+	if !e.bodyMemory.TryAcquire(req.bodyReservation()) {
+		return req.refuse("no memory for the request body", defaultRetryAfter)
 	}
-	if j.r.ContentLength == 0 {
+	if req.httpRequest.ContentLength == 0 {
 		return true
 	}
-	control := http.NewResponseController(j.w)
-	// A connection that can't take deadlines is a test's; nothing is lost.
+	control := http.NewResponseController(req.w)
+	// An error means that the connection has no deadlines, as in tests; it is ignored.
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(j.w, j.r.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(req.w, req.httpRequest.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	if err == nil {
-		j.body = body
+		req.body = body
 		return true
 	}
-	e.bodies.Release(j.room())
-	var long *http.MaxBytesError
-	var slow net.Error
+	e.bodyMemory.Release(req.bodyReservation())
+	var tooLong *http.MaxBytesError
+	var timedOut net.Error
 	switch {
-	case errors.As(err, &long):
-		return j.deny(http.StatusRequestEntityTooLarge, "body too long")
-	case errors.As(err, &slow) && slow.Timeout():
-		return j.deny(http.StatusRequestTimeout, "body too slow")
+	case errors.As(err, &tooLong):
+		return req.deny(http.StatusRequestEntityTooLarge, "body too large")
+	case errors.As(err, &timedOut) && timedOut.Timeout():
+		return req.deny(http.StatusRequestTimeout, "body not received in time")
 	}
-	j.outcome, j.reason = outcomeLeft, "body cut off"
+	req.outcome, req.reason = outcomeCallerLeft, "connection failed while reading the body"
 	panic(http.ErrAbortHandler)
 }
 
-// run hands the request to replicas until one has answered.
-func (j *request) run() {
-	e := j.entry
-	repeatable := j.route.Repeatable()
+// run dispatches the request to replicas until one has answered.
+func (req *request) run() {
+	e := req.entry
+	repeatable := req.route.Repeatable()
 	e.state.mu.Lock()
-	budget := e.state.budgetOf(j.service.Name)
+	budget := e.state.retryBudgetOf(req.service.Name)
 	budget.Request(e.clock.now())
 	e.state.mu.Unlock()
-	j.forward = attempt.NewForward(attempt.ForwardSpec{
+	req.attempts = attempt.NewForward(attempt.ForwardSpec{
 		Repeatable: repeatable,
-		Runs:       j.route.Attempts,
+		Runs:       req.route.Attempts,
 		Placements: attempt.DefaultPlacements,
-		Deadline:   j.ends,
+		Deadline:   req.deadline,
 	}, budget)
-	j.query = j.newQuery()
-	j.print = j.fingerprint()
-	j.handOn()
+	req.query = req.newQuery()
+	req.fingerprint = req.computeFingerprint()
+	req.dispatch()
 }
 
-func (j *request) newQuery() route.FeedQuery {
+func (req *request) newQuery() route.FeedQuery {
 	q := route.FeedQuery{
-		Service:       j.service.Name,
-		SharedTokens:  j.params.SharedTokens(),
-		PromptTokens:  j.params.PromptTokens,
-		OutputTokens:  j.params.OutputTokens,
-		FailureDomain: j.entry.settings.FailureDomain,
+		Service:       req.service.Name,
+		SharedTokens:  req.params.SharedTokens(),
+		PromptTokens:  req.params.PromptTokens,
+		OutputTokens:  req.params.OutputTokens,
+		FailureDomain: req.entry.settings.FailureDomain,
 	}
-	if j.params.ExpectedOutput > 0 {
-		q.OutputTokens = min(q.OutputTokens, j.params.ExpectedOutput)
+	if req.params.ExpectedOutput > 0 {
+		q.OutputTokens = min(q.OutputTokens, req.params.ExpectedOutput)
 	}
-	q.Levels = j.levels()
+	q.Levels = req.prefixLevels()
 	return q
 }
 
-// loadBound is the load, in milliseconds, behind which the request may be placed at a
-// replica while it can be in time; 0 for any.
-func (j *request) loadBound() float64 {
-	if j.service.Engine == nil {
+// maxLoad is the load of a replica, in milliseconds, up to which the request may be placed there
+// while it can still meet its objective; 0 for no bound.
+func (req *request) maxLoad() float64 {
+	if req.service.Engine == nil {
 		return 0
 	}
-	return loadShare * float64(j.route.Objective.Milliseconds())
+	return maxLoadFraction * float64(req.route.Objective.Milliseconds())
 }
 
-// levels are the nested prefixes that the prompt may share with others.
-func (j *request) levels() []route.FeedLevel {
-	shared := j.params.Shared()
+// prefixLevels are the nested prefixes that the prompt may share with other prompts.
+func (req *request) prefixLevels() []route.FeedLevel {
+	shared := req.params.Shared()
 	ids := make([]string, len(shared))
 	tokens := make([]int, len(shared))
-	for i, part := range shared {
-		ids[i], tokens[i] = part.ID, part.Tokens
+	for i, prefix := range shared {
+		ids[i], tokens[i] = prefix.ID, prefix.Tokens
 	}
-	return route.FeedLevels(j.params.Model+"/"+j.wall(), ids, tokens)
+	return route.FeedLevels(req.params.Model+"/"+req.cacheScope(), ids, tokens)
 }
 
-// wall names the organisation if its cached parts must not be shared.
-func (j *request) wall() string {
-	if j.organisation != nil && j.organisation.Isolated {
-		return j.organisation.Name
+// cacheScope is the organisation's name if its cached prefixes must not be shared, else "".
+func (req *request) cacheScope() string {
+	if req.organisation != nil && req.organisation.Isolated {
+		return req.organisation.Name
 	}
 	return ""
 }
 
-// salt separates cached parts by the version of the weights that made them and by
-// the walls between organisations.
-func (j *request) salt(version uint64) string {
-	if j.params.Model == "" || version == 0 {
+// cacheSalt separates cached prefixes by the version of the weights that computed them and by
+// isolated organisations.
+func (req *request) cacheSalt(version uint64) string {
+	if req.params.Model == "" || version == 0 {
 		return ""
 	}
-	return j.params.Model + "@" + strconv.FormatUint(version, 10) + "/" + j.wall()
+	return req.params.Model + "@" + strconv.FormatUint(version, 10) + "/" + req.cacheScope()
 }
 
-// priority is the rank at an engine.
-func (j *request) priority() int {
-	if j.organisation != nil && j.organisation.Priority != nil {
-		return *j.organisation.Priority
+// priority is the request's priority at an engine.
+func (req *request) priority() int {
+	if req.organisation != nil && req.organisation.Priority != nil {
+		return *req.organisation.Priority
 	}
-	return j.route.Priority
+	return req.route.Priority
 }
 
-// deny ends a request that is not proper. It always returns false.
-func (j *request) deny(status int, reason string) bool {
-	j.outcome = outcomeDenied
-	j.reply(status, reason, 0)
+// deny answers a request that is invalid or not authorised. It always returns false.
+func (req *request) deny(status int, reason string) bool {
+	req.outcome = outcomeDenied
+	req.reply(status, reason, 0)
 	return false
 }
 
-// refuse ends a request that has not run and will not. It always returns false.
-func (j *request) refuse(reason string, after time.Duration) bool {
-	j.outcome = outcomeRefused
-	j.reply(http.StatusServiceUnavailable, reason, after)
+// refuse answers with 503 a request that has not run and will not. It always returns false.
+func (req *request) refuse(reason string, after time.Duration) bool {
+	req.outcome = outcomeRefused
+	req.reply(http.StatusServiceUnavailable, reason, after)
 	return false
 }
 
-// fail ends a request that may have run; after is when it makes sense to come back,
-// 0 for no word on that.
-func (j *request) fail(status int, reason string, after time.Duration) {
-	j.outcome = outcomeFailed
-	j.reply(status, reason, after)
+// fail answers a request that may have run; after is the Retry-After, 0 for none.
+func (req *request) fail(status int, reason string, after time.Duration) {
+	req.outcome = outcomeFailed
+	req.reply(status, reason, after)
 }
 
-func (j *request) reply(status int, reason string, after time.Duration) {
-	j.status, j.reason = status, reason
-	h := j.w.Header()
-	j.entry.platform.Headers.Refusal(h, j.params.ID)
+// reply writes an answer of the entry's own; after is the Retry-After, 0 for none.
+func (req *request) reply(status int, reason string, after time.Duration) {
+	req.status, req.reason = status, reason
+	h := req.w.Header()
+	req.entry.platform.Headers.Refusal(h, req.params.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
-	j.w.WriteHeader(status)
-	_, _ = io.WriteString(j.w, reason+"\n") // the caller may have gone
+	req.w.WriteHeader(status)
+	_, _ = io.WriteString(req.w, reason+"\n") // the caller may have gone
 }
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -15,15 +15,15 @@
 	"skylarklead/internal/route"
 )
 
-// configuration is the one in force, with when it was taken.
+// configuration is the configuration in force; appliedAt is when it was put in force.
 type configuration struct {
 	*fleet.Configuration
 	appliedAt time.Duration
 }
 
-// runs reports whether the operator has a service run a model. A record may name a
-// service that nobody has configured; its writer gets no orders.
-func (c *configuration) runs(service, model string) bool {
+// runsModel reports whether a service is configured to run a model. A replica's record may name
+// a service that nobody has configured; the replica gets no orders.
+func (c *configuration) runsModel(service, model string) bool {
 	if c == nil {
 		return false
 	}
@@ -31,55 +31,56 @@
 	return s != nil && s.Engine != nil && slices.Contains(s.Engine.Models, model)
 }
 
-// state is what an entry believes. The configuration is read without a lock; mu
-// guards the rest.
+// state is what the entry knows of replicas, weights and other entries. config, listReadAt
+// and listReader are read without a lock; mu guards the rest.
 type state struct {
 	config atomic.Pointer[configuration]
-	// listReadAt is as of when the list of replicas is known, a time.Duration on the
-	// entry's clock: when the call was made whose answer showed it. listReader is the entry
-	// that made it.
+	// listReadAt is the time as of which the replica list is known: when the call was made
+	// that returned it, a time.Duration on the entry's clock. listReader is the entry that
+	// made the call.
 	listReadAt atomic.Int64
 	listReader atomic.Pointer[string]
 
 	mu       sync.Mutex
 	replicas *member.Replicas
-	// outage is the reader's of the list of replicas.
+	// outage tracks outages of the store as the reader of the replica list sees them.
 	outage       *member.Outage
 	board        *rollout.Board
 	feed         *route.Feed
-	demands      map[string]*rollout.Demand // of each model
-	retryBudgets map[string]*attempt.Budget
-	crashes      *attempt.Strikes
-	queues       map[string]*serviceQueue
+	demands      map[string]*rollout.Demand // wanted versions of weights, by model
+	retryBudgets map[string]*attempt.Budget // by service
+	crashes      *attempt.Strikes           // crash counts of requests
+	queues       map[string]*serviceQueue   // by service
 	rateLimits   *ratelimit.Limits
-	// leavingNews are replicas that have said here that they leave, and how often the other
-	// entries are still to be told.
-	leavingNews map[string]int
-	// listed is set once the list of replicas was read whole.
-	listed bool
-	// listRewound is when it was last read from a store that came back from an older copy, 0
-	// for never.
+	// leavingToSend counts, by replica that announced here that it leaves, how often the other
+	// entries are still to be notified.
+	leavingToSend map[string]int
+	// listRead is set once the replica list was read whole.
+	listRead bool
+	// listRewound is when the list was last read from a store restored from an older copy;
+	// 0 for never.
 	listRewound time.Duration
-	// changed is closed, and replaced, when more replicas may be usable.
+	// changed is closed and replaced when more replicas may be usable or the configuration
+	// changes.
 	changed chan struct{}
-	// announcements is entries' word when versions of weights were named: of a few a day for
-	// each model, as long as this process runs.
+	// announcements say when versions of weights were announced, by any entry. They are kept
+	// as long as the process runs: a few a day for each model.
 	announcements map[namedVersion]*rollout.Naming
-	// announcementsRead are those that were read in the store's present era.
+	// announcementsRead are those read since the store's present era began.
 	announcementsRead map[namedVersion]bool
-	// learns is called once for each service of engines that requests come for.
-	learns func(service string)
+	// onNewEngineService is called once for each service with engines, at its first request.
+	onNewEngineService func(service string)
 	// retryBudget is what all entries together may send a second time to a service; each
-	// takes its share.
+	// entry takes its share.
 	retryBudget attempt.BudgetParams
-	// entries is how many entries there are, this one included; unknownEntries until
-	// the list of them was read.
+	// entries is the number of entries, this one included; assumedEntries until the list of
+	// entries was read.
 	entries int
 }
 
-// assumedEntries is how many entries are assumed while nobody says how many there are: a few
-// more than the largest fleet that is built towards has, so that all together spend no more than
-// they may.
+// assumedEntries is the number of entries assumed while the list of them is unknown: slightly above
+// the largest fleet that is supported, so that the shares of all entries don't exceed the retry
+// budget.
 const assumedEntries = 512
 
 func newState(self string, budget attempt.BudgetParams) *state {
@@ -98,109 +99,109 @@
 		retryBudget:   budget,
 		announcements: make(map[namedVersion]*rollout.Naming),
 
-		leavingNews:       make(map[string]int),
-		announcementsRead: make(map[namedVersion]bool),
-		learns:            func(string) {},
+		leavingToSend:      make(map[string]int),
+		announcementsRead:  make(map[namedVersion]bool),
+		onNewEngineService: func(string) {},
 	}
 }
 
-// listFrom is the entry that read the list of replicas that is in force, "" for this one
-// where it reads for itself alone.
-func (s *state) listFrom() string {
+// replicaListReader is the entry that read the replica list in force; "" for this one if every
+// entry reads the store for itself.
+func (s *state) replicaListReader() string {
 	if from := s.listReader.Load(); from != nil {
 		return *from
 	}
 	return ""
 }
 
-// rewoundUntil is until when a replica that the list lacks may be missing since the store came back
-// from an older copy: replicas write themselves again. The caller holds mu.
-func (s *state) rewoundUntil() time.Duration {
+// rewindGraceEnd is until when a replica may be missing from the list because the store was restored
+// from an older copy: replicas write their records again. 0 for none. The caller holds mu.
+func (s *state) rewindGraceEnd() time.Duration {
 	if s.listRewound == 0 {
 		return 0
 	}
-	return s.listRewound + afterOutage
+	return s.listRewound + recoveryGrace
 }
 
-// notifyChanged wakes the requests that wait for a replica. The caller holds mu.
+// notifyChanged closes changed. The caller holds mu.
 func (s *state) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// budgetOf returns a service's budget of extra work. The caller holds mu.
-func (s *state) budgetOf(service string) *attempt.Budget {
+// retryBudgetOf returns a service's retry budget. The caller holds mu.
+func (s *state) retryBudgetOf(service string) *attempt.Budget {
 	b := s.retryBudgets[service]
 	if b == nil {
-		b = attempt.NewBudget(s.ownBudget())
+		b = attempt.NewBudget(s.retryBudgetShare())
 		s.retryBudgets[service] = b
 	}
 	return b
 }
 
-// ownBudget is this entry's share of the budget: of what may be spent whatever the
-// traffic, one part in as many as there are entries. The share by requests counts
-// its own. The caller holds mu.
-func (s *state) ownBudget() attempt.BudgetParams {
+// retryBudgetShare is this entry's share of the retry budget. The burst, which doesn't depend on
+// traffic, is divided by the number of entries; the share per request needs no division, as each
+// entry counts its own requests. The caller holds mu.
+func (s *state) retryBudgetShare() attempt.BudgetParams {
 	p := s.retryBudget
 	p.Burst = max(1, p.Burst/float64(s.entries))
 	return p
 }
 
-// setRetryBudget takes another budget.
+// setRetryBudget applies a changed retry budget.
 func (s *state) setRetryBudget(p attempt.BudgetParams) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryBudget = p
-	s.resize()
+	s.resizeRetryBudgets()
 }
 
-// setEntryCount takes how many entries there are. Those that are gone but still listed
-// count, which only makes the shares smaller.
+// setEntryCount sets the number of entries. Entries that are gone but still listed count, which only
+// makes the shares smaller.
 func (s *state) setEntryCount(entries int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entries = entries
-	s.resize()
+	s.resizeRetryBudgets()
 }
 
-// entryCount is how many entries there are.
+// entryCount is the number of entries, this one included.
 func (s *state) entryCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries
 }
 
-// resize divides the budget anew. The caller holds mu.
-func (s *state) resize() {
-	own := s.ownBudget()
+// resizeRetryBudgets applies this entry's share to all services' budgets. The caller holds mu.
+func (s *state) resizeRetryBudgets() {
+	own := s.retryBudgetShare()
 	for _, b := range s.retryBudgets {
 		b.Resize(own.Share, own.Burst)
 	}
 }
 
-// ready reports whether requests can be served: the configuration and the list of
-// replicas are known.
+// ready reports whether requests can be served: the configuration and the replica list are known.
 func (s *state) ready() bool {
 	if s.config.Load() == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listed
+	return s.listRead
 }
 
-// sample is how many of n candidates a choice looks at: the fewer the more entries
-// choose at the same time on loads that are equally old. The caller holds mu.
-func (s *state) sample(n int) int {
-	return max(minSample, samplePart*n/(s.entries+1))
+// sampleSize is how many of n candidates a choice considers. It shrinks with the number of entries,
+// which choose at the same time from equally old loads and would all pick the same replica. The
+// caller holds mu.
+func (s *state) sampleSize(n int) int {
+	return max(minSample, sampleFactor*n/(s.entries+1))
 }
 
 const (
-	// samplePart of all candidates in as many as there are entries have them look at
-	// each replica about that many times; minSample gives every choice alternatives.
-	samplePart = 3
-	minSample  = 3
+	// sampleFactor is about how many entries consider each replica at a time; minSample
+	// leaves every choice alternatives.
+	sampleFactor = 3
+	minSample    = 3
 )
 
 // forgetReplica drops what is known of a replica that is gone. The caller holds mu.
@@ -210,29 +211,28 @@
 	s.rateLimits.Forget(id)
 }
 
-// wanted is the version of a model's weights to use, 0 if none was named. The
-// caller holds mu.
-func (s *state) wanted(model string) uint64 {
+// wantedVersion is the version of a model's weights to use; 0 if none was announced. The caller
+// holds mu.
+func (s *state) wantedVersion(model string) uint64 {
 	if d := s.demands[model]; d != nil {
 		return d.Newest()
 	}
 	return 0
 }
 
-// exclusions counts the replicas of a service, and those of them that could not
-// take a request, by why. It is what a refusal's line tells.
+// exclusions counts a service's replicas that could not take a request, by reason. It is logged
+// with refusals.
 type exclusions struct {
 	listed int
-	// left are draining or gone, down unreachable or just refused something, ordered
-	// about to load weights, overdue on weights that may not be used any more.
-	// unfit don't say that they run the model asked for.
-	// limited have had their part of the rate that they take, resting have turned the entry away
-	// for a time.
-	left, down, ordered, overdue, unfit, limited, resting int
+	// leaving are draining or gone, down unreachable or just refused something, ordered
+	// about to load weights, overdue on weights that may no longer be used. otherModel don't
+	// list the requested model. limited have no room in this entry's share of their rate
+	// limit; backingOff asked for no requests for a time.
+	leaving, down, ordered, overdue, otherModel, limited, backingOff int
 }
 
-// candidates lists the replicas of a service that may take a request for a model
-// ("" for plain services), doubtful ones marked. The caller holds mu.
+// candidates lists the replicas of a service that may take a request for a model ("" for plain
+// services), with stale ones marked. The caller holds mu.
 func (s *state) candidates(service *fleet.Service, model string, now time.Duration) ([]route.FeedCandidate, exclusions) {
 	var out []route.FeedCandidate
 	var excluded exclusions
@@ -249,11 +249,11 @@
 		health := s.replicas.Health(id, now)
 		switch health {
 		case member.Left:
-			excluded.left++
+			excluded.leaving++
 			continue
 		case member.Down:
 			if now < s.replicas.RestsUntil(id) {
-				excluded.resting++
+				excluded.backingOff++
 			} else {
 				excluded.down++
 			}
@@ -272,7 +272,7 @@
 		}
 		if model != "" {
 			if _, runs := r.Weights[model]; !runs {
-				excluded.unfit++
+				excluded.otherModel++
 				continue
 			}
 			if s.board.Ordered(id, model, now) {
@@ -291,13 +291,13 @@
 	return out, excluded
 }
 
-// states lists the replicas of a model for its rollout. The caller holds mu.
-func (s *state) states(model string, now time.Duration) []rollout.State {
+// rolloutStates lists the replicas of a model for its rollout. The caller holds mu.
+func (s *state) rolloutStates(model string, now time.Duration) []rollout.State {
 	var out []rollout.State
 	config := s.config.Load()
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
-		if _, serves := r.Weights[model]; !serves || s.replicas.Draining(id) || !config.runs(r.Service, model) {
+		if _, serves := r.Weights[model]; !serves || s.replicas.Draining(id) || !config.runsModel(r.Service, model) {
 			continue
 		}
 		turn, planned := s.board.Turn(id, model, now)
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -13,36 +13,35 @@
 )
 
 const (
-	// streamBuffer holds several events.
-	streamBuffer = 4 << 10
-	// maxEvent bounds one event, in bytes.
-	maxEvent = 1 << 20
-	// writeMargin is how long after the request's end a write to a slow caller may
-	// still hang.
+	// sseBuffer is the size of the read buffer, in bytes: room for several events.
+	sseBuffer = 4 << 10
+	// maxEventSize bounds one event, in bytes.
+	maxEventSize = 1 << 20
+	// writeMargin is how long after the request's deadline a write to a slow caller may still
+	// block.
 	writeMargin = 500 * time.Millisecond
 )
 
-// errEventTooLong is an event beyond maxEvent.
-var errEventTooLong = errors.New("direct: event too long")
+// errEventTooLong reports an event beyond maxEventSize.
+var errEventTooLong = errors.New("direct: event exceeds maximum size")
 
-// events reads the events of a stream, whole ones only: a replica may stop in the
-// middle of one, and half an event followed by another replica's next one would
-// reach the caller as a piece that nobody made.
-type events struct {
+// sseReader reads whole server-sent events. A replica may stop in the middle of an event; if half of
+// it were forwarded, followed by the next event of another replica, the caller would see an event
+// that no replica sent.
+type sseReader struct {
 	r   *bufio.Reader
 	raw []byte
 	id  string
 }
 
-func newEvents(r io.Reader) *events { return &events{r: bufio.NewReaderSize(r, streamBuffer)} }
+func newSSEReader(r io.Reader) *sseReader { return &sseReader{r: bufio.NewReaderSize(r, sseBuffer)} }
 
-// next reads one event with the blank line that ends it. io.EOF is a clean end
-// between events.
-func (e *events) next() error {
+// next reads one event with the blank line that ends it. It returns io.EOF only between events.
+func (e *sseReader) next() error {
 	e.raw, e.id = e.raw[:0], ""
 	for {
 		begin := len(e.raw)
-		if err := e.line(); err != nil {
+		if err := e.readLine(); err != nil {
 			if err == io.EOF && len(e.raw) > 0 {
 				return io.ErrUnexpectedEOF
 			}
@@ -58,12 +57,12 @@
 	}
 }
 
-// line appends one line to raw.
-func (e *events) line() error {
+// readLine appends one line to raw.
+func (e *sseReader) readLine() error {
 	for {
-		piece, err := e.r.ReadSlice('\n')
-		e.raw = append(e.raw, piece...)
-		if len(e.raw) > maxEvent {
+		chunk, err := e.r.ReadSlice('\n')
+		e.raw = append(e.raw, chunk...)
+		if len(e.raw) > maxEventSize {
 			return errEventTooLong
 		}
 		if err == bufio.ErrBufferFull {
@@ -73,89 +72,89 @@
 	}
 }
 
-// lastEvent is after which event a stream goes on: what the caller has from this
-// answer, else what it said it has.
-func (j *request) lastEvent() string {
-	if j.lastID != "" {
-		return j.lastID
+// resumeAfter is the event after which a stream is to continue: the last one that the caller got from
+// this answer, else the one that the caller's request named.
+func (req *request) resumeAfter() string {
+	if req.lastEventID != "" {
+		return req.lastEventID
 	}
-	return j.params.LastEvent
+	return req.params.LastEvent
 }
 
-// stream passes a replica's events on as they come. Its head goes out with the
-// first event: before it the request can still be handed to another replica, or
-// be answered with a failure.
-func (j *request) stream(p *placement, x *upstream.Exchange) (attempt.Loss, bool) {
-	control := http.NewResponseController(j.w)
-	in := newEvents(x.Body)
+// forwardStream forwards a replica's events as they arrive. Its head is sent with the first event:
+// before that, the request can still be retried at another replica or be answered with a failure.
+func (req *request) forwardStream(p *placement, x *upstream.Exchange) (attempt.Loss, bool) {
+	control := http.NewResponseController(req.w)
+	in := newSSEReader(x.Body)
 	for {
 		err := in.next()
 		if err == io.EOF {
-			return j.streamEnded(p, x)
+			return req.finishStream(p, x)
 		}
 		if err != nil {
-			return j.broken(p, err), false
+			return req.handleBrokenAnswer(p, err), false
 		}
-		j.entry.watch.heard(p.watched)
-		j.beginStream(p, x)
-		if _, err := j.w.Write(in.raw); err != nil {
-			return j.callerLost(err)
+		req.entry.watch.heard(p.watched)
+		req.startStream(p, x)
+		if _, err := req.w.Write(in.raw); err != nil {
+			return req.callerDisconnected(err)
 		}
-		j.events++
+		req.eventCount++
 		if in.id != "" {
-			j.lastID = in.id
+			req.lastEventID = in.id
 		}
 		if in.r.Buffered() > 0 {
 			continue
 		}
 		if err := control.Flush(); err != nil {
-			return j.callerLost(err)
+			return req.callerDisconnected(err)
 		}
 	}
 }
 
-// beginStream sends the head before the first event. A stream that goes on at
-// another replica keeps the head, and with it the seal, of the first.
-func (j *request) beginStream(p *placement, x *upstream.Exchange) {
-	if j.first > 0 {
+// startStream sends the head before the first event. A stream that continues at another replica keeps
+// the head, and with it the seal, of the first replica.
+func (req *request) startStream(p *placement, x *upstream.Exchange) {
+	if req.firstByte > 0 {
 		return
 	}
-	j.first = max(1, j.entry.clock.now()-j.began)
-	j.status = x.Status
-	j.head(x.Header)
-	j.w.WriteHeader(x.Status)
-	s := j.entry.state
+	req.firstByte = max(1, req.entry.clock.now()-req.started)
+	req.status = x.Status
+	req.copyHeaders(x.Header)
+	req.w.WriteHeader(x.Status)
+	s := req.entry.state
 	s.mu.Lock()
-	now := j.entry.clock.now()
-	s.feed.Began(now, &j.query, &p.choice, now-p.at)
+	now := req.entry.clock.now()
+	s.feed.Began(now, &req.query, &p.choice, now-p.pickedAt)
 	if p.window != nil {
-		own := s.feed.OwnTime(&j.query, &p.choice)
-		p.window.Began(p.work, now-p.at-own, j.route.Objective-own, now)
+		own := s.feed.OwnTime(&req.query, &p.choice)
+		p.window.Began(p.work, now-p.pickedAt-own, req.route.Objective-own, now)
 	}
-	p.done()
-	s.dispatch(s.gateOf(j.service), now)
+	p.endWork()
+	s.placeQueued(s.queueOf(req.service), now)
 	s.mu.Unlock()
 }
 
-func (j *request) streamEnded(p *placement, x *upstream.Exchange) (attempt.Loss, bool) {
-	if j.first == 0 {
-		// An answer without an event is complete as it is.
-		j.first = max(1, j.entry.clock.now()-j.began)
-		j.status = x.Status
-		j.head(x.Header)
-		j.w.WriteHeader(x.Status)
+// finishStream records the end of a complete stream.
+func (req *request) finishStream(p *placement, x *upstream.Exchange) (attempt.Loss, bool) {
+	if req.firstByte == 0 {
+		// A stream without events is complete.
+		req.firstByte = max(1, req.entry.clock.now()-req.started)
+		req.status = x.Status
+		req.copyHeaders(x.Header)
+		req.w.WriteHeader(x.Status)
 	}
-	j.outcome = outcomeServed
-	j.worked(p)
-	s := j.entry.state
+	req.outcome = outcomeServed
+	req.recordSuccess(p)
+	s := req.entry.state
 	s.mu.Lock()
-	s.feed.Streamed(&j.query, j.entry.clock.now()-j.began-j.first)
+	s.feed.Streamed(&req.query, req.entry.clock.now()-req.started-req.firstByte)
 	s.mu.Unlock()
 	return 0, true
 }
 
-// callerLost ends a stream whose caller takes no more.
-func (j *request) callerLost(err error) (attempt.Loss, bool) {
-	j.outcome, j.reason = outcomeLeft, err.Error()
+// callerDisconnected ends a stream whose caller can't be written to.
+func (req *request) callerDisconnected(err error) (attempt.Loss, bool) {
+	req.outcome, req.reason = outcomeCallerLeft, err.Error()
 	panic(http.ErrAbortHandler)
 }
--- a/internal/direct/stream_test.go
+++ b/internal/direct/stream_test.go
@@ -8,9 +8,8 @@
 	"testing/iotest"
 )
 
-// Symptom: a caller gets half an event, or a stream that looks complete before its
-// end. Sequence: an answer without a length ends in the middle of an event, with its
-// connection. Cause: the end of the bytes taken for the end of the stream.
+// Guards against forwarding half an event, and against a stream that looks complete before its end: an
+// answer without a length that breaks off within an event must not count as complete.
 func TestEventsAreWhole(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
@@ -21,12 +20,12 @@
 		{"carriage returns", "id:1\r\ndata: a\r\n\r\n", []string{"1"}, io.EOF},
 		{"half an event", "id: 1\ndata: a\n\nid: 2\nda", []string{"1"}, io.ErrUnexpectedEOF},
 		{"no blank line", "id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
-		{"long line", "data: " + strings.Repeat("x", 3*streamBuffer) + "\n\n", []string{""}, io.EOF},
-		{"too long", "data: " + strings.Repeat("x", maxEvent), nil, errEventTooLong},
+		{"long line", "data: " + strings.Repeat("x", 3*sseBuffer) + "\n\n", []string{""}, io.EOF},
+		{"too long", "data: " + strings.Repeat("x", maxEventSize), nil, errEventTooLong},
 		{"nothing", "", nil, io.EOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			in := newEvents(iotest.HalfReader(strings.NewReader(c.in)))
+			in := newSSEReader(iotest.HalfReader(strings.NewReader(c.in)))
 			var raw strings.Builder
 			var err error
 			for i := 0; ; i++ {
@@ -42,7 +41,7 @@
 				t.Errorf("ended with %v; want %v", err, c.end)
 			}
 			if !strings.HasPrefix(c.in, raw.String()) {
-				t.Errorf("passed on %q of %q", raw.String(), c.in)
+				t.Errorf("forwarded %q of %q", raw.String(), c.in)
 			}
 		})
 	}
@@ -51,13 +50,13 @@
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\nda")
 	f.Fuzz(func(t *testing.T, text string) {
-		in := newEvents(strings.NewReader(text))
+		in := newSSEReader(strings.NewReader(text))
 		var raw strings.Builder
 		for in.next() == nil {
 			raw.Write(in.raw)
 		}
 		if !strings.HasPrefix(text, raw.String()) {
-			t.Fatalf("passed on %q of %q", raw.String(), text)
+			t.Fatalf("forwarded %q of %q", raw.String(), text)
 		}
 	})
 }
--- a/internal/direct/strikes.go
+++ b/internal/direct/strikes.go
@@ -11,130 +11,130 @@
 	"skylarklead/internal/rollout"
 )
 
-// recordedStrikes is the number from which on a request's strikes are written to the
-// entries' topic too, so that an entry that starts knows of them. First ones come
-// with every crash, for all that ran there; peers hear of them by datagram.
-const recordedStrikes = 2
+// minStoredCrashes is the crash count of a request from which on its crashes are also written to the
+// entries' topic, so that entries that start later know them. Every crash gives a count of one to all
+// requests that were running at the replica; peers receive these by datagram only.
+const minStoredCrashes = 2
 
-// fingerprint stands for the request whenever it comes again: its organisation,
-// method, target and body.
-func (j *request) fingerprint() uint64 {
+// computeFingerprint identifies repetitions of the request: it hashes the organisation, method, host,
+// target and body.
+func (req *request) computeFingerprint() uint64 {
 	d := xxhash.New()
 	organisation := ""
-	if j.organisation != nil {
-		organisation = j.organisation.Name
+	if req.organisation != nil {
+		organisation = req.organisation.Name
 	}
 	var size [8]byte
-	for _, part := range []string{organisation, j.r.Method, j.r.Host, j.r.RequestURI} {
-		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
+	for _, field := range []string{organisation, req.httpRequest.Method, req.httpRequest.Host, req.httpRequest.RequestURI} {
+		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
 		_, _ = d.Write(size[:]) // a digest takes all
-		_, _ = d.WriteString(part)
+		_, _ = d.WriteString(field)
 	}
-	_, _ = d.Write(j.body)
+	_, _ = d.Write(req.body)
 	return d.Sum64()
 }
 
-// givenUp answers a request that has crashed too many replicas. It reports whether
-// it did.
-func (j *request) givenUp() bool {
-	s := j.entry.state
+// answerIfPoison answers a poison request, which crashed too many replicas. It reports whether it did.
+func (req *request) answerIfPoison() bool {
+	s := req.entry.state
 	s.mu.Lock()
-	now := j.entry.clock.now()
-	wait, given := s.crashes.GivenUp(j.print, now)
+	now := req.entry.clock.now()
+	wait, rejected := s.crashes.GivenUp(req.fingerprint, now)
 	s.mu.Unlock()
-	if !given {
+	if !rejected {
 		return false
 	}
-	j.entry.tel.Metrics.Count("requests_given_up", 1)
-	const reason = "given up: it crashed the replicas that ran it"
+	req.entry.tel.Metrics.Count("requests_given_up", 1)
+	const reason = "request rejected: it crashed the replicas that ran it"
 	switch {
-	case j.first > 0:
-		j.cut(reason)
-	case j.forward.Tainted():
-		j.fail(http.StatusBadGateway, reason, wait)
+	case req.firstByte > 0:
+		req.abort(reason)
+	case req.attempts.Tainted():
+		req.fail(http.StatusBadGateway, reason, wait)
 	default:
-		j.refuse(reason, wait)
+		req.refuse(reason, wait)
 	}
 	return true
 }
 
-// broke says that the request's run broke off at a replica. A connection is tried,
-// once for all that broke off there together: if the replica has crashed, nothing else
-// should be sent there, and the request has a strike.
-func (j *request) broke(p *placement) {
-	s := j.entry.state
+// recordBrokenRun records that the request's run broke off at a replica. It starts one probe of the
+// replica for all runs that broke off there together: if the replica has crashed, no more requests
+// may be sent to it, and the crash counts against the request.
+func (req *request) recordBrokenRun(p *placement) {
+	s := req.entry.state
 	s.mu.Lock()
-	now := j.entry.clock.now()
-	strikes := s.crashes.Broken(j.print, p.replica.ID, p.at, now)
-	check := s.replicas.Silent(p.replica.ID, now)
+	now := req.entry.clock.now()
+	strikes := s.crashes.Broken(req.fingerprint, p.replica.ID, p.pickedAt, now)
+	probe := s.replicas.Silent(p.replica.ID, now)
 	s.mu.Unlock()
-	j.entry.struck(strikes)
-	if check {
-		go j.entry.watch.probe(context.WithoutCancel(j.ctx), p.replica)
+	req.entry.publishCrashes(strikes)
+	if probe {
+		go req.entry.watch.probe(context.WithoutCancel(req.ctx), p.replica)
 	}
 }
 
-// recordReplicaLoss says that a replica is gone, or can't be reached.
+// recordReplicaLoss counts crashes against the requests that ran at a replica that is gone or
+// unreachable.
 func (e *Entry) recordReplicaLoss(id string) {
 	e.state.mu.Lock()
 	strikes := e.state.crashes.Lost(id, e.clock.now())
 	e.state.mu.Unlock()
-	e.struck(strikes)
+	e.publishCrashes(strikes)
 }
 
-// struck tells the other entries of strikes.
-func (e *Entry) struck(strikes []attempt.Strike) {
+// publishCrashes sends crashes counted here to the other entries.
+func (e *Entry) publishCrashes(strikes []attempt.Strike) {
 	if len(strikes) == 0 {
 		return
 	}
 	var records [][]byte
 	for i := range strikes {
-		count := e.logStrike(&strikes[i], e.settings.ID)
-		if count >= recordedStrikes {
+		count := e.logCrash(&strikes[i], e.settings.ID)
+		if count >= minStoredCrashes {
 			envelope := rollout.Envelope{Strike: &strikes[i]}
 			records = append(records, envelope.Encode())
 		}
 	}
 	e.peers.tellStrikes(strikes)
 	if len(records) > 0 {
-		go e.recordStrikes(records)
+		go e.storeCrashes(records)
 	}
 }
 
-func (e *Entry) recordStrikes(records [][]byte) {
+func (e *Entry) storeCrashes(records [][]byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if _, err := e.platform.Store.Append(ctx, topicEntries, nil, records); err != nil {
-		e.tel.Log.Warn("strikes not written", "strikes", len(records), "error", err)
+		e.tel.Log.Warn("crash counts not written to the store", "strikes", len(records), "error", err)
 	}
 }
 
-// receiveCrashes takes strikes that a peer sent directly.
+// receiveCrashes counts crashes that a peer sent directly.
 func (e *Entry) receiveCrashes(strikes []attempt.Strike, from string) {
 	for i := range strikes {
 		if strikes[i].Valid() {
-			e.heardStrike(&strikes[i], from)
+			e.receiveCrash(&strikes[i], from)
 		}
 	}
 }
 
-// heardStrike takes another entry's strike.
-func (e *Entry) heardStrike(strike *attempt.Strike, from string) {
+// receiveCrash counts a crash that another entry has seen.
+func (e *Entry) receiveCrash(strike *attempt.Strike, from string) {
 	e.state.mu.Lock()
 	e.state.crashes.Heard(*strike, e.clock.now())
 	e.state.mu.Unlock()
-	e.logStrike(strike, from)
+	e.logCrash(strike, from)
 }
 
-// logStrike writes a strike's line and returns how many the request has.
-func (e *Entry) logStrike(strike *attempt.Strike, from string) int {
+// logCrash logs a crash and returns the request's crash count.
+func (e *Entry) logCrash(strike *attempt.Strike, from string) int {
 	now := e.clock.now()
 	e.state.mu.Lock()
 	count := e.state.crashes.Count(strike.Fingerprint, now)
-	_, given := e.state.crashes.GivenUp(strike.Fingerprint, now)
+	_, rejected := e.state.crashes.GivenUp(strike.Fingerprint, now)
 	e.state.mu.Unlock()
 	e.tel.Metrics.Count("requests_struck", 1)
-	e.tel.Log.Info("request struck", "fingerprint", strike.Fingerprint, "replica", strike.Replica,
-		"strikes", count, "given_up", given, "from", from)
+	e.tel.Log.Info("crash counted against a request", "fingerprint", strike.Fingerprint, "replica", strike.Replica,
+		"strikes", count, "given_up", rejected, "from", from)
 	return count
 }
