--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -124,7 +124,7 @@
 		}
 		relayRead()
 		e.applyReplicaRecord(fleet.Record{Offset: 1, Key: "portal-1"})
-		if l.usable() == 0 {
+		if l.usableReplicas() == 0 {
 			t.Error("a replica whose record lapsed during an outage for all entries is out of use at once")
 		}
 		cancel()
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -38,7 +38,7 @@
 // The longest message with replicas' notices must fit in a datagram.
 func TestTheLongestNoticesFitADatagram(t *testing.T) {
 	m := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64}
-	for range maxWordNotices {
+	for range maxMessageNotices {
 		m.Notices = append(m.Notices, noticeMessage{Replica: strings.Repeat("r", 50), Rate: math.MaxFloat64})
 	}
 	checkLength(t, m)
