--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -45,8 +45,8 @@
 	replicas *member.Replicas
 	// outage tracks outages of the store as the reader of the replica list sees them.
 	outage       *member.Outage
-	board        *rollout.Board
-	feed         *route.Feed
+	board        *rollout.Board             // versions of weights and orders, by replica
+	feed         *route.Feed                // loads, cached prefixes and engine speeds, to choose replicas by
 	demands      map[string]*rollout.Demand // wanted versions of weights, by model
 	retryBudgets map[string]*attempt.Budget // by service
 	crashes      *attempt.Strikes           // crash counts of requests
