--- a/internal/ctl/permits.go
+++ b/internal/ctl/permits.go
@@ -34,9 +34,9 @@
 		}
 	}
 	for _, group := range permits {
-		if n := replicas[group.ID]; n > lease.KeepServing && group.LoadPermits >= n {
+		if n := replicas[group.ID]; n > lease.MinServing && group.LoadPermits >= n {
 			fmt.Fprintf(w, "warning: group/%s: load_permits is %d and the group has %d replicas; at most %d load at once, and %d would serve alone\n",
-				group.ID, group.LoadPermits, n, n-lease.KeepServing, lease.KeepServing)
+				group.ID, group.LoadPermits, n, n-lease.MinServing, lease.MinServing)
 		}
 	}
 }
--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -146,7 +146,7 @@
 	s := j.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.board.Saw(p.replica.ID, j.params.Model, head.Version, 0) {
+	if s.board.ObserveVersion(p.replica.ID, j.params.Model, head.Version, 0) {
 		s.feed.CacheCleared(p.replica.ID, j.entry.clock.now())
 	}
 }
@@ -168,7 +168,7 @@
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.handleReplaced(p.replica, head.Instance, 0)
 	case j.params.Model != "":
-		s.board.Saw(p.replica.ID, j.params.Model, p.version+1, 0)
+		s.board.ObserveVersion(p.replica.ID, j.params.Model, p.version+1, 0)
 		s.feed.CacheCleared(p.replica.ID, now)
 	}
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -238,7 +238,7 @@
 	began, made := time.Now(), f.boot()
 	waited, _ := f.patience()
 	page, err := f.read(ctx, waited)
-	if errors.Is(err, fleet.ErrStoreExpired) || errors.Is(err, fleet.ErrStoreRewound) {
+	if errors.Is(err, fleet.ErrStoreExpired) || errors.Is(err, fleet.ErrStoreRestored) {
 		f.restart(page.First)
 		return nil
 	}
--- a/internal/direct/gate.go
+++ b/internal/direct/gate.go
@@ -156,8 +156,8 @@
 	if j.organisation != nil {
 		t.Organisation = j.organisation.Name
 	}
-	if j.route.Objective > 0 {
-		t.LatestStart = j.began + j.route.Objective - time.Duration((work+feed.OverheadMs(&j.query))*float64(time.Millisecond))
+	if j.route.LatencyTarget > 0 {
+		t.LatestStart = j.began + j.route.LatencyTarget - time.Duration((work+feed.OverheadMs(&j.query))*float64(time.Millisecond))
 	}
 	if j.first > 0 {
 		t.Priority, t.LatestStart = goesOn, j.ends
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -179,7 +179,7 @@
 // it is kept. The caller holds the state's lock.
 func (j *request) cacheSource(p *placement) {
 	s := j.entry.state
-	use := s.feed.PlanCache(j.entry.clock.now(), &j.query, &p.choice, j.salt(p.version), j.config.KeptCaches())
+	use := s.feed.PlanCache(j.entry.clock.now(), &j.query, &p.choice, j.salt(p.version), j.config.KVStores())
 	p.source, p.keep = use.Store, use.SaveTo
 	if r := s.replicas.Get(use.Donor); r != nil {
 		p.source = r.Address
@@ -230,7 +230,7 @@
 
 func (j *request) upstreamRequest(p *placement) *upstream.Request {
 	last := j.lastEvent()
-	over := &fleet.HandOver{
+	over := &fleet.DispatchHeaders{
 		Replica:   p.replica.Name,
 		Deadline:  j.left(),
 		Version:   p.version,
--- a/internal/direct/job.go
+++ b/internal/direct/job.go
@@ -188,14 +188,14 @@
 		fields = append(fields, slog.Float64("rate_limit", h.limit.Rate), slog.Float64("rate_part", h.limit.Share),
 			slog.Int64("rate_limit_age_ms", h.limit.Age.Milliseconds()))
 	}
-	if h.notice.Rest > 0 {
-		fields = append(fields, slog.Int64("asks_rest_ms", h.notice.Rest.Milliseconds()))
+	if h.notice.Backoff > 0 {
+		fields = append(fields, slog.Int64("asks_rest_ms", h.notice.Backoff.Milliseconds()))
 	}
 	if h.notice.Leaving {
 		fields = append(fields, slog.Bool("says_leaving", true))
 	}
-	if h.notice.Limited {
-		fields = append(fields, slog.Float64("named_rate_limit", h.notice.Rate))
+	if h.notice.HasRateLimit {
+		fields = append(fields, slog.Float64("named_rate_limit", h.notice.RateLimit))
 	}
 	if h.err != nil {
 		fields = append(fields, slog.String("error", h.err.Error()))
--- a/internal/direct/naming.go
+++ b/internal/direct/naming.go
@@ -27,7 +27,7 @@
 
 // tellNaming writes down when a version was named unless another entry does first; relayed
 // says that a peer has read the version.
-func (e *Entry) tellNaming(n rollout.Naming, relayed bool) {
+func (e *Entry) tellNaming(n rollout.Announcement, relayed bool) {
 	pause := rand.N(namingSpread)
 	if relayed {
 		pause = namingHeard + rand.N(namingEach*time.Duration(e.state.entryCount()))
@@ -51,7 +51,7 @@
 	}
 }
 
-func (e *Entry) rewriteNaming(n rollout.Naming) {
+func (e *Entry) rewriteNaming(n rollout.Announcement) {
 	pause := namingHeard + rand.N(namingEach*time.Duration(e.state.entryCount()))
 	if wait.For(context.Background(), pause) != nil {
 		return
@@ -64,10 +64,10 @@
 	}
 }
 
-func (e *Entry) writeNaming(n *rollout.Naming) {
+func (e *Entry) writeNaming(n *rollout.Announcement) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	envelope := rollout.Envelope{Named: n}
+	envelope := rollout.Envelope{Announcement: n}
 	if _, err := e.platform.Store.Append(ctx, topicEntries, nil, [][]byte{envelope.Encode()}); err != nil {
 		e.tel.Log.Warn("time of a version's naming not written", "model", n.Model, "version", n.Version, "error", err)
 		return
@@ -75,7 +75,7 @@
 	trySignal(e.rollouts.reread)
 }
 
-func (e *Entry) namingKnown(n *rollout.Naming) bool {
+func (e *Entry) namingKnown(n *rollout.Announcement) bool {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	return e.state.announcements[modelVersion{n.Model, n.Version}] != nil
@@ -83,7 +83,7 @@
 
 // applyAnnouncement takes an entry's word when a version was named. Of several the earliest
 // counts: each has read the version a little after it was named.
-func (e *Entry) applyAnnouncement(n *rollout.Naming) {
+func (e *Entry) applyAnnouncement(n *rollout.Announcement) {
 	s := e.state
 	s.mu.Lock()
 	key := modelVersion{n.Model, n.Version}
@@ -119,10 +119,10 @@
 		if n == nil {
 			return
 		}
-		d.Followed(version, n.Before, overdue)
+		d.AddPrevious(version, n.Before, overdue)
 		if at, ok := e.namedSince(n); ok {
-			d.NamedSince(version, at)
-			d.NamedBy(version, at)
+			d.AnnouncedNoEarlier(version, at)
+			d.AnnouncedNoLater(version, at)
 		}
 		version = n.Before
 	}
@@ -131,7 +131,7 @@
 // namedSince is since when a version counts as named by an entry's word. Clocks of two
 // instances may differ, by a skew for which it counts as named earlier. A time that lies
 // ahead tells that they differ by more, and says nothing.
-func (e *Entry) namedSince(n *rollout.Naming) (time.Duration, bool) {
+func (e *Entry) namedSince(n *rollout.Announcement) (time.Duration, bool) {
 	age := time.Since(time.UnixMilli(n.AtMs))
 	return e.clock.now() - age - e.directSettings().ClockSkew.D(), age >= 0
 }
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -21,8 +21,8 @@
 // wantedRecords decodes each of the operator's records as a name of version 2.
 type wantedRecords struct{ listRecords }
 
-func (wantedRecords) Operator(string, []byte) (*fleet.Configuration, *fleet.Wanted, error) {
-	return nil, &fleet.Wanted{Model: wantedModel, Version: 2}, nil
+func (wantedRecords) Operator(string, []byte) (*fleet.Configuration, *fleet.DesiredVersion, error) {
+	return nil, &fleet.DesiredVersion{Model: wantedModel, Version: 2}, nil
 }
 
 // Symptom: an entry begins requests on weights that were replaced longer ago than allowed,
@@ -53,7 +53,7 @@
 						writes: []listWrite{{at: named, record: fleet.Record{Key: "version", Value: []byte("2")}}},
 						from:   began.Add(time.Second), to: back, hangs: hangs,
 					}})
-					word := &rollout.Naming{Model: wantedModel, Version: 2, Before: 1, AtMs: named.UnixMilli()}
+					word := &rollout.Announcement{Model: wantedModel, Version: 2, Before: 1, AtMs: named.UnixMilli()}
 					ctx, cancel := context.WithCancel(t.Context())
 					done := make(chan struct{})
 					go func() { e.followOperator(ctx); close(done) }()
@@ -69,7 +69,7 @@
 					e.applyAnnouncement(word)
 					time.Sleep(time.Until(binds))
 					e.state.mu.Lock()
-					oldest := e.state.demands[wantedModel].Oldest(e.clock.now())
+					oldest := e.state.demands[wantedModel].OldestAllowed(e.clock.now())
 					e.state.mu.Unlock()
 					cancel()
 					<-done
--- a/internal/direct/notes.go
+++ b/internal/direct/notes.go
@@ -8,10 +8,10 @@
 
 // publish writes notes of a model; this entry heeds them at once, its peers when their datagram
 // comes.
-func (r *rollouts) publish(ctx context.Context, model string, notes []rollout.Note) {
+func (r *rollouts) publish(ctx context.Context, model string, notes []rollout.Record) {
 	records := make([][]byte, len(notes))
 	for i := range notes {
-		envelope := rollout.Envelope{Note: &notes[i]}
+		envelope := rollout.Envelope{Rollout: &notes[i]}
 		records[i] = envelope.Encode()
 		r.applyRecord(&notes[i])
 	}
@@ -25,7 +25,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range notes {
-		r.cores[model].Announced(notes[i].Replica, r.entry.clock.now())
+		r.cores[model].RecordPublished(notes[i].Replica, r.entry.clock.now())
 	}
 	r.trigger()
 }
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -48,13 +48,13 @@
 		s.leavingNews[replica] = leavingTold
 		e.tel.Log.Info("replica is leaving", "replica", replica, "by", "its answer")
 	}
-	if n.Rest > 0 && s.replicas.Backoff(replica, n.Rest, now) {
+	if n.Backoff > 0 && s.replicas.Backoff(replica, n.Backoff, now) {
 		e.tel.Metrics.Count("replica_rests", 1)
-		e.tel.Log.Info("replica rests", "replica", replica, "rest_ms", n.Rest.Milliseconds())
+		e.tel.Log.Info("replica rests", "replica", replica, "rest_ms", n.Backoff.Milliseconds())
 	}
 	switch {
-	case n.Limited:
-		if s.replicas.Get(replica) != nil && s.rateLimits.AnswerWithLimit(replica, n.Rate, now) {
+	case n.HasRateLimit:
+		if s.replicas.Get(replica) != nil && s.rateLimits.AnswerWithLimit(replica, n.RateLimit, now) {
 			e.limitNamed(replica, "its answer", now)
 		}
 	case whole && !n.Malformed && s.rateLimits.AnswerWithoutLimit(replica, sent):
--- a/internal/direct/notices_test.go
+++ b/internal/direct/notices_test.go
@@ -49,7 +49,7 @@
 	r := &fleet.Replica{ID: "r-1", Name: "r-1"}
 	e.state.replicas.Put(r, 1, 0)
 	j := &request{entry: e.Entry, hands: make([]hand, 1)}
-	notice := fleet.Notice{Leaving: true, Limited: true, Rate: 1}
+	notice := fleet.Notice{Leaving: true, HasRateLimit: true, RateLimit: 1}
 	j.noteNotice(&placement{replica: r}, &fleet.Answer{Instance: "r-2", NotRun: true, Misdirected: true, Notice: notice})
 	if _, limited := e.state.rateLimits.State(r.ID, e.clock.now()); limited || e.state.replicas.Draining(r.ID) {
 		t.Error("another replica's notice is taken")
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -152,17 +152,17 @@
 	return max(gap.since, gap.lastMissed+storeBindsAfter-dispatchTime-inForce)
 }
 
-func (e *Entry) takeWanted(w *fleet.Wanted, offset uint64, when namedWhen) {
+func (e *Entry) takeWanted(w *fleet.DesiredVersion, offset uint64, when namedWhen) {
 	e.state.mu.Lock()
 	d := e.state.demands[w.Model]
 	if d == nil {
-		d = rollout.NewDemand(e.directSettings().WeightsWithin.D() - weightsMargin)
+		d = rollout.NewVersionHistory(e.directSettings().WeightsWithin.D() - weightsMargin)
 		e.state.demands[w.Model] = d
 	}
 	before := d.Newest()
-	news := d.Named(w.Version, e.namedAt(when.first))
+	news := d.Add(w.Version, e.namedAt(when.first))
 	if news && !when.first {
-		d.ReadLate(w.Version, e.namedEarliest(when.gap))
+		d.MarkReadLate(w.Version, e.namedEarliest(when.gap))
 	}
 	e.applyNamings(w.Model)
 	e.state.mu.Unlock()
@@ -170,7 +170,7 @@
 		return
 	}
 	if !when.first {
-		go e.tellNaming(rollout.Naming{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
+		go e.tellNaming(rollout.Announcement{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
 	}
 	e.tel.Log.Info("weights wanted", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
 	e.rollouts.trigger()
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -63,7 +63,7 @@
 	// Placements are the latest; each is in several words, as one may be lost.
 	Placements []wordPlacement `cbor:"6,keyasint,omitempty"`
 	// RolloutRecords are of a rollout; a word with them has no loads, and Seq is 0.
-	RolloutRecords []rollout.Note `cbor:"5,keyasint,omitempty"`
+	RolloutRecords []rollout.Record `cbor:"5,keyasint,omitempty"`
 	// StoreReachable is for how long the store has answered the reader of the list of replicas
 	// without a break, in milliseconds and one; 1 says that it doesn't, 0 nothing.
 	StoreReachable uint32 `cbor:"8,keyasint,omitempty"`
@@ -154,7 +154,7 @@
 
 // tell sends notes of a rollout to the others at once. One that is lost is read from
 // the entries' topic.
-func (p *peers) tell(notes []rollout.Note) {
+func (p *peers) tell(notes []rollout.Record) {
 	for part := range slices.Chunk(notes, maxWordNotes) {
 		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), RolloutRecords: part})
 	}
--- a/internal/direct/ports.go
+++ b/internal/direct/ports.go
@@ -12,7 +12,7 @@
 	// Request decodes what a caller's headers say.
 	Request(http.Header) (fleet.Request, error)
 	// ToReplica returns the headers for a replica.
-	ToReplica(http.Header, *fleet.HandOver) http.Header
+	ToReplica(http.Header, *fleet.DispatchHeaders) http.Header
 	// Answer decodes the head of a replica's answer.
 	Answer(status int, h http.Header) fleet.Answer
 	// ToCaller returns the headers for a caller.
@@ -27,7 +27,7 @@
 	Topics() (operator, replicas string)
 	// Operator decodes a record of the operator; both results are nil for one that
 	// isn't known.
-	Operator(key string, value []byte) (*fleet.Configuration, *fleet.Wanted, error)
+	Operator(key string, value []byte) (*fleet.Configuration, *fleet.DesiredVersion, error)
 	// Replica decodes a replica's record.
 	Replica(key string, value []byte) (*fleet.Replica, error)
 }
--- a/internal/direct/quotas_test.go
+++ b/internal/direct/quotas_test.go
@@ -20,7 +20,7 @@
 	for i, e := range all {
 		names[i] = e.settings.ID
 	}
-	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 60_000, Burst: 60_000, Tokens: true, Uncounted: each}}
+	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 60_000, Burst: 60_000, Tokens: true, DefaultUnits: each}}
 	for _, e := range all {
 		e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
 		e.quotas.setEntries(names, true, true)
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -157,7 +157,7 @@
 		e.state.forgetReplica(listing.SupersededID)
 	}
 	for model, version := range r.Weights {
-		if e.state.board.Saw(r.ID, model, version, 0) && known {
+		if e.state.board.ObserveVersion(r.ID, model, version, 0) && known {
 			e.state.feed.CacheCleared(r.ID, e.clock.now())
 			listing.Changed = true
 		}
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -130,13 +130,13 @@
 	f.onGap = func(first uint64) {
 		r.mu.Lock()
 		r.next = first
-		r.act(ctx, r.leases.Gap(first+1, bootTime()))
+		r.act(ctx, r.leases.Truncated(first+1, bootTime()))
 		r.mu.Unlock()
 	}
 	f.onRestore = func(first uint64) {
 		r.mu.Lock()
 		r.next = first
-		r.act(ctx, r.leases.Rewound(first+1, bootTime()))
+		r.act(ctx, r.leases.LogRestored(first+1, bootTime()))
 		r.mu.Unlock()
 		r.entry.tel.Log.Warn("store is back from an older copy", "stream", topicEntries, "era", fleet.Era(first))
 		r.entry.rewriteAnnouncements()
@@ -168,26 +168,26 @@
 		return
 	}
 	if envelope.Lease != nil {
-		r.act(context.Background(), r.leases.Record(record.Offset+1, envelope.Lease, bootTime()))
+		r.act(context.Background(), r.leases.ApplyRecord(record.Offset+1, envelope.Lease, bootTime()))
 		if grant, held := r.leases.Table().Holder(giverLease); held {
 			r.lastGiver, r.lastGiverAt = grant.Holder, r.entry.clock.now()
 		}
 		r.trigger()
 		return
 	}
-	if envelope.Named != nil {
-		r.entry.applyAnnouncement(envelope.Named)
+	if envelope.Announcement != nil {
+		r.entry.applyAnnouncement(envelope.Announcement)
 		return
 	}
-	if envelope.Strike != nil {
-		r.entry.heardStrike(envelope.Strike, topicEntries)
+	if envelope.Crash != nil {
+		r.entry.heardStrike(envelope.Crash, topicEntries)
 		return
 	}
-	r.hearNote(envelope.Note)
+	r.hearNote(envelope.Rollout)
 }
 
 // hearNote takes another entry's note, or reads back one's own. The caller holds mu.
-func (r *rollouts) hearNote(n *rollout.Note) {
+func (r *rollouts) hearNote(n *rollout.Record) {
 	if n.Phase == rollout.PhaseOrdered && n.Holder != r.entry.settings.ID {
 		r.foreignAt = r.entry.clock.now()
 	}
@@ -195,7 +195,7 @@
 }
 
 // receiveRecords takes notes that a peer sent directly.
-func (r *rollouts) receiveRecords(notes []rollout.Note) {
+func (r *rollouts) receiveRecords(notes []rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range notes {
@@ -206,11 +206,11 @@
 }
 
 // applyRecord applies a note to what is believed of a replica.
-func (r *rollouts) applyRecord(n *rollout.Note) {
+func (r *rollouts) applyRecord(n *rollout.Record) {
 	e := r.entry
 	s := e.state
 	s.mu.Lock()
-	news := s.board.Take(n, e.clock.now())
+	news := s.board.ApplyRecord(n, e.clock.now())
 	if news {
 		s.feed.CacheCleared(n.Replica, e.clock.now())
 	}
@@ -219,7 +219,7 @@
 	}
 	s.mu.Unlock()
 	e.tel.Log.Info("weights note", "replica", n.Replica, "model", n.Model, "version", n.Version,
-		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.Orders, "news", news)
+		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.AcceptedOrders, "news", news)
 }
 
 // run looks at the rollouts until ctx ends.
@@ -249,7 +249,7 @@
 	due := r.states(now)
 	if len(due) == 0 {
 		r.dueSince = 0
-		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
+		r.act(ctx, r.leases.Release(giverLease, bootTime()))
 		return false
 	}
 	if r.dueSince == 0 {
@@ -260,10 +260,10 @@
 	}
 	if r.entry.drain.endsWithin(lastOrders) {
 		r.lost()
-		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
+		r.act(ctx, r.leases.Release(giverLease, bootTime()))
 		return true
 	}
-	r.act(ctx, r.leases.Want(giverLease, bootTime()))
+	r.act(ctx, r.leases.Acquire(giverLease, bootTime()))
 	fence, ok := r.leases.Check(giverLease, bootTime())
 	if !ok {
 		r.lost()
@@ -287,7 +287,7 @@
 func (r *rollouts) keeps() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leases.Keeps(giverLease)
+	return r.leases.HeldOrReleasing(giverLease)
 }
 
 // lost forgets what was under way when the lease ended.
@@ -329,9 +329,9 @@
 			c = rollout.NewCore(model, r.entry.settings.ID, rollout.DefaultParams)
 			r.cores[model] = c
 		}
-		c.Want(demand.Newest())
+		c.SetDesired(demand.Newest())
 		states := s.states(model, now)
-		if c.Due(states) || c.Active() {
+		if c.NeedsOrders(states) || c.Active() {
 			due[model] = states
 		}
 	}
@@ -372,26 +372,26 @@
 	switch {
 	case err == nil:
 		return
-	case errors.Is(err, fleet.ErrStoreMoved):
+	case errors.Is(err, fleet.ErrStoreConflict):
 		r.entry.tel.Log.Info("lease not claimed, another record came first", "seq", a.Seq, "at", *at)
 	default:
 		r.entry.tel.Log.Warn("lease record not written", "seq", a.Seq, "error", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.act(ctx, r.leases.Failed(a.Seq, bootTime()))
+	r.act(ctx, r.leases.AppendFailed(a.Seq, bootTime()))
 }
 
 // drive carries out a rollout's actions. The caller holds mu.
 func (r *rollouts) drive(ctx context.Context, model string, actions []rollout.Action) {
-	var notes []rollout.Note
+	var notes []rollout.Record
 	for _, a := range actions {
 		switch a := a.(type) {
-		case rollout.Announce:
-			notes = append(notes, a.Note)
-		case rollout.Give:
+		case rollout.Publish:
+			notes = append(notes, a.Record)
+		case rollout.SendOrder:
 			go r.give(ctx, model, a.Order)
-		case rollout.Ask:
+		case rollout.QueryState:
 			go r.ask(ctx, model, a.Replica)
 		}
 	}
@@ -416,17 +416,17 @@
 	e.applyNotice(o.Replica.ID, &notice, began, false)
 	now := e.clock.now()
 	attrs := []any{"replica", o.Replica.ID, "model", model, "version", o.Version, "fence", o.Fence,
-		"expected", o.Expected, "reply", reply.String(), "took_ms", ms(now - began)}
+		"expected", o.ExpectedOrders, "reply", reply.String(), "took_ms", ms(now - began)}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
 	e.tel.Log.Info("order", attrs...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drive(ctx, model, r.cores[model].Replied(o.Replica.ID, reply, now))
+	r.drive(ctx, model, r.cores[model].OrderReplied(o.Replica.ID, reply, now))
 	if reply == fleet.ReplyFenced {
 		r.foreignAt = now
-		r.act(ctx, r.leases.Drop(giverLease, bootTime()))
+		r.act(ctx, r.leases.Release(giverLease, bootTime()))
 	}
 	r.trigger()
 }
@@ -451,13 +451,13 @@
 	defer r.mu.Unlock()
 	if err != nil {
 		e.tel.Log.Warn("replica gave no report", "replica", replica.ID, "error", err)
-		r.drive(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
+		r.drive(ctx, model, r.cores[model].QueryFailed(replica.ID, e.clock.now()))
 		return
 	}
-	if !replica.Is(report.Born) {
-		e.handleReplaced(replica, replica.Name, report.Born)
-		r.drive(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
+	if !replica.Matches(report.StartedAtMs) {
+		e.handleReplaced(replica, replica.Name, report.StartedAtMs)
+		r.drive(ctx, model, r.cores[model].QueryFailed(replica.ID, e.clock.now()))
 		return
 	}
-	r.drive(ctx, model, r.cores[model].Reported(replica.ID, &report, e.clock.now()))
+	r.drive(ctx, model, r.cores[model].StateReported(replica.ID, &report, e.clock.now()))
 }
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -78,7 +78,7 @@
 	if j.route == nil {
 		return j.deny(http.StatusNotFound, "no route")
 	}
-	if j.config.Keyed && !j.route.Public {
+	if j.config.KeyRequired && !j.route.Public {
 		j.organisation = j.config.Keys[asked.Key]
 		if j.organisation == nil {
 			return j.deny(http.StatusUnauthorized, "unknown key")
@@ -196,7 +196,7 @@
 	e.state.mu.Unlock()
 	j.forward = attempt.NewDispatchPlan(attempt.DispatchSpec{
 		Repeatable:    repeatable,
-		MaxRuns:       j.route.Attempts,
+		MaxRuns:       j.route.MaxAttempts,
 		MaxDispatches: attempt.DefaultMaxDispatches,
 		Deadline:      j.ends,
 	}, budget)
@@ -226,12 +226,12 @@
 	if j.service.Engine == nil {
 		return 0
 	}
-	return loadShare * float64(j.route.Objective.Milliseconds())
+	return loadShare * float64(j.route.LatencyTarget.Milliseconds())
 }
 
 // levels are the nested prefixes that the prompt may share with others.
 func (j *request) levels() []route.PrefixLevel {
-	shared := j.params.Shared()
+	shared := j.params.SharedParts()
 	ids := make([]string, len(shared))
 	tokens := make([]int, len(shared))
 	for i, part := range shared {
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -45,9 +45,9 @@
 	replicas *member.Replicas
 	// outage is the reader's of the list of replicas.
 	outage       *member.Outage
-	board        *rollout.Board
+	board        *rollout.VersionTracker
 	feed         *route.Picker
-	demands      map[string]*rollout.Demand // of each model
+	demands      map[string]*rollout.VersionHistory // of each model
 	retryBudgets map[string]*attempt.Budget
 	crashes      *attempt.CrashTracker
 	queues       map[string]*serviceQueue
@@ -64,7 +64,7 @@
 	changed chan struct{}
 	// announcements is entries' word when versions of weights were named: of a few a day for
 	// each model, as long as this process runs.
-	announcements map[modelVersion]*rollout.Naming
+	announcements map[modelVersion]*rollout.Announcement
 	// announcementsRead are those that were read in the store's present era.
 	announcementsRead map[modelVersion]bool
 	// learns is called once for each service of engines that requests come for.
@@ -87,16 +87,16 @@
 		entries:       assumedEntries,
 		replicas:      member.NewReplicas(member.DefaultReplicaParams),
 		outage:        member.NewOutage(outageParams),
-		board:         rollout.NewBoard(),
+		board:         rollout.NewVersionTracker(),
 		feed:          route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		demands:       make(map[string]*rollout.Demand),
+		demands:       make(map[string]*rollout.VersionHistory),
 		retryBudgets:  make(map[string]*attempt.Budget),
 		crashes:       attempt.NewCrashTracker(attempt.DefaultCrashTrackerParams),
 		queues:        make(map[string]*serviceQueue),
 		rateLimits:    ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
 		changed:       make(chan struct{}),
 		retryBudget:   budget,
-		announcements: make(map[modelVersion]*rollout.Naming),
+		announcements: make(map[modelVersion]*rollout.Announcement),
 
 		leavingNews:       make(map[string]int),
 		announcementsRead: make(map[modelVersion]bool),
@@ -205,7 +205,7 @@
 
 // forgetReplica drops what is known of a replica that is gone. The caller holds mu.
 func (s *state) forgetReplica(id string) {
-	s.board.Gone(id)
+	s.board.Forget(id)
 	s.feed.RemoveReplica(id)
 	s.rateLimits.Forget(id)
 }
@@ -238,7 +238,7 @@
 	var excluded exclusions
 	var oldest uint64
 	if d := s.demands[model]; d != nil {
-		oldest = d.Oldest(now)
+		oldest = d.OldestAllowed(now)
 	}
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
@@ -280,7 +280,7 @@
 				continue
 			}
 			c.Version = s.board.Version(id, model)
-			c.RolloutIn, c.RolloutPlanned = s.board.Turn(id, model, now)
+			c.RolloutIn, c.RolloutPlanned = s.board.TimeToSlot(id, model, now)
 			if c.Version < oldest {
 				excluded.overdue++
 				continue
@@ -300,14 +300,14 @@
 		if _, serves := r.Weights[model]; !serves || s.replicas.Draining(id) || !config.runs(r.Service, model) {
 			continue
 		}
-		turn, planned := s.board.Turn(id, model, now)
+		turn, planned := s.board.TimeToSlot(id, model, now)
 		out = append(out, rollout.State{
-			Turn: turn, Planned: planned,
-			Replica:   r,
-			Version:   s.board.Version(id, model),
-			Orders:    s.board.Orders(id, model),
-			Reachable: s.replicas.Health(id, now) != member.Down,
-			Running:   s.feed.Running(id),
+			TimeToSlot: turn, HasSlot: planned,
+			Replica:        r,
+			Version:        s.board.Version(id, model),
+			AcceptedOrders: s.board.AcceptedOrders(id, model),
+			Reachable:      s.replicas.Health(id, now) != member.Down,
+			Running:        s.feed.Running(id),
 		})
 	}
 	return out
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -130,7 +130,7 @@
 	s.feed.FirstEvent(now, &j.query, &p.choice, now-p.at)
 	if p.window != nil {
 		own := s.feed.PrefillTime(&j.query, &p.choice)
-		p.window.ObserveStart(p.work, now-p.at-own, j.route.Objective-own, now)
+		p.window.ObserveStart(p.work, now-p.at-own, j.route.LatencyTarget-own, now)
 	}
 	p.done()
 	s.dispatch(s.gateOf(j.service), now)
--- a/internal/direct/strikes.go
+++ b/internal/direct/strikes.go
@@ -91,7 +91,7 @@
 	for i := range strikes {
 		count := e.logStrike(&strikes[i], e.settings.ID)
 		if count >= recordedStrikes {
-			envelope := rollout.Envelope{Strike: &strikes[i]}
+			envelope := rollout.Envelope{Crash: &strikes[i]}
 			records = append(records, envelope.Encode())
 		}
 	}
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -89,8 +89,8 @@
 		e.handleReplaced(r, other.Instance, 0)
 	case err != nil:
 		// The next question comes soon; requests meet what is wrong before.
-	case !r.Is(report.Born):
-		e.handleReplaced(r, r.Name, report.Born)
+	case !r.Matches(report.StartedAtMs):
+		e.handleReplaced(r, r.Name, report.StartedAtMs)
 	default:
 		e.takeReport(r, &report)
 		w.tell(r, &report)
@@ -125,7 +125,7 @@
 	if w.entry.hub == nil {
 		return
 	}
-	said := wordReport{Replica: r.ID, Weights: report.Weights, Draining: report.Draining, Busy: report.Busy, Orders: report.Orders}
+	said := wordReport{Replica: r.ID, Weights: report.Weights, Draining: report.Draining, Busy: report.Busy, Orders: report.AcceptedOrders}
 	w.mu.Lock()
 	last := w.told[r.ID]
 	if last == nil || !last.equal(&said) {
@@ -148,7 +148,7 @@
 		r := e.state.replicas.Get(said.Replica)
 		e.state.mu.Unlock()
 		if r != nil {
-			e.takeReport(r, &fleet.Report{Weights: said.Weights, Draining: said.Draining, Busy: said.Busy, Orders: said.Orders})
+			e.takeReport(r, &fleet.Report{Weights: said.Weights, Draining: said.Draining, Busy: said.Busy, AcceptedOrders: said.Orders})
 		}
 	}
 }
@@ -162,14 +162,14 @@
 		e.tel.Log.Info("replica is leaving", "replica", r.ID, "by", "its report")
 	}
 	for model, version := range report.Weights {
-		if s.board.Saw(r.ID, model, version, report.Orders) {
+		if s.board.ObserveVersion(r.ID, model, version, report.AcceptedOrders) {
 			s.feed.CacheCleared(r.ID, now)
 		}
 		phase := rollout.PhaseReleased
 		if report.Busy {
 			phase = rollout.PhaseOrdered
 		}
-		s.board.Take(&rollout.Note{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
+		s.board.ApplyRecord(&rollout.Record{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
 	}
 	if !report.Busy {
 		s.notifyChanged()
@@ -184,7 +184,7 @@
 // A replica that says it started before the one that is known is none to follow: what
 // it said was long under way.
 func (e *Entry) handleReplaced(r *fleet.Replica, name string, born int64) {
-	if name == r.Name && born <= r.Born {
+	if name == r.Name && born <= r.StartedAtMs {
 		return
 	}
 	go func() {
@@ -193,7 +193,7 @@
 		e.state.forgetReplica(r.ID)
 		e.state.mu.Unlock()
 		e.recordReplicaLoss(r.ID)
-		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.Incarnation(name, born))
+		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.IncarnationID(name, born))
 		if name == "" || len(r.Weights) == 0 {
 			return
 		}
@@ -215,8 +215,8 @@
 			return
 		}
 	}
-	born := report.Born
-	if old.Born == 0 {
+	born := report.StartedAtMs
+	if old.StartedAtMs == 0 {
 		born = 0 // the records here don't say, and would count as outdated
 	}
 	fresh := old.Restarted(name, born)
--- a/internal/endpoint/completion.go
+++ b/internal/endpoint/completion.go
@@ -52,13 +52,13 @@
 	c := &completion{job: j, engine: e.engine, id: streamName(j.run)}
 	c.firstToken = func() { e.tel.Metrics.FirstToken(j.run.Organisation, time.Since(j.begun)) }
 	st, err := c.engine.Complete(ctx, c.request())
-	if errors.Is(err, engine.ErrNotSent) {
+	if errors.Is(err, engine.ErrNotRun) {
 		var refused *engine.RefusedError
 		switch {
 		case !errors.As(err, &refused):
 			e.loop.must(func() { e.engineUnreachable(err) })
-		case refused.Rest() > 0:
-			e.loop.must(func() { e.engineRests(refused.Rest()) })
+		case refused.Backoff() > 0:
+			e.loop.must(func() { e.engineRests(refused.Backoff()) })
 		}
 		return c.notRun(err)
 	}
@@ -120,7 +120,7 @@
 		c.incarnation = st.Incarnation
 		err := c.read(st)
 		st.Close()
-		if !errors.Is(err, engine.ErrLost) || ctx.Err() != nil {
+		if !errors.Is(err, engine.ErrOutcomeUnknown) || ctx.Err() != nil {
 			return err
 		}
 		if st, err = c.resume(ctx, st.NextSeq()); err != nil {
@@ -150,10 +150,10 @@
 			return nil, errCrashed
 		case err == nil:
 			return st, nil
-		case errors.Is(err, engine.ErrGone), ctx.Err() != nil:
+		case errors.Is(err, engine.ErrStreamGone), ctx.Err() != nil:
 			return nil, err
 		}
-		if c.repeatable || !engine.IsSilent(err) {
+		if c.repeatable || !engine.IsTimeout(err) {
 			tries++
 		}
 		select {
@@ -162,7 +162,7 @@
 		case <-time.After(resumePause):
 		}
 	}
-	if engine.IsSilent(err) {
+	if engine.IsTimeout(err) {
 		return nil, err
 	}
 	return nil, errors.Join(errCrashed, err)
@@ -251,7 +251,7 @@
 	defer stop()
 	load, err := c.engine.Load(ctx)
 	if err != nil {
-		return !engine.IsSilent(err)
+		return !engine.IsTimeout(err)
 	}
 	return c.incarnation != "" && load.Incarnation != c.incarnation
 }
--- a/internal/endpoint/config.go
+++ b/internal/endpoint/config.go
@@ -32,7 +32,7 @@
 // heardOffset notes the configuration that a peer has. One that is cut off from
 // the log would otherwise go on by what operators have already replaced.
 func (e *Endpoint) heardOffset(s *wire.Session, offset uint64) {
-	e.config.Heard(offset, follow.SessionFetch(s))
+	e.config.PeerHasOffset(offset, follow.SessionFetch(s))
 }
 
 // onConfigFetch answers a peer that is behind. Encoding a large state takes too
--- a/internal/endpoint/config_test.go
+++ b/internal/endpoint/config_test.go
@@ -22,7 +22,7 @@
 	}
 	encoded := kit.Must(config.EncodeState(state))(t)
 	f := follow.New(follow.Options{Logger: slog.New(slog.DiscardHandler)})
-	kit.OK(t, f.Offer(encoded, follow.SourcePeer))
+	kit.OK(t, f.Merge(encoded, follow.SourcePeer))
 	return f, state
 }
 
--- a/internal/endpoint/freeze.go
+++ b/internal/endpoint/freeze.go
@@ -34,7 +34,7 @@
 // lookForFreeze takes a look at the load that failed like those before it.
 func (e *Endpoint) lookForFreeze(err error) {
 	f := &e.watch.freeze
-	if f.on || !engine.IsSilent(err) || e.now()-e.lastToken() < tokenSilence {
+	if f.on || !engine.IsTimeout(err) || e.now()-e.lastToken() < tokenSilence {
 		return
 	}
 	f.on = true
--- a/internal/endpoint/orders.go
+++ b/internal/endpoint/orders.go
@@ -32,7 +32,7 @@
 type placement struct {
 	leases *lease.Leases
 	permit *lease.Permit
-	orders *lease.Orders
+	orders *lease.OrderReconciler
 	name   lease.Name
 	reader *logReader
 	// want is what the engine is to have loaded; active is set until it has.
@@ -52,7 +52,7 @@
 	return placement{
 		leases: leases,
 		permit: lease.NewPermit(leases, config.DefaultLoadPermits, e.rng),
-		orders: lease.NewOrders(leases, name, orderPoll),
+		orders: lease.NewOrderReconciler(leases, name, orderPoll),
 		name:   name,
 		reader: &logReader{
 			logger: e.log,
@@ -62,11 +62,11 @@
 			now:    e.now,
 			poke:   make(chan struct{}, 1),
 			record: func(offset uint64, data []byte) {
-				e.performLease(leases.Record(offset, data, e.now()))
+				e.performLease(leases.ApplyRecord(offset, data, e.now()))
 			},
 			caughtUp: func(time.Duration) { e.performLease(leases.CaughtUp(e.now())) },
-			gap:      func(oldest uint64) { e.performLease(leases.Gap(oldest, e.now())) },
-			oldest:   leases.Oldest,
+			gap:      func(oldest uint64) { e.performLease(leases.Truncated(oldest, e.now())) },
+			oldest:   leases.SetOldest,
 		},
 	}
 }
@@ -91,11 +91,11 @@
 	if g := e.state().Groups[e.settings.Endpoint.Group]; g != nil {
 		p.permit.SetCount(g.LoadPermits)
 	}
-	e.performLease(p.leases.Want(p.name, now))
-	e.performLease(p.permit.Want(now))
+	e.performLease(p.leases.Acquire(p.name, now))
+	e.performLease(p.permit.Acquire(now))
 	e.performLease(p.permit.Tick(now))
 	if e.mayLoad() || p.loading {
-		e.performOrders(p.orders.Want(p.want, now))
+		e.performOrders(p.orders.SetDesired(p.want, now))
 	}
 }
 
@@ -118,7 +118,7 @@
 	// A process that was restarted without the list knows of nobody until it is
 	// heard; all of a group would take themselves for alone.
 	known := e.group.listed || len(others) > 0
-	spared := known && p.permit.Spared(len(others), serving, e.settings.Endpoint.KeepServing)
+	spared := known && p.permit.EnoughServing(len(others), serving, e.settings.Endpoint.KeepServing)
 	if !spared && !p.waits {
 		e.log.Warn("weights wait: too few other replicas would serve meanwhile", "list_read", e.group.listed, "others", len(others), "serving", serving)
 	}
@@ -178,14 +178,14 @@
 	}
 	e.loop.must(func() {
 		e.log.Warn("lease record not appended", "error", err)
-		e.performLease(e.placement.leases.Failed(action.Seq, e.now()))
+		e.performLease(e.placement.leases.AppendFailed(action.Seq, e.now()))
 	})
 }
 
 func (e *Endpoint) performOrders(actions []lease.OrderAction) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case lease.ReadBack:
+		case lease.ReadState:
 			go e.readBack()
 		case lease.SendOrder:
 			e.sendOrder(action)
@@ -198,7 +198,7 @@
 func (e *Endpoint) readBack() {
 	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
-	state, err := e.engine.Orders(ctx)
+	state, err := e.engine.State(ctx)
 	e.loop.must(func() {
 		now := e.now()
 		if err != nil {
@@ -225,7 +225,7 @@
 	p := &e.placement
 	now := e.now()
 	if fence, ok := p.leases.Check(p.name, now); !ok || fence != action.Fence || !e.mayLoad() {
-		p.orders.Unanswered(now)
+		p.orders.OrderUnanswered(now)
 		return
 	}
 	p.loading = true
@@ -243,7 +243,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
-	_, err := e.engine.Order(ctx, engine.Order{
+	_, err := e.engine.SendOrder(ctx, engine.Order{
 		Fence:   action.Fence,
 		Op:      engine.Op(action.Order.Op),
 		Model:   action.Order.Model,
@@ -256,16 +256,16 @@
 	now := e.now()
 	switch {
 	case err == nil:
-		e.placement.orders.Answered(now)
+		e.placement.orders.OrderAnswered(now)
 	case errors.Is(err, engine.ErrStaleFence):
 		e.recordPlacement(action, "stale_fence")
-		e.placement.orders.Refused(now)
-	case errors.Is(err, engine.ErrNotSent), errors.Is(err, errStaleCheck):
+		e.placement.orders.OrderRefused(now)
+	case errors.Is(err, engine.ErrNotRun), errors.Is(err, errStaleCheck):
 		e.recordPlacement(action, "not_sent")
-		e.placement.orders.Answered(now) // reading back goes on from there
+		e.placement.orders.OrderAnswered(now) // reading back goes on from there
 	default:
 		e.recordPlacement(action, "answer_lost")
-		e.placement.orders.Unanswered(now)
+		e.placement.orders.OrderUnanswered(now)
 	}
 }
 
@@ -277,8 +277,8 @@
 	e.watch.model, e.watch.version = order.Model, order.Version
 	e.tellEngine()
 	e.recordPlacement(lease.SendOrder{Order: order}, "in_force")
-	e.performLease(p.permit.Done(now))
-	e.performLease(p.leases.Drop(p.name, now))
+	e.performLease(p.permit.Release(now))
+	e.performLease(p.leases.Release(p.name, now))
 	e.startHeld()
 }
 
--- a/internal/endpoint/orders_test.go
+++ b/internal/endpoint/orders_test.go
@@ -60,7 +60,7 @@
 
 func isLoading(t *testing.T, c *engine.Client) bool {
 	t.Helper()
-	state := kit.Must(c.Orders(context.Background()))(t)
+	state := kit.Must(c.State(context.Background()))(t)
 	return state.Loading
 }
 
@@ -72,8 +72,8 @@
 	e, log := newTestEndpoint(t)
 	p := &e.placement
 	p.leases.CaughtUp(e.now())
-	for _, a := range p.permit.Want(e.now()) {
-		p.leases.Record(1, a.(lease.Append).Data, e.now())
+	for _, a := range p.permit.Acquire(e.now()) {
+		p.leases.ApplyRecord(1, a.(lease.Append).Data, e.now())
 	}
 	other := platform.Instance{ID: "ep-2", Role: platform.RoleEndpoint, Address: "127.0.0.1:1", Group: "g", State: platform.StateLive}
 	beat := func(seq uint64, up bool) {
@@ -129,7 +129,7 @@
 	kit.Until(t, "the new weights", func() bool {
 		loading, loaded := 0, 0
 		for _, c := range engines {
-			state := kit.Must(c.Orders(context.Background()))(t)
+			state := kit.Must(c.State(context.Background()))(t)
 			if state.Loading {
 				loading++
 			}
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -26,7 +26,7 @@
 		Body:        call.Body,
 	})
 	switch {
-	case errors.Is(err, engine.ErrNotSent):
+	case errors.Is(err, engine.ErrNotRun):
 		return protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: "service is not reachable"}
 	case err != nil:
 		return protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "service's answer was lost"}
--- a/internal/endpoint/transfer.go
+++ b/internal/endpoint/transfer.go
@@ -134,7 +134,7 @@
 		CacheSalt:   t.run.Organisation,
 	})
 	switch {
-	case errors.Is(err, engine.ErrConflict):
+	case errors.Is(err, engine.ErrWeightsMismatch):
 		return string(protocol.ExportOtherWeights), 0
 	case err != nil:
 		e.log.Debug("blocks not imported", "donor", t.donor.Target.Endpoint, "error", err)
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -35,7 +35,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(out); err != nil {
-		return fmt.Errorf("%w: %s %s: %w", ErrLost, method, path, unexpected(err))
+		return fmt.Errorf("%w: %s %s: %w", ErrOutcomeUnknown, method, path, unexpected(err))
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 	}
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, fmt.Errorf("%w: encode: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: encode: %w", ErrNotRun, err)
 	}
 	req, err := newRequest(method, url, oneShot{bytes.NewReader(body)})
 	if err != nil {
@@ -60,7 +60,7 @@
 func newRequest(method, url string, body io.Reader) (*http.Request, error) {
 	req, err := http.NewRequest(method, url, body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	return req, nil
 }
@@ -69,7 +69,7 @@
 // import.
 func conflict(path string, resp *http.Response) error {
 	if path != "/v1/orders" {
-		return fmt.Errorf("%w: %w", ErrConflict, refusal(resp))
+		return fmt.Errorf("%w: %w", ErrWeightsMismatch, refusal(resp))
 	}
 	var stale StaleFence
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&stale); err != nil {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -68,7 +68,7 @@
 	}
 	req, err := http.NewRequest(http.MethodPost, c.base+"/v1/chat/completions", oneShot{bytes.NewReader(body)})
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
@@ -89,7 +89,7 @@
 func (r Request) body() ([]byte, error) {
 	ours, err := json.Marshal(r.completion())
 	if err != nil {
-		return nil, fmt.Errorf("%w: encode: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: encode: %w", ErrNotRun, err)
 	}
 	body, err := parameters.Merge(ours, r.Parameters)
 	if err != nil {
@@ -122,7 +122,7 @@
 	path := streamPath(id) + "?from=" + strconv.FormatUint(from, 10)
 	req, err := http.NewRequest(http.MethodGet, c.base+path, nil)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	resp, err := sendOnce(ctx, c.shared, req)
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotFound {
-		return nil, fmt.Errorf("%w: %s", ErrGone, id)
+		return nil, fmt.Errorf("%w: %s", ErrStreamGone, id)
 	}
 	return nil, refusal(resp)
 }
@@ -155,16 +155,16 @@
 	return load, err
 }
 
-// Order gives an order and returns the state after it. Errors: ErrStaleFence
+// SendOrder gives an order and returns the state after it. Errors: ErrStaleFence
 // (a *StaleFenceError), ErrNotSent, ErrLost.
-func (c *Client) Order(ctx context.Context, o Order) (State, error) {
+func (c *Client) SendOrder(ctx context.Context, o Order) (State, error) {
 	var state State
 	err := c.call(ctx, http.MethodPost, "/v1/orders", o, &state)
 	return state, err
 }
 
-// Orders returns the engine's state.
-func (c *Client) Orders(ctx context.Context) (State, error) {
+// State returns the engine's state.
+func (c *Client) State(ctx context.Context) (State, error) {
 	var state State
 	err := c.call(ctx, http.MethodGet, "/v1/orders", nil, &state)
 	return state, err
@@ -191,7 +191,7 @@
 	path := "/v1/cache/events?from=" + strconv.FormatUint(from, 10)
 	req, err := http.NewRequest(http.MethodGet, c.base+path, nil)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNotSent, err)
+		return fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	resp, err := sendOnce(ctx, c.once, req)
 	if err != nil {
@@ -209,7 +209,7 @@
 	for {
 		raw, err := events.next()
 		if err != nil {
-			return fmt.Errorf("%w: cache events: %w", ErrLost, unexpected(err))
+			return fmt.Errorf("%w: cache events: %w", ErrOutcomeUnknown, unexpected(err))
 		}
 		var event CacheEvent
 		if err := json.Unmarshal(raw.data, &event); err != nil {
--- a/internal/engine/errors.go
+++ b/internal/engine/errors.go
@@ -13,27 +13,27 @@
 
 // The errors of this package, for errors.Is.
 var (
-	// ErrNotSent says that the request did not run: it never left this process,
+	// ErrNotRun says that the request did not run: it never left this process,
 	// or the back end refused it before running it.
-	ErrNotSent = errors.New("engine: request did not run")
-	// ErrLost says that the connection was lost, or the back end failed, after
+	ErrNotRun = errors.New("engine: request did not run")
+	// ErrOutcomeUnknown says that the connection was lost, or the back end failed, after
 	// the request may have been sent: whether it ran is unknown.
-	ErrLost = errors.New("engine: outcome unknown")
+	ErrOutcomeUnknown = errors.New("engine: outcome unknown")
 	// ErrLoading is a refusal while weights load; it is an ErrNotSent too.
 	ErrLoading = errors.New("engine: weights are loading")
-	// ErrGone says that the engine no longer has the stream.
-	ErrGone = errors.New("engine: stream is gone")
+	// ErrStreamGone says that the engine no longer has the stream.
+	ErrStreamGone = errors.New("engine: stream is gone")
 	// ErrStaleFence says that the engine has seen a higher fencing number.
 	ErrStaleFence = errors.New("engine: stale fencing number")
-	// ErrConflict says that imported blocks are of other weights.
-	ErrConflict = errors.New("engine: weights differ")
+	// ErrWeightsMismatch says that imported blocks are of other weights.
+	ErrWeightsMismatch = errors.New("engine: weights differ")
 	// ErrMalformed says that the back end sent what can't be read.
 	ErrMalformed = errors.New("engine: malformed answer")
 )
 
-// IsSilent tells a back end that didn't answer in time, but kept its connections,
+// IsTimeout tells a back end that didn't answer in time, but kept its connections,
 // from one that refused or was lost.
-func IsSilent(err error) bool {
+func IsTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
@@ -51,8 +51,8 @@
 	return fmt.Sprintf("engine: refused with %d %s: %s", e.Status, e.Code, e.Message)
 }
 
-// Rest is for how long the back end wants nothing, 0 if it doesn't say.
-func (e *RefusedError) Rest() time.Duration {
+// Backoff is for how long the back end wants nothing, 0 if it doesn't say.
+func (e *RefusedError) Backoff() time.Duration {
 	if e.Status != http.StatusServiceUnavailable && e.Status != http.StatusTooManyRequests {
 		return 0
 	}
@@ -61,7 +61,7 @@
 
 // Is makes every refusal an ErrNotSent, and one for loading an ErrLoading.
 func (e *RefusedError) Is(target error) bool {
-	return target == ErrNotSent || target == ErrLoading && e.Code == CodeLoading
+	return target == ErrNotRun || target == ErrLoading && e.Code == CodeLoading
 }
 
 // StaleFenceError is an ErrStaleFence with the highest number that the engine
@@ -86,7 +86,7 @@
 	_ = json.Unmarshal(data, &body)
 	before := resp.StatusCode >= 400 && resp.StatusCode < 500 || resp.StatusCode == http.StatusServiceUnavailable
 	if !before {
-		return fmt.Errorf("%w: status %d: %s", ErrLost, resp.StatusCode, body.Error.Message)
+		return fmt.Errorf("%w: status %d: %s", ErrOutcomeUnknown, resp.StatusCode, body.Error.Message)
 	}
 	return &RefusedError{
 		Status:     resp.StatusCode,
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -79,7 +79,7 @@
 func (b lostBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = fmt.Errorf("%w: answer: %w", ErrLost, err)
+		err = fmt.Errorf("%w: answer: %w", ErrOutcomeUnknown, err)
 	}
 	return n, err
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -53,7 +53,7 @@
 		return Event{}, err
 	}
 	if err != nil {
-		return Event{}, fmt.Errorf("%w: stream: %w", ErrLost, unexpected(err))
+		return Event{}, fmt.Errorf("%w: stream: %w", ErrOutcomeUnknown, unexpected(err))
 	}
 	if string(raw.data) == sseDone {
 		return Event{}, io.EOF
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -34,16 +34,16 @@
 	}{
 		{"whole", first + second + usage + end, "a b ", io.EOF},
 		{"comments and other fields", ": hello\nevent: x\n\n" + first + second + usage + end, "a b ", io.EOF},
-		{"cut between events", first + second, "a b ", ErrLost},
-		{"cut inside an event", first + strings.TrimSuffix(second, "\n"), "a ", ErrLost},
-		{"cut inside the end", first + "data: [DONE]", "a ", ErrLost},
-		{"empty", "", "", ErrLost},
+		{"cut between events", first + second, "a b ", ErrOutcomeUnknown},
+		{"cut inside an event", first + strings.TrimSuffix(second, "\n"), "a ", ErrOutcomeUnknown},
+		{"cut inside the end", first + "data: [DONE]", "a ", ErrOutcomeUnknown},
+		{"empty", "", "", ErrOutcomeUnknown},
 		{"one missing", first + usage + end, "a ", ErrMalformed},
 		{"one doubled", first + first, "a ", ErrMalformed},
 		{"no number", "data: {}\n\n", "", ErrMalformed},
 		{"bad number", "id: x\ndata: {}\n\n", "", ErrMalformed},
 		{"not JSON", "id: 0\ndata: {\n\n", "", ErrMalformed},
-		{"endless line", "id: 0\ndata: " + strings.Repeat("x", maxSSELine+1) + "\n\n", "", ErrLost},
+		{"endless line", "id: 0\ndata: " + strings.Repeat("x", maxSSELine+1) + "\n\n", "", ErrOutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 		defer answer.Body.Close()
 		_, err = io.ReadAll(answer.Body)
 	}
-	if !errors.Is(err, ErrLost) {
+	if !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("cut answer: %v", err)
 	}
 }
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -71,7 +71,7 @@
 		return resp, nil
 	}
 	if sent {
-		return nil, fmt.Errorf("%w: %w", ErrLost, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+	return nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 }
--- a/internal/engine/transport_test.go
+++ b/internal/engine/transport_test.go
@@ -84,7 +84,7 @@
 		_, err = client.Call(testContext(t), ServiceRequest{
 			ID: "r", Key: "k", Method: method, Path: "/pay", Body: []byte(`{"amount":1}`),
 		})
-		if !errors.Is(err, ErrLost) || errors.Is(err, ErrNotSent) {
+		if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotRun) {
 			t.Errorf("%s: %v", method, err)
 		}
 		if n := server.lost.Load(); n != 1 {
@@ -101,11 +101,11 @@
 	client := NewClient(server.base)
 	defer client.Close()
 	_, err := client.Complete(testContext(t), Request{ID: "r", Messages: []prefix.Message{{Role: "user", Content: "q"}}})
-	if !errors.Is(err, ErrLost) || errors.Is(err, ErrNotSent) {
+	if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotRun) {
 		t.Errorf("completion: %v", err)
 	}
-	_, err = client.Order(testContext(t), Order{Fence: 1, Op: OpSetRole})
-	if !errors.Is(err, ErrLost) || errors.Is(err, ErrNotSent) {
+	_, err = client.SendOrder(testContext(t), Order{Fence: 1, Op: OpSetRole})
+	if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotRun) {
 		t.Errorf("order: %v", err)
 	}
 	if n := server.lost.Load(); n != 2 {
@@ -124,14 +124,14 @@
 	base := "http://" + listener.Addr().String()
 	listener.Close()
 	_, err = NewService(base).Call(testContext(t), ServiceRequest{Method: http.MethodPost, Path: "/"})
-	if !errors.Is(err, ErrNotSent) || errors.Is(err, ErrLost) {
+	if !errors.Is(err, ErrNotRun) || errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("refused dial: %v", err)
 	}
 	server := newLossyServer(t)
 	ctx, cancel := context.WithCancel(testContext(t))
 	cancel()
 	_, err = NewService(server.base).Call(ctx, ServiceRequest{Method: http.MethodPost, Path: "/pay"})
-	if !errors.Is(err, ErrNotSent) || !errors.Is(err, context.Canceled) {
+	if !errors.Is(err, ErrNotRun) || !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled: %v", err)
 	}
 	if n := server.lost.Load(); n != 0 {
@@ -146,12 +146,12 @@
 		want   []error
 		not    []error
 	}{
-		{400, `{"error":{"code":"bad_request"}}`, []error{ErrNotSent}, []error{ErrLost, ErrLoading}},
-		{503, `{"error":{"code":"loading"}}`, []error{ErrNotSent, ErrLoading}, []error{ErrLost}},
-		{503, `not JSON`, []error{ErrNotSent}, []error{ErrLost, ErrLoading}},
-		{500, `{}`, []error{ErrLost}, []error{ErrNotSent}},
-		{502, ``, []error{ErrLost}, []error{ErrNotSent}},
-		{307, ``, []error{ErrLost}, []error{ErrNotSent}},
+		{400, `{"error":{"code":"bad_request"}}`, []error{ErrNotRun}, []error{ErrOutcomeUnknown, ErrLoading}},
+		{503, `{"error":{"code":"loading"}}`, []error{ErrNotRun, ErrLoading}, []error{ErrOutcomeUnknown}},
+		{503, `not JSON`, []error{ErrNotRun}, []error{ErrOutcomeUnknown, ErrLoading}},
+		{500, `{}`, []error{ErrOutcomeUnknown}, []error{ErrNotRun}},
+		{502, ``, []error{ErrOutcomeUnknown}, []error{ErrNotRun}},
+		{307, ``, []error{ErrOutcomeUnknown}, []error{ErrNotRun}},
 	}
 	for _, c := range cases {
 		base := serve(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -17,8 +17,8 @@
 	// Source says where the state came from, LogReachable whether the log answers.
 	Source() string
 	LogReachable() bool
-	// Heard notes the offset of a peer that can be asked by fetch.
-	Heard(offset uint64, fetch follow.Fetch)
+	// PeerHasOffset notes the offset of a peer that can be asked by fetch.
+	PeerHasOffset(offset uint64, fetch follow.FetchFunc)
 	// Fetch answers a peer's ConfigFetch.
 	Fetch(m *protocol.ConfigFetch) (*protocol.ConfigState, error)
 	// Run follows until ctx ends.
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -42,10 +42,10 @@
 	close(ready)
 	return ready
 }
-func (static) Source() string             { return "test" }
-func (static) LogReachable() bool         { return true }
-func (static) Run(context.Context) error  { return nil }
-func (static) Heard(uint64, follow.Fetch) {}
+func (static) Source() string                         { return "test" }
+func (static) LogReachable() bool                     { return true }
+func (static) Run(context.Context) error              { return nil }
+func (static) PeerHasOffset(uint64, follow.FetchFunc) {}
 func (static) Fetch(*protocol.ConfigFetch) (*protocol.ConfigState, error) {
 	return &protocol.ConfigState{}, nil
 }
--- a/internal/entry/inquiry.go
+++ b/internal/entry/inquiry.go
@@ -90,7 +90,7 @@
 	}
 	switch m := answer.(type) {
 	case *protocol.Decision:
-		e.config.Heard(m.ConfigOffset, follow.SessionFetch(session))
+		e.config.PeerHasOffset(m.ConfigOffset, follow.SessionFetch(session))
 		return m, nil
 	case *protocol.Failure:
 		return &protocol.Decision{Request: question.Request, Refusal: &m.Refusal}, nil
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -61,7 +61,7 @@
 // noteSession takes what a session's opening showed of the peer.
 func (e *Entry) noteSession(s *wire.Session) {
 	e.directory.seen(s.Peer())
-	e.config.Heard(s.Peer().ConfigOffset, follow.SessionFetch(s))
+	e.config.PeerHasOffset(s.Peer().ConfigOffset, follow.SessionFetch(s))
 }
 
 // Handle implements wire.Handler; it never blocks.
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -39,20 +39,20 @@
 	Kind       Kind
 	// Timeout bounds a request from its arrival to its final answer.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, that the
+	// LatencyTarget is the time to the answer, or to a stream's first event, that the
 	// operator aims at.
-	Objective time.Duration
-	// Pause is the longest pause between a stream's events that is on time.
-	Pause time.Duration
+	LatencyTarget time.Duration
+	// MaxEventGap is the longest pause between a stream's events that is on time.
+	MaxEventGap time.Duration
 	// Priority is the rank among routes, 0 first.
 	Priority int
 	Targets  []Target
-	// Attempts is the most replicas on which one request may run.
-	Attempts int
+	// MaxAttempts is the most replicas on which one request may run.
+	MaxAttempts int
 	// Public routes ask for no key.
 	Public bool
-	// Prompted routes carry prompts that share parts.
-	Prompted bool
+	// HasPrompts routes carry prompts that share parts.
+	HasPrompts bool
 	// Resumable streams may go on at another replica after a given event.
 	Resumable bool
 }
@@ -80,9 +80,9 @@
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// StoreAddress is the address of a store of kept KV cache, "" for services
+	// KVStoreAddress is the address of a store of kept KV cache, "" for services
 	// with replicas.
-	StoreAddress string
+	KVStoreAddress string
 }
 
 // Organisation is who holds a key.
@@ -103,8 +103,8 @@
 	Rate, Burst float64
 	// Tokens says that a unit is a token, of the prompt or of the longest output; else
 	// it is a request. Uncounted is what a request counts that doesn't say.
-	Tokens    bool
-	Uncounted float64
+	Tokens       bool
+	DefaultUnits float64
 }
 
 // Limited reports whether there is a limit.
@@ -115,10 +115,10 @@
 	switch {
 	case !q.Tokens:
 		return 1
-	case r.Counted:
+	case r.HasTokenCounts:
 		return float64(r.PromptTokens + r.OutputTokens)
 	}
-	return q.Uncounted
+	return q.DefaultUnits
 }
 
 // Limits bound what a caller may send and how long it may take.
@@ -134,8 +134,8 @@
 	Version  uint64
 	Routes   []Route
 	Services map[string]*Service
-	// Keyed is set when requests need a key. Keys names the organisation of each.
-	Keyed         bool
+	// KeyRequired is set when requests need a key. Keys names the organisation of each.
+	KeyRequired   bool
 	Keys          map[string]*Organisation
 	Organisations []*Organisation
 	Limits        Limits
@@ -153,8 +153,8 @@
 	}
 	c.keptCaches = nil
 	for _, s := range c.Services {
-		if s.StoreAddress != "" {
-			c.keptCaches = append(c.keptCaches, s.StoreAddress)
+		if s.KVStoreAddress != "" {
+			c.keptCaches = append(c.keptCaches, s.KVStoreAddress)
 		}
 	}
 	slices.Sort(c.keptCaches)
@@ -175,8 +175,8 @@
 	return best
 }
 
-// KeptCaches lists the addresses of the stores of kept KV cache, in order.
-func (c *Configuration) KeptCaches() []string { return c.keptCaches }
+// KVStores lists the addresses of the stores of kept KV cache, in order.
+func (c *Configuration) KVStores() []string { return c.keptCaches }
 
 // Models lists the models of all engines, each once.
 func (c *Configuration) Models() []string {
--- a/internal/fleet/notice.go
+++ b/internal/fleet/notice.go
@@ -6,13 +6,13 @@
 type Notice struct {
 	// Leaving is set once it is leaving.
 	Leaving bool
-	// Limited says that it takes no more than Rate requests a second from all entries
+	// HasRateLimit says that it takes no more than Rate requests a second from all entries
 	// together, for as long as its answers say so. Rate is 0 or more.
-	Limited bool
-	Rate    float64
-	// Rest is for how long it wants nothing from the entry that it has turned away, 0 if it
+	HasRateLimit bool
+	RateLimit    float64
+	// Backoff is for how long it wants nothing from the entry that it has turned away, 0 if it
 	// doesn't say.
-	Rest time.Duration
+	Backoff time.Duration
 	// Malformed says that the head has something of this kind that can't be read.
 	Malformed bool
 }
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -20,8 +20,8 @@
 	// Holder and Fence are the lease under which it is given.
 	Holder string
 	Fence  uint64
-	// Expected is the number of orders that the replica has accepted before.
-	Expected uint64
+	// ExpectedOrders is the number of orders that the replica has accepted before.
+	ExpectedOrders uint64
 }
 
 // Reply is a replica's word on an order.
@@ -33,8 +33,8 @@
 	ReplyUnknown Reply = iota
 	// ReplyAccepted: it is being carried out.
 	ReplyAccepted
-	// ReplyHolds: it was in force already.
-	ReplyHolds
+	// ReplyInForce: it was in force already.
+	ReplyInForce
 	// ReplyConflict: another order is under way, or Expected is wrong.
 	ReplyConflict
 	// ReplyFenced: a holder with a higher fence has given orders.
@@ -52,8 +52,8 @@
 // String names the reply as logs have it.
 func (r Reply) String() string { return replyNames[r] }
 
-// Wanted is the version of a model's weights that the operator wants in use.
-type Wanted struct {
+// DesiredVersion is the version of a model's weights that the operator wants in use.
+type DesiredVersion struct {
 	Model   string
 	Version uint64
 }
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -13,40 +13,40 @@
 	// Name is what it registered under and is addressed by. It may start again under
 	// the same name.
 	Name string
-	// Born is when it started, in Unix milliseconds by its own clock, 0 if it doesn't
+	// StartedAtMs is when it started, in Unix milliseconds by its own clock, 0 if it doesn't
 	// say. It tells apart the incarnations of a name and orders them.
-	Born          int64
+	StartedAtMs   int64
 	Service       string
 	Address       string
 	FailureDomain string
 	Slots         int
 	// Draining replicas take no new work.
 	Draining bool
-	// Beat numbers what this incarnation has written of itself.
-	Beat uint64
+	// HeartbeatSeq numbers what this incarnation has written of itself.
+	HeartbeatSeq uint64
 	// Weights has the version of each model that is loaded.
 	Weights map[string]uint64
 }
 
-// Incarnation is the ID of the replica that started under a name at a time, 0 if it
+// IncarnationID is the ID of the replica that started under a name at a time, 0 if it
 // doesn't say when.
-func Incarnation(name string, born int64) string {
+func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
 	return name + "@" + strconv.FormatInt(born, 10)
 }
 
-// Is reports whether a replica that says that it started at a time, 0 if it doesn't
+// Matches reports whether a replica that says that it started at a time, 0 if it doesn't
 // say, can be this one. One whose record doesn't say when it started can't be told from
 // a later one by its reports.
-func (r *Replica) Is(born int64) bool { return born == 0 || r.Born == 0 || born == r.Born }
+func (r *Replica) Matches(at int64) bool { return at == 0 || r.StartedAtMs == 0 || at == r.StartedAtMs }
 
 // Restarted is the incarnation of the same name and address that started at a time.
 // What it serves isn't known yet.
 func (r *Replica) Restarted(name string, born int64) *Replica {
 	fresh := *r
-	fresh.Name, fresh.Born, fresh.ID = name, born, Incarnation(name, born)
+	fresh.Name, fresh.StartedAtMs, fresh.ID = name, born, IncarnationID(name, born)
 	fresh.Draining = false
 	return &fresh
 }
@@ -72,16 +72,16 @@
 // Report is what a replica answers when asked for its state. It is some hundred
 // milliseconds old.
 type Report struct {
-	// Born is when the replica that answered started, as Replica.Born.
-	Born    int64
-	Weights map[string]uint64
+	// StartedAtMs is when the replica that answered started, as Replica.StartedAtMs.
+	StartedAtMs int64
+	Weights     map[string]uint64
 	// Draining is set once it is leaving.
 	Draining bool
 	// Busy is set while an order is carried out.
 	Busy bool
-	// Orders is how many orders it has accepted since its start; an order names it
+	// AcceptedOrders is how many orders it has accepted since its start; an order names it
 	// so that one carried out late finds itself overtaken.
-	Orders  uint64
-	Queued  int
-	Running int
+	AcceptedOrders uint64
+	Queued         int
+	Running        int
 }
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Part is one piece of a prompt that requests may share.
-type Part struct {
+// PromptPart is one piece of a prompt that requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -22,20 +22,20 @@
 	// output.
 	PromptTokens int
 	OutputTokens int
-	// Counted says that the caller gave these two numbers.
-	Counted bool
+	// HasTokenCounts says that the caller gave these two numbers.
+	HasTokenCounts bool
 	// ExpectedOutput is the caller's guess of the output's length, 0 if none.
 	ExpectedOutput int
 	// Parts make up the prompt, the shared ones first. The last belongs to the
 	// request or its session.
-	Parts []Part
+	Parts []PromptPart
 	// LastEvent is the id of the last event that the caller has of a stream, ""
 	// at a fresh start.
 	LastEvent string
 }
 
-// Shared returns the parts that other requests may have in common with it.
-func (r *Request) Shared() []Part {
+// SharedParts returns the parts that other requests may have in common with it.
+func (r *Request) SharedParts() []PromptPart {
 	if len(r.Parts) < 2 {
 		return nil
 	}
@@ -45,14 +45,14 @@
 // SharedTokens is the length of the shared parts.
 func (r *Request) SharedTokens() int {
 	total := 0
-	for _, p := range r.Shared() {
+	for _, p := range r.SharedParts() {
 		total += p.Tokens
 	}
 	return total
 }
 
-// HandOver is what goes to a replica with a request, beside what the caller sent.
-type HandOver struct {
+// DispatchHeaders is what goes to a replica with a request, beside what the caller sent.
+type DispatchHeaders struct {
 	// Replica is the name of the one that is to run it; a replica of another name
 	// refuses.
 	Replica string
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -24,16 +24,16 @@
 }
 
 // Errors of a Store. ErrStoreUnknown says that an append may have taken effect,
-// ErrStoreRefused that it had none; ErrStoreMoved is a conditional append that met
-// another end; ErrStoreExpired a read of records that are gone. ErrStoreRewound is a read from a
+// ErrStoreRefused that it had none; ErrStoreConflict is a conditional append that met
+// another end; ErrStoreExpired a read of records that are gone. ErrStoreRestored is a read from a
 // position of an earlier era: what was read before may be gone, and written again.
 var (
 	ErrStoreUnavailable = errors.New("store: unavailable")
 	ErrStoreUnknown     = errors.New("store: append may have taken effect")
 	ErrStoreRefused     = errors.New("store: append had no effect")
-	ErrStoreMoved       = errors.New("store: the topic ends elsewhere")
+	ErrStoreConflict    = errors.New("store: the topic ends elsewhere")
 	ErrStoreExpired     = errors.New("store: records are gone")
-	ErrStoreRewound     = errors.New("store: back from an older copy")
+	ErrStoreRestored    = errors.New("store: back from an older copy")
 )
 
 // Store is the platform's store of topics: what must last lies there.
--- a/internal/follow/exchange.go
+++ b/internal/follow/exchange.go
@@ -98,23 +98,23 @@
 	a := c.find(m.Offset, m.After)
 	c.mu.Unlock()
 	if a == nil {
-		return nil, ErrMoved
+		return nil, ErrStateChanged
 	}
 	return a.part(m.Part)
 }
 
 // ask fetches from one peer and merges what it has.
-func (f *Follower) ask(ctx context.Context, fetch Fetch) error {
+func (f *Follower) ask(ctx context.Context, fetch FetchFunc) error {
 	data, err := FetchState(ctx, f.noting(fetch), f.offset())
 	if err != nil || len(data) == 0 {
 		return err
 	}
-	return f.Offer(data, SourcePeer)
+	return f.Merge(data, SourcePeer)
 }
 
 // noting returns a Fetch that takes from answers how long the newest snapshot is
 // young enough.
-func (f *Follower) noting(fetch Fetch) Fetch {
+func (f *Follower) noting(fetch FetchFunc) FetchFunc {
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		answer, err := fetch(ctx, m)
 		if err == nil {
@@ -126,7 +126,7 @@
 
 // FetchState returns what a peer has in force after an offset, encoded by package
 // config; nothing if it has as much.
-func FetchState(ctx context.Context, fetch Fetch, after uint64) ([]byte, error) {
+func FetchState(ctx context.Context, fetch FetchFunc, after uint64) ([]byte, error) {
 	first, err := fetchPart(ctx, fetch, &protocol.ConfigFetch{After: after})
 	if err != nil {
 		return nil, err
@@ -141,14 +141,14 @@
 			return nil, err
 		}
 		if next.Offset != first.Offset || next.Parts != first.Parts {
-			return nil, ErrMoved
+			return nil, ErrStateChanged
 		}
 		data = append(data, next.State...)
 	}
 	return data, nil
 }
 
-func fetchPart(ctx context.Context, fetch Fetch, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
+func fetchPart(ctx context.Context, fetch FetchFunc, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	return fetch(ctx, m)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -60,9 +60,9 @@
 var (
 	// ErrTooLarge is returned for a state of more than maxParts parts.
 	ErrTooLarge = errors.New("follow: the state is too large")
-	// ErrMoved is returned when a peer no longer has the state of which it has
+	// ErrStateChanged is returned when a peer no longer has the state of which it has
 	// given some parts. It is asked anew later.
-	ErrMoved = errors.New("follow: the peer's state has moved on")
+	ErrStateChanged = errors.New("follow: the peer's state has moved on")
 )
 
 // Log is the part of platform.Log that a Follower uses.
@@ -71,22 +71,22 @@
 	Append(ctx context.Context, stream string, records [][]byte) (uint64, error)
 }
 
-// Fetch asks one peer.
-type Fetch func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error)
+// FetchFunc asks one peer.
+type FetchFunc func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error)
 
 // Options are what a Follower needs.
 type Options struct {
 	Log Log
 	// Peers returns whom to ask, the best ones first. It is called at the start
 	// and again while the log can't be reached.
-	Peers func(ctx context.Context) []Fetch
+	Peers func(ctx context.Context) []FetchFunc
 	// Bootstrap is the file of an exported state, empty for none.
 	Bootstrap string
 	// Retention is how long the log keeps a record.
 	Retention time.Duration
-	// Process is the process's unique name; it ranks who writes snapshots.
-	Process string
-	Logger  *slog.Logger
+	// ProcessName is the process's unique name; it ranks who writes snapshots.
+	ProcessName string
+	Logger      *slog.Logger
 }
 
 // Follower follows the configuration. Its methods may be called from any
@@ -184,8 +184,8 @@
 	return true
 }
 
-// Offer merges what a peer, or a file, has. An older state changes nothing.
-func (f *Follower) Offer(encoded []byte, source Source) error {
+// Merge merges what a peer, or a file, has. An older state changes nothing.
+func (f *Follower) Merge(encoded []byte, source Source) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	base := f.state.Load()
@@ -206,7 +206,7 @@
 // rank spreads processes evenly over 0 to 1.
 func (f *Follower) rank() float64 {
 	h := fnv.New64a()
-	h.Write([]byte(f.opts.Process))
+	h.Write([]byte(f.opts.ProcessName))
 	return float64(h.Sum64()) / math.MaxUint64
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -108,7 +108,7 @@
 }
 
 // from is a peer that answers out of another follower.
-func from(peer *Follower) Fetch {
+func from(peer *Follower) FetchFunc {
 	return func(_ context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		return peer.Fetch(m)
 	}
@@ -148,11 +148,11 @@
 	first := f.publish(0)
 	peer := f.follow(Options{})
 	f.reaches(peer, first, SourceLog)
-	cut := f.follow(Options{Log: cutLog{}, Peers: func(context.Context) []Fetch { return []Fetch{from(peer)} }})
+	cut := f.follow(Options{Log: cutLog{}, Peers: func(context.Context) []FetchFunc { return []FetchFunc{from(peer)} }})
 	f.reaches(cut, first, SourcePeer)
 	second := f.publish(first)
 	f.reaches(peer, second, SourceLog)
-	cut.Heard(second, from(peer))
+	cut.PeerHasOffset(second, from(peer))
 	f.reaches(cut, second, SourcePeer)
 	if cut.LogReachable() {
 		t.Error("the log counts as reachable")
@@ -205,7 +205,7 @@
 	peer := f.follow(Options{})
 	f.reaches(peer, first, SourceLog)
 	log := readsFrom{f.log, make(chan uint64, 1000)}
-	started := f.follow(Options{Log: log, Peers: func(context.Context) []Fetch { return []Fetch{from(peer)} }})
+	started := f.follow(Options{Log: log, Peers: func(context.Context) []FetchFunc { return []FetchFunc{from(peer)} }})
 	f.reaches(started, f.publish(first), SourceLog)
 	if got := <-log.offsets; got != first+1 {
 		t.Errorf("the first read is from offset %d, want %d", got, first+1)
@@ -239,7 +239,7 @@
 		}
 		return peer.Fetch(m)
 	}
-	cut := f.follow(Options{Log: cutLog{}, Bootstrap: file, Peers: func(context.Context) []Fetch { return []Fetch{busy} }})
+	cut := f.follow(Options{Log: cutLog{}, Bootstrap: file, Peers: func(context.Context) []FetchFunc { return []FetchFunc{busy} }})
 	<-cut.Ready()
 	if cut.offset() != second || cut.Source() != string(SourcePeer) {
 		t.Errorf("starts with offset %d from %s, want %d", cut.offset(), cut.Source(), second)
@@ -275,7 +275,7 @@
 		return answer, err
 	}
 	cut := f.follow(Options{Log: cutLog{}})
-	cut.Heard(last, moving)
+	cut.PeerHasOffset(last, moving)
 	f.reaches(cut, last, SourcePeer)
 	if parts < 2 {
 		t.Errorf("the state came in %d part", parts)
@@ -300,9 +300,9 @@
 	second := f.publish(first)
 	follower := f.follow(Options{Log: cutLog{}})
 	f.reaches(stale, second, SourceLog)
-	follower.Heard(second, from(stale))
+	follower.PeerHasOffset(second, from(stale))
 	f.reaches(follower, second, SourcePeer)
-	if err := follower.Offer(old, SourcePeer); err != nil {
+	if err := follower.Merge(old, SourcePeer); err != nil {
 		t.Fatal(err)
 	}
 	decoded, err := config.DecodeState(old)
@@ -348,7 +348,7 @@
 		last = f.publish(last)
 	}
 	// A retention this short makes the first snapshot due at once.
-	writer := f.follow(Options{Process: "writer", Retention: 50 * time.Millisecond})
+	writer := f.follow(Options{ProcessName: "writer", Retention: 50 * time.Millisecond})
 	until(t, "a snapshot on the log", func() bool { return writer.offset() > last })
 	f.meetsNoParts()
 	f.control(`{"retention_count":2}`)
@@ -360,7 +360,7 @@
 	if !errors.As(err, &retained) {
 		t.Fatalf("the log still has its first record: %v %v", page, err)
 	}
-	late := f.follow(Options{Process: "late"})
+	late := f.follow(Options{ProcessName: "late"})
 	f.reaches(late, after, SourceLog)
 	if late.State().Groups["g"].Offset != after {
 		t.Errorf("group %+v, want the one at %d", late.State().Groups["g"], after)
@@ -384,7 +384,7 @@
 	}
 	last := f.publish(first)
 	f.control(fmt.Sprintf(`{"retention_count":%d}`, len(parts)+1))
-	f.reaches(f.follow(Options{Process: "late"}), last, SourceLog)
+	f.reaches(f.follow(Options{ProcessName: "late"}), last, SourceLog)
 }
 
 // Symptom: each process that is started writes a snapshot of its own.
@@ -406,7 +406,7 @@
 	f.reaches(peer, first+1, SourceLog)
 	for _, opts := range []Options{{Log: cutLog{}}, {}} {
 		before := peer
-		opts.Peers = func(context.Context) []Fetch { return []Fetch{from(before)} }
+		opts.Peers = func(context.Context) []FetchFunc { return []FetchFunc{from(before)} }
 		peer = f.follow(opts)
 		until(t, "the peer's word", func() bool { return peer.snapshots.due()-peer.now() > 29*time.Minute })
 	}
--- a/internal/follow/hearsay.go
+++ b/internal/follow/hearsay.go
@@ -9,14 +9,14 @@
 type hearsay struct {
 	mu     sync.Mutex
 	offset uint64
-	fetch  Fetch
+	fetch  FetchFunc
 	wake   chan struct{}
 }
 
-// Heard notes that a peer has the given offset. If that is newer than the state
+// PeerHasOffset notes that a peer has the given offset. If that is newer than the state
 // here, the peer is asked, one question at a time whatever the number of
 // messages. It doesn't block.
-func (f *Follower) Heard(offset uint64, fetch Fetch) {
+func (f *Follower) PeerHasOffset(offset uint64, fetch FetchFunc) {
 	if offset <= f.offset() {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // take returns the newest hearsay and forgets it, so that an offset which its
 // peer can't back up doesn't keep out lower ones.
-func (h *hearsay) take() (offset uint64, fetch Fetch) {
+func (h *hearsay) take() (offset uint64, fetch FetchFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	offset, fetch = h.offset, h.fetch
--- a/internal/follow/peers.go
+++ b/internal/follow/peers.go
@@ -28,7 +28,7 @@
 const listPatience = 500 * time.Millisecond
 
 // PeerFetch returns the Fetch that asks the daemon at address.
-func PeerFetch(pool *wire.Pool, address string) Fetch {
+func PeerFetch(pool *wire.Pool, address string) FetchFunc {
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		session, err := pool.Get(ctx, address)
 		if err != nil {
@@ -39,7 +39,7 @@
 }
 
 // SessionFetch returns the Fetch that asks the peer of an open session.
-func SessionFetch(session *wire.Session) Fetch {
+func SessionFetch(session *wire.Session) FetchFunc {
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		reply, err := session.Call(ctx, m)
 		if err != nil {
@@ -90,8 +90,8 @@
 // After a failure of a whole site most are gone or as empty as this process. With
 // only the first few asked, it would start from an old bootstrap file, and take
 // keys that were taken back, beside a peer that knows better.
-func (f *Follower) askSeveral(ctx context.Context, peers []Fetch) {
-	next := make(chan Fetch, maxFirstPeers)
+func (f *Follower) askSeveral(ctx context.Context, peers []FetchFunc) {
+	next := make(chan FetchFunc, maxFirstPeers)
 	for _, fetch := range peers[:min(maxFirstPeers, len(peers))] {
 		next <- fetch
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (f *Follower) askOne(ctx context.Context, fetch Fetch) {
+func (f *Follower) askOne(ctx context.Context, fetch FetchFunc) {
 	if err := f.ask(ctx, fetch); err != nil && ctx.Err() == nil {
 		f.opts.Logger.Debug("peer gave no configuration", "error", err)
 	}
@@ -141,7 +141,7 @@
 	}
 	data, err := os.ReadFile(f.opts.Bootstrap)
 	if err == nil {
-		err = f.Offer(data, SourceBootstrap)
+		err = f.Merge(data, SourceBootstrap)
 	}
 	if err != nil {
 		f.opts.Logger.Error("bootstrap file can't be used", "file", f.opts.Bootstrap, "error", err)
@@ -151,20 +151,20 @@
 // FromSettings returns the Follower of a daemon.
 func FromSettings(s *settings.Settings, log Log, instances *platform.Instances, pool *wire.Pool, logger *slog.Logger) *Follower {
 	return New(Options{
-		Log:       log,
-		Peers:     Neighbours(pool, s.Bootstrap.Peers, instances.List, s.FailureDomain, s.Advertise),
-		Bootstrap: s.Bootstrap.File,
-		Retention: s.Platform.Retention.D(),
-		Process:   s.ID,
-		Logger:    logger,
+		Log:         log,
+		Peers:       PeersNearestFirst(pool, s.Bootstrap.Peers, instances.List, s.FailureDomain, s.Advertise),
+		Bootstrap:   s.Bootstrap.File,
+		Retention:   s.Platform.Retention.D(),
+		ProcessName: s.ID,
+		Logger:      logger,
 	})
 }
 
-// Neighbours returns a Peers function over fixed addresses and the instance list,
+// PeersNearestFirst returns a Peers function over fixed addresses and the instance list,
 // those of the same failure domain first, others in random order so that a herd
 // of restarted processes doesn't ask the same few.
-func Neighbours(pool *wire.Pool, fixed []string, list func(context.Context) ([]platform.Instance, error), domain, self string) func(context.Context) []Fetch {
-	return func(ctx context.Context) []Fetch {
+func PeersNearestFirst(pool *wire.Pool, fixed []string, list func(context.Context) ([]platform.Instance, error), domain, self string) func(context.Context) []FetchFunc {
+	return func(ctx context.Context) []FetchFunc {
 		near, far := append([]string(nil), fixed...), []string(nil)
 		listCtx, cancel := context.WithTimeout(ctx, listPatience)
 		instances, err := list(listCtx)
@@ -185,8 +185,8 @@
 	}
 }
 
-func fetches(pool *wire.Pool, groups ...[]string) []Fetch {
-	var all []Fetch
+func fetches(pool *wire.Pool, groups ...[]string) []FetchFunc {
+	var all []FetchFunc
 	for _, addresses := range groups {
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 		for _, a := range addresses {
--- a/internal/follow/snapshot.go
+++ b/internal/follow/snapshot.go
@@ -164,7 +164,7 @@
 		return
 	}
 	t.f.snapshots.wrote(now)
-	id := fmt.Sprintf("%s-%016x", t.f.opts.Process, rand.Uint64())
+	id := fmt.Sprintf("%s-%016x", t.f.opts.ProcessName, rand.Uint64())
 	err := appendSnapshot(ctx, t.f.opts.Log, t.state, id)
 	t.f.opts.Logger.Info("snapshot written", "as_of", t.state.Offset, "id", id, "error", err)
 }
--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -23,8 +23,8 @@
 func BenchmarkCheck(b *testing.B) {
 	l := NewLeases("endpoint-0", 1, DefaultParams, rand.New(rand.NewPCG(1, 1)))
 	l.CaughtUp(0)
-	for _, a := range l.Want(OrderName("endpoint-0"), 0) {
-		l.Record(1, a.(Append).Data, 0)
+	for _, a := range l.Acquire(OrderName("endpoint-0"), 0) {
+		l.ApplyRecord(1, a.(Append).Data, 0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -40,8 +40,8 @@
 	f.Add([]byte{0xa0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		l := NewLeases("endpoint-0", 1, DefaultParams, rand.New(rand.NewPCG(1, 1)))
-		l.Want(PermitName(1), 0)
-		l.Record(1, data, 0)
+		l.Acquire(PermitName(1), 0)
+		l.ApplyRecord(1, data, 0)
 		l.CaughtUp(time.Hour)
 		if l.Table().Position() != 1 {
 			t.Error("a record was not passed")
--- a/internal/lease/contention_test.go
+++ b/internal/lease/contention_test.go
@@ -74,7 +74,7 @@
 		case Granted:
 			if p.leaves {
 				p.left = true
-				p.do(p.leases.Drop(a.Name, p.c.now))
+				p.do(p.leases.Release(a.Name, p.c.now))
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 		}
 		c.after(contendTrip, func() {
 			if !landed {
-				p.do(p.leases.Failed(a.Seq, c.now))
+				p.do(p.leases.AppendFailed(a.Seq, c.now))
 			}
 			c.after(contendTrip, p.read)
 		})
@@ -106,7 +106,7 @@
 	records := p.c.log
 	p.c.after(contendTrip, func() {
 		for at := p.leases.Table().Position(); at < uint64(len(records)); at++ {
-			p.do(p.leases.Record(at+1, records[at], p.c.now))
+			p.do(p.leases.ApplyRecord(at+1, records[at], p.c.now))
 		}
 		p.do(p.leases.CaughtUp(p.c.now))
 	})
@@ -188,7 +188,7 @@
 			p.every(c.readEvery(), p.read)
 			p.every(contendTick, func() {
 				if !p.left {
-					p.do(p.leases.Want(name, c.now))
+					p.do(p.leases.Acquire(name, c.now))
 				}
 			})
 		})
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -93,7 +93,7 @@
 		w.log = append(w.log, a.Data)
 	}
 	if how != "ok" || !w.up {
-		w.do(i, p.leases.Failed(a.Seq, w.clock(i)))
+		w.do(i, p.leases.AppendFailed(a.Seq, w.clock(i)))
 	}
 }
 
@@ -108,7 +108,7 @@
 			w.do(i, p.leases.CaughtUp(w.clock(i)))
 			return
 		}
-		w.do(i, p.leases.Record(at+1, w.log[at], w.clock(i)))
+		w.do(i, p.leases.ApplyRecord(at+1, w.log[at], w.clock(i)))
 	}
 }
 
@@ -139,7 +139,7 @@
 		}
 		if p.permit.Check(w.clock(i)) {
 			permits++
-			if p.permit.Spared(len(w.procs)-1, w.others(i), 0) {
+			if p.permit.EnoughServing(len(w.procs)-1, w.others(i), 0) {
 				loading++
 			}
 		}
@@ -181,14 +181,14 @@
 	p := w.procs[i]
 	switch kind {
 	case "order":
-		w.do(i, p.leases.Want(w.order, w.clock(i)))
+		w.do(i, p.leases.Acquire(w.order, w.clock(i)))
 		w.give(i)
 	case "permit":
-		w.do(i, p.permit.Want(w.clock(i)))
+		w.do(i, p.permit.Acquire(w.clock(i)))
 	case "done":
-		w.do(i, p.permit.Done(w.clock(i)))
+		w.do(i, p.permit.Release(w.clock(i)))
 	case "drop":
-		w.do(i, p.leases.Drop(w.order, w.clock(i)))
+		w.do(i, p.leases.Release(w.order, w.clock(i)))
 	case "append":
 		w.settle(i, rapid.SampledFrom([]string{"ok", "ok", "lost", "late", "refused"}).Draw(w.t, "how"))
 	case "read":
@@ -248,11 +248,11 @@
 		w.procs = append(w.procs, &proc{leases: l, permit: NewPermit(l, w.permits, rng), rate: 1})
 	}
 	w.pump()
-	if w.procs[0].permit.Spared(0, nil, 0) {
+	if w.procs[0].permit.EnoughServing(0, nil, 0) {
 		t.Error("spared without a permit")
 	}
 	for i, p := range w.procs {
-		w.do(i, p.permit.Want(w.clock(i)))
+		w.do(i, p.permit.Acquire(w.clock(i)))
 		for range 9 {
 			w.now += time.Second / 4
 			w.pump()
@@ -279,7 +279,7 @@
 		{"all, first", 0, 2, []string{b, c}, 1, true},
 		{"all, and one is down", 0, 2, []string{b}, 1, false},
 	} {
-		if got := w.procs[tt.self].permit.Spared(tt.others, tt.serving, tt.share); got != tt.want {
+		if got := w.procs[tt.self].permit.EnoughServing(tt.others, tt.serving, tt.share); got != tt.want {
 			t.Errorf("%s: %v", tt.name, got)
 		}
 	}
@@ -294,11 +294,11 @@
 		last := rapid.IntRange(0, 2).Draw(t, "wanting")
 		for i, p := range w.procs {
 			p.paused = false
-			w.do(i, p.permit.Done(w.clock(i)))
-			w.do(i, p.leases.Drop(w.order, w.clock(i)))
+			w.do(i, p.permit.Release(w.clock(i)))
+			w.do(i, p.leases.Release(w.order, w.clock(i)))
 		}
-		w.do(last, w.procs[last].permit.Want(w.clock(last)))
-		w.do(last, w.procs[last].leases.Want(w.order, w.clock(last)))
+		w.do(last, w.procs[last].permit.Acquire(w.clock(last)))
+		w.do(last, w.procs[last].leases.Acquire(w.order, w.clock(last)))
 		for range 200 {
 			w.now += 100 * time.Millisecond
 			w.pump()
@@ -360,13 +360,13 @@
 		}
 		oldest := uint64(rapid.IntRange(1, len(w.log)).Draw(t, "oldest"))
 		whole, late := NewTable(), NewTable()
-		late.Skip(oldest)
+		late.SkipTo(oldest)
 		for offset := uint64(1); offset <= uint64(len(w.log)); offset++ {
 			whole.Apply(offset, w.log[offset-1], w.now)
 			late.Apply(offset, w.log[offset-1], w.now)
 		}
 		for _, claimFrom := range []*Table{whole, late} {
-			last := claimFrom.Last(w.order)
+			last := claimFrom.LastOffset(w.order)
 			claim := &Record{Kind: KindClaim, Name: w.order, Holder: "endpoint-9", Epoch: 99, Supersedes: last, Seq: 1, DurationMs: 1}
 			if last < oldest {
 				claim.Supersedes, claim.Oldest = 0, oldest
@@ -391,9 +391,9 @@
 		w := newWorld(t, 2, 2)
 		w.procs[0].rate, w.procs[1].rate = 1, 1
 		w.pump()
-		w.do(0, w.procs[0].leases.Want(w.order, w.clock(0)))
+		w.do(0, w.procs[0].leases.Acquire(w.order, w.clock(0)))
 		w.pump()
-		w.do(1, w.procs[1].leases.Want(w.order, w.clock(1)))
+		w.do(1, w.procs[1].leases.Acquire(w.order, w.clock(1)))
 		w.now += DefaultParams.Duration - DefaultParams.RenewBefore
 		w.tick(0)
 		w.settle(0, "lost")
@@ -431,7 +431,7 @@
 	params := DefaultParams
 	params.RestartReclaims = true
 	claims := func(l *Leases) bool {
-		for _, a := range l.Want("x", 0) {
+		for _, a := range l.Acquire("x", 0) {
 			if a, ok := a.(Append); ok && a.Claim {
 				return true
 			}
@@ -444,7 +444,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Record(1, data, 0)
+		l.ApplyRecord(1, data, 0)
 		l.CaughtUp(0)
 		return l
 	}
--- a/internal/lease/leases.go
+++ b/internal/lease/leases.go
@@ -106,8 +106,8 @@
 // Table is what the log says.
 func (l *Leases) Table() *Table { return l.table }
 
-// Want asks for a lease and keeps it until Drop.
-func (l *Leases) Want(n Name, now time.Duration) []Action {
+// Acquire asks for a lease and keeps it until Drop.
+func (l *Leases) Acquire(n Name, now time.Duration) []Action {
 	h := l.of(n)
 	if !h.wanted {
 		h.wanted, h.nextTry, h.tries = true, now, 0
@@ -115,8 +115,8 @@
 	return l.Tick(now)
 }
 
-// Drop gives a lease back. From here on Check refuses it.
-func (l *Leases) Drop(n Name, now time.Duration) []Action {
+// Release gives a lease back. From here on Check refuses it.
+func (l *Leases) Release(n Name, now time.Duration) []Action {
 	h, ok := l.held[n]
 	if !ok {
 		return nil
@@ -140,15 +140,15 @@
 	return h.fence, true
 }
 
-// Keeps reports whether this process has a lease, or has not yet read back that it
+// HeldOrReleasing reports whether this process has a lease, or has not yet read back that it
 // gave it back. One that ends before leaves the others to wait for the lease's end.
-func (l *Leases) Keeps(n Name) bool {
+func (l *Leases) HeldOrReleasing(n Name) bool {
 	h, known := l.held[n]
 	return known && (h.fence != 0 || h.release != 0)
 }
 
-// Record takes the next record of the stream, in order of offset.
-func (l *Leases) Record(offset uint64, data []byte, now time.Duration) []Action {
+// ApplyRecord takes the next record of the stream, in order of offset.
+func (l *Leases) ApplyRecord(offset uint64, data []byte, now time.Duration) []Action {
 	r, valid := l.table.Apply(offset, data, now)
 	if r == nil {
 		return l.Tick(now)
@@ -229,20 +229,20 @@
 	return l.Tick(now)
 }
 
-// Gap says that the log's oldest record is now oldest, beyond the next one to
+// Truncated says that the log's oldest record is now oldest, beyond the next one to
 // read, or, at the start, where reading begins.
-func (l *Leases) Gap(oldest uint64, now time.Duration) []Action {
+func (l *Leases) Truncated(oldest uint64, now time.Duration) []Action {
 	l.oldest = oldest
-	l.table.Skip(oldest)
+	l.table.SkipTo(oldest)
 	l.caughtUp = false
 	return l.Tick(now)
 }
 
-// Rewound says that the log came back from an older copy and is read anew from oldest on, a
+// LogRestored says that the log came back from an older copy and is read anew from oldest on, a
 // greater offset than any before. No lease of before is held any more.
-func (l *Leases) Rewound(oldest uint64, now time.Duration) []Action {
+func (l *Leases) LogRestored(oldest uint64, now time.Duration) []Action {
 	l.oldest, l.caughtUp = oldest, false
-	l.table.Rewound(oldest, now)
+	l.table.LogRestored(oldest, now)
 	for _, n := range l.names() {
 		h := l.held[n]
 		l.lose(h, n)
@@ -252,13 +252,13 @@
 	return l.Tick(now)
 }
 
-// Oldest tells which record is the oldest that the log still has, as its
+// SetOldest tells which record is the oldest that the log still has, as its
 // answers say.
-func (l *Leases) Oldest(offset uint64) { l.oldest = max(l.oldest, offset) }
+func (l *Leases) SetOldest(offset uint64) { l.oldest = max(l.oldest, offset) }
 
-// Failed says that an append had no effect, or an unknown one. Should it show
+// AppendFailed says that an append had no effect, or an unknown one. Should it show
 // up in the log after all, it counts from when it was sent.
-func (l *Leases) Failed(seq uint64, now time.Duration) []Action {
+func (l *Leases) AppendFailed(seq uint64, now time.Duration) []Action {
 	for _, h := range l.held {
 		if h.pending == seq {
 			h.pending = 0
@@ -298,7 +298,7 @@
 	case h.fence != 0 && now >= h.until-l.params.RenewBefore:
 		l.send(h, &Record{Kind: KindRenew, Name: n, Fence: h.fence}, now)
 	case h.fence == 0 && h.wanted && l.caughtUp && l.claimable(n, now):
-		claim := &Record{Kind: KindClaim, Name: n, Supersedes: l.table.Last(n)}
+		claim := &Record{Kind: KindClaim, Name: n, Supersedes: l.table.LastOffset(n)}
 		if claim.Supersedes < l.oldest {
 			claim.Supersedes, claim.Oldest = 0, l.oldest
 		}
--- a/internal/lease/orders.go
+++ b/internal/lease/orders.go
@@ -35,14 +35,14 @@
 	Fence uint64
 }
 
-// ReadBack reads the engine's state and reports Observe.
-type ReadBack struct{}
+// ReadState reads the engine's state and reports Observe.
+type ReadState struct{}
 
 // OrderDone says that the wanted order is in force.
 type OrderDone struct{ Order Order }
 
 func (SendOrder) orderAction() {}
-func (ReadBack) orderAction()  {}
+func (ReadState) orderAction() {}
 func (OrderDone) orderAction() {}
 
 type orderPhase uint8
@@ -54,14 +54,14 @@
 	orderWaiting
 )
 
-// Orders brings one engine into the wanted state under the order lease. Engines
+// OrderReconciler brings one engine into the wanted state under the order lease. Engines
 // that check fencing numbers refuse an old one by themselves. For those that
 // ignore them it never counts an order as done from its answer, but reads the
 // state back, and orders again if an old order of a paused holder came after.
 //
 // Invariants: an order is sent only after the state was read under the same
 // grant; none is sent while another's answer is out.
-type Orders struct {
+type OrderReconciler struct {
 	leases  *Leases
 	name    Name
 	poll    time.Duration
@@ -72,14 +72,14 @@
 	nextTry time.Duration
 }
 
-// NewOrders returns the orders for the engine whose lease is name; poll is how
+// NewOrderReconciler returns the orders for the engine whose lease is name; poll is how
 // often the state is read while it changes, and after it has settled.
-func NewOrders(leases *Leases, name Name, poll time.Duration) *Orders {
-	return &Orders{leases: leases, name: name, poll: poll}
+func NewOrderReconciler(leases *Leases, name Name, poll time.Duration) *OrderReconciler {
+	return &OrderReconciler{leases: leases, name: name, poll: poll}
 }
 
-// Want sets the wanted state.
-func (o *Orders) Want(order Order, now time.Duration) []OrderAction {
+// SetDesired sets the wanted state.
+func (o *OrderReconciler) SetDesired(order Order, now time.Duration) []OrderAction {
 	if o.want == nil || *o.want != order {
 		o.want = &order
 		o.nextTry = now
@@ -87,11 +87,11 @@
 	return o.Tick(now)
 }
 
-// Wanted reports whether an order is wanted, so that the lease is needed.
-func (o *Orders) Wanted() bool { return o.want != nil }
+// HasDesired reports whether an order is wanted, so that the lease is needed.
+func (o *OrderReconciler) HasDesired() bool { return o.want != nil }
 
 // Tick starts the next reading when it is due and the lease is held.
-func (o *Orders) Tick(now time.Duration) []OrderAction {
+func (o *OrderReconciler) Tick(now time.Duration) []OrderAction {
 	fence, ok := o.leases.Check(o.name, now)
 	if ok && fence != o.fence && o.phase != orderIdle {
 		// What is in flight belongs to a grant that is over: it counts as lost.
@@ -102,11 +102,11 @@
 	}
 	o.fence = fence
 	o.phase = orderReading
-	return []OrderAction{ReadBack{}}
+	return []OrderAction{ReadState{}}
 }
 
 // Observe takes the engine's state as read.
-func (o *Orders) Observe(seen Observed, now time.Duration) []OrderAction {
+func (o *OrderReconciler) Observe(seen Observed, now time.Duration) []OrderAction {
 	if o.phase != orderReading || o.want == nil {
 		return nil
 	}
@@ -135,23 +135,23 @@
 	return []OrderAction{SendOrder{Order: *o.want, Fence: fence}}
 }
 
-// Answered: the engine took the order; reading back shows whether it holds.
-func (o *Orders) Answered(now time.Duration) { o.afterSend(now, false) }
+// OrderAnswered: the engine took the order; reading back shows whether it holds.
+func (o *OrderReconciler) OrderAnswered(now time.Duration) { o.afterSend(now, false) }
 
-// Refused: the engine knows a newer fencing number.
-func (o *Orders) Refused(now time.Duration) { o.afterSend(now, false) }
+// OrderRefused: the engine knows a newer fencing number.
+func (o *OrderReconciler) OrderRefused(now time.Duration) { o.afterSend(now, false) }
 
-// Unanswered: the order may or may not have reached the engine, or may still.
-func (o *Orders) Unanswered(now time.Duration) { o.afterSend(now, true) }
+// OrderUnanswered: the order may or may not have reached the engine, or may still.
+func (o *OrderReconciler) OrderUnanswered(now time.Duration) { o.afterSend(now, true) }
 
 // ReadFailed: the state couldn't be read.
-func (o *Orders) ReadFailed(now time.Duration) {
+func (o *OrderReconciler) ReadFailed(now time.Duration) {
 	if o.phase == orderReading {
 		o.phase, o.nextTry = orderIdle, now+o.poll
 	}
 }
 
-func (o *Orders) afterSend(now time.Duration, doubt bool) {
+func (o *OrderReconciler) afterSend(now time.Duration, doubt bool) {
 	if o.phase != orderSent {
 		return
 	}
--- a/internal/lease/orders_test.go
+++ b/internal/lease/orders_test.go
@@ -13,9 +13,9 @@
 	t.Helper()
 	l := NewLeases("endpoint-0", 1, DefaultParams, rand.New(rand.NewPCG(1, 1)))
 	l.CaughtUp(0)
-	for _, a := range l.Want(orderName, 0) {
+	for _, a := range l.Acquire(orderName, 0) {
 		if a, ok := a.(Append); ok {
-			l.Record(1, a.Data, 0)
+			l.ApplyRecord(1, a.Data, 0)
 		}
 	}
 	if _, ok := l.Check(orderName, 0); !ok {
@@ -47,19 +47,19 @@
 // a holder that was stopped arrives right after.
 // Cause: trusting the answer in place of the state.
 func TestOrderIsDoneOnlyWhenReadBack(t *testing.T) {
-	o := NewOrders(granted(t), orderName, time.Second)
-	o.Want(Order{Op: "load_version", Version: "v2"}, 0)
+	o := NewOrderReconciler(granted(t), orderName, time.Second)
+	o.SetDesired(Order{Op: "load_version", Version: "v2"}, 0)
 	if !sends(o.Observe(Observed{}, 0)) {
 		t.Fatal("nothing is ordered")
 	}
-	o.Answered(0)
+	o.OrderAnswered(0)
 	if len(o.Tick(0)) != 1 {
 		t.Fatal("the state isn't read back")
 	}
 	if !sends(o.Observe(Observed{}, 0)) {
 		t.Fatal("a lost effect isn't ordered again")
 	}
-	o.Answered(0)
+	o.OrderAnswered(0)
 	o.Tick(0)
 	if !done(o.Observe(Observed{Matches: true}, 0)) {
 		t.Fatal("not done although read back")
@@ -70,8 +70,8 @@
 // Sequence: stopped between reading the state and ordering, past its lease.
 // Cause: a lease checked before the pause only.
 func TestNoOrderAfterThePauseOutlastsTheLease(t *testing.T) {
-	o := NewOrders(granted(t), orderName, time.Second)
-	o.Want(Order{Op: "load_version"}, 0)
+	o := NewOrderReconciler(granted(t), orderName, time.Second)
+	o.SetDesired(Order{Op: "load_version"}, 0)
 	if sends(o.Observe(Observed{}, DefaultParams.Duration)) {
 		t.Error("ordered without a lease")
 	}
@@ -82,18 +82,18 @@
 
 func TestOrdersInDoubt(t *testing.T) {
 	irreversible := Order{Op: "set_role", Irreversible: true}
-	o := NewOrders(granted(t), orderName, time.Second)
-	o.Want(irreversible, 0)
+	o := NewOrderReconciler(granted(t), orderName, time.Second)
+	o.SetDesired(irreversible, 0)
 	if !sends(o.Observe(Observed{}, 0)) {
 		t.Fatal("nothing is ordered")
 	}
-	o.Unanswered(0)
+	o.OrderUnanswered(0)
 	o.Tick(0)
 	if sends(o.Observe(Observed{}, 0)) {
 		t.Error("what can't be undone is ordered twice")
 	}
-	newer := NewOrders(granted(t), orderName, time.Second)
-	newer.Want(Order{Op: "load_version"}, 0)
+	newer := NewOrderReconciler(granted(t), orderName, time.Second)
+	newer.SetDesired(Order{Op: "load_version"}, 0)
 	if sends(newer.Observe(Observed{Fence: 1 << 40}, 0)) {
 		t.Error("ordered although the engine has seen a newer number")
 	}
--- a/internal/lease/permits.go
+++ b/internal/lease/permits.go
@@ -25,8 +25,8 @@
 // it is kept until Done.
 func (p *Permit) SetCount(count int) { p.count = count }
 
-// Want asks for a permit.
-func (p *Permit) Want(now time.Duration) []Action {
+// Acquire asks for a permit.
+func (p *Permit) Acquire(now time.Duration) []Action {
 	p.wanted = true
 	return p.Tick(now)
 }
@@ -40,11 +40,11 @@
 	return ok
 }
 
-// KeepServing is how many of a group's replicas go on serving at the least while
+// MinServing is how many of a group's replicas go on serving at the least while
 // others load, whatever the number of permits.
-const KeepServing = 1
+const MinServing = 1
 
-// Spared reports whether the group can do without this replica while it loads.
+// EnoughServing reports whether the group can do without this replica while it loads.
 // Others are the group's other replicas, up or not; serving are those of them that
 // take work; share is the part of the group that is to go on serving, 0 to 1. As
 // many as that part, rounded up, serve, at least KeepServing; but one may always
@@ -54,7 +54,7 @@
 // would load at once, and each request of those seconds would be refused. Of two
 // that hold permits the one with the later grant waits for the earlier, and takes
 // it for not serving; the log has one order for all. A group of one has no choice.
-func (p *Permit) Spared(others int, serving []string, share float64) bool {
+func (p *Permit) EnoughServing(others int, serving []string, share float64) bool {
 	own, held := p.leases.table.Holder(p.name)
 	if !held {
 		return false
@@ -65,19 +65,19 @@
 			left++
 		}
 	}
-	keep := max(KeepServing, int(math.Ceil(share*float64(others+1))))
+	keep := max(MinServing, int(math.Ceil(share*float64(others+1))))
 	return left >= min(keep, others)
 }
 
-// Done gives the permit back.
-func (p *Permit) Done(now time.Duration) []Action {
+// Release gives the permit back.
+func (p *Permit) Release(now time.Duration) []Action {
 	p.wanted = false
 	if p.name == "" {
 		return nil
 	}
 	name := p.name
 	p.name = ""
-	return p.leases.Drop(name, now)
+	return p.leases.Release(name, now)
 }
 
 // Tick looks for a permit that can be claimed when there is none, or when the
@@ -86,17 +86,17 @@
 	if !p.wanted || p.leases.Holds(p.name, now) {
 		return nil
 	}
-	if p.name != "" && p.leases.Tries(p.name, now) {
+	if p.name != "" && p.leases.CanClaim(p.name, now) {
 		return nil
 	}
 	var out []Action
 	if p.name != "" {
-		out = p.leases.Drop(p.name, now)
+		out = p.leases.Release(p.name, now)
 		p.name = ""
 	}
 	if n, ok := p.free(now); ok {
 		p.name = n
-		out = append(out, p.leases.Want(n, now)...)
+		out = append(out, p.leases.Acquire(n, now)...)
 	}
 	return out
 }
@@ -122,9 +122,9 @@
 	return ok && h.fence != 0 && now < h.until
 }
 
-// Tries reports whether this process's claim of a lease is under way or could be
+// CanClaim reports whether this process's claim of a lease is under way or could be
 // made now.
-func (l *Leases) Tries(n Name, now time.Duration) bool {
+func (l *Leases) CanClaim(n Name, now time.Duration) bool {
 	h, ok := l.held[n]
 	return ok && h.wanted && (h.pending != 0 || l.claimable(n, now))
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -65,9 +65,9 @@
 	Seq uint64 `cbor:"9,keyasint"`
 }
 
-// ErrRecord is wrapped by errors about a record that can't be read. Every reader
+// ErrMalformedRecord is wrapped by errors about a record that can't be read. Every reader
 // skips the same records.
-var ErrRecord = errors.New("lease: malformed record")
+var ErrMalformedRecord = errors.New("lease: malformed record")
 
 var recordMode = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
 
@@ -84,10 +84,10 @@
 func Decode(data []byte) (*Record, error) {
 	r := new(Record)
 	if err := recordMode.Unmarshal(data, r); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrRecord, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformedRecord, err)
 	}
 	if r.Kind < KindClaim || r.Kind > KindRelease || r.Name == "" || r.Holder == "" || r.Epoch == 0 || r.DurationMs < 0 {
-		return nil, fmt.Errorf("%w: kind %d of %q", ErrRecord, r.Kind, r.Name)
+		return nil, fmt.Errorf("%w: kind %d of %q", ErrMalformedRecord, r.Kind, r.Name)
 	}
 	return r, nil
 }
--- a/internal/lease/rewind_test.go
+++ b/internal/lease/rewind_test.go
@@ -27,7 +27,7 @@
 		}
 		l.end++
 		for _, h := range l.holders {
-			actions = append(actions, h.Record(l.end, a.Data, l.now)...)
+			actions = append(actions, h.ApplyRecord(l.end, a.Data, l.now)...)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 func TestALeaseAfterTheLogCameBack(t *testing.T) {
 	a, b := newHolder("a", 1), newHolder("b", 2)
 	log := &oneLog{holders: []*Leases{a, b}, now: time.Second}
-	claim := a.Want(rewindName, log.now)
+	claim := a.Acquire(rewindName, log.now)
 	log.carry(claim)
 	if !holds(a, log.now) {
 		t.Fatal("a free lease isn't granted")
@@ -62,15 +62,15 @@
 	c := newHolder("c", 3)
 	log.holders = append(log.holders, c)
 	for _, h := range log.holders {
-		h.Rewound(era+1, log.now)
-		h.Record(era+1, claim[0].(Append).Data, log.now)
+		h.LogRestored(era+1, log.now)
+		h.ApplyRecord(era+1, claim[0].(Append).Data, log.now)
 	}
 	log.end++
 	if holds(a, log.now) {
 		t.Error("a lease of before is held on to")
 	}
 	log.carry(b.CaughtUp(log.now))
-	log.carry(b.Want(rewindName, log.now))
+	log.carry(b.Acquire(rewindName, log.now))
 	if holds(b, log.now) {
 		t.Error("another holds a lease whose holder may not know that the log came back")
 	}
@@ -79,7 +79,7 @@
 	if again, ok := a.Check(rewindName, log.now); !ok || again <= fence || again <= lost {
 		t.Errorf("fence %d, %t after %d", again, ok, fence)
 	}
-	log.carry(c.Want(rewindName, log.now))
+	log.carry(c.Acquire(rewindName, log.now))
 	if holds(c, log.now) || holds(b, log.now) {
 		t.Error("two hold the lease")
 	}
@@ -93,13 +93,13 @@
 // Guards against a record of before that comes into the log again and is taken for one of now.
 func TestALeaseRecordOfAnEarlierEraHoldsOthersBack(t *testing.T) {
 	a := newHolder("a", 1)
-	claim := a.Want(rewindName, 0)[0].(Append)
+	claim := a.Acquire(rewindName, 0)[0].(Append)
 	b := newHolder("b", 2)
 	const era = 1 << 20
-	b.Rewound(era+1, 0)
-	b.Record(era+1, claim.Data, 0)
+	b.LogRestored(era+1, 0)
+	b.ApplyRecord(era+1, claim.Data, 0)
 	b.CaughtUp(0)
-	b.Want(rewindName, 0)
+	b.Acquire(rewindName, 0)
 	if actions := b.Tick(DefaultParams.Duration); len(actions) > 0 {
 		t.Errorf("%+v before the holder's time can be over", actions)
 	}
@@ -112,12 +112,12 @@
 func TestALostRenewalHoldsOthersBack(t *testing.T) {
 	a, b := newHolder("a", 1), newHolder("b", 2)
 	log := &oneLog{holders: []*Leases{a, b}}
-	log.carry(a.Want(rewindName, 0))
+	log.carry(a.Acquire(rewindName, 0))
 	const era = 1 << 20
 	back := DefaultParams.Duration + DefaultParams.Margin - time.Millisecond
-	b.Rewound(era+1, back)
+	b.LogRestored(era+1, back)
 	b.CaughtUp(back)
-	b.Want(rewindName, back)
+	b.Acquire(rewindName, back)
 	if actions := b.Tick(back + DefaultParams.Duration); len(actions) > 0 {
 		t.Errorf("%+v before the holder's time can be over", actions)
 	}
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -38,13 +38,13 @@
 // Position is the offset of the last record taken.
 func (t *Table) Position() uint64 { return t.position }
 
-// Skip moves on to oldest, where the log no longer has what comes next.
-func (t *Table) Skip(oldest uint64) { t.position = max(t.position, oldest-1) }
+// SkipTo moves on to oldest, where the log no longer has what comes next.
+func (t *Table) SkipTo(oldest uint64) { t.position = max(t.position, oldest-1) }
 
-// Rewound says that the log came back from an older copy and is read anew from oldest on. All
+// LogRestored says that the log came back from an older copy and is read anew from oldest on. All
 // readers do, so that they agree again. Holders may not know yet: whoever was known to hold a
 // lease keeps others from it for the whole duration.
-func (t *Table) Rewound(oldest uint64, now time.Duration) {
+func (t *Table) LogRestored(oldest uint64, now time.Duration) {
 	t.position = max(t.position, oldest-1)
 	for _, e := range t.entries {
 		e.last, e.seen = 0, now
@@ -142,8 +142,8 @@
 	return e.seen + e.duration + margin
 }
 
-// Last is the offset of a lease's last record, 0 if none was read.
-func (t *Table) Last(n Name) uint64 {
+// LastOffset is the offset of a lease's last record, 0 if none was read.
+func (t *Table) LastOffset(n Name) uint64 {
 	if e, ok := t.entries[n]; ok {
 		return e.last
 	}
--- a/internal/member/name.go
+++ b/internal/member/name.go
@@ -37,21 +37,21 @@
 // predecessor was leaving. A replica that has once said when it started always does, so
 // that a record that doesn't is not its own.
 func (n *name) begin(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
-	if r.Born < n.born || r.ID == n.id && n.over {
+	if r.StartedAtMs < n.born || r.ID == n.id && n.over {
 		return "", false
 	}
 	n.heard = now
 	if r.ID == n.id {
-		n.beat = max(n.beat, r.Beat)
+		n.beat = max(n.beat, r.HeartbeatSeq)
 		return "", true
 	}
 	ended = n.id
-	n.id, n.born, n.beat, n.over, n.leaving = r.ID, r.Born, r.Beat, false, false
+	n.id, n.born, n.beat, n.over, n.leaving = r.ID, r.StartedAtMs, r.HeartbeatSeq, false, false
 	return ended, true
 }
 
 // copied reports whether a record is an older one of a replica that was taken off the list since,
 // brought back by a store that came back from an older copy.
 func (n *name) copied(r *fleet.Replica, position uint64) bool {
-	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.Beat <= n.beat
+	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.HeartbeatSeq <= n.beat
 }
--- a/internal/member/reborn_test.go
+++ b/internal/member/reborn_test.go
@@ -11,7 +11,7 @@
 )
 
 func born(name string, at int64) *fleet.Replica {
-	return &fleet.Replica{ID: fleet.Incarnation(name, at), Name: name, Born: at, Service: "llm", Address: "10.0.0.1:80"}
+	return &fleet.Replica{ID: fleet.IncarnationID(name, at), Name: name, StartedAtMs: at, Service: "llm", Address: "10.0.0.1:80"}
 }
 
 // Symptom: what is known of a replica is that of one which has ended: unreachable, busy,
@@ -84,7 +84,7 @@
 			case 2:
 				v.Remove("a", offset, 0)
 			case 3:
-				if id := fleet.Incarnation("a", at); v.Get(id) != nil {
+				if id := fleet.IncarnationID("a", at); v.Get(id) != nil {
 					v.Replaced(id, 0)
 					over = at
 				}
@@ -94,7 +94,7 @@
 				t.Fatalf("two incarnations at once: %v", ids)
 			}
 			for _, id := range ids {
-				if b := v.Get(id).Born; b < latest || b <= over {
+				if b := v.Get(id).StartedAtMs; b < latest || b <= over {
 					t.Fatalf("%d is known after %d, and %d is over", b, latest, over)
 				}
 			}
--- a/internal/member/replicas.go
+++ b/internal/member/replicas.go
@@ -132,7 +132,7 @@
 
 func (v *Replicas) put(n *name, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
 	// Of two eras of the store the numbers tell which record is the later one.
-	later := r.ID == n.id && r.Beat > n.beat && v.known[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.known[r.ID].offset)
+	later := r.ID == n.id && r.HeartbeatSeq > n.beat && v.known[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.known[r.ID].offset)
 	ended, ok := n.begin(r, now)
 	if !ok {
 		return UpdateResult{Outdated: true}
--- a/internal/member/replicas_test.go
+++ b/internal/member/replicas_test.go
@@ -149,7 +149,7 @@
 // Guards against a replica that said it leaves and is in use again by its record from before.
 func TestOnlyALaterIncarnationTakesBackThatAReplicaLeaves(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
-	first := &fleet.Replica{ID: "r-1", Name: "r", Born: 1}
+	first := &fleet.Replica{ID: "r-1", Name: "r", StartedAtMs: 1}
 	v.Put(first, 1, 0)
 	if !v.MarkLeaving("r-1") {
 		t.Fatal("that it leaves is no news")
@@ -163,7 +163,7 @@
 	if !v.Draining("r-1") {
 		t.Error("a removal and a record of before take it back")
 	}
-	v.Put(&fleet.Replica{ID: "r-2", Name: "r", Born: 2}, 5, 4*time.Second)
+	v.Put(&fleet.Replica{ID: "r-2", Name: "r", StartedAtMs: 2}, 5, 4*time.Second)
 	if v.Draining("r-2") {
 		t.Error("a later incarnation is left alone too")
 	}
--- a/internal/member/rewind_test.go
+++ b/internal/member/rewind_test.go
@@ -8,7 +8,7 @@
 )
 
 func numbered(n uint64, draining bool) *fleet.Replica {
-	return &fleet.Replica{ID: "a", Name: "a", Service: "s", Address: "10.0.0.1:1", Beat: n, Draining: draining}
+	return &fleet.Replica{ID: "a", Name: "a", Service: "s", Address: "10.0.0.1:1", HeartbeatSeq: n, Draining: draining}
 }
 
 // Guards against a replica's older record in the copy that a store came back from, by which it would
--- a/internal/parameters/parameters.go
+++ b/internal/parameters/parameters.go
@@ -74,8 +74,8 @@
 // held are all fields that aren't passed through.
 var held = slices.Concat(own, refused)
 
-// IsHeld reports whether a field isn't passed through.
-func IsHeld(name string) bool { return find(held, name) != "" }
+// IsReserved reports whether a field isn't passed through.
+func IsReserved(name string) bool { return find(held, name) != "" }
 
 // find returns the field of a list that a caller's name stands for, "" if none. It
 // compares without case: readers that ignore it, Go's among them, would otherwise
@@ -168,7 +168,7 @@
 }
 
 func withoutHeld(fields map[string]json.RawMessage) map[string]json.RawMessage {
-	maps.DeleteFunc(fields, func(name string, _ json.RawMessage) bool { return IsHeld(name) })
+	maps.DeleteFunc(fields, func(name string, _ json.RawMessage) bool { return IsReserved(name) })
 	return fields
 }
 
--- a/internal/parameters/parameters_test.go
+++ b/internal/parameters/parameters_test.go
@@ -98,7 +98,7 @@
 			t.Fatal("not JSON")
 		}
 		for name, value := range got {
-			if !IsHeld(name) {
+			if !IsReserved(name) {
 				want[name] = value
 			}
 		}
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -147,7 +147,7 @@
 			params := simParams
 			params.Window, params.Excess, params.Slack = 0, 0, 0
 			s := newSimulatedWith(1, 30, map[string]fleet.Quota{"derwent": q}, params)
-			if !s.request(s.entries[3], "derwent", min(1, q.Rate)*min(q.Units(&fleet.Request{Counted: true, PromptTokens: 1000}), 2000)) {
+			if !s.request(s.entries[3], "derwent", min(1, q.Rate)*min(q.Units(&fleet.Request{HasTokenCounts: true, PromptTokens: 1000}), 2000)) {
 				t.Errorf("%+v: refused", q)
 			}
 		})
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -11,7 +11,7 @@
 )
 
 func tokens(rate float64) fleet.Quota {
-	return fleet.Quota{Rate: rate, Burst: rate, Tokens: true, Uncounted: 200}
+	return fleet.Quota{Rate: rate, Burst: rate, Tokens: true, DefaultUnits: 200}
 }
 
 // Guards against more than a limit allows in any window, however messages are lost and
--- a/internal/rollout/board.go
+++ b/internal/rollout/board.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// OrderedFor is how long a replica stays without new work on the word of a note
+// OrderedTTL is how long a replica stays without new work on the word of a note
 // that nothing has followed. Finishing what runs and loading takes a second or two;
 // a holder that was lost meanwhile leaves nobody to say that it is over.
-const OrderedFor = 6 * time.Second
+const OrderedTTL = 6 * time.Second
 
 // slot is what is believed of one replica's weights of one model.
 //
@@ -23,17 +23,17 @@
 
 type slotKey struct{ replica, model string }
 
-// Board is one entry's belief of which weights each replica serves. Records,
+// VersionTracker is one entry's belief of which weights each replica serves. Records,
 // notes and answers all speak of it, each late in its own way; the newest version
 // that any of them has named is taken.
-type Board struct {
+type VersionTracker struct {
 	slots map[slotKey]*slot
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board { return &Board{slots: map[slotKey]*slot{}} }
+// NewVersionTracker returns an empty board.
+func NewVersionTracker() *VersionTracker { return &VersionTracker{slots: map[slotKey]*slot{}} }
 
-func (b *Board) slot(replica, model string) *slot {
+func (b *VersionTracker) slot(replica, model string) *slot {
 	k := slotKey{replica, model}
 	s := b.slots[k]
 	if s == nil {
@@ -43,9 +43,9 @@
 	return s
 }
 
-// Saw takes a version that a replica was seen to serve, and the number of orders
+// ObserveVersion takes a version that a replica was seen to serve, and the number of orders
 // it has accepted if known. It reports whether the version is news.
-func (b *Board) Saw(replica, model string, version, orders uint64) bool {
+func (b *VersionTracker) ObserveVersion(replica, model string, version, orders uint64) bool {
 	s := b.slot(replica, model)
 	s.orders = max(s.orders, orders)
 	if version <= s.version {
@@ -58,15 +58,15 @@
 	return true
 }
 
-// Take applies a note and reports whether the replica's version is news.
-func (b *Board) Take(n *Note, now time.Duration) bool {
+// ApplyRecord applies a note and reports whether the replica's version is news.
+func (b *VersionTracker) ApplyRecord(n *Record, now time.Duration) bool {
 	s := b.slot(n.Replica, n.Model)
 	switch n.Phase {
 	case PhaseServing:
 		if n.Version >= s.target {
 			s.target = 0
 		}
-		return b.Saw(n.Replica, n.Model, n.Version, n.Orders)
+		return b.ObserveVersion(n.Replica, n.Model, n.Version, n.AcceptedOrders)
 	case PhaseReleased:
 		s.target = 0
 	case PhaseOrdered:
@@ -79,8 +79,8 @@
 	return false
 }
 
-// Turn is how long it is until a replica's planned order, if one is planned.
-func (b *Board) Turn(replica, model string, now time.Duration) (time.Duration, bool) {
+// TimeToSlot is how long it is until a replica's planned order, if one is planned.
+func (b *VersionTracker) TimeToSlot(replica, model string, now time.Duration) (time.Duration, bool) {
 	s := b.slots[slotKey{replica, model}]
 	if s == nil || s.planned <= s.version || now > s.turnAt+planFor {
 		return 0, false
@@ -92,15 +92,15 @@
 const planFor = 3 * time.Second
 
 // Version is the version that a replica is believed to serve, 0 if unknown.
-func (b *Board) Version(replica, model string) uint64 {
+func (b *VersionTracker) Version(replica, model string) uint64 {
 	if s := b.slots[slotKey{replica, model}]; s != nil {
 		return s.version
 	}
 	return 0
 }
 
-// Orders is how many orders a replica is known to have accepted.
-func (b *Board) Orders(replica, model string) uint64 {
+// AcceptedOrders is how many orders a replica is known to have accepted.
+func (b *VersionTracker) AcceptedOrders(replica, model string) uint64 {
 	if s := b.slots[slotKey{replica, model}]; s != nil {
 		return s.orders
 	}
@@ -108,13 +108,13 @@
 }
 
 // Ordered reports whether a replica is about to load or loading.
-func (b *Board) Ordered(replica, model string, now time.Duration) bool {
+func (b *VersionTracker) Ordered(replica, model string, now time.Duration) bool {
 	s := b.slots[slotKey{replica, model}]
-	return s != nil && s.target != 0 && now-s.orderedAt < OrderedFor
+	return s != nil && s.target != 0 && now-s.orderedAt < OrderedTTL
 }
 
-// Gone forgets a replica.
-func (b *Board) Gone(replica string) {
+// Forget forgets a replica.
+func (b *VersionTracker) Forget(replica string) {
 	for k := range b.slots {
 		if k.replica == replica {
 			delete(b.slots, k)
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -23,21 +23,21 @@
 	// were seen, Learning the weight of each that was, MaxLoadTime the most that one says
 	// of the others: one whose order was carried out late takes seconds more.
 	LoadTime, MaxLoadTime time.Duration
-	Learning              float64
-	// Lead is the time from a note's acceptance to the order: the entries' long
-	// polls have brought it by then. NoteWait is how long an order waits for a note
+	LearningRate          float64
+	// PublishLead is the time from a note's acceptance to the order: the entries' long
+	// polls have brought it by then. PublishTimeout is how long an order waits for a note
 	// that the store doesn't accept: replicas then refuse what entries still send.
-	Lead, NoteWait time.Duration
-	// FirstPoll and Poll are when a replica that took an order is asked for its
+	PublishLead, PublishTimeout time.Duration
+	// FirstPoll and PollInterval are when a replica that took an order is asked for its
 	// state. What it reports is a few hundred milliseconds old.
-	FirstPoll, Poll time.Duration
-	// Again is the pause before a replica is ordered again after a reply that
+	FirstPoll, PollInterval time.Duration
+	// RetryBackoff is the pause before a replica is ordered again after a reply that
 	// leaves it as it was.
-	Again time.Duration
-	// GiveUp is when a replica that doesn't come out of its load frees its place.
-	GiveUp time.Duration
-	// Pace is how long after its announcement a replica's turn is expected.
-	Pace time.Duration
+	RetryBackoff time.Duration
+	// LoadTimeout is when a replica that doesn't come out of its load frees its place.
+	LoadTimeout time.Duration
+	// SlotDelay is how long after its announcement a replica's turn is expected.
+	SlotDelay time.Duration
 }
 
 // DefaultParams suit loads of about a second until others were seen. Stores of weights
@@ -45,30 +45,30 @@
 // it was known.
 var DefaultParams = Params{
 	LoadShare: 0.18, ReportLag: 300 * time.Millisecond, LoadTime: 1200 * time.Millisecond,
-	MaxLoadTime: 4 * time.Second, Learning: 0.3, Pace: 1200 * time.Millisecond, Lead: 20 * time.Millisecond, NoteWait: 400 * time.Millisecond,
-	FirstPoll: 700 * time.Millisecond, Poll: 150 * time.Millisecond,
-	Again: 400 * time.Millisecond, GiveUp: 8 * time.Second,
+	MaxLoadTime: 4 * time.Second, LearningRate: 0.3, SlotDelay: 1200 * time.Millisecond, PublishLead: 20 * time.Millisecond, PublishTimeout: 400 * time.Millisecond,
+	FirstPoll: 700 * time.Millisecond, PollInterval: 150 * time.Millisecond,
+	RetryBackoff: 400 * time.Millisecond, LoadTimeout: 8 * time.Second,
 }
 
 // State is one replica of the model as the entry sees it now.
 type State struct {
 	Replica *fleet.Replica
 	// Version and Orders are as the Board has them.
-	Version uint64
-	Orders  uint64
+	Version        uint64
+	AcceptedOrders uint64
 	// Reachable replicas can be given an order.
 	Reachable bool
 	// Running is how much this entry has there.
 	Running int
-	// Turn is the time until its planned turn, if Planned.
-	Turn    time.Duration
-	Planned bool
+	// TimeToSlot is the time until its planned turn, if Planned.
+	TimeToSlot time.Duration
+	HasSlot    bool
 }
 
 // turn orders replicas by their plan; those without one come last.
 func (s *State) turn() time.Duration {
-	if s.Planned {
-		return s.Turn
+	if s.HasSlot {
+		return s.TimeToSlot
 	}
 	return math.MaxInt64
 }
@@ -76,18 +76,18 @@
 // Action is what a Core asks its entry to do: Announce, Give or Ask.
 type Action interface{ rolloutAction() }
 
-// Announce appends a note to the entries' topic.
-type Announce struct{ Note Note }
+// Publish appends a note to the entries' topic.
+type Publish struct{ Record Record }
 
-// Give sends an order and reports Replied.
-type Give struct{ Order fleet.Order }
+// SendOrder sends an order and reports Replied.
+type SendOrder struct{ Order fleet.Order }
 
-// Ask asks a replica for its state and reports Reported or ReportFailed.
-type Ask struct{ Replica *fleet.Replica }
+// QueryState asks a replica for its state and reports Reported or ReportFailed.
+type QueryState struct{ Replica *fleet.Replica }
 
-func (Announce) rolloutAction() {}
-func (Give) rolloutAction()     {}
-func (Ask) rolloutAction()      {}
+func (Publish) rolloutAction()    {}
+func (SendOrder) rolloutAction()  {}
+func (QueryState) rolloutAction() {}
 
 type step uint8
 
@@ -148,11 +148,11 @@
 	return &Core{params: p, holder: holder, model: model, targets: map[string]*target{}, away: map[string]absence{}, planned: map[string]uint64{}, loadTime: p.LoadTime}
 }
 
-// Want sets the version to bring the replicas to. It never goes back.
-func (c *Core) Want(version uint64) { c.wanted = max(c.wanted, version) }
+// SetDesired sets the version to bring the replicas to. It never goes back.
+func (c *Core) SetDesired(version uint64) { c.wanted = max(c.wanted, version) }
 
-// Wanted is the version that the replicas are brought to.
-func (c *Core) Wanted() uint64 { return c.wanted }
+// Desired is the version that the replicas are brought to.
+func (c *Core) Desired() uint64 { return c.wanted }
 
 // leave gives the place of a replica that doesn't answer to another one. Dark
 // replicas would otherwise hold all places until each of their calls has timed out,
@@ -160,14 +160,14 @@
 func (c *Core) leave(id string, now time.Duration) []Action {
 	delete(c.targets, id)
 	a := c.away[id]
-	a.until = now + c.params.Again<<min(a.times, maxAwayShift)
+	a.until = now + c.params.RetryBackoff<<min(a.times, maxAwayShift)
 	a.times++
 	c.away[id] = a
-	return []Action{Announce{c.note(id, c.wanted, PhaseReleased, 0)}}
+	return []Action{Publish{c.note(id, c.wanted, PhaseReleased, 0)}}
 }
 
-// Due reports whether any replica is to be given an order.
-func (c *Core) Due(replicas []State) bool {
+// NeedsOrders reports whether any replica is to be given an order.
+func (c *Core) NeedsOrders(replicas []State) bool {
 	for i := range replicas {
 		if replicas[i].Version < c.wanted {
 			return true
@@ -225,9 +225,9 @@
 		}
 		delete(c.targets, t.replica.ID)
 		// The reply to the order may say more of their number than records do.
-		return []Action{Announce{c.note(t.replica.ID, s.Version, PhaseServing, max(t.orders, s.Orders))}}
+		return []Action{Publish{c.note(t.replica.ID, s.Version, PhaseServing, max(t.orders, s.AcceptedOrders))}}
 	}
-	if now-t.started > c.params.GiveUp {
+	if now-t.started > c.params.LoadTimeout {
 		return c.leave(t.replica.ID, now)
 	}
 	if now < t.next {
@@ -241,7 +241,7 @@
 			return nil
 		}
 		t.asked = true
-		return []Action{Ask{Replica: t.replica}}
+		return []Action{QueryState{Replica: t.replica}}
 	}
 	return nil
 }
@@ -251,12 +251,12 @@
 // its longest stream takes, and the others with that much more.
 func (c *Core) give(now time.Duration, fence uint64, t *target, s *State) []Action {
 	t.version = c.wanted
-	t.orders = max(t.orders, s.Orders)
+	t.orders = max(t.orders, s.AcceptedOrders)
 	t.step, t.since = stepGiven, now
 	t.tried, t.refused = t.orders, false
-	return []Action{Give{Order: fleet.Order{
+	return []Action{SendOrder{Order: fleet.Order{
 		Replica: t.replica, Model: c.model, Version: t.version, Mode: fleet.ModeRetain,
-		Holder: c.holder, Fence: fence, Expected: t.orders,
+		Holder: c.holder, Fence: fence, ExpectedOrders: t.orders,
 	}}}
 }
 
@@ -300,8 +300,8 @@
 		}
 		c.planned[id] = c.wanted
 		n := c.note(id, c.wanted, PhasePlanned, 0)
-		n.AfterMs = c.params.Pace.Milliseconds()
-		actions = append(actions, Announce{n})
+		n.AfterMs = c.params.SlotDelay.Milliseconds()
+		actions = append(actions, Publish{n})
 	}
 	return actions
 }
@@ -311,10 +311,10 @@
 	var actions []Action
 	for _, s := range due {
 		c.targets[s.Replica.ID] = &target{
-			replica: s.Replica, version: c.wanted, orders: s.Orders,
-			step: stepAnnounced, since: now, started: now, next: now + c.params.NoteWait,
+			replica: s.Replica, version: c.wanted, orders: s.AcceptedOrders,
+			step: stepAnnounced, since: now, started: now, next: now + c.params.PublishTimeout,
 		}
-		actions = append(actions, Announce{c.note(s.Replica.ID, c.wanted, PhaseOrdered, s.Orders)})
+		actions = append(actions, Publish{c.note(s.Replica.ID, c.wanted, PhaseOrdered, s.AcceptedOrders)})
 	}
 	return actions
 }
@@ -337,23 +337,23 @@
 // loaded learns from a load that was heard to be over some time after its order.
 func (c *Core) loaded(took time.Duration) {
 	took = min(max(took, 2*c.params.ReportLag), c.params.MaxLoadTime)
-	c.loadTime += time.Duration(c.params.Learning * float64(took-c.loadTime))
+	c.loadTime += time.Duration(c.params.LearningRate * float64(took-c.loadTime))
 }
 
-func (c *Core) note(replica string, version uint64, phase Phase, orders uint64) Note {
-	return Note{Holder: c.holder, Replica: replica, Model: c.model, Version: version, Phase: phase, Orders: orders}
+func (c *Core) note(replica string, version uint64, phase Phase, orders uint64) Record {
+	return Record{Holder: c.holder, Replica: replica, Model: c.model, Version: version, Phase: phase, AcceptedOrders: orders}
 }
 
-// Announced says that the note about a replica's order is on the topic.
-func (c *Core) Announced(id string, now time.Duration) {
+// RecordPublished says that the note about a replica's order is on the topic.
+func (c *Core) RecordPublished(id string, now time.Duration) {
 	if t := c.targets[id]; t != nil && t.step == stepAnnounced {
-		t.next = now + c.params.Lead
+		t.next = now + c.params.PublishLead
 	}
 }
 
-// Replied takes a replica's reply to an order. After ReplyFenced the lease must be
+// OrderReplied takes a replica's reply to an order. After ReplyFenced the lease must be
 // given up: another holder has a higher fence.
-func (c *Core) Replied(id string, reply fleet.Reply, now time.Duration) []Action {
+func (c *Core) OrderReplied(id string, reply fleet.Reply, now time.Duration) []Action {
 	t := c.targets[id]
 	if t == nil || t.step != stepGiven {
 		return nil
@@ -365,7 +365,7 @@
 	case fleet.ReplyConflict:
 		t.refused = true
 		t.step, t.next, t.asked = stepLoading, now, false
-	case fleet.ReplyHolds, fleet.ReplyUnknown:
+	case fleet.ReplyInForce, fleet.ReplyUnknown:
 		// Its state tells: it may be loading for an order whose reply was lost.
 		t.step, t.next, t.asked = stepLoading, now, false
 	case fleet.ReplyFenced:
@@ -373,31 +373,31 @@
 	case fleet.ReplyMisdirected, fleet.ReplyNotSent:
 		return c.leave(id, now)
 	default:
-		t.step, t.next = stepPaused, now+c.params.Again
+		t.step, t.next = stepPaused, now+c.params.RetryBackoff
 	}
 	return nil
 }
 
-// Reported takes a replica's state. It returns the note to announce once the
+// StateReported takes a replica's state. It returns the note to announce once the
 // version is in force.
-func (c *Core) Reported(id string, r *fleet.Report, now time.Duration) []Action {
+func (c *Core) StateReported(id string, r *fleet.Report, now time.Duration) []Action {
 	t := c.targets[id]
 	if t == nil || !t.asked {
 		return nil
 	}
 	t.asked = false
 	delete(c.away, id)
-	t.orders = max(t.orders, r.Orders)
-	t.next = now + c.params.Poll
+	t.orders = max(t.orders, r.AcceptedOrders)
+	t.next = now + c.params.PollInterval
 	if version := r.Weights[c.model]; version >= t.version && !r.Busy {
 		c.loaded(now - t.since)
 		delete(c.targets, id)
-		return []Action{Announce{c.note(id, version, PhaseServing, t.orders)}}
+		return []Action{Publish{c.note(id, version, PhaseServing, t.orders)}}
 	}
 	// Not busy soon after the order may be older than the order. One that was refused
 	// for its number began nothing: a giver that has just started knows no numbers, and
 	// waiting would leave each replica without work in its turn for nothing.
-	explained := t.refused && r.Orders > t.tried
+	explained := t.refused && r.AcceptedOrders > t.tried
 	if r.Busy || !explained && now-t.since < c.params.FirstPoll {
 		return nil
 	}
@@ -405,8 +405,8 @@
 	return nil
 }
 
-// ReportFailed says that a replica's state couldn't be read.
-func (c *Core) ReportFailed(id string, now time.Duration) []Action {
+// QueryFailed says that a replica's state couldn't be read.
+func (c *Core) QueryFailed(id string, now time.Duration) []Action {
 	if c.targets[id] == nil {
 		return nil
 	}
--- a/internal/rollout/core_test.go
+++ b/internal/rollout/core_test.go
@@ -27,7 +27,7 @@
 
 func newCore(wanted uint64) *rollout.Core {
 	c := rollout.NewCore(model, "entry-1", rollout.DefaultParams)
-	c.Want(wanted)
+	c.SetDesired(wanted)
 	return c
 }
 
@@ -35,8 +35,8 @@
 func ordered(actions []rollout.Action) []string {
 	var ids []string
 	for _, a := range actions {
-		if n, ok := a.(rollout.Announce); ok && n.Note.Phase == rollout.PhaseOrdered {
-			ids = append(ids, n.Note.Replica)
+		if n, ok := a.(rollout.Publish); ok && n.Record.Phase == rollout.PhaseOrdered {
+			ids = append(ids, n.Record.Replica)
 		}
 	}
 	return ids
@@ -45,7 +45,7 @@
 func given(actions []rollout.Action) []fleet.Order {
 	var orders []fleet.Order
 	for _, a := range actions {
-		if g, ok := a.(rollout.Give); ok {
+		if g, ok := a.(rollout.SendOrder); ok {
 			orders = append(orders, g.Order)
 		}
 	}
@@ -89,10 +89,10 @@
 		core := newCore(2)
 		now := time.Duration(0)
 		for version := uint64(2); version < 12; version++ {
-			core.Want(version)
+			core.SetDesired(version)
 			now = loadAll(t, core, now, c.took, version, states(make([]uint64, c.replicas)...))
 		}
-		core.Want(20)
+		core.SetDesired(20)
 		if got := len(ordered(core.Step(now, 1, states(make([]uint64, c.replicas)...)))); got != c.want {
 			t.Errorf("%d of %d replicas load at once where it takes %v; want %d", got, c.replicas, c.took, c.want)
 		}
@@ -108,12 +108,12 @@
 	for range given(c.Step(now, 1, all)) {
 	}
 	for _, id := range ids {
-		c.Replied(id, fleet.ReplyAccepted, now)
+		c.OrderReplied(id, fleet.ReplyAccepted, now)
 	}
 	now += took
 	c.Step(now, 1, all) // asks
 	for _, id := range ids {
-		c.Reported(id, &fleet.Report{Weights: map[string]uint64{model: version}}, now)
+		c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: version}}, now)
 	}
 	c.Stop()
 	return now
@@ -130,8 +130,8 @@
 	c.Step(now, 1, all)
 	released := 0
 	for _, id := range first {
-		for _, a := range c.Replied(id, fleet.ReplyNotSent, now) {
-			if n, ok := a.(rollout.Announce); ok && n.Note.Phase == rollout.PhaseReleased {
+		for _, a := range c.OrderReplied(id, fleet.ReplyNotSent, now) {
+			if n, ok := a.(rollout.Publish); ok && n.Record.Phase == rollout.PhaseReleased {
 				released++
 			}
 		}
@@ -156,14 +156,14 @@
 	all := states(1, 1)
 	id := ordered(c.Step(0, 1, all))[0]
 	now := time.Second
-	if o := given(c.Step(now, 1, all)); len(o) != 1 || o[0].Expected != 0 || o[0].Fence != 1 {
+	if o := given(c.Step(now, 1, all)); len(o) != 1 || o[0].ExpectedOrders != 0 || o[0].Fence != 1 {
 		t.Fatalf("first order: %+v", o)
 	}
-	c.Replied(id, fleet.ReplyUnknown, now)
+	c.OrderReplied(id, fleet.ReplyUnknown, now)
 	c.Step(now, 1, all) // asks
 	now += 2 * time.Second
-	c.Reported(id, &fleet.Report{Weights: map[string]uint64{model: 1}, Orders: 1}, now)
-	if o := given(c.Step(now, 1, all)); len(o) != 1 || o[0].Expected != 1 {
+	c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: 1}, AcceptedOrders: 1}, now)
+	if o := given(c.Step(now, 1, all)); len(o) != 1 || o[0].ExpectedOrders != 1 {
 		t.Fatalf("order after a report of one accepted order: %+v", o)
 	}
 }
@@ -172,15 +172,15 @@
 func TestLoadSeenByItsRecordCountsItsOrder(t *testing.T) {
 	c := newCore(2)
 	c.Step(0, 1, states(1, 1))
-	c.Announced("r00", 0)
+	c.RecordPublished("r00", 0)
 	at := time.Second
 	given(c.Step(at, 1, states(1, 1)))
-	c.Replied("r00", fleet.ReplyAccepted, at)
+	c.OrderReplied("r00", fleet.ReplyAccepted, at)
 	at += 500 * time.Millisecond
 	for _, a := range c.Step(at, 1, states(2, 1)) {
-		if n, ok := a.(rollout.Announce); ok && n.Note.Phase == rollout.PhaseServing && n.Note.Replica == "r00" {
-			if n.Note.Orders != 1 {
-				t.Errorf("the note has %d orders; the replica has taken 1", n.Note.Orders)
+		if n, ok := a.(rollout.Publish); ok && n.Record.Phase == rollout.PhaseServing && n.Record.Replica == "r00" {
+			if n.Record.AcceptedOrders != 1 {
+				t.Errorf("the note has %d orders; the replica has taken 1", n.Record.AcceptedOrders)
 			}
 			return
 		}
@@ -193,7 +193,7 @@
 	all := states(1, 1)
 	id := ordered(c.Step(0, 1, all))[0]
 	c.Step(time.Second, 1, all)
-	c.Replied(id, fleet.ReplyFenced, time.Second)
+	c.OrderReplied(id, fleet.ReplyFenced, time.Second)
 	if c.Active() {
 		t.Fatal("orders are under way after another holder's higher fence")
 	}
@@ -214,19 +214,19 @@
 		note := func(actions []rollout.Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
-				case rollout.Announce:
-					switch a.Note.Phase {
+				case rollout.Publish:
+					switch a.Record.Phase {
 					case rollout.PhaseOrdered:
-						if out[a.Note.Replica] {
-							t.Fatalf("%s is taken up twice", a.Note.Replica)
+						if out[a.Record.Replica] {
+							t.Fatalf("%s is taken up twice", a.Record.Replica)
 						}
-						out[a.Note.Replica] = true
+						out[a.Record.Replica] = true
 					case rollout.PhaseServing, rollout.PhaseReleased:
-						delete(out, a.Note.Replica)
+						delete(out, a.Record.Replica)
 					}
-				case rollout.Give:
+				case rollout.SendOrder:
 					open = append(open, a.Order.Replica.ID)
-				case rollout.Ask:
+				case rollout.QueryState:
 					asked = append(asked, a.Replica.ID)
 				}
 			}
@@ -238,15 +238,15 @@
 			note(c.Step(now, 1, states(versions...)))
 			replies := []fleet.Reply{fleet.ReplyAccepted, fleet.ReplyUnknown, fleet.ReplyConflict, fleet.ReplyNotSent, fleet.ReplyInvalid}
 			for _, id := range open {
-				note(c.Replied(id, rapid.SampledFrom(replies).Draw(t, "reply"), now))
+				note(c.OrderReplied(id, rapid.SampledFrom(replies).Draw(t, "reply"), now))
 			}
 			open = nil
 			for _, id := range asked {
 				if rapid.Bool().Draw(t, "reported") {
 					v := uint64(rapid.IntRange(1, 2).Draw(t, "version"))
-					note(c.Reported(id, &fleet.Report{Weights: map[string]uint64{model: v}}, now))
+					note(c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: v}}, now))
 				} else {
-					note(c.ReportFailed(id, now))
+					note(c.QueryFailed(id, now))
 				}
 			}
 			asked = nil
@@ -272,22 +272,22 @@
 	c := newCore(3)
 	all := states(2, 2, 2, 2, 2)
 	id := ordered(c.Step(0, 1, all))[0]
-	now := rollout.DefaultParams.NoteWait
-	if orders := given(c.Step(now, 1, all)); len(orders) != 1 || orders[0].Expected != 0 {
+	now := rollout.DefaultParams.PublishTimeout
+	if orders := given(c.Step(now, 1, all)); len(orders) != 1 || orders[0].ExpectedOrders != 0 {
 		t.Fatalf("given %v", orders)
 	}
-	c.Replied(id, fleet.ReplyConflict, now)
+	c.OrderReplied(id, fleet.ReplyConflict, now)
 	c.Step(now, 1, all) // asks
-	c.Reported(id, &fleet.Report{Weights: map[string]uint64{model: 2}, Orders: 1}, now+5*time.Millisecond)
+	c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: 2}, AcceptedOrders: 1}, now+5*time.Millisecond)
 	orders := given(c.Step(now+30*time.Millisecond, 1, all))
-	if len(orders) != 1 || orders[0].Expected != 1 {
+	if len(orders) != 1 || orders[0].ExpectedOrders != 1 {
 		t.Fatalf("30 ms after the conflict given %v; want one that expects 1", orders)
 	}
 
 	// A report with the number that was refused is older than what it was refused for.
-	c.Replied(id, fleet.ReplyConflict, now+40*time.Millisecond)
+	c.OrderReplied(id, fleet.ReplyConflict, now+40*time.Millisecond)
 	c.Step(now+40*time.Millisecond, 1, all)
-	c.Reported(id, &fleet.Report{Weights: map[string]uint64{model: 2}, Orders: 1}, now+45*time.Millisecond)
+	c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: 2}, AcceptedOrders: 1}, now+45*time.Millisecond)
 	if orders := given(c.Step(now+50*time.Millisecond, 1, all)); len(orders) != 0 {
 		t.Fatalf("given %v on a report that explains nothing", orders)
 	}
--- a/internal/rollout/demand.go
+++ b/internal/rollout/demand.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Demand is which versions of a model's weights the operator has named, and when.
+// VersionHistory is which versions of a model's weights the operator has named, and when.
 // From a given time after a version was named no request may begin on an older one.
 //
 // Invariant: named is in ascending order of version and time.
-type Demand struct {
+type VersionHistory struct {
 	within time.Duration
 	named  []naming
 }
@@ -20,12 +20,12 @@
 	earliest time.Duration
 }
 
-// NewDemand returns the demand for versions that must be in use within a time.
-func NewDemand(within time.Duration) *Demand { return &Demand{within: within} }
+// NewVersionHistory returns the demand for versions that must be in use within a time.
+func NewVersionHistory(within time.Duration) *VersionHistory { return &VersionHistory{within: within} }
 
-// Named takes a version that was named at a time and reports whether it is newer
+// Add takes a version that was named at a time and reports whether it is newer
 // than all before.
-func (d *Demand) Named(version uint64, at time.Duration) bool {
+func (d *VersionHistory) Add(version uint64, at time.Duration) bool {
 	if version <= d.Newest() {
 		return false
 	}
@@ -33,9 +33,9 @@
 	return true
 }
 
-// ReadLate says that a version may have been named before it was read, at the earliest at
+// MarkReadLate says that a version may have been named before it was read, at the earliest at
 // a time: the reader was cut off from the operator's records until then.
-func (d *Demand) ReadLate(version uint64, earliest time.Duration) {
+func (d *VersionHistory) MarkReadLate(version uint64, earliest time.Duration) {
 	for i := range d.named {
 		if n := &d.named[i]; n.version == version {
 			n.late, n.earliest = true, min(n.at, earliest)
@@ -43,13 +43,13 @@
 	}
 }
 
-// NamedBy takes word that a version was named at a time or before. It counts for one that
+// AnnouncedNoLater takes word that a version was named at a time or before. It counts for one that
 // was read late.
 //
 // Symptom without it: an entry that was cut off begins requests on weights that were
 // replaced longer ago than allowed, while its peers don't. The time allowed runs from the naming,
 // which the peers have read, and not from the reading at this entry.
-func (d *Demand) NamedBy(version uint64, at time.Duration) {
+func (d *VersionHistory) AnnouncedNoLater(version uint64, at time.Duration) {
 	for i := range d.named {
 		if n := &d.named[i]; n.version == version && n.late {
 			n.at = min(n.at, max(at, n.earliest))
@@ -57,9 +57,9 @@
 	}
 }
 
-// Followed takes word which version one was named after, and until when that may be used
+// AddPrevious takes word which version one was named after, and until when that may be used
 // at the latest by what is known: replicas may be on versions before both.
-func (d *Demand) Followed(version, before uint64, at time.Duration) {
+func (d *VersionHistory) AddPrevious(version, before uint64, at time.Duration) {
 	if before == 0 || before >= version || len(d.named) == 0 || d.named[0].version != version {
 		return
 	}
@@ -67,10 +67,10 @@
 	d.named = append([]naming{{version: before, at: at}}, d.named...)
 }
 
-// NamedSince takes word that a version was named at a time and no earlier. It counts
+// AnnouncedNoEarlier takes word that a version was named at a time and no earlier. It counts
 // where that is later than what was assumed, and at most until the next one was named:
 // of the latest version it is told first.
-func (d *Demand) NamedSince(version uint64, at time.Duration) {
+func (d *VersionHistory) AnnouncedNoEarlier(version uint64, at time.Duration) {
 	for i := range d.named {
 		if d.named[i].version != version {
 			continue
@@ -83,16 +83,16 @@
 }
 
 // Newest is the version wanted, 0 if none was named.
-func (d *Demand) Newest() uint64 {
+func (d *VersionHistory) Newest() uint64 {
 	if len(d.named) == 0 {
 		return 0
 	}
 	return d.named[len(d.named)-1].version
 }
 
-// Oldest is the oldest version that a request may begin on now. Those that are
+// OldestAllowed is the oldest version that a request may begin on now. Those that are
 // overdue have been named, and not superseded by one that is overdue too.
-func (d *Demand) Oldest(now time.Duration) uint64 {
+func (d *VersionHistory) OldestAllowed(now time.Duration) uint64 {
 	overdue := -1
 	for i := range d.named {
 		if now >= d.named[i].at+d.within {
--- a/internal/rollout/note.go
+++ b/internal/rollout/note.go
@@ -32,37 +32,37 @@
 // String names the phase as logs have it.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Note tells all entries what the holder of the lease does with a replica.
-type Note struct {
+// Record tells all entries what the holder of the lease does with a replica.
+type Record struct {
 	Holder  string `cbor:"1,keyasint"`
 	Replica string `cbor:"2,keyasint"`
 	Model   string `cbor:"3,keyasint"`
 	Version uint64 `cbor:"4,keyasint"`
 	Phase   Phase  `cbor:"5,keyasint"`
-	// Orders is the number of orders that the replica has accepted.
-	Orders uint64 `cbor:"6,keyasint,omitempty"`
+	// AcceptedOrders is the number of orders that the replica has accepted.
+	AcceptedOrders uint64 `cbor:"6,keyasint,omitempty"`
 	// AfterMs is the time until the replica's turn, in milliseconds.
 	AfterMs int64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Valid reports whether a note that was read makes sense.
-func (n *Note) Valid() bool {
+func (n *Record) Valid() bool {
 	return n.Phase >= PhaseOrdered && n.Phase < phaseEnd && n.Replica != "" && n.AfterMs >= 0
 }
 
 // Envelope is one record of the entries' common topic: one of its fields is set.
 type Envelope struct {
-	Lease []byte `cbor:"1,keyasint,omitempty"`
-	Note  *Note  `cbor:"2,keyasint,omitempty"`
-	// Strike is of a request that was running at a replica that was lost.
-	Strike *attempt.CrashReport `cbor:"3,keyasint,omitempty"`
-	// Named says when a version of weights was named.
-	Named *Naming `cbor:"4,keyasint,omitempty"`
+	Lease   []byte  `cbor:"1,keyasint,omitempty"`
+	Rollout *Record `cbor:"2,keyasint,omitempty"`
+	// Crash is of a request that was running at a replica that was lost.
+	Crash *attempt.CrashReport `cbor:"3,keyasint,omitempty"`
+	// Announcement says when a version of weights was named.
+	Announcement *Announcement `cbor:"4,keyasint,omitempty"`
 }
 
-// Naming says when the operator named a version of a model's weights, by the clock of
+// Announcement says when the operator named a version of a model's weights, by the clock of
 // the entry that read it. Entries that start later can't tell from the version alone.
-type Naming struct {
+type Announcement struct {
 	Model   string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	// AtMs is in Unix milliseconds.
@@ -72,12 +72,12 @@
 }
 
 // Valid reports whether a naming that was read makes sense.
-func (n *Naming) Valid() bool { return n.Model != "" && n.Version > n.Before && n.AtMs > 0 }
+func (n *Announcement) Valid() bool { return n.Model != "" && n.Version > n.Before && n.AtMs > 0 }
 
 // kinds is how many of the fields are set.
 func (e *Envelope) kinds() int {
 	n := 0
-	for _, set := range []bool{e.Lease != nil, e.Note != nil, e.Strike != nil, e.Named != nil} {
+	for _, set := range []bool{e.Lease != nil, e.Rollout != nil, e.Crash != nil, e.Announcement != nil} {
 		if set {
 			n++
 		}
@@ -85,8 +85,8 @@
 	return n
 }
 
-// ErrRecord is wrapped by errors about a record that can't be read.
-var ErrRecord = errors.New("rollout: malformed record")
+// ErrMalformedRecord is wrapped by errors about a record that can't be read.
+var ErrMalformedRecord = errors.New("rollout: malformed record")
 
 var recordMode = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
 
@@ -104,19 +104,19 @@
 func Decode(data []byte) (*Envelope, error) {
 	e := new(Envelope)
 	if err := recordMode.Unmarshal(data, e); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrRecord, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformedRecord, err)
 	}
 	if e.kinds() != 1 {
-		return nil, fmt.Errorf("%w: not one of its kinds", ErrRecord)
+		return nil, fmt.Errorf("%w: not one of its kinds", ErrMalformedRecord)
 	}
-	if n := e.Note; n != nil && !n.Valid() {
-		return nil, fmt.Errorf("%w: phase %d of %q", ErrRecord, n.Phase, n.Replica)
+	if n := e.Rollout; n != nil && !n.Valid() {
+		return nil, fmt.Errorf("%w: phase %d of %q", ErrMalformedRecord, n.Phase, n.Replica)
 	}
-	if e.Named != nil && !e.Named.Valid() {
-		return nil, fmt.Errorf("%w: naming of no version", ErrRecord)
+	if e.Announcement != nil && !e.Announcement.Valid() {
+		return nil, fmt.Errorf("%w: naming of no version", ErrMalformedRecord)
 	}
-	if e.Strike != nil && !e.Strike.Valid() {
-		return nil, fmt.Errorf("%w: strike of no replica", ErrRecord)
+	if e.Crash != nil && !e.Crash.Valid() {
+		return nil, fmt.Errorf("%w: strike of no replica", ErrMalformedRecord)
 	}
 	return e, nil
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -50,9 +50,9 @@
 	if _, usage := r.complete(query("b", "nakhla", messages, 1)); usage.PromptTokensDetails.CachedTokens != 0 {
 		t.Errorf("another organisation hit %+v", usage)
 	}
-	kit.Must(r.client.Order(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}))(t)
+	kit.Must(r.client.SendOrder(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}))(t)
 	kit.Until(r, "v2 is loaded", func() bool {
-		state, err := r.client.Orders(r.context())
+		state, err := r.client.State(r.context())
 		return err == nil && !state.Loading && state.Version == "v2"
 	})
 	if n := r.account().ResidentBlocks; n != 0 {
@@ -86,7 +86,7 @@
 	}
 	r.control(`{"step_ms": 1000}`)
 	cut()
-	if _, _, err := drain(s); !errors.Is(err, api.ErrLost) {
+	if _, _, err := drain(s); !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("cut stream: %v", err)
 	}
 	r.control(`{"step_ms": 1}`)
@@ -97,7 +97,7 @@
 	if want := answer.Expected(messages, tokens); err != nil || have+rest != want {
 		t.Errorf("resumed %q, %v, want %q", have+rest, err, want)
 	}
-	if _, err := r.client.Resume(r.context(), "none", 0); !errors.Is(err, api.ErrGone) {
+	if _, err := r.client.Resume(r.context(), "none", 0); !errors.Is(err, api.ErrStreamGone) {
 		t.Errorf("resume of nothing: %v", err)
 	}
 
@@ -107,7 +107,7 @@
 			t.Errorf("cancel: %v", err)
 		}
 	}
-	if _, _, err := drain(s); !errors.Is(err, api.ErrLost) {
+	if _, _, err := drain(s); !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("cancelled stream: %v", err)
 	}
 	if a := r.account(); !a.Requests["long"].Cancelled || a.Running != 0 {
@@ -131,8 +131,8 @@
 		settings := fast()
 		settings.CheckFencing = checks
 		r := newRig(t, settings)
-		kit.Must(r.client.Order(r.context(), api.Order{Fence: 7, Op: api.OpSetRole, Role: "decode"}))(t)
-		_, err := r.client.Order(r.context(), api.Order{Fence: 6, Op: api.OpSetRole, Role: "prefill"})
+		kit.Must(r.client.SendOrder(r.context(), api.Order{Fence: 7, Op: api.OpSetRole, Role: "decode"}))(t)
+		_, err := r.client.SendOrder(r.context(), api.Order{Fence: 6, Op: api.OpSetRole, Role: "prefill"})
 		var stale *api.StaleFenceError
 		if checks && (!errors.Is(err, api.ErrStaleFence) || !errors.As(err, &stale) || stale.Fence != 7) {
 			t.Errorf("checking engine: %v", err)
@@ -147,15 +147,15 @@
 	r := newRig(t, fast())
 	wrong := query("a", "huon", prompt("charter", "q"), 1)
 	wrong.Model = "other"
-	if _, err := r.client.Complete(r.context(), wrong); !errors.Is(err, api.ErrNotSent) || errors.Is(err, api.ErrLoading) {
+	if _, err := r.client.Complete(r.context(), wrong); !errors.Is(err, api.ErrNotRun) || errors.Is(err, api.ErrLoading) {
 		t.Errorf("wrong model: %v", err)
 	}
 	r.control(`{"load_ms": 60000}`)
-	if state, err := r.client.Order(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}); err != nil || !state.Loading {
+	if state, err := r.client.SendOrder(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}); err != nil || !state.Loading {
 		t.Fatalf("order: %+v, %v", state, err)
 	}
 	_, err := r.client.Complete(r.context(), query("b", "huon", prompt("charter", "q"), 1))
-	if !errors.Is(err, api.ErrLoading) || !errors.Is(err, api.ErrNotSent) {
+	if !errors.Is(err, api.ErrLoading) || !errors.Is(err, api.ErrNotRun) {
 		t.Errorf("while loading: %v", err)
 	}
 	if a := r.account(); a.Totals.Runs != 0 {
@@ -176,10 +176,10 @@
 	if err == nil {
 		_, err = s.Next()
 	}
-	if !errors.Is(err, api.ErrLost) {
+	if !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("poison: %v", err)
 	}
-	if _, _, err := drain(other); !errors.Is(err, api.ErrLost) {
+	if _, _, err := drain(other); !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("other: %v", err)
 	}
 	kit.Until(r, "the engine is back", func() bool {
@@ -230,7 +230,7 @@
 		t.Error("imported blocks weren't hit")
 	}
 	kv.Weights = "v0"
-	if _, err := to.client.ImportKV(to.context(), kv); !errors.Is(err, api.ErrConflict) {
+	if _, err := to.client.ImportKV(to.context(), kv); !errors.Is(err, api.ErrWeightsMismatch) {
 		t.Errorf("import of other weights: %v", err)
 	}
 }
--- a/internal/standin/engine/limits_test.go
+++ b/internal/standin/engine/limits_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	_, err := r.client.Complete(r.context(), query("big", "huon", prompt("charter", "q"), 80*prefix.BlockTokens))
-	if !errors.Is(err, api.ErrNotSent) {
+	if !errors.Is(err, api.ErrNotRun) {
 		t.Errorf("a request larger than the memory: %v", err)
 	}
 }
@@ -71,14 +71,14 @@
 	r := newRig(t, fast())
 	r.engine.options.Platform = store.URL
 	s := kit.Must(r.client.Complete(r.context(), query("long", "huon", prompt("charter", "q"), 20_000)))(t)
-	kit.Must(r.client.Order(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}))(t)
+	kit.Must(r.client.SendOrder(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}))(t)
 	close(release)
 	kit.Until(r, "the weights are fetched", func() bool {
 		r.engine.mu.Lock()
 		defer r.engine.mu.Unlock()
 		return r.engine.orders.fetched
 	})
-	if state, err := r.client.Orders(r.context()); err != nil || !state.Loading || state.Version != "v1" {
+	if state, err := r.client.State(r.context()); err != nil || !state.Loading || state.Version != "v1" {
 		t.Errorf("state beside a running request: %+v, %v", state, err)
 	}
 	if event, err := s.Next(); err != nil || event.Text == "" {
@@ -86,7 +86,7 @@
 	}
 	kit.OK(t, r.client.Cancel(r.context(), "long"))
 	kit.Until(r, "v2 is loaded", func() bool {
-		state, err := r.client.Orders(r.context())
+		state, err := r.client.State(r.context())
 		return err == nil && !state.Loading && state.Version == "v2"
 	})
 }
--- a/internal/standin/engine/parameters_test.go
+++ b/internal/standin/engine/parameters_test.go
@@ -43,7 +43,7 @@
 	body := reflect.TypeFor[api.Completion]()
 	for i := range body.NumField() {
 		name, _, _ := strings.Cut(body.Field(i).Tag.Get("json"), ",")
-		if !parameters.IsHeld(name) {
+		if !parameters.IsReserved(name) {
 			t.Errorf("field %q could be there twice", name)
 		}
 	}
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("error answer %+v, %d, %v", a, status, err)
 	}
 	kit.Control(t, server.URL, `{"error_status": 0, "lose_answer": true}`)
-	if _, _, err := call(); !errors.Is(err, engine.ErrLost) {
+	if _, _, err := call(); !errors.Is(err, engine.ErrOutcomeUnknown) {
 		t.Errorf("lost answer: %v", err)
 	}
 	runs := kit.Get[Runs](t, server.URL+"/control/runs")
