--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -147,7 +147,7 @@
 	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.board.Saw(p.replica.ID, req.params.Model, head.Version, 0) {
+	if s.board.ObserveVersion(p.replica.ID, req.params.Model, head.Version, 0) {
 		s.feed.CacheCleared(p.replica.ID, req.entry.clock.now())
 	}
 }
@@ -169,7 +169,7 @@
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.handleReplaced(p.replica, head.Instance, 0)
 	case req.params.Model != "":
-		s.board.Saw(p.replica.ID, req.params.Model, p.version+1, 0)
+		s.board.ObserveVersion(p.replica.ID, req.params.Model, p.version+1, 0)
 		s.feed.CacheCleared(p.replica.ID, now)
 	}
 }
--- a/internal/direct/crashes.go
+++ b/internal/direct/crashes.go
@@ -91,7 +91,7 @@
 	for i := range strikes {
 		count := e.logCrash(&strikes[i], e.settings.ID)
 		if count >= minStoredCrashes {
-			envelope := rollout.Envelope{Strike: &strikes[i]}
+			envelope := rollout.Envelope{Crash: &strikes[i]}
 			records = append(records, envelope.Encode())
 		}
 	}
--- a/internal/direct/dispatch.go
+++ b/internal/direct/dispatch.go
@@ -179,7 +179,7 @@
 // saves the prefix. The caller holds the state's lock.
 func (req *request) setCacheSource(p *placement) {
 	s := req.entry.state
-	source := s.feed.PlanCache(req.entry.clock.now(), &req.query, &p.choice, req.cacheSalt(p.version), req.config.KeptCaches())
+	source := s.feed.PlanCache(req.entry.clock.now(), &req.query, &p.choice, req.cacheSalt(p.version), req.config.KVStores())
 	p.fetchFrom, p.saveTo = source.Store, source.SaveTo
 	if r := s.replicas.Get(source.Donor); r != nil {
 		p.fetchFrom = r.Address
@@ -230,7 +230,7 @@
 
 func (req *request) upstreamRequest(p *placement) *upstream.Request {
 	lastEvent := req.resumeAfter()
-	dispatch := &fleet.HandOver{
+	dispatch := &fleet.DispatchHeaders{
 		Replica:   p.replica.Name,
 		Deadline:  req.timeLeft(),
 		Version:   p.version,
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -242,7 +242,7 @@
 	began, made := time.Now(), f.boot()
 	waited, _ := f.readTimeouts()
 	page, err := f.readStore(ctx, waited)
-	if errors.Is(err, fleet.ErrStoreExpired) || errors.Is(err, fleet.ErrStoreRewound) {
+	if errors.Is(err, fleet.ErrStoreExpired) || errors.Is(err, fleet.ErrStoreRestored) {
 		f.resumeAfterGap(page.First)
 		return nil
 	}
--- a/internal/direct/naming.go
+++ b/internal/direct/naming.go
@@ -28,7 +28,7 @@
 
 // recordAnnouncement records when a version was announced, unless another entry does so first.
 // relayed says that a peer read the version.
-func (e *Entry) recordAnnouncement(n rollout.Naming, relayed bool) {
+func (e *Entry) recordAnnouncement(n rollout.Announcement, relayed bool) {
 	pause := rand.N(announcementSpread)
 	if relayed {
 		pause = relayedAnnouncementDelay + rand.N(announcementSpreadPerEntry*time.Duration(e.state.entryCount()))
@@ -52,7 +52,7 @@
 	}
 }
 
-func (e *Entry) rewriteAnnouncement(n rollout.Naming) {
+func (e *Entry) rewriteAnnouncement(n rollout.Announcement) {
 	pause := relayedAnnouncementDelay + rand.N(announcementSpreadPerEntry*time.Duration(e.state.entryCount()))
 	if wait.For(context.Background(), pause) != nil {
 		return
@@ -65,10 +65,10 @@
 	}
 }
 
-func (e *Entry) writeAnnouncement(n *rollout.Naming) {
+func (e *Entry) writeAnnouncement(n *rollout.Announcement) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	envelope := rollout.Envelope{Named: n}
+	envelope := rollout.Envelope{Announcement: n}
 	if _, err := e.platform.Store.Append(ctx, topicEntries, nil, [][]byte{envelope.Encode()}); err != nil {
 		e.tel.Log.Warn("writing version announcement failed", "model", n.Model, "version", n.Version, "error", err)
 		return
@@ -76,7 +76,7 @@
 	trySignal(e.rollouts.reread)
 }
 
-func (e *Entry) announcementKnown(n *rollout.Naming) bool {
+func (e *Entry) announcementKnown(n *rollout.Announcement) bool {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	return e.state.announcements[modelVersion{n.Model, n.Version}] != nil
@@ -84,7 +84,7 @@
 
 // applyAnnouncement applies an entry's record of when a version was announced. Of several records
 // the earliest counts, because each entry read the version a little after its announcement.
-func (e *Entry) applyAnnouncement(n *rollout.Naming) {
+func (e *Entry) applyAnnouncement(n *rollout.Announcement) {
 	s := e.state
 	s.mu.Lock()
 	key := modelVersion{n.Model, n.Version}
@@ -120,10 +120,10 @@
 		if n == nil {
 			return
 		}
-		d.Followed(version, n.Before, overdue)
+		d.AddPrevious(version, n.Before, overdue)
 		if at, ok := e.announcedSince(n); ok {
-			d.NamedSince(version, at)
-			d.NamedBy(version, at)
+			d.AnnouncedNoEarlier(version, at)
+			d.AnnouncedNoLater(version, at)
 		}
 		version = n.Before
 	}
@@ -132,7 +132,7 @@
 // announcedSince returns since when a version counts as announced according to a record. Clocks of
 // two instances may differ by up to the configured skew, so the version counts as announced earlier
 // by that much. A time in the future shows that they differ by more, and is ignored.
-func (e *Entry) announcedSince(n *rollout.Naming) (time.Duration, bool) {
+func (e *Entry) announcedSince(n *rollout.Announcement) (time.Duration, bool) {
 	age := time.Since(time.UnixMilli(n.AtMs))
 	return e.clock.now() - age - e.directSettings().ClockSkew.D(), age >= 0
 }
--- a/internal/direct/notes.go
+++ b/internal/direct/notes.go
@@ -8,10 +8,10 @@
 
 // publish applies rollout records of a model to this entry at once, sends them to the peers, which
 // apply them on arrival, and appends them to the entries' topic.
-func (r *rollouts) publish(ctx context.Context, model string, records []rollout.Note) {
+func (r *rollouts) publish(ctx context.Context, model string, records []rollout.Record) {
 	encoded := make([][]byte, len(records))
 	for i := range records {
-		envelope := rollout.Envelope{Note: &records[i]}
+		envelope := rollout.Envelope{Rollout: &records[i]}
 		encoded[i] = envelope.Encode()
 		r.applyRecord(&records[i])
 	}
@@ -25,7 +25,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range records {
-		r.cores[model].Announced(records[i].Replica, r.entry.clock.now())
+		r.cores[model].RecordPublished(records[i].Replica, r.entry.clock.now())
 	}
 	r.trigger()
 }
--- a/internal/direct/notices_test.go
+++ b/internal/direct/notices_test.go
@@ -49,7 +49,7 @@
 	r := &fleet.Replica{ID: "r-1", Name: "r-1"}
 	e.state.replicas.Put(r, 1, 0)
 	req := &request{entry: e.Entry, dispatches: make([]dispatchRecord, 1)}
-	notice := fleet.Notice{Leaving: true, Limited: true, Rate: 1}
+	notice := fleet.Notice{Leaving: true, HasRateLimit: true, RateLimit: 1}
 	req.handleNotice(&placement{replica: r}, &fleet.Answer{Instance: "r-2", NotRun: true, Misdirected: true, Notice: notice})
 	if _, limited := e.state.rateLimits.State(r.ID, e.clock.now()); limited || e.state.replicas.Draining(r.ID) {
 		t.Error("another replica's notice was applied")
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -153,17 +153,17 @@
 	return max(gap.since, gap.lastFailed+storeBindsAfter-dispatchTime-inForce)
 }
 
-func (e *Entry) applyWanted(w *fleet.Wanted, offset uint64, when announcementContext) {
+func (e *Entry) applyWanted(w *fleet.DesiredVersion, offset uint64, when announcementContext) {
 	e.state.mu.Lock()
 	d := e.state.demands[w.Model]
 	if d == nil {
-		d = rollout.NewDemand(e.directSettings().WeightsWithin.D() - weightsMargin)
+		d = rollout.NewVersionHistory(e.directSettings().WeightsWithin.D() - weightsMargin)
 		e.state.demands[w.Model] = d
 	}
 	before := d.Newest()
-	isNew := d.Named(w.Version, e.announcedAt(when.first))
+	isNew := d.Add(w.Version, e.announcedAt(when.first))
 	if isNew && !when.first {
-		d.ReadLate(w.Version, e.earliestAnnouncement(when.gap))
+		d.MarkReadLate(w.Version, e.earliestAnnouncement(when.gap))
 	}
 	e.applyAnnouncements(w.Model)
 	e.state.mu.Unlock()
@@ -171,7 +171,7 @@
 		return
 	}
 	if !when.first {
-		go e.recordAnnouncement(rollout.Naming{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
+		go e.recordAnnouncement(rollout.Announcement{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
 	}
 	e.tel.Log.Info("weights wanted", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
 	e.rollouts.trigger()
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -65,7 +65,7 @@
 	// lost.
 	Placements []peerPlacement `cbor:"6,keyasint,omitempty"`
 	// RolloutRecords are sent without loads and with Seq 0.
-	RolloutRecords []rollout.Note `cbor:"5,keyasint,omitempty"`
+	RolloutRecords []rollout.Record `cbor:"5,keyasint,omitempty"`
 	// StoreReachable is the time for which the store has answered the reader of the list of
 	// replicas without interruption, in milliseconds plus one; 1 means that it does not answer now,
 	// 0 that the message says nothing about it.
@@ -170,7 +170,7 @@
 
 // sendRolloutRecords sends rollout records to all peers at once. A peer that loses the datagram
 // reads the records from the entries' topic.
-func (p *peers) sendRolloutRecords(records []rollout.Note) {
+func (p *peers) sendRolloutRecords(records []rollout.Record) {
 	for batch := range slices.Chunk(records, maxMessageRolloutRecords) {
 		p.broadcast(&peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), RolloutRecords: batch})
 	}
--- a/internal/direct/ports.go
+++ b/internal/direct/ports.go
@@ -12,7 +12,7 @@
 	// Request decodes the headers of a caller's request.
 	Request(http.Header) (fleet.Request, error)
 	// ToReplica returns the headers of a request to a replica.
-	ToReplica(http.Header, *fleet.HandOver) http.Header
+	ToReplica(http.Header, *fleet.DispatchHeaders) http.Header
 	// Answer decodes the status and headers of a replica's response.
 	Answer(status int, h http.Header) fleet.Answer
 	// ToCaller returns the headers of a response to a caller.
@@ -26,7 +26,7 @@
 	// Topics returns the names of the operator's topic and the replicas' topic.
 	Topics() (operator, replicas string)
 	// Operator decodes a record of the operator; both results are nil if its kind is unknown.
-	Operator(key string, value []byte) (*fleet.Configuration, *fleet.Wanted, error)
+	Operator(key string, value []byte) (*fleet.Configuration, *fleet.DesiredVersion, error)
 	// Replica decodes a replica's record.
 	Replica(key string, value []byte) (*fleet.Replica, error)
 }
--- a/internal/direct/queue.go
+++ b/internal/direct/queue.go
@@ -158,8 +158,8 @@
 	if req.organisation != nil {
 		t.Organisation = req.organisation.Name
 	}
-	if req.route.Objective > 0 {
-		t.LatestStart = req.started + req.route.Objective - time.Duration((work+feed.OverheadMs(&req.query))*float64(time.Millisecond))
+	if req.route.LatencyTarget > 0 {
+		t.LatestStart = req.started + req.route.LatencyTarget - time.Duration((work+feed.OverheadMs(&req.query))*float64(time.Millisecond))
 	}
 	if req.firstByte > 0 {
 		t.Priority, t.LatestStart = resumedPriority, req.deadline
--- a/internal/direct/request.go
+++ b/internal/direct/request.go
@@ -197,14 +197,14 @@
 		fields = append(fields, slog.Float64("rate_limit", d.rateLimit.Rate), slog.Float64("rate_part", d.rateLimit.Share),
 			slog.Int64("rate_limit_age_ms", d.rateLimit.Age.Milliseconds()))
 	}
-	if d.notice.Rest > 0 {
-		fields = append(fields, slog.Int64("asks_rest_ms", d.notice.Rest.Milliseconds()))
+	if d.notice.Backoff > 0 {
+		fields = append(fields, slog.Int64("asks_rest_ms", d.notice.Backoff.Milliseconds()))
 	}
 	if d.notice.Leaving {
 		fields = append(fields, slog.Bool("says_leaving", true))
 	}
-	if d.notice.Limited {
-		fields = append(fields, slog.Float64("named_rate_limit", d.notice.Rate))
+	if d.notice.HasRateLimit {
+		fields = append(fields, slog.Float64("named_rate_limit", d.notice.RateLimit))
 	}
 	if d.err != nil {
 		fields = append(fields, slog.String("error", d.err.Error()))
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -135,13 +135,13 @@
 	f.onGap = func(first uint64) {
 		r.mu.Lock()
 		r.nextOffset = first
-		r.applyLeaseActions(ctx, r.leases.Gap(first+1, bootTime()))
+		r.applyLeaseActions(ctx, r.leases.Truncated(first+1, bootTime()))
 		r.mu.Unlock()
 	}
 	f.onRestore = func(first uint64) {
 		r.mu.Lock()
 		r.nextOffset = first
-		r.applyLeaseActions(ctx, r.leases.Rewound(first+1, bootTime()))
+		r.applyLeaseActions(ctx, r.leases.LogRestored(first+1, bootTime()))
 		r.mu.Unlock()
 		r.entry.tel.Log.Warn("store is back from an older copy", "stream", topicEntries, "era", fleet.Era(first))
 		r.entry.rewriteAnnouncements()
@@ -174,26 +174,26 @@
 		return
 	}
 	if envelope.Lease != nil {
-		r.applyLeaseActions(context.Background(), r.leases.Record(record.Offset+1, envelope.Lease, bootTime()))
+		r.applyLeaseActions(context.Background(), r.leases.ApplyRecord(record.Offset+1, envelope.Lease, bootTime()))
 		if grant, held := r.leases.Table().Holder(orderLease); held {
 			r.lastHolder, r.lastHolderAt = grant.Holder, r.entry.clock.now()
 		}
 		r.trigger()
 		return
 	}
-	if envelope.Named != nil {
-		r.entry.applyAnnouncement(envelope.Named)
+	if envelope.Announcement != nil {
+		r.entry.applyAnnouncement(envelope.Announcement)
 		return
 	}
-	if envelope.Strike != nil {
-		r.entry.receiveCrash(envelope.Strike, topicEntries)
+	if envelope.Crash != nil {
+		r.entry.receiveCrash(envelope.Crash, topicEntries)
 		return
 	}
-	r.receiveRecord(envelope.Note)
+	r.receiveRecord(envelope.Rollout)
 }
 
 // receiveRecord applies a rollout record, of another entry or read back. The caller holds mu.
-func (r *rollouts) receiveRecord(n *rollout.Note) {
+func (r *rollouts) receiveRecord(n *rollout.Record) {
 	if n.Phase == rollout.PhaseOrdered && n.Holder != r.entry.settings.ID {
 		r.foreignOrderAt = r.entry.clock.now()
 	}
@@ -201,7 +201,7 @@
 }
 
 // receiveRecords applies rollout records that a peer sent directly.
-func (r *rollouts) receiveRecords(notes []rollout.Note) {
+func (r *rollouts) receiveRecords(notes []rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range notes {
@@ -212,11 +212,11 @@
 }
 
 // applyRecord applies a rollout record to what is known of its replica.
-func (r *rollouts) applyRecord(n *rollout.Note) {
+func (r *rollouts) applyRecord(n *rollout.Record) {
 	e := r.entry
 	s := e.state
 	s.mu.Lock()
-	changed := s.board.Take(n, e.clock.now())
+	changed := s.board.ApplyRecord(n, e.clock.now())
 	if changed {
 		s.feed.CacheCleared(n.Replica, e.clock.now())
 	}
@@ -225,7 +225,7 @@
 	}
 	s.mu.Unlock()
 	e.tel.Log.Info("rollout record applied", "replica", n.Replica, "model", n.Model, "version", n.Version,
-		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.Orders, "news", changed)
+		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.AcceptedOrders, "news", changed)
 }
 
 // run steps the rollouts until ctx ends.
@@ -255,7 +255,7 @@
 	due := r.dueStates(now)
 	if len(due) == 0 {
 		r.claimAt = 0
-		r.applyLeaseActions(ctx, r.leases.Drop(orderLease, bootTime()))
+		r.applyLeaseActions(ctx, r.leases.Release(orderLease, bootTime()))
 		return false
 	}
 	if r.claimAt == 0 {
@@ -266,10 +266,10 @@
 	}
 	if r.entry.drain.endsWithin(leaseReturnMargin) {
 		r.stopIssuing()
-		r.applyLeaseActions(ctx, r.leases.Drop(orderLease, bootTime()))
+		r.applyLeaseActions(ctx, r.leases.Release(orderLease, bootTime()))
 		return true
 	}
-	r.applyLeaseActions(ctx, r.leases.Want(orderLease, bootTime()))
+	r.applyLeaseActions(ctx, r.leases.Acquire(orderLease, bootTime()))
 	fence, ok := r.leases.Check(orderLease, bootTime())
 	if !ok {
 		r.stopIssuing()
@@ -293,7 +293,7 @@
 func (r *rollouts) keepsLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leases.Keeps(orderLease)
+	return r.leases.HeldOrReleasing(orderLease)
 }
 
 // stopIssuing discards what was under way when the lease ended.
@@ -335,9 +335,9 @@
 			c = rollout.NewCore(model, r.entry.settings.ID, rollout.DefaultParams)
 			r.cores[model] = c
 		}
-		c.Want(demand.Newest())
+		c.SetDesired(demand.Newest())
 		states := s.rolloutStates(model, now)
-		if c.Due(states) || c.Active() {
+		if c.NeedsOrders(states) || c.Active() {
 			due[model] = states
 		}
 	}
@@ -378,26 +378,26 @@
 	switch {
 	case err == nil:
 		return
-	case errors.Is(err, fleet.ErrStoreMoved):
+	case errors.Is(err, fleet.ErrStoreConflict):
 		r.entry.tel.Log.Info("lease claim failed: another record was appended first", "seq", a.Seq, "at", *at)
 	default:
 		r.entry.tel.Log.Warn("lease record not written to the store", "seq", a.Seq, "error", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.applyLeaseActions(ctx, r.leases.Failed(a.Seq, bootTime()))
+	r.applyLeaseActions(ctx, r.leases.AppendFailed(a.Seq, bootTime()))
 }
 
 // applyActions executes a rollout's actions. The caller holds mu.
 func (r *rollouts) applyActions(ctx context.Context, model string, actions []rollout.Action) {
-	var notes []rollout.Note
+	var notes []rollout.Record
 	for _, a := range actions {
 		switch a := a.(type) {
-		case rollout.Announce:
-			notes = append(notes, a.Note)
-		case rollout.Give:
+		case rollout.Publish:
+			notes = append(notes, a.Record)
+		case rollout.SendOrder:
 			go r.sendOrder(ctx, model, a.Order)
-		case rollout.Ask:
+		case rollout.QueryState:
 			go r.requestReport(ctx, model, a.Replica)
 		}
 	}
@@ -422,17 +422,17 @@
 	e.applyNotice(o.Replica.ID, &notice, began, false)
 	now := e.clock.now()
 	attrs := []any{"replica", o.Replica.ID, "model", model, "version", o.Version, "fence", o.Fence,
-		"expected", o.Expected, "reply", reply.String(), "took_ms", ms(now - began)}
+		"expected", o.ExpectedOrders, "reply", reply.String(), "took_ms", ms(now - began)}
 	if err != nil {
 		attrs = append(attrs, "error", err)
 	}
 	e.tel.Log.Info("order", attrs...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.applyActions(ctx, model, r.cores[model].Replied(o.Replica.ID, reply, now))
+	r.applyActions(ctx, model, r.cores[model].OrderReplied(o.Replica.ID, reply, now))
 	if reply == fleet.ReplyFenced {
 		r.foreignOrderAt = now
-		r.applyLeaseActions(ctx, r.leases.Drop(orderLease, bootTime()))
+		r.applyLeaseActions(ctx, r.leases.Release(orderLease, bootTime()))
 	}
 	r.trigger()
 }
@@ -457,13 +457,13 @@
 	defer r.mu.Unlock()
 	if err != nil {
 		e.tel.Log.Warn("replica report failed", "replica", replica.ID, "error", err)
-		r.applyActions(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
+		r.applyActions(ctx, model, r.cores[model].QueryFailed(replica.ID, e.clock.now()))
 		return
 	}
-	if !replica.Is(report.Born) {
-		e.handleReplaced(replica, replica.Name, report.Born)
-		r.applyActions(ctx, model, r.cores[model].ReportFailed(replica.ID, e.clock.now()))
+	if !replica.Matches(report.StartedAtMs) {
+		e.handleReplaced(replica, replica.Name, report.StartedAtMs)
+		r.applyActions(ctx, model, r.cores[model].QueryFailed(replica.ID, e.clock.now()))
 		return
 	}
-	r.applyActions(ctx, model, r.cores[model].Reported(replica.ID, &report, e.clock.now()))
+	r.applyActions(ctx, model, r.cores[model].StateReported(replica.ID, &report, e.clock.now()))
 }
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -79,7 +79,7 @@
 	if req.route == nil {
 		return req.deny(http.StatusNotFound, "no matching route")
 	}
-	if req.config.Keyed && !req.route.Public {
+	if req.config.KeyRequired && !req.route.Public {
 		req.organisation = req.config.Keys[params.Key]
 		if req.organisation == nil {
 			return req.deny(http.StatusUnauthorized, "unknown API key")
@@ -197,7 +197,7 @@
 	e.state.mu.Unlock()
 	req.attempts = attempt.NewDispatchPlan(attempt.DispatchSpec{
 		Repeatable:    repeatable,
-		MaxRuns:       req.route.Attempts,
+		MaxRuns:       req.route.MaxAttempts,
 		MaxDispatches: attempt.DefaultMaxDispatches,
 		Deadline:      req.deadline,
 	}, budget)
@@ -227,12 +227,12 @@
 	if req.service.Engine == nil {
 		return 0
 	}
-	return maxLoadFraction * float64(req.route.Objective.Milliseconds())
+	return maxLoadFraction * float64(req.route.LatencyTarget.Milliseconds())
 }
 
 // prefixLevels are the nested prefixes that the prompt may share with other prompts.
 func (req *request) prefixLevels() []route.PrefixLevel {
-	shared := req.params.Shared()
+	shared := req.params.SharedParts()
 	ids := make([]string, len(shared))
 	tokens := make([]int, len(shared))
 	for i, prefix := range shared {
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -45,12 +45,12 @@
 	replicas *member.Replicas
 	// outage tracks outages of the store as the reader of the replica list sees them.
 	outage       *member.Outage
-	board        *rollout.Board             // versions of weights and orders, by replica
-	feed         *route.Picker              // loads, cached prefixes and engine speeds, to choose replicas by
-	demands      map[string]*rollout.Demand // wanted versions of weights, by model
-	retryBudgets map[string]*attempt.Budget // by service
-	crashes      *attempt.CrashTracker      // crash counts of requests
-	queues       map[string]*serviceQueue   // by service
+	board        *rollout.VersionTracker            // versions of weights and orders, by replica
+	feed         *route.Picker                      // loads, cached prefixes and engine speeds, to choose replicas by
+	demands      map[string]*rollout.VersionHistory // wanted versions of weights, by model
+	retryBudgets map[string]*attempt.Budget         // by service
+	crashes      *attempt.CrashTracker              // crash counts of requests
+	queues       map[string]*serviceQueue           // by service
 	rateLimits   *ratelimit.Limits
 	// leavingToSend counts, by replica that announced here that it leaves, how often the other
 	// entries are still to be notified.
@@ -65,7 +65,7 @@
 	changed chan struct{}
 	// announcements say when versions of weights were announced, by any entry. They are kept
 	// as long as the process runs: a few a day for each model.
-	announcements map[modelVersion]*rollout.Naming
+	announcements map[modelVersion]*rollout.Announcement
 	// announcementsRead are those read since the store's present era began.
 	announcementsRead map[modelVersion]bool
 	// onNewEngineService is called once for each service with engines, at its first request.
@@ -88,16 +88,16 @@
 		entries:       assumedEntries,
 		replicas:      member.NewReplicas(member.DefaultReplicaParams),
 		outage:        member.NewOutage(outageParams),
-		board:         rollout.NewBoard(),
+		board:         rollout.NewVersionTracker(),
 		feed:          route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		demands:       make(map[string]*rollout.Demand),
+		demands:       make(map[string]*rollout.VersionHistory),
 		retryBudgets:  make(map[string]*attempt.Budget),
 		crashes:       attempt.NewCrashTracker(attempt.DefaultCrashTrackerParams),
 		queues:        make(map[string]*serviceQueue),
 		rateLimits:    ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
 		changed:       make(chan struct{}),
 		retryBudget:   budget,
-		announcements: make(map[modelVersion]*rollout.Naming),
+		announcements: make(map[modelVersion]*rollout.Announcement),
 
 		leavingToSend:      make(map[string]int),
 		announcementsRead:  make(map[modelVersion]bool),
@@ -206,7 +206,7 @@
 
 // forgetReplica drops what is known of a replica that is gone. The caller holds mu.
 func (s *state) forgetReplica(id string) {
-	s.board.Gone(id)
+	s.board.Forget(id)
 	s.feed.RemoveReplica(id)
 	s.rateLimits.Forget(id)
 }
@@ -238,7 +238,7 @@
 	var excluded exclusions
 	var oldest uint64
 	if d := s.demands[model]; d != nil {
-		oldest = d.Oldest(now)
+		oldest = d.OldestAllowed(now)
 	}
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
@@ -280,7 +280,7 @@
 				continue
 			}
 			c.Version = s.board.Version(id, model)
-			c.RolloutIn, c.RolloutPlanned = s.board.Turn(id, model, now)
+			c.RolloutIn, c.RolloutPlanned = s.board.TimeToSlot(id, model, now)
 			if c.Version < oldest {
 				excluded.overdue++
 				continue
@@ -300,14 +300,14 @@
 		if _, serves := r.Weights[model]; !serves || s.replicas.Draining(id) || !config.runsModel(r.Service, model) {
 			continue
 		}
-		turn, planned := s.board.Turn(id, model, now)
+		turn, planned := s.board.TimeToSlot(id, model, now)
 		out = append(out, rollout.State{
-			Turn: turn, Planned: planned,
-			Replica:   r,
-			Version:   s.board.Version(id, model),
-			Orders:    s.board.Orders(id, model),
-			Reachable: s.replicas.Health(id, now) != member.Down,
-			Running:   s.feed.Running(id),
+			TimeToSlot: turn, HasSlot: planned,
+			Replica:        r,
+			Version:        s.board.Version(id, model),
+			AcceptedOrders: s.board.AcceptedOrders(id, model),
+			Reachable:      s.replicas.Health(id, now) != member.Down,
+			Running:        s.feed.Running(id),
 		})
 	}
 	return out
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -128,7 +128,7 @@
 	s.feed.FirstEvent(now, &req.query, &p.choice, now-p.pickedAt)
 	if p.window != nil {
 		own := s.feed.PrefillTime(&req.query, &p.choice)
-		p.window.ObserveStart(p.work, now-p.pickedAt-own, req.route.Objective-own, now)
+		p.window.ObserveStart(p.work, now-p.pickedAt-own, req.route.LatencyTarget-own, now)
 	}
 	p.endWork()
 	s.placeQueued(s.queueOf(req.service), now)
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -90,8 +90,8 @@
 		e.handleReplaced(r, misdirected.Instance, 0)
 	case err != nil:
 		// The next poll follows soon, and requests detect a failure earlier.
-	case !r.Is(report.Born):
-		e.handleReplaced(r, r.Name, report.Born)
+	case !r.Matches(report.StartedAtMs):
+		e.handleReplaced(r, r.Name, report.StartedAtMs)
 	default:
 		e.applyReport(r, &report)
 		m.sendReport(r, &report)
@@ -126,7 +126,7 @@
 	if m.entry.hub == nil {
 		return
 	}
-	current := replicaReport{Replica: r.ID, Weights: report.Weights, Draining: report.Draining, Busy: report.Busy, Orders: report.Orders}
+	current := replicaReport{Replica: r.ID, Weights: report.Weights, Draining: report.Draining, Busy: report.Busy, Orders: report.AcceptedOrders}
 	m.mu.Lock()
 	last := m.sentReports[r.ID]
 	if last == nil || !last.equal(&current) {
@@ -149,7 +149,7 @@
 		r := e.state.replicas.Get(received.Replica)
 		e.state.mu.Unlock()
 		if r != nil {
-			e.applyReport(r, &fleet.Report{Weights: received.Weights, Draining: received.Draining, Busy: received.Busy, Orders: received.Orders})
+			e.applyReport(r, &fleet.Report{Weights: received.Weights, Draining: received.Draining, Busy: received.Busy, AcceptedOrders: received.Orders})
 		}
 	}
 }
@@ -163,14 +163,14 @@
 		e.tel.Log.Info("replica is leaving", "replica", r.ID, "by", "its report")
 	}
 	for model, version := range report.Weights {
-		if s.board.Saw(r.ID, model, version, report.Orders) {
+		if s.board.ObserveVersion(r.ID, model, version, report.AcceptedOrders) {
 			s.feed.CacheCleared(r.ID, now)
 		}
 		phase := rollout.PhaseReleased
 		if report.Busy {
 			phase = rollout.PhaseOrdered
 		}
-		s.board.Take(&rollout.Note{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
+		s.board.ApplyRecord(&rollout.Record{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
 	}
 	if !report.Busy {
 		s.notifyChanged()
@@ -184,7 +184,7 @@
 //
 // An answer from an incarnation that started before the known one is ignored: it was delayed.
 func (e *Entry) handleReplaced(r *fleet.Replica, name string, born int64) {
-	if name == r.Name && born <= r.Born {
+	if name == r.Name && born <= r.StartedAtMs {
 		return
 	}
 	go func() {
@@ -193,7 +193,7 @@
 		e.state.forgetReplica(r.ID)
 		e.state.mu.Unlock()
 		e.recordReplicaLoss(r.ID)
-		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.Incarnation(name, born))
+		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.IncarnationID(name, born))
 		if name == "" || len(r.Weights) == 0 {
 			return
 		}
@@ -215,8 +215,8 @@
 			return
 		}
 	}
-	born := report.Born
-	if old.Born == 0 {
+	born := report.StartedAtMs
+	if old.StartedAtMs == 0 {
 		born = 0 // records without start times would count as outdated
 	}
 	restarted := old.Restarted(name, born)
--- a/internal/member/incarnation_test.go
+++ b/internal/member/incarnation_test.go
@@ -11,7 +11,7 @@
 )
 
 func incarnation(name string, at int64) *fleet.Replica {
-	return &fleet.Replica{ID: fleet.Incarnation(name, at), Name: name, Born: at, Service: "llm", Address: "10.0.0.1:80"}
+	return &fleet.Replica{ID: fleet.IncarnationID(name, at), Name: name, StartedAtMs: at, Service: "llm", Address: "10.0.0.1:80"}
 }
 
 // Guards against a replica that restarts under its name and inherits the state of its
@@ -83,7 +83,7 @@
 			case 2:
 				v.Remove("a", offset, 0)
 			case 3:
-				if id := fleet.Incarnation("a", at); v.Get(id) != nil {
+				if id := fleet.IncarnationID("a", at); v.Get(id) != nil {
 					v.Replaced(id, 0)
 					over = at
 				}
@@ -93,7 +93,7 @@
 				t.Fatalf("two incarnations at once: %v", ids)
 			}
 			for _, id := range ids {
-				if b := v.Get(id).Born; b < latest || b <= over {
+				if b := v.Get(id).StartedAtMs; b < latest || b <= over {
 					t.Fatalf("incarnation %d is known after %d was seen and %d has ended", b, latest, over)
 				}
 			}
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -38,21 +38,21 @@
 // previous incarnation was leaving. A replica that has once stated its start time always
 // does, so a record without one is not its own.
 func (n *registration) advance(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
-	if r.Born < n.born || r.ID == n.id && n.ended {
+	if r.StartedAtMs < n.born || r.ID == n.id && n.ended {
 		return "", false
 	}
 	n.lastSeen = now
 	if r.ID == n.id {
-		n.beat = max(n.beat, r.Beat)
+		n.beat = max(n.beat, r.HeartbeatSeq)
 		return "", true
 	}
 	ended = n.id
-	n.id, n.born, n.beat, n.ended, n.leaving = r.ID, r.Born, r.Beat, false, false
+	n.id, n.born, n.beat, n.ended, n.leaving = r.ID, r.StartedAtMs, r.HeartbeatSeq, false, false
 	return ended, true
 }
 
 // isStaleCopy reports whether a record is an old one of a replica that has since been
 // removed, which came back because the store was restored from an older copy.
 func (n *registration) isStaleCopy(r *fleet.Replica, position uint64) bool {
-	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.Beat <= n.beat
+	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.HeartbeatSeq <= n.beat
 }
--- a/internal/member/replicas.go
+++ b/internal/member/replicas.go
@@ -133,7 +133,7 @@
 
 func (v *Replicas) put(n *registration, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
 	// Between records of two store eras, the record number tells which one is later.
-	later := r.ID == n.id && r.Beat > n.beat && v.states[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.states[r.ID].offset)
+	later := r.ID == n.id && r.HeartbeatSeq > n.beat && v.states[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.states[r.ID].offset)
 	ended, ok := n.advance(r, now)
 	if !ok {
 		return UpdateResult{Outdated: true}
--- a/internal/member/replicas_test.go
+++ b/internal/member/replicas_test.go
@@ -144,7 +144,7 @@
 // Guards against a replica that announced that it leaves and is used again because of an older record.
 func TestOnlyALaterIncarnationTakesBackThatAReplicaLeaves(t *testing.T) {
 	v := member.NewReplicas(member.DefaultReplicaParams)
-	first := &fleet.Replica{ID: "r-1", Name: "r", Born: 1}
+	first := &fleet.Replica{ID: "r-1", Name: "r", StartedAtMs: 1}
 	v.Put(first, 1, 0)
 	if !v.MarkLeaving("r-1") {
 		t.Fatal("the announcement is not reported as a change")
@@ -158,7 +158,7 @@
 	if !v.Draining("r-1") {
 		t.Error("a removal and an older record revoke the announcement")
 	}
-	v.Put(&fleet.Replica{ID: "r-2", Name: "r", Born: 2}, 5, 4*time.Second)
+	v.Put(&fleet.Replica{ID: "r-2", Name: "r", StartedAtMs: 2}, 5, 4*time.Second)
 	if v.Draining("r-2") {
 		t.Error("a later incarnation counts as leaving too")
 	}
