--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -229,9 +229,9 @@
 // RecordCrash says that this process's engine was lost with all that it ran. Only a
 // request that ran alone gets the last strike: one that happened to run beside
 // different culprits must not be given up in their place.
-func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.Strike {
+func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.CrashCount {
 	alone := p.total == 1
-	strikes := make([]protocol.Strike, 0, len(p.running))
+	strikes := make([]protocol.CrashCount, 0, len(p.running))
 	for f, n := range p.running {
 		p.lost[f] += n
 		s := p.live(f, now)
@@ -247,6 +247,6 @@
 	}
 	clear(p.running)
 	p.total = 0
-	slices.SortFunc(strikes, func(a, b protocol.Strike) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(strikes, func(a, b protocol.CrashCount) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return strikes
 }
--- a/internal/attempt/poison_strikes.go
+++ b/internal/attempt/poison_strikes.go
@@ -9,7 +9,7 @@
 )
 
 // Merge merges a peer's strikes. Merging is idempotent and in any order.
-func (p *PoisonTracker) Merge(strikes []protocol.Strike, now time.Duration) {
+func (p *PoisonTracker) Merge(strikes []protocol.CrashCount, now time.Duration) {
 	for _, h := range strikes {
 		struck := now - millis(max(h.AgeMs, 0))
 		if now-struck >= p.params.Memory {
@@ -24,7 +24,7 @@
 	}
 }
 
-func (s *suspicion) merge(h protocol.Strike, struck, now time.Duration) {
+func (s *suspicion) merge(h protocol.CrashCount, struck, now time.Duration) {
 	newer := h.Generation > s.generation || h.Generation == s.generation && h.Count > s.count
 	if newer {
 		s.generation, s.count = h.Generation, h.Count
@@ -38,7 +38,7 @@
 
 // HeartbeatStrikes returns what to put into the next heartbeat: the latest changes first,
 // then the others in turn, so that a peer that missed some gets them again.
-func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.Strike {
+func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.CrashCount {
 	p.sweep(now)
 	if len(p.known) == 0 {
 		return nil
@@ -58,15 +58,15 @@
 		p.cursor = rest[len(rest)-1]
 		fingerprints = slices.Concat(fingerprints[:fresh], rest)
 	}
-	strikes := make([]protocol.Strike, len(fingerprints))
+	strikes := make([]protocol.CrashCount, len(fingerprints))
 	for i, f := range fingerprints {
 		strikes[i] = p.known[f].strike(f, now)
 	}
 	return strikes
 }
 
-func (s *suspicion) strike(fingerprint uint64, now time.Duration) protocol.Strike {
-	return protocol.Strike{
+func (s *suspicion) strike(fingerprint uint64, now time.Duration) protocol.CrashCount {
+	return protocol.CrashCount{
 		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
 		Generation: s.generation, AgeMs: (now - s.struck).Milliseconds(),
 	}
--- a/internal/attempt/poison_test.go
+++ b/internal/attempt/poison_test.go
@@ -41,7 +41,7 @@
 
 type modelNews struct {
 	to      int
-	strikes []protocol.Strike
+	strikes []protocol.CrashCount
 }
 
 func newPoisonWorld(t *rapid.T, n int) *poisonWorld {
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -110,8 +110,8 @@
 	if id.Role == protocol.RoleEndpoint {
 		running, queued = fmt.Sprint(load.Running), fmt.Sprint(load.Queued)
 		cache = fmt.Sprintf("%d/%d", load.CacheUsed, load.CacheTotal)
-		picture = (time.Duration(load.PictureAgeMs) * time.Millisecond).String()
-		if load.PictureDoubtful {
+		picture = (time.Duration(load.CacheViewAgeMs) * time.Millisecond).String()
+		if load.CacheViewStale {
 			picture += " doubtful"
 		}
 	}
--- a/internal/direct/handon.go
+++ b/internal/direct/handon.go
@@ -267,7 +267,7 @@
 		loss = attempt.FailureNotSent
 	}
 	h.outcome, h.err = loss.String(), err
-	if j.ctx.Err() != nil || errors.Is(err, upstream.ErrFull) {
+	if j.ctx.Err() != nil || errors.Is(err, upstream.ErrConnectionLimit) {
 		return loss
 	}
 	if loss == attempt.FailureNotSent {
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -273,7 +273,7 @@
 	load.Model, load.Version = state.model, state.version
 	load.CacheUsed = w.load.KVUsedBlocks * prefix.BlockTokens
 	load.CacheTotal = w.load.KVTotalBlocks * prefix.BlockTokens
-	load.PictureDoubtful = e.picture.Stale()
-	load.PictureAgeMs = (e.now() - w.loadAt).Milliseconds()
+	load.CacheViewStale = e.picture.Stale()
+	load.CacheViewAgeMs = (e.now() - w.loadAt).Milliseconds()
 	return load
 }
--- a/internal/endpoint/heartbeat.go
+++ b/internal/endpoint/heartbeat.go
@@ -88,8 +88,8 @@
 			Leaving:      e.drain.leaving,
 			ConfigOffset: e.state().Offset,
 			Load:         load,
-			Strikes:      strikes,
-			Silent:       p.silent,
+			CrashCounts:  strikes,
+			Unresponsive: p.silent,
 			PeriodMs:     e.group.view.HeartbeatPeriod(b.ID).Milliseconds(),
 		}
 		p.silent = nil
@@ -201,10 +201,10 @@
 	p := e.group.peer(hb.ID)
 	e.noteIncarnation(hb, p)
 	p.load, p.loadAt, p.hasLoad, p.epoch = hb.Load, now, true, hb.Epoch
-	e.heardStrikes(hb.Strikes, from.ID)
+	e.heardStrikes(hb.CrashCounts, from.ID)
 	e.advertised(hb.ID, hb.Epoch, hb.Load.Incarnation, hb.Load.Version, hb.Residents, hb.Full)
 	e.heardOffset(s, hb.ConfigOffset)
-	e.probe(hb.Silent, false)
+	e.probe(hb.Unresponsive, false)
 }
 
 // noteIncarnation logs which engine a peer stands before, when that is news. From
@@ -216,11 +216,11 @@
 }
 
 // heardStrikes takes what a peer holds against requests.
-func (e *Endpoint) heardStrikes(strikes []protocol.Strike, from string) {
+func (e *Endpoint) heardStrikes(strikes []protocol.CrashCount, from string) {
 	now := e.now()
 	for _, s := range strikes {
 		before := e.poison.Judge(s.Fingerprint, now).Kind
-		e.poison.Merge([]protocol.Strike{s}, now)
+		e.poison.Merge([]protocol.CrashCount{s}, now)
 		if kind := e.poison.Judge(s.Fingerprint, now).Kind; kind > before {
 			e.log.Warn("strike heard of", "peer", from, "fingerprint", fmt.Sprintf("%016x", s.Fingerprint), "verdict", kind.String())
 		}
@@ -231,7 +231,7 @@
 // later: without it, a later crash would pass for an earlier one.
 func (e *Endpoint) struck(fingerprint uint64, crashes int) {
 	count := min(crashes, attempt.DefaultPoisonParams.ExclusiveFrom())
-	e.poison.Merge([]protocol.Strike{{Fingerprint: fingerprint, Count: count}}, e.now())
+	e.poison.Merge([]protocol.CrashCount{{Fingerprint: fingerprint, Count: count}}, e.now())
 }
 
 func (e *Endpoint) advertised(id string, epoch protocol.Epoch, incarnation, version string, residents []protocol.Resident, full bool) {
--- a/internal/follow/exchange.go
+++ b/internal/follow/exchange.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer.SnapshotLeftMs = f.snapshots.left(f.now()).Milliseconds()
+	answer.SnapshotTTLMs = f.snapshots.left(f.now()).Milliseconds()
 	return answer, nil
 }
 
@@ -118,7 +118,7 @@
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		answer, err := fetch(ctx, m)
 		if err == nil {
-			f.snapshots.told(time.Duration(answer.SnapshotLeftMs)*time.Millisecond, f.now())
+			f.snapshots.told(time.Duration(answer.SnapshotTTLMs)*time.Millisecond, f.now())
 		}
 		return answer, err
 	}
--- a/internal/member/step_bench_test.go
+++ b/internal/member/step_bench_test.go
@@ -60,7 +60,7 @@
 			b.Fatal(err)
 		}
 	}
-	hb.Strikes = []protocol.Strike{{Fingerprint: 1 << 63, Count: 1, AgeMs: 1000}}
+	hb.CrashCounts = []protocol.CrashCount{{Fingerprint: 1 << 63, Count: 1, AgeMs: 1000}}
 	full, err := wire.Encode(0, hb)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/protocol/configuration.go
+++ b/internal/protocol/configuration.go
@@ -18,8 +18,8 @@
 	// Parts is how many parts State is split into, if more than one. A long frame
 	// would hold up the streams of its session.
 	Parts int `cbor:"3,keyasint,omitempty"`
-	// SnapshotLeftMs is for how many milliseconds the newest snapshot on the log is
+	// SnapshotTTLMs is for how many milliseconds the newest snapshot on the log is
 	// young enough, as far as the sender knows; 0 if it isn't. It is told with the
 	// first part, also when there is nothing newer.
-	SnapshotLeftMs int64 `cbor:"4,keyasint,omitempty"`
+	SnapshotTTLMs int64 `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -4,19 +4,19 @@
 
 // Load is a load summary of an endpoint, in tokens of work.
 type Load struct {
-	Running         int    `cbor:"1,keyasint" json:"running"`
-	Queued          int    `cbor:"2,keyasint" json:"queued"`
-	QueuedTokens    int    `cbor:"3,keyasint" json:"queued_tokens"`
-	DecodeTokens    int    `cbor:"4,keyasint" json:"decode_tokens"`
-	CacheUsed       int    `cbor:"5,keyasint" json:"cache_used"`
-	CacheTotal      int    `cbor:"6,keyasint" json:"cache_total"`
-	Saturated       bool   `cbor:"7,keyasint,omitempty" json:"saturated"`
-	EngineUp        bool   `cbor:"8,keyasint" json:"engine_up"`
-	Incarnation     string `cbor:"9,keyasint,omitempty" json:"incarnation"`
-	Model           string `cbor:"10,keyasint,omitempty" json:"model"`
-	Version         string `cbor:"11,keyasint,omitempty" json:"version"`
-	PictureAgeMs    int64  `cbor:"12,keyasint,omitempty" json:"picture_age_ms"`
-	PictureDoubtful bool   `cbor:"13,keyasint,omitempty" json:"picture_doubtful"`
+	Running        int    `cbor:"1,keyasint" json:"running"`
+	Queued         int    `cbor:"2,keyasint" json:"queued"`
+	QueuedTokens   int    `cbor:"3,keyasint" json:"queued_tokens"`
+	DecodeTokens   int    `cbor:"4,keyasint" json:"decode_tokens"`
+	CacheUsed      int    `cbor:"5,keyasint" json:"cache_used"`
+	CacheTotal     int    `cbor:"6,keyasint" json:"cache_total"`
+	Saturated      bool   `cbor:"7,keyasint,omitempty" json:"saturated"`
+	EngineUp       bool   `cbor:"8,keyasint" json:"engine_up"`
+	Incarnation    string `cbor:"9,keyasint,omitempty" json:"incarnation"`
+	Model          string `cbor:"10,keyasint,omitempty" json:"model"`
+	Version        string `cbor:"11,keyasint,omitempty" json:"version"`
+	CacheViewAgeMs int64  `cbor:"12,keyasint,omitempty" json:"picture_age_ms"`
+	CacheViewStale bool   `cbor:"13,keyasint,omitempty" json:"picture_doubtful"`
 	// Organisations is how many organisations have requests waiting.
 	Organisations int `cbor:"14,keyasint,omitempty" json:"organisations"`
 	// Heavy are those of them that have more than their share or a backlog of
@@ -34,9 +34,9 @@
 	Tokens int         `cbor:"2,keyasint"`
 }
 
-// Strike counts the engines that crashed while running a request, by its
+// CrashCount counts the engines that crashed while running a request, by its
 // fingerprint. GivenUp makes it final for the whole group.
-type Strike struct {
+type CrashCount struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	Count       int    `cbor:"2,keyasint"`
 	GivenUp     bool   `cbor:"3,keyasint,omitempty"`
@@ -50,19 +50,19 @@
 
 // Heartbeat goes from each endpoint process to the others of its group.
 type Heartbeat struct {
-	ID           string     `cbor:"1,keyasint"`
-	Epoch        Epoch      `cbor:"2,keyasint"`
-	Seq          uint64     `cbor:"3,keyasint"`
-	Leaving      bool       `cbor:"4,keyasint,omitempty"`
-	ConfigOffset uint64     `cbor:"5,keyasint"`
-	Load         Load       `cbor:"6,keyasint"`
-	Residents    []Resident `cbor:"7,keyasint,omitempty"`
-	Strikes      []Strike   `cbor:"8,keyasint,omitempty"`
+	ID           string       `cbor:"1,keyasint"`
+	Epoch        Epoch        `cbor:"2,keyasint"`
+	Seq          uint64       `cbor:"3,keyasint"`
+	Leaving      bool         `cbor:"4,keyasint,omitempty"`
+	ConfigOffset uint64       `cbor:"5,keyasint"`
+	Load         Load         `cbor:"6,keyasint"`
+	Residents    []Resident   `cbor:"7,keyasint,omitempty"`
+	CrashCounts  []CrashCount `cbor:"8,keyasint,omitempty"`
 	// Full marks that Residents is all there is for the receiver, not a change.
 	Full bool `cbor:"9,keyasint,omitempty"`
-	// Silent names members that gave the sender no sign of life when asked; the
+	// Unresponsive names members that gave the sender no sign of life when asked; the
 	// receiver asks them itself.
-	Silent []string `cbor:"10,keyasint,omitempty"`
+	Unresponsive []string `cbor:"10,keyasint,omitempty"`
 	// PeriodMs is within how many milliseconds the sender's next heartbeat goes to
 	// the receiver; 0 from builds that don't tell and send one a second.
 	PeriodMs int64 `cbor:"11,keyasint,omitempty"`
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -50,8 +50,8 @@
 // connection.
 const maxStrays = 2
 
-// ErrStray says that only answers to other requests came.
-var ErrStray = errors.New("upstream: answers belong to other requests")
+// ErrStrayResponse says that only answers to other requests came.
+var ErrStrayResponse = errors.New("upstream: answers belong to other requests")
 
 // Exchange is one request with the answer that came for it. Close must be called.
 type Exchange struct {
@@ -59,8 +59,8 @@
 	Header http.Header
 	// Body ends with io.EOF only if it is complete.
 	Body io.Reader
-	// Strays is how many answers to other requests were skipped.
-	Strays int
+	// StrayResponses is how many answers to other requests were skipped.
+	StrayResponses int
 
 	pool    *Pool
 	replica Replica
@@ -138,8 +138,8 @@
 			e.take(resp)
 			return nil
 		}
-		if e.Strays++; e.Strays > maxStrays || resp.Close {
-			return ErrStray
+		if e.StrayResponses++; e.StrayResponses > maxStrays || resp.Close {
+			return ErrStrayResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
@@ -155,11 +155,11 @@
 	e.conn.learnIdle(resp.Header)
 }
 
-// Length is the body's length, -1 if the head doesn't say.
-func (e *Exchange) Length() int64 { return e.resp.ContentLength }
+// ContentLength is the body's length, -1 if the head doesn't say.
+func (e *Exchange) ContentLength() int64 { return e.resp.ContentLength }
 
-// Unframed reports that the body ends only with its connection.
-func (e *Exchange) Unframed() bool {
+// CloseDelimited reports that the body ends only with its connection.
+func (e *Exchange) CloseDelimited() bool {
 	return e.resp.ContentLength < 0 && len(e.resp.TransferEncoding) == 0
 }
 
@@ -189,7 +189,7 @@
 }
 
 func (e *Exchange) reusable() bool {
-	if e.resp == nil || !e.ended || e.resp.Close || e.Strays > 0 {
+	if e.resp == nil || !e.ended || e.resp.Close || e.StrayResponses > 0 {
 		return false
 	}
 	return e.wroteAll() && e.conn.reader.Buffered() == 0
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ErrFull says that a replica's share of connections is in use.
-var ErrFull = errors.New("upstream: all connections to the replica are in use")
+// ErrConnectionLimit says that a replica's share of connections is in use.
+var ErrConnectionLimit = errors.New("upstream: all connections to the replica are in use")
 
 // Replica is where a connection leads: an address may be taken over by another
 // replica, so connections belong to an incarnation.
@@ -71,7 +71,7 @@
 		e.open--
 	}
 	if limit > 0 && e.open >= limit {
-		return nil, ErrFull
+		return nil, ErrConnectionLimit
 	}
 	e.open++
 	p.opened++
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -227,7 +227,7 @@
 	for limit := time.Now().Add(5 * time.Second); p.Stats().Open < 2 && time.Now().Before(limit); {
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := p.Do(ctx, r, 2, request("1", 1), belongsTo("1")); !errors.Is(err, upstream.ErrFull) {
+	if _, err := p.Do(ctx, r, 2, request("1", 1), belongsTo("1")); !errors.Is(err, upstream.ErrConnectionLimit) {
 		t.Fatalf("third of two: %v", err)
 	}
 }
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -36,7 +36,7 @@
 	for _, n := range []int{0, 8, 64} {
 		hb := &protocol.Heartbeat{ID: owner, Epoch: 1 << 63, Seq: 1 << 20, ConfigOffset: 1 << 20, Load: protocol.Load{
 			Running: 22, Queued: 3, QueuedTokens: 9000, DecodeTokens: 9000, CacheUsed: 360000, CacheTotal: 368000,
-			EngineUp: true, Incarnation: "0123456789abcdef", Model: "ledger-llm", Version: "v1", PictureAgeMs: 250, Organisations: 3,
+			EngineUp: true, Incarnation: "0123456789abcdef", Model: "ledger-llm", Version: "v1", CacheViewAgeMs: 250, Organisations: 3,
 		}}
 		for i := range n {
 			hb.Residents = append(hb.Residents, protocol.Resident{Hash: prefix.Hash(uint64(i+1) * 0x9E3779B97F4A7C15), Tokens: 2400})
