--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -231,9 +231,9 @@
 // RecordCrash records that this process's engine was lost with all requests that it
 // ran. Only a request that ran alone gets the last strike: one that happened to run
 // beside several culprits must not be given up in their place.
-func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.Strike {
+func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.CrashCount {
 	ranAlone := p.runningTotal == 1
-	strikes := make([]protocol.Strike, 0, len(p.running))
+	strikes := make([]protocol.CrashCount, 0, len(p.running))
 	for f, n := range p.running {
 		p.lostRuns[f] += n
 		s := p.recent(f, now)
@@ -249,6 +249,6 @@
 	}
 	clear(p.running)
 	p.runningTotal = 0
-	slices.SortFunc(strikes, func(a, b protocol.Strike) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(strikes, func(a, b protocol.CrashCount) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return strikes
 }
--- a/internal/attempt/poison_merge.go
+++ b/internal/attempt/poison_merge.go
@@ -9,7 +9,7 @@
 )
 
 // Merge merges a peer's strikes. It is idempotent and independent of order.
-func (p *PoisonTracker) Merge(strikes []protocol.Strike, now time.Duration) {
+func (p *PoisonTracker) Merge(strikes []protocol.CrashCount, now time.Duration) {
 	for _, strike := range strikes {
 		crashedAt := now - millis(max(strike.AgeMs, 0))
 		if now-crashedAt >= p.params.TTL {
@@ -24,7 +24,7 @@
 	}
 }
 
-func (s *crashRecord) merge(strike protocol.Strike, crashedAt, now time.Duration) {
+func (s *crashRecord) merge(strike protocol.CrashCount, crashedAt, now time.Duration) {
 	newer := strike.Generation > s.generation || strike.Generation == s.generation && strike.Count > s.count
 	if newer {
 		s.generation, s.count = strike.Generation, strike.Count
@@ -39,7 +39,7 @@
 // HeartbeatStrikes returns the strikes for the next heartbeat: the latest changes
 // first, then the others in rotation, so that a peer that missed some receives them
 // again.
-func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.Strike {
+func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.CrashCount {
 	p.sweep(now)
 	if len(p.records) == 0 {
 		return nil
@@ -59,15 +59,15 @@
 		p.cursor = others[len(others)-1]
 		fingerprints = slices.Concat(fingerprints[:newest], others)
 	}
-	strikes := make([]protocol.Strike, len(fingerprints))
+	strikes := make([]protocol.CrashCount, len(fingerprints))
 	for i, f := range fingerprints {
 		strikes[i] = p.records[f].toStrike(f, now)
 	}
 	return strikes
 }
 
-func (s *crashRecord) toStrike(fingerprint uint64, now time.Duration) protocol.Strike {
-	return protocol.Strike{
+func (s *crashRecord) toStrike(fingerprint uint64, now time.Duration) protocol.CrashCount {
+	return protocol.CrashCount{
 		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
 		Generation: s.generation, AgeMs: (now - s.lastCrash).Milliseconds(),
 	}
--- a/internal/attempt/poison_test.go
+++ b/internal/attempt/poison_test.go
@@ -41,7 +41,7 @@
 
 type strikeMessage struct {
 	to      int
-	strikes []protocol.Strike
+	strikes []protocol.CrashCount
 }
 
 func newPoisonModel(t *rapid.T, n int) *poisonModel {
--- a/internal/direct/dispatch.go
+++ b/internal/direct/dispatch.go
@@ -268,7 +268,7 @@
 		loss = attempt.FailureNotSent
 	}
 	record.outcome, record.err = loss.String(), err
-	if req.ctx.Err() != nil || errors.Is(err, upstream.ErrFull) {
+	if req.ctx.Err() != nil || errors.Is(err, upstream.ErrConnectionLimit) {
 		return loss
 	}
 	if loss == attempt.FailureNotSent {
