--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -107,7 +107,7 @@
 func newFollower(store fleet.Store, topic string, log *slog.Logger) *follower {
 	f := &follower{
 		store: store, topic: topic, boot: bootTime, wake: make(chan struct{}, 1),
-		pacer: platform.Pacer{Logger: log, Stream: topic, MaxPause: maxPause},
+		pacer: platform.Pacer{Logger: log, Stream: topic, MaxBackoff: maxPause},
 	}
 	nothing := func() {}
 	f.onCaughtUp = nothing
@@ -140,7 +140,7 @@
 		if ctx.Err() == nil {
 			f.failures++
 			f.missed(made)
-			f.pacer.Failed(ctx, err)
+			f.pacer.AfterFailure(ctx, err)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 	if begins && f.hub != nil && promised(f.topicID) && fleet.Era(page.Next) > 0 {
 		go f.hub.askBefore(f)
 	}
-	f.pacer.Answered(ctx, len(page.Records), 0, 0)
+	f.pacer.AfterSuccess(ctx, len(page.Records), 0, 0)
 	return nil
 }
 
@@ -251,7 +251,7 @@
 		r.CalledAt = 0
 	}
 	f.take(page.Next-uint64(len(page.Records)), page.Records, r, ownCall)
-	f.pacer.Answered(ctx, len(page.Records), waited, time.Since(began))
+	f.pacer.AfterSuccess(ctx, len(page.Records), waited, time.Since(began))
 	if f.hub == nil || len(page.Records) > 0 {
 		f.rest(ctx)
 	}
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -152,7 +152,7 @@
 	}()
 	go instances.Poll(ctx, listInterval, func(list []platform.Instance, err error) {
 		e.loop.must(func() { e.onList(list, err) })
-		e.pool.Prove(ctx, platform.Others(list, e.settings.ID))
+		e.pool.Prove(ctx, platform.OtherAddresses(list, e.settings.ID))
 		e.tel.NoteKey(e.openings)
 	})
 	if e.engine != nil {
--- a/internal/endpoint/logreader.go
+++ b/internal/endpoint/logreader.go
@@ -49,11 +49,11 @@
 func (r *logReader) run(ctx context.Context) {
 	from := uint64(1)
 	wait := time.Duration(0)
-	pacer := platform.Pacer{Logger: r.logger, Stream: r.stream, MaxPause: maxLogPause}
+	pacer := platform.Pacer{Logger: r.logger, Stream: r.stream, MaxBackoff: maxLogPause}
 	for ctx.Err() == nil {
 		started := r.now()
 		page, err := r.read(ctx, from, wait)
-		var retained *platform.RetainedError
+		var retained *platform.OffsetExpiredError
 		switch {
 		case errors.As(err, &retained):
 			from = retained.Oldest
@@ -61,11 +61,11 @@
 		case errors.Is(err, context.Canceled):
 			wait = 0 // poked
 		case err != nil:
-			pacer.Failed(ctx, err)
+			pacer.AfterFailure(ctx, err)
 		default:
 			from = page.Next
 			r.deliver(page, started)
-			pacer.Answered(ctx, len(page.Records), wait, r.now()-started)
+			pacer.AfterSuccess(ctx, len(page.Records), wait, r.now()-started)
 			// A page may be cut short anywhere. Only a read that finds nothing
 			// shows the end, so one without a wait follows each that finds some.
 			wait = logWait
@@ -88,7 +88,7 @@
 		case <-done:
 		}
 	}()
-	page, err := r.log.Read(ctx, r.stream, from, platform.MaxPage, wait)
+	page, err := r.log.Read(ctx, r.stream, from, platform.MaxPageRecords, wait)
 	if err != nil && ctx.Err() != nil {
 		return page, context.Canceled
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -95,7 +95,7 @@
 // meetsNoParts checks that followers meet marks of snapshots only.
 func (f *fixture) meetsNoParts() {
 	f.t.Helper()
-	page, err := f.log.Read(f.t.Context(), Stream, 1, platform.MaxPage, 0)
+	page, err := f.log.Read(f.t.Context(), Stream, 1, platform.MaxPageRecords, 0)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -356,7 +356,7 @@
 	f.control(`{"retention_count":0}`)
 	f.reaches(writer, after, SourceLog)
 	page, err := f.log.Read(t.Context(), Stream, 1, 1, 0)
-	var retained *platform.RetainedError
+	var retained *platform.OffsetExpiredError
 	if !errors.As(err, &retained) {
 		t.Fatalf("the log still has its first record: %v %v", page, err)
 	}
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -26,8 +26,8 @@
 // ReadLog reads the whole log once.
 func ReadLog(ctx context.Context, log Log) (*History, error) {
 	h := &History{Base: config.NewState()}
-	records, err := readAll(ctx, log, Stream, 1, platform.MaxPage)
-	var retained *platform.RetainedError
+	records, err := readAll(ctx, log, Stream, 1, platform.MaxPageRecords)
+	var retained *platform.OffsetExpiredError
 	var snapshot *config.Snapshot
 	if errors.As(err, &retained) {
 		records, snapshot, err = readContinued(ctx, log, retained.Oldest)
@@ -49,7 +49,7 @@
 
 // ReadSince reads what the log has after a state.
 func ReadSince(ctx context.Context, log Log, s *config.State) (*History, error) {
-	records, err := readAll(ctx, log, Stream, s.Offset+1, platform.MaxPage)
+	records, err := readAll(ctx, log, Stream, s.Offset+1, platform.MaxPageRecords)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/follow/snapshot.go
+++ b/internal/follow/snapshot.go
@@ -111,7 +111,7 @@
 // readContinued reads the configuration's log from oldest to its end, and the
 // newest snapshot that this continues; nil if there is none.
 func readContinued(ctx context.Context, log Log, oldest uint64) ([]platform.Record, *config.Snapshot, error) {
-	records, err := readAll(ctx, log, Stream, oldest, platform.MaxPage)
+	records, err := readAll(ctx, log, Stream, oldest, platform.MaxPageRecords)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -125,7 +125,7 @@
 // readKept reads all that a stream keeps.
 func readKept(ctx context.Context, log Log, stream string, page int) ([]platform.Record, error) {
 	records, err := readAll(ctx, log, stream, 1, page)
-	var retained *platform.RetainedError
+	var retained *platform.OffsetExpiredError
 	if errors.As(err, &retained) {
 		return readAll(ctx, log, stream, retained.Oldest, page)
 	}
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -36,11 +36,11 @@
 		}
 		t.f.logUp.Store(err == nil)
 		if err != nil {
-			t.pacer.Failed(ctx, err)
+			t.pacer.AfterFailure(ctx, err)
 			continue
 		}
 		t.writeSnapshot(ctx)
-		t.pacer.Answered(ctx, len(page.Records), wait, t.f.now()-began)
+		t.pacer.AfterSuccess(ctx, len(page.Records), wait, t.f.now()-began)
 	}
 }
 
@@ -48,8 +48,8 @@
 func (t *tail) step(ctx context.Context, wait time.Duration) (platform.Page, error) {
 	t.takeNewer()
 	from := t.state.Offset + 1
-	page, err := t.f.opts.Log.Read(ctx, Stream, from, platform.MaxPage, wait)
-	var retained *platform.RetainedError
+	page, err := t.f.opts.Log.Read(ctx, Stream, from, platform.MaxPageRecords, wait)
+	var retained *platform.OffsetExpiredError
 	if errors.As(err, &retained) {
 		return page, t.restore(ctx, retained.Oldest)
 	}
--- a/internal/measure/slopes_claims.go
+++ b/internal/measure/slopes_claims.go
@@ -113,7 +113,7 @@
 	log := platform.NewLog(f.base)
 	defer log.Close()
 	for from := uint64(1); ; {
-		page, err := log.Read(ctx, "claims."+slopeServices, from, platform.MaxPage, 0)
+		page, err := log.Read(ctx, "claims."+slopeServices, from, platform.MaxPageRecords, 0)
 		if err != nil {
 			return err
 		}
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -35,14 +35,14 @@
 	return target == ErrNotAppended || target == ErrUnavailable
 }
 
-// RetainedError means that the offset asked for is past retention: its record
+// OffsetExpiredError means that the offset asked for is past retention: its record
 // is gone, and the reader has to start from a snapshot.
-type RetainedError struct {
+type OffsetExpiredError struct {
 	// Oldest is the lowest offset that the log still keeps.
 	Oldest uint64
 }
 
 // Error implements error.
-func (e *RetainedError) Error() string {
+func (e *OffsetExpiredError) Error() string {
 	return fmt.Sprintf("platform: past retention, oldest offset is %d", e.Oldest)
 }
--- a/internal/platform/instances.go
+++ b/internal/platform/instances.go
@@ -37,8 +37,8 @@
 	State string `json:"state"`
 }
 
-// Others returns the addresses of all instances but self.
-func Others(list []Instance, self string) []string {
+// OtherAddresses returns the addresses of all instances but self.
+func OtherAddresses(list []Instance, self string) []string {
 	var addresses []string
 	for _, i := range list {
 		if i.ID != self {
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// MaxPage is the most records that one read asks for.
-	MaxPage = 1000
+	// MaxPageRecords is the most records that one read asks for.
+	MaxPageRecords = 1000
 	// maxAnswer bounds an answer's body in bytes.
 	maxAnswer = 64 << 20
 	// readGrace is how long a long poll's answer may take beyond its wait.
@@ -230,7 +230,7 @@
 	if err := decode(resp, &body); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return &RetainedError{Oldest: body.Oldest}
+	return &OffsetExpiredError{Oldest: body.Oldest}
 }
 
 var errTooLong = errors.New("answer is too long")
--- a/internal/platform/log_test.go
+++ b/internal/platform/log_test.go
@@ -186,7 +186,7 @@
 	f := newFixture(t, standin.Control{RetentionCount: 2})
 	f.mustAppend("a", "b", "c", "d")
 	_, err := f.Read(t.Context(), "config", 2, 10, 0)
-	var retained *platform.RetainedError
+	var retained *platform.OffsetExpiredError
 	if !errors.As(err, &retained) || retained.Oldest != 3 {
 		t.Errorf("got %v", err)
 	}
--- a/internal/platform/pacer.go
+++ b/internal/platform/pacer.go
@@ -25,8 +25,8 @@
 	// Logger gets the lines; nil for none.
 	Logger *slog.Logger
 	Stream string
-	// MaxPause bounds the pause after a failed read, 3 s if 0.
-	MaxPause time.Duration
+	// MaxBackoff bounds the pause after a failed read, 3 s if 0.
+	MaxBackoff time.Duration
 
 	pause time.Duration
 	// failing is since when the log doesn't answer, zero while it does.
@@ -34,17 +34,17 @@
 	reached bool
 }
 
-// Failed waits before the next read, after one that err says failed: twice as long
+// AfterFailure waits before the next read, after one that err says failed: twice as long
 // each time, with jitter, and no shorter than a rate limit's own word. Without
 // jitter a whole fleet that saw the same outage begin would come back at the same
 // moments and keep the log over its limit.
-func (p *Pacer) Failed(ctx context.Context, err error) {
+func (p *Pacer) AfterFailure(ctx context.Context, err error) {
 	if p.failing.IsZero() {
 		p.failing = time.Now()
 		p.log(slog.LevelWarn, "log not read", "error", err)
 	}
 	p.reached = false
-	p.pause = min(max(2*p.pause, minPause), cmp.Or(p.MaxPause, defaultMaxPause))
+	p.pause = min(max(2*p.pause, minPause), cmp.Or(p.MaxBackoff, defaultMaxPause))
 	pause := p.pause/2 + rand.N(p.pause)
 	var limited *RateLimitedError
 	if errors.As(err, &limited) {
@@ -53,10 +53,10 @@
 	_ = wait.For(ctx, pause) // who waits looks at ctx next
 }
 
-// Answered takes a read that was answered with so many records. One that was to wait for longer and came
+// AfterSuccess takes a read that was answered with so many records. One that was to wait for longer and came
 // back at once with nothing is followed by a pause: a log that doesn't hold long
 // polls would be asked in a tight loop, seen as a busy core on each side.
-func (p *Pacer) Answered(ctx context.Context, records int, waited, took time.Duration) {
+func (p *Pacer) AfterSuccess(ctx context.Context, records int, waited, took time.Duration) {
 	if !p.reached {
 		p.log(slog.LevelInfo, "log reached", "after_ms", p.outage().Milliseconds())
 	}
--- a/internal/platform/pacer_test.go
+++ b/internal/platform/pacer_test.go
@@ -19,7 +19,7 @@
 	var p platform.Pacer
 	began := time.Now()
 	for range 3 {
-		p.Answered(t.Context(), 0, 10*time.Second, time.Millisecond)
+		p.AfterSuccess(t.Context(), 0, 10*time.Second, time.Millisecond)
 	}
 	if took := time.Since(began); took < 300*time.Millisecond {
 		t.Errorf("three empty answers in %v", took)
@@ -33,10 +33,10 @@
 	cancel() // no pause
 	for range 2 {
 		for range 3 {
-			p.Failed(ended, errors.New("out"))
+			p.AfterFailure(ended, errors.New("out"))
 		}
 		for range 3 {
-			p.Answered(ended, 0, 0, 0)
+			p.AfterSuccess(ended, 0, 0, 0)
 		}
 	}
 	text := lines.String()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -154,13 +154,13 @@
 
 func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(queryOr(r, "from", "1"), 10, 64)
-	limit, err2 := strconv.Atoi(queryOr(r, "max", strconv.Itoa(client.MaxPage)))
+	limit, err2 := strconv.Atoi(queryOr(r, "max", strconv.Itoa(client.MaxPageRecords)))
 	wait, err3 := strconv.Atoi(queryOr(r, "wait_ms", "0"))
 	if err != nil || err2 != nil || err3 != nil || limit < 1 {
 		fail(w, http.StatusBadRequest, "from, max and wait_ms are numbers")
 		return
 	}
-	limit = min(limit, client.MaxPage)
+	limit = min(limit, client.MaxPageRecords)
 	control, _ := s.snapshot()
 	if !pause(r, control.SlowMS) {
 		return
--- a/test/harness/extra.go
+++ b/test/harness/extra.go
@@ -137,8 +137,8 @@
 	defer log.Close()
 	from := uint64(1)
 	for {
-		page, err := log.Read(context.Background(), stream, from, platform.MaxPage, 0)
-		var retained *platform.RetainedError
+		page, err := log.Read(context.Background(), stream, from, platform.MaxPageRecords, 0)
+		var retained *platform.OffsetExpiredError
 		if errors.As(err, &retained) {
 			from = retained.Oldest
 			continue
