--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -111,7 +111,7 @@
 func newFollower(store fleet.Store, topic string, log *slog.Logger) *follower {
 	f := &follower{
 		store: store, topic: topic, boot: bootTime, wake: make(chan struct{}, 1),
-		pacer: platform.Pacer{Logger: log, Stream: topic, MaxPause: maxRetryPause},
+		pacer: platform.Pacer{Logger: log, Stream: topic, MaxBackoff: maxRetryPause},
 	}
 	nothing := func() {}
 	f.onCaughtUp = nothing
@@ -144,7 +144,7 @@
 		if ctx.Err() == nil {
 			f.failures++
 			f.handleReadFailure(made)
-			f.pacer.Failed(ctx, err)
+			f.pacer.AfterFailure(ctx, err)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	if begins && f.hub != nil && mustBeFresh(f.topicID) && fleet.Era(page.Next) > 0 {
 		go f.hub.fetchPreRestore(f)
 	}
-	f.pacer.Answered(ctx, len(page.Records), 0, 0)
+	f.pacer.AfterSuccess(ctx, len(page.Records), 0, 0)
 	return nil
 }
 
@@ -255,7 +255,7 @@
 		r.CalledAt = 0
 	}
 	f.applyRecords(page.Next-uint64(len(page.Records)), page.Records, r, fromStore)
-	f.pacer.Answered(ctx, len(page.Records), waited, time.Since(began))
+	f.pacer.AfterSuccess(ctx, len(page.Records), waited, time.Since(began))
 	if f.hub == nil || len(page.Records) > 0 {
 		f.pauseReads(ctx)
 	}
