--- a/internal/endpoint/account.go
+++ b/internal/endpoint/account.go
@@ -5,8 +5,8 @@
 	"skylarklead/internal/telemetry"
 )
 
-// account logs and counts how an attempt ended.
-func (e *Endpoint) account(a *execution, end protocol.End) {
+// recordEnd logs and counts how an attempt ended.
+func (e *Endpoint) recordEnd(a *execution, end protocol.End) {
 	reason := string(end.Code)
 	if end.Code == protocol.CodeNone {
 		reason = string(end.Outcome)
@@ -18,7 +18,7 @@
 		Owner:           a.run.Owner,
 		Executor:        e.settings.ID,
 		Reason:          reason,
-		PredictedCached: a.predicted,
+		PredictedCached: a.predictedCached,
 		ActualCached:    end.CachedTokens,
 		Outcome:         end.Outcome,
 	})
@@ -30,5 +30,5 @@
 	}
 	e.tel.Metrics.Completed.Mark(1)
 	e.tel.Metrics.Tokens.Mark(int64(end.CompletionTokens))
-	e.tel.Metrics.Prompt(end.PromptTokens, end.CachedTokens, a.predicted)
+	e.tel.Metrics.Prompt(end.PromptTokens, end.CachedTokens, a.predictedCached)
 }
--- a/internal/endpoint/admission.go
+++ b/internal/endpoint/admission.go
@@ -11,18 +11,19 @@
 	"skylarklead/internal/route"
 )
 
-// callCost stands for a plain service's call in the fair queue, in tokens.
+// callCost is the cost of a plain service's call in the fair queue, in tokens.
 const callCost = 1
 
-// arrive lets an attempt wait for its turn.
-func (e *Endpoint) arrive(a *execution) {
+// enqueue puts an attempt into the admission queue, or ends it if the request is
+// known as poison.
+func (e *Endpoint) enqueue(a *execution) {
 	now := e.now()
 	if a.run.Suspect {
-		e.struck(a.run.Fingerprint, attempt.DefaultPoisonParams.ExclusiveFrom())
+		e.mergeCrashCount(a.run.Fingerprint, attempt.DefaultPoisonParams.ExclusiveFrom())
 	}
 	verdict := e.poison.Judge(a.run.Fingerprint, now)
 	if verdict.Kind == attempt.VerdictGivenUp && a.run.Call == nil {
-		e.end(a, endOf(verdict.Refusal()))
+		e.end(a, endFromRefusal(verdict.Refusal()))
 		return
 	}
 	item := admit.Item{
@@ -30,7 +31,7 @@
 		Organisation:   a.run.Organisation,
 		Priority:       a.run.Priority,
 		MaxTokens:      max(a.run.MaxTokens, callCost),
-		UncachedTokens: e.predict(a),
+		UncachedTokens: e.estimateUncached(a),
 		Exclusive:      a.run.Call == nil && (a.run.Suspect || verdict.Kind == attempt.VerdictExclusive),
 	}
 	if a.run.Call != nil {
@@ -44,14 +45,14 @@
 	if a.run.DeadlineMs > 0 {
 		item.Deadline = now + time.Duration(a.run.DeadlineMs)*time.Millisecond
 	}
-	e.perform(e.admission.Arrive(now, item))
-	if e.backlog.ShouldReport(now, e.admission.Summary().QueuedTokens) {
-		e.beatAll()
+	e.performAdmission(e.admission.Arrive(now, item))
+	if e.backlogTrigger.ShouldReport(now, e.admission.Summary().QueuedTokens) {
+		e.sendHeartbeatToAll()
 	}
 }
 
-// backlogsElsewhere counts the other endpoints of the group that have told of a
-// backlog of an organisation.
+// backlogsElsewhere counts the other endpoints of the group that reported a backlog
+// of an organisation within SuspectAfter.
 func (e *Endpoint) backlogsElsewhere(organisation string) int {
 	hash, count := route.OrganisationHash(organisation), 0
 	since := e.now() - e.settings.Endpoint.SuspectAfter.D()
@@ -63,29 +64,29 @@
 	return count
 }
 
-// predict notes what the engine is believed to hold of a prompt, and returns
-// the tokens that it will have to compute.
-func (e *Endpoint) predict(a *execution) int {
+// estimateUncached records how much of a prompt the engine is expected to hold, and
+// returns the tokens that it will have to compute.
+func (e *Endpoint) estimateUncached(a *execution) int {
 	if a.run.Call != nil {
 		return callCost
 	}
 	salt := prefix.Salt{Organisation: a.run.Organisation, Model: a.run.Model, Weights: a.run.Version}
 	a.chain = prefix.Chain(salt.Root(), prefix.Flatten(a.messages))
-	a.predicted, _ = e.picture.Resident(a.chain)
-	e.picture.Track(route.OwnerKey(a.run.Organisation, a.run.Model, a.run.Levels), a.run.Levels)
+	a.predictedCached, _ = e.cacheView.Resident(a.chain)
+	e.cacheView.Track(route.OwnerKey(a.run.Organisation, a.run.Model, a.run.Levels), a.run.Levels)
 	partial := len(a.run.Partial) / prefix.BytesPerToken
-	return max(0, prefix.EstimateTokens(a.messages)+partial-a.predicted)
+	return max(0, prefix.EstimateTokens(a.messages)+partial-a.predictedCached)
 }
 
-// perform does what the admission core asks for.
-func (e *Endpoint) perform(actions []admit.Action) {
+// performAdmission carries out the actions of the admission core.
+func (e *Endpoint) performAdmission(actions []admit.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case admit.Start:
 			a := e.executions[action.ID]
-			a.phase = phaseHeld
+			a.phase = phaseAdmitted
 			a.enginePriority = action.EnginePriority
-			e.held = append(e.held, a)
+			e.admitted = append(e.admitted, a)
 		case admit.Refuse:
 			e.end(e.executions[action.ID], protocol.End{
 				Outcome:      protocol.NotRun,
@@ -95,81 +96,81 @@
 			})
 		}
 	}
-	e.startHeld()
+	e.startAdmitted()
 }
 
-// startHeld hands admitted attempts to the back end, as far as suspects allow:
-// one of them runs alone.
-func (e *Endpoint) startHeld() {
+// startAdmitted sends admitted attempts to the back end, as far as poison suspects
+// allow: one of those runs alone.
+func (e *Endpoint) startAdmitted() {
 	if e.placement.loading {
-		return // the engine would refuse them
+		return // the engine would refuse them while it loads weights
 	}
-	held := e.held
-	e.held = nil
-	for _, a := range held {
-		if a.phase != phaseHeld {
+	admitted := e.admitted
+	e.admitted = nil
+	for _, a := range admitted {
+		if a.phase != phaseAdmitted {
 			continue
 		}
-		if why := e.notForEngine(a); why != "" {
-			end := protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: why, RetryAfterMs: e.restLeft().Milliseconds()}
+		if reason := e.startRefusal(a); reason != "" {
+			end := protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: reason, RetryAfterMs: e.backoffLeft().Milliseconds()}
 			end.Redirect = e.redirect(a.run)
-			e.dismiss(a, end)
+			e.refuseAdmitted(a, end)
 			continue
 		}
-		switch e.guard(a) {
+		switch e.startDecision(a) {
 		case attempt.StartNow:
 			e.start(a)
 		case attempt.StartWait:
-			e.held = append(e.held, a)
+			e.admitted = append(e.admitted, a)
 		case attempt.StartRefused:
-			e.dismiss(a, endOf(e.poison.Judge(a.run.Fingerprint, e.now()).Refusal()))
+			e.refuseAdmitted(a, endFromRefusal(e.poison.Judge(a.run.Fingerprint, e.now()).Refusal()))
 		}
 	}
 }
 
-// dismiss ends an admitted attempt that was not handed to the back end.
-func (e *Endpoint) dismiss(a *execution, end protocol.End) {
+// refuseAdmitted ends an admitted attempt that was not sent to the back end.
+func (e *Endpoint) refuseAdmitted(a *execution, end protocol.End) {
 	e.end(a, end)
-	e.perform(e.admission.Finish(e.now(), a.id, admit.Actual{}))
+	e.performAdmission(e.admission.Finish(e.now(), a.id, admit.Actual{}))
 }
 
-// notForEngine returns why an admitted attempt isn't handed over, empty if it is.
-func (e *Endpoint) notForEngine(a *execution) string {
+// startRefusal returns why an admitted attempt can't be sent to the engine now, ""
+// if it can.
+func (e *Endpoint) startRefusal(a *execution) string {
 	switch {
-	case e.watch.freeze.on:
+	case e.watch.freeze.active:
 		return "engine doesn't answer"
-	case e.restLeft() > 0:
-		return "engine rests"
-	case e.otherWeights(a):
-		return "engine has other weights"
+	case e.backoffLeft() > 0:
+		return "engine asked for a backoff"
+	case e.weightsChanged(a):
+		return "engine has other weights than requested"
 	}
 	return ""
 }
 
-// otherWeights reports whether the engine's weights have changed since the
-// request was sent here. It would be answered by a version that it didn't ask
-// for.
-func (e *Endpoint) otherWeights(a *execution) bool {
+// weightsChanged reports whether the engine has other weights than the request was
+// routed for. The answer would come from a version that the request didn't ask for.
+func (e *Endpoint) weightsChanged(a *execution) bool {
 	return a.run.Call == nil && a.run.Version != "" && e.watch.version != "" && a.run.Version != e.watch.version
 }
 
-func (e *Endpoint) guard(a *execution) attempt.StartDecision {
+func (e *Endpoint) startDecision(a *execution) attempt.StartDecision {
 	if a.run.Call != nil {
 		return attempt.StartNow
 	}
 	return e.poison.Start(a.run.Fingerprint, e.now())
 }
 
-// finished takes an attempt off the back end.
-func (e *Endpoint) finished(a *execution, end protocol.End) {
+// onRunEnded handles the end of an attempt's run on the back end.
+func (e *Endpoint) onRunEnded(a *execution, end protocol.End) {
 	now := e.now()
 	if a.run.Call == nil {
 		if verdict := e.poison.Judge(a.run.Fingerprint, now); end.EngineCrashed && verdict.Kind == attempt.VerdictGivenUp {
 			refusal := verdict.Refusal()
 			end.Code, end.Message, end.RetryAfterMs = refusal.Code, refusal.Message, refusal.RetryAfterMs
 		}
-		e.offEngine(a, end)
-		e.learn(a, end)
+		e.recordRunEnd(a, end)
+		e.reconcileCache(a, end)
 	}
 	ran := end.Outcome != protocol.NotRun
 	if a.run.Call == nil && end.Code == protocol.CodeNotRun {
@@ -181,15 +182,15 @@
 		Ran:            ran,
 	}
 	e.end(a, end)
-	e.perform(e.admission.Finish(now, a.id, actual))
+	e.performAdmission(e.admission.Finish(now, a.id, actual))
 }
 
-// learn corrects the cache picture by an answer's own account.
-func (e *Endpoint) learn(a *execution, end protocol.End) {
+// reconcileCache corrects the cache view by the cached tokens that an answer reports.
+func (e *Endpoint) reconcileCache(a *execution, end protocol.End) {
 	if end.PromptTokens == 0 {
 		return
 	}
-	e.picture.Reconcile(a.mark, a.chain, end.CachedTokens)
+	e.cacheView.Reconcile(a.revision, a.chain, end.CachedTokens)
 	e.router.RequestFinished(e.now(), route.Outcome{
 		Endpoint:     e.settings.ID,
 		Epoch:        e.tel.Epoch,
@@ -201,21 +202,21 @@
 	})
 }
 
-// withdraw takes an attempt that hasn't been handed over out of the queue.
+// withdraw takes an attempt that hasn't been sent to the back end out of admission.
 func (e *Endpoint) withdraw(a *execution) {
 	switch a.phase {
 	case phaseWaiting:
 		if key, ok := keyDigest(a.run.Key); ok {
 			e.claims.once.Withdraw(key, a.id)
 		}
-		e.perform(e.admission.Cancel(e.now(), a.id))
-	case phaseHeld:
-		e.held = slices.DeleteFunc(e.held, func(b *execution) bool { return a == b })
+		e.performAdmission(e.admission.Cancel(e.now(), a.id))
+	case phaseAdmitted:
+		e.admitted = slices.DeleteFunc(e.admitted, func(b *execution) bool { return a == b })
 		e.poison.Withdraw(a.run.Fingerprint)
-		e.perform(e.admission.Finish(e.now(), a.id, admit.Actual{}))
+		e.performAdmission(e.admission.Finish(e.now(), a.id, admit.Actual{}))
 	}
 }
 
-func endOf(r *protocol.Refusal) protocol.End {
+func endFromRefusal(r *protocol.Refusal) protocol.End {
 	return protocol.End{Outcome: r.Ran, Code: r.Code, Message: r.Message, RetryAfterMs: r.RetryAfterMs}
 }
--- a/internal/endpoint/admission_test.go
+++ b/internal/endpoint/admission_test.go
@@ -14,10 +14,9 @@
 	"skylarklead/internal/wire"
 )
 
-// Symptom: a large organisation crowds a small one out at the endpoints that hold
-// the small one's prefixes.
-// Sequence: it has a backlog at every endpoint of the group.
-// Cause: it has a full share at each of them.
+// Guards against a large organisation crowding out a small one at the endpoints that
+// hold the small one's prefixes: with a backlog at every endpoint of the group, the
+// large one had a full share at each of them.
 func TestBacklogsElsewhere(t *testing.T) {
 	hash := route.OrganisationHash("large")
 	const suspectAfter = 3 * time.Second
@@ -25,12 +24,12 @@
 		started:  time.Now().Add(-time.Minute),
 		settings: &settings.Settings{Endpoint: &settings.Endpoint{SuspectAfter: settings.Duration(suspectAfter)}},
 	}
-	heard := e.now()
+	reportedAt := e.now()
 	e.group.peers = map[string]*peer{
-		"backlog":      {hasLoad: true, loadAt: heard, load: protocol.Load{Heavy: []uint64{1, hash}}},
-		"none":         {hasLoad: true, loadAt: heard, load: protocol.Load{Heavy: []uint64{1}}},
-		"long silent":  {hasLoad: true, loadAt: heard - 2*suspectAfter, load: protocol.Load{Heavy: []uint64{hash}}},
-		"not heard of": {},
+		"backlog":    {hasLoad: true, loadAt: reportedAt, load: protocol.Load{Heavy: []uint64{1, hash}}},
+		"none":       {hasLoad: true, loadAt: reportedAt, load: protocol.Load{Heavy: []uint64{1}}},
+		"old report": {hasLoad: true, loadAt: reportedAt - 2*suspectAfter, load: protocol.Load{Heavy: []uint64{hash}}},
+		"no report":  {},
 	}
 	if got := e.backlogsElsewhere("large"); got != 1 {
 		t.Errorf("%d backlogs of the large one elsewhere, want 1", got)
@@ -40,16 +39,15 @@
 	}
 }
 
-// Symptom: an owner goes on sending to an endpoint that has half a second of
-// prompts to compute.
-// Sequence: other owners have sent them there; its next report is due in a second.
-// Cause: only its reports tell of them.
+// Guards against an owner that keeps sending to an endpoint with half a second of
+// prompts to compute. Other owners have sent these, and the owner learns of them only
+// from the endpoint's next periodic report, due in a second.
 func TestRisenBacklogIsToldAtOnce(t *testing.T) {
 	e, _ := newTestEndpoint(t)
 	e.pool = wire.NewPool(wire.Options{Key: fleetKey, Self: e.identity, Handler: peerHandler{e}})
 	defer e.pool.Close()
 	e.config = follow.FromSettings(e.settings, e.platformLog, nil, e.pool, e.log)
-	e.placement.loading = true // nothing goes to the engine
+	e.placement.loading = true // nothing is sent to the engine
 	e.group.view.InstancesListed([]member.Instance{{ID: "ep-2", Address: freeAddress(t), Group: "g"}}, e.now())
 	for i, tokens := range []int{100, 10000} {
 		run := chat(byte(i))
@@ -57,9 +55,9 @@
 			Role: "user", Content: strings.Repeat("a", tokens*prefix.BytesPerToken),
 		}}}
 		e.executions[a.id] = a
-		e.arrive(a)
-		if told := e.beatSeq > 0; told != (tokens > 2000) {
-			t.Errorf("told %v of %d tokens", told, tokens)
+		e.enqueue(a)
+		if sent := e.heartbeatSeq > 0; sent != (tokens > 2000) {
+			t.Errorf("heartbeat sent: %v, at %d tokens", sent, tokens)
 		}
 	}
 }
--- a/internal/endpoint/adopt.go
+++ b/internal/endpoint/adopt.go
@@ -12,17 +12,17 @@
 	"skylarklead/internal/wire"
 )
 
-// adoptTimeout bounds finding an orphan at the engine and reading up to the piece
-// that is asked for, all of which the engine has at hand.
+// adoptTimeout bounds finding an orphan at the engine and reading up to the
+// requested chunk. The engine has all of that in memory.
 const adoptTimeout = 2 * time.Second
 
 var (
-	errForeign = errors.New("endpoint: stream is another organisation's")
-	errAdopted = errors.New("endpoint: stream was adopted already")
+	errOtherOrganisation = errors.New("endpoint: stream belongs to another organisation")
+	errAlreadyAdopted    = errors.New("endpoint: stream already adopted")
 )
 
 // orphan is a stream that an earlier epoch of this process began and that the
-// engine still goes on with. Its attempt's first piece is its first text, for a
+// engine still generates. The first chunk of its attempt is its first text: a
 // continuation has another name at the engine (streamName).
 type orphan struct {
 	completion
@@ -31,17 +31,17 @@
 	stop         context.CancelCauseFunc
 }
 
-// mayAdopt reports whether a resume that matches no execution may be of an orphan.
+// mayAdopt reports whether a resume that matches no execution may refer to an orphan.
 func (e *Endpoint) mayAdopt(m *protocol.Resume) bool {
 	return e.executions[m.Attempt] == nil && m.Epoch != e.tel.Epoch && e.service == nil && m.Organisation != ""
 }
 
-// adopt looks for the stream at the engine; it runs beside the loop.
+// adopt looks for the stream at the engine. It runs off the loop.
 func (e *Endpoint) adopt(s *wire.Session, m *protocol.Resume) {
 	o, err := e.findOrphan(m)
-	e.loop.must(func() {
+	e.loop.postUnbounded(func() {
 		if err == nil {
-			err = e.adopted(s, m, o)
+			err = e.addAdopted(s, m, o)
 		}
 		if err != nil {
 			e.log.Debug("stream not adopted", "attempt", m.Attempt.String(), "error", err)
@@ -50,10 +50,10 @@
 	})
 }
 
-// findOrphan opens the engine's stream and reads up to the piece that is asked
-// for. The attempt's ID is no permission: it stands in logs, and whoever knows it
-// could read another organisation's answer. The engine knows the salt that the
-// stream was begun with; only the organisation of that salt gets it.
+// findOrphan opens the engine's stream and reads up to the requested chunk. Knowing
+// an attempt's ID gives no access: IDs appear in logs, and whoever reads one there could
+// otherwise get another organisation's answer. The engine knows the salt that the stream was
+// begun with; only the organisation of that salt gets the stream.
 func (e *Endpoint) findOrphan(m *protocol.Resume) (*orphan, error) {
 	o := &orphan{completion: completion{engine: e.engine, id: m.Attempt.String()}}
 	o.ctx, o.stop = context.WithCancelCause(context.Background())
@@ -65,17 +65,17 @@
 		return nil, fmt.Errorf("endpoint: adopt: %w", err)
 	}
 	if o.engineStream.Salt != m.Organisation {
-		return nil, o.leave(errForeign)
+		return nil, o.release(errOtherOrganisation)
 	}
 	if err := o.skip(m.Seq); err != nil {
-		return nil, o.leave(err)
+		return nil, o.release(err)
 	}
 	return o, nil
 }
 
-// skip reads what the caller has.
-func (o *orphan) skip(pieces uint64) error {
-	for pieces > 0 {
+// skip reads the chunks that the caller already has.
+func (o *orphan) skip(chunks uint64) error {
+	for chunks > 0 {
 		event, err := o.engineStream.Next()
 		if err != nil {
 			return fmt.Errorf("endpoint: adopt: %w", err)
@@ -84,31 +84,33 @@
 			o.end.FinishReason = event.FinishReason
 		}
 		if event.Text != "" {
-			pieces--
+			chunks--
 		}
 	}
 	return nil
 }
 
-// leave lets go of the stream without ending it: it may be another's.
-func (o *orphan) leave(why error) error {
+// release closes the connection without ending the stream at the engine: it may
+// belong to another caller. It returns cause.
+func (o *orphan) release(cause error) error {
 	o.engineStream.Close()
-	o.stop(why)
-	return why
+	o.stop(cause)
+	return cause
 }
 
-// adopted makes an execution of an orphan. It has no place in the admission and no
-// strikes: the engine took it under the earlier epoch, and reports it in its load.
-func (e *Endpoint) adopted(s *wire.Session, m *protocol.Resume, o *orphan) error {
-	if e.executions[m.Attempt] != nil { // through another entry meanwhile
-		_ = o.leave(errAdopted)
+// addAdopted registers an orphan as an execution. It takes no admission slot and
+// isn't tracked for crashes: the engine accepted it under the earlier epoch, and
+// counts it in its load report.
+func (e *Endpoint) addAdopted(s *wire.Session, m *protocol.Resume, o *orphan) error {
+	if e.executions[m.Attempt] != nil { // adopted through another entry meanwhile
+		_ = o.release(errAlreadyAdopted)
 		e.onResume(s, m)
 		return nil
 	}
 	if e.registry.Arrive(m.Attempt, e.now()) != attempt.ArrivalNew {
-		return o.leave(errAdopted)
+		return o.release(errAlreadyAdopted)
 	}
-	a := e.open(s, &protocol.Run{
+	a := e.addExecution(s, &protocol.Run{
 		Attempt:      m.Attempt,
 		Request:      m.Attempt.String(),
 		Organisation: m.Organisation,
@@ -117,13 +119,13 @@
 		Window:       m.Window,
 	})
 	a.phase, a.stop, a.adoptedFrom = phaseRunning, o.stop, m.Epoch
-	o.job = job{run: a.run, stream: a.stream, begun: time.Now()}
+	o.job = job{run: a.run, stream: a.stream, startedAt: time.Now()}
 	e.log.Info("stream adopted", "attempt", a.id.String(), "organisation", m.Organisation, "seq", m.Seq)
 	go func() {
 		defer o.stop(nil)
-		a.stream.begin(0, "")
-		end := o.ended(o.ctx, o.follow(o.ctx, o.engineStream))
-		e.loop.must(func() { e.end(a, end) })
+		a.stream.start(0, "")
+		end := o.result(o.ctx, o.readToEnd(o.ctx, o.engineStream))
+		e.loop.postUnbounded(func() { e.end(a, end) })
 	}()
 	return nil
 }
--- a/internal/endpoint/adopt_test.go
+++ b/internal/endpoint/adopt_test.go
@@ -6,14 +6,13 @@
 	"skylarklead/internal/protocol"
 )
 
-// Symptom: a caller who comes back is told that its stream is lost, while the
-// engine goes on with it.
-// Sequence: the caller and the endpoint process are both gone in mid-stream; the
-// process is back under another epoch when the caller resumes.
-// Cause: an attempt was known to the epoch that took its Run alone.
+// Guards against telling a returning caller that its stream is lost while the engine
+// still generates it. The caller and the endpoint process are both gone in mid-stream;
+// the process is back under another epoch when the caller resumes, and that epoch never
+// received the attempt's Run.
 func TestStreamOutlivesItsProcess(t *testing.T) {
 	const seen = 5
-	base := startStandin(t)
+	base := startCurrentStandinEngine(t)
 	first := startProcess(t, base, nil)
 	n := first.dial("entry-1")
 	run := chat(1)
@@ -38,12 +37,11 @@
 	}
 }
 
-// Symptom: a stream is delivered to another organisation, or with a hole.
-// Sequence: a Resume of an engine's stream comes from an organisation that isn't
-// its own, for an attempt that began in the middle, or beyond its end.
-// Cause: an ID that is taken for a permission.
+// Guards against delivering a stream to another organisation, or with a gap, because
+// the attempt's ID alone is taken as a permission: the Resume comes from another
+// organisation, for an attempt that began in the middle, or beyond the stream's end.
 func TestStreamsThatAreNotAdopted(t *testing.T) {
-	base := startStandin(t)
+	base := startCurrentStandinEngine(t)
 	first := startProcess(t, base, nil)
 	n := first.dial("entry-1")
 	middle := chat(2)
@@ -83,7 +81,7 @@
 	}
 	c, ok := m.(*protocol.Chunk)
 	if !ok || c.Seq != seq {
-		n.t.Fatalf("got %+v where chunk %d was due", m, seq)
+		n.t.Fatalf("got %+v, want chunk %d", m, seq)
 	}
 	return string(c.Data)
 }
--- a/internal/endpoint/ask.go
+++ b/internal/endpoint/ask.go
@@ -10,7 +10,7 @@
 	"skylarklead/internal/wire"
 )
 
-// onAsk decides, as an owner, where a request runs.
+// onAsk decides, as the owner of the request's prefix, where it runs.
 func (e *Endpoint) onAsk(s *wire.Session, ref uint32, ask *protocol.Ask) {
 	if ask.Group != e.settings.Endpoint.Group {
 		refusal := protocol.Refusal{Code: protocol.CodeBadRequest, Message: "not this endpoint's group", Ran: protocol.NotRun}
@@ -18,25 +18,25 @@
 		return
 	}
 	if crashes := len(ask.Crashed); crashes > 0 {
-		e.struck(ask.Fingerprint, crashes)
+		e.mergeCrashCount(ask.Fingerprint, crashes)
 	}
 	e.probe(ask.Exclude, true)
 	endpoints := e.endpoints()
-	if version := e.otherVersion(ask, endpoints); version != "" {
-		e.reply(s, ref, e.askOther(ask, version))
+	if version := e.fallbackVersion(ask, endpoints); version != "" {
+		e.reply(s, ref, e.suggestVersion(ask, version))
 		return
 	}
 	decision := e.decide(ask, endpoints)
 	e.recordRoute(ask, decision)
 	if !ask.Explain {
-		// The owner of an organisation with many requests would spend more on
-		// these than on all else that it tells.
+		// For the owner of an organisation with many requests the candidates would take
+		// more traffic than everything else it sends.
 		decision.Candidates = nil
 	}
 	e.reply(s, ref, decision)
 }
 
-// decide lets the router choose, under what is held against the request.
+// decide lets the router choose an executor, given the crashes known of the request.
 func (e *Endpoint) decide(ask *protocol.Ask, endpoints []route.Endpoint) *protocol.Decision {
 	now := e.now()
 	verdict := e.poison.Judge(ask.Fingerprint, now)
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case verdict.Kind == attempt.VerdictGivenUp:
-		decision.Refusal = verdict.Refusal() // it tells when to come back
+		decision.Refusal = verdict.Refusal() // has the time after which the caller may retry
 	case result.Refusal == nil:
 		decision.Executor = e.target(result.Executor)
 		if decision.Donor = result.Donor; decision.Donor != nil {
--- a/internal/endpoint/completion.go
+++ b/internal/endpoint/completion.go
@@ -12,74 +12,74 @@
 )
 
 const (
-	// engineResumes is how often in a row a stream's lost connection is made
-	// again, resumePause the pause between.
-	engineResumes = 5
-	resumePause   = 100 * time.Millisecond
-	// resumeBound is how long that may go on. A refused connection fails at once,
-	// but each try at a stopped engine takes the wait for its header, and the
-	// caller of a cut stream waits for them all.
-	resumeBound = 3 * time.Second
-	// engineSilence is how long a begun answer may pause before its connection is
-	// made again. An engine that is stopped, or whose host is cut off, sends no
-	// reset: the stream would hang to its caller's deadline though another
-	// endpoint could go on with it. To a live engine, asking again is harmless.
-	engineSilence = 2 * time.Second
-	// silentWait bounds in all how long what can't be run elsewhere waits for a
-	// silent engine: one whose host is gone never answers, and a drain would not
-	// end.
-	silentWait    = time.Minute
+	// maxEngineResumes is how many times in a row a stream's lost connection is
+	// reopened, resumeInterval the pause between two tries.
+	maxEngineResumes = 5
+	resumeInterval   = 100 * time.Millisecond
+	// resumeTimeout bounds all of these tries together. A refused connection fails at
+	// once, but each try at a stopped engine takes the whole wait for its header,
+	// and the caller of the interrupted stream waits for all of them.
+	resumeTimeout = 3 * time.Second
+	// chunkTimeout is how long an answer that has begun may pause before its
+	// connection is reopened. An engine that is stopped, or whose host is cut off,
+	// sends no reset: the stream would hang until its caller's deadline although
+	// another endpoint could continue it. Reopening is harmless to a live engine.
+	chunkTimeout = 2 * time.Second
+	// maxSilentWait bounds the whole wait of an attempt that can't be run elsewhere
+	// for an engine that doesn't answer. An engine whose host is gone never answers,
+	// and a drain would never end.
+	maxSilentWait = time.Minute
 	cancelTimeout = 2 * time.Second
 )
 
 var (
-	errCrashed = errors.New("endpoint: engine crashed")
-	// errOtherWeights is an answer that began under weights other than asked for.
-	errOtherWeights = errors.New("endpoint: engine has other weights")
+	errEngineCrashed = errors.New("endpoint: engine crashed")
+	// errWeightsMismatch is for an answer that began under weights other than requested.
+	errWeightsMismatch = errors.New("endpoint: engine has other weights than requested")
 )
 
-// completion is one run at the engine.
+// completion is one run of a prompt at the engine.
 type completion struct {
 	job
-	engine     *engine.Client
-	id         string
-	end        protocol.End
-	firstToken func()
+	engine       *engine.Client
+	id           string
+	end          protocol.End
+	onFirstToken func()
 }
 
 // runCompletion runs a prompt at the engine and returns how it ended.
 func (e *Endpoint) runCompletion(ctx context.Context, j job) protocol.End {
 	c := &completion{job: j, engine: e.engine, id: streamName(j.run)}
-	c.firstToken = func() { e.tel.Metrics.FirstToken(j.run.Organisation, time.Since(j.begun)) }
+	c.onFirstToken = func() { e.tel.Metrics.FirstToken(j.run.Organisation, time.Since(j.startedAt)) }
 	st, err := c.engine.Complete(ctx, c.request())
 	if errors.Is(err, engine.ErrNotSent) {
 		var refused *engine.RefusedError
 		switch {
 		case !errors.As(err, &refused):
-			e.loop.must(func() { e.engineUnreachable(err) })
+			e.loop.postUnbounded(func() { e.markEngineDown(err) })
 		case refused.Rest() > 0:
-			e.loop.must(func() { e.engineRests(refused.Rest()) })
+			e.loop.postUnbounded(func() { e.startBackoff(refused.Rest()) })
 		}
-		return c.notRun(err)
+		return c.notRunEnd(err)
 	}
 	if err != nil && ctx.Err() == nil {
-		// The answer's header was lost, but the engine may live and have it.
+		// The response header was lost, but the engine may be alive and running the request.
 		st, err = c.resume(ctx, 0)
 	}
 	if err == nil && st.Weights != "" && j.run.Version != "" && st.Weights != j.run.Version {
 		st.Close()
-		err = errOtherWeights
+		err = errWeightsMismatch
 	}
 	if err == nil {
-		j.stream.begin(0, "")
-		err = c.follow(ctx, st)
+		j.stream.start(0, "")
+		err = c.readToEnd(ctx, st)
 	}
-	return c.ended(ctx, err)
+	return c.result(ctx, err)
 }
 
-// streamName names a run at the engine. One that doesn't begin with its answer's
-// first piece says so: after a restart nothing else here tells the number of a
-// stream's first piece.
+// streamName returns the name of a run at the engine. For a run that doesn't begin
+// with the answer's first chunk the name includes the first sequence number: after a
+// restart of this process nothing else records it.
 func streamName(run *protocol.Run) string {
 	if run.FirstSeq == 0 {
 		return run.Attempt.String()
@@ -100,8 +100,8 @@
 	}
 }
 
-// notRun tells why the engine didn't take a request.
-func (c *completion) notRun(err error) protocol.End {
+// notRunEnd returns the end for a request that the engine didn't accept.
+func (c *completion) notRunEnd(err error) protocol.End {
 	end := protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: "engine is not ready"}
 	var refused *engine.RefusedError
 	if errors.As(err, &refused) {
@@ -113,9 +113,9 @@
 	return end
 }
 
-// follow reads the stream to its end, and through losses of the connection that
-// the engine outlives. It returns nil at the explicit end.
-func (c *completion) follow(ctx context.Context, st *engine.Stream) error {
+// readToEnd reads the stream to its end, and reopens its connection when that is
+// lost but the engine is not. It returns nil at the explicit end.
+func (c *completion) readToEnd(ctx context.Context, st *engine.Stream) error {
 	for {
 		c.incarnation = st.Incarnation
 		err := c.read(st)
@@ -129,25 +129,26 @@
 	}
 }
 
-// resume goes on with the stream at the engine. A stream of another incarnation
-// is refused: its events would be another run's.
+// resume reopens the stream at the engine. A stream of another incarnation is
+// refused: its events would belong to another run.
 //
-// A frozen engine answers nothing, and what can't be run elsewhere waits for it:
-// given up after a few tries, it would end unknown though its answer is there.
+// A frozen engine answers nothing. An attempt that can't be run elsewhere waits for
+// it: given up after a few tries, it would end with an unknown outcome although the
+// engine has its answer.
 func (c *completion) resume(ctx context.Context, from uint64) (*engine.Stream, error) {
 	var err error
-	begun := time.Now()
-	bound := silentWait
+	started := time.Now()
+	timeout := maxSilentWait
 	if c.repeatable {
-		bound = resumeBound
+		timeout = resumeTimeout
 	}
-	for tries := 0; tries < engineResumes && time.Since(begun) < bound; {
+	for tries := 0; tries < maxEngineResumes && time.Since(started) < timeout; {
 		var st *engine.Stream
 		st, err = c.engine.Resume(ctx, c.id, from)
 		switch {
 		case err == nil && c.incarnation != "" && st.Incarnation != c.incarnation:
 			st.Close()
-			return nil, errCrashed
+			return nil, errEngineCrashed
 		case err == nil:
 			return st, nil
 		case errors.Is(err, engine.ErrGone), ctx.Err() != nil:
@@ -159,39 +160,39 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(resumePause):
+		case <-time.After(resumeInterval):
 		}
 	}
 	if engine.IsSilent(err) {
 		return nil, err
 	}
-	return nil, errors.Join(errCrashed, err)
+	return nil, errors.Join(errEngineCrashed, err)
 }
 
 func (c *completion) read(st *engine.Stream) error {
-	silence := time.AfterFunc(engineSilence, func() { st.Close() })
-	defer silence.Stop()
+	timer := time.AfterFunc(chunkTimeout, func() { st.Close() })
+	defer timer.Stop()
 	for {
 		if st.NextSeq() == 0 {
-			silence.Stop() // queueing and prefill may take long
+			timer.Stop() // queueing and prefill may take long
 		} else {
-			silence.Reset(engineSilence)
+			timer.Reset(chunkTimeout)
 		}
 		event, err := st.Next()
-		silence.Stop() // a slow caller is no silence of the engine's
+		timer.Stop() // the time that a slow caller takes doesn't count
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := c.take(event); err != nil {
+		if err := c.handleEvent(event); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *completion) take(event engine.Event) error {
+func (c *completion) handleEvent(event engine.Event) error {
 	if event.FinishReason != "" {
 		c.end.FinishReason = event.FinishReason
 	}
@@ -203,14 +204,14 @@
 	if event.Text == "" {
 		return nil
 	}
-	if c.firstToken != nil {
-		c.firstToken()
-		c.firstToken = nil
+	if c.onFirstToken != nil {
+		c.onFirstToken()
+		c.onFirstToken = nil
 	}
 	return c.stream.add([]byte(event.Text))
 }
 
-func (c *completion) ended(ctx context.Context, err error) protocol.End {
+func (c *completion) result(ctx context.Context, err error) protocol.End {
 	end := c.end
 	if err == nil {
 		end.Outcome = protocol.Done
@@ -220,31 +221,31 @@
 	end.Code = protocol.CodeUnknownOutcome
 	switch {
 	case errors.Is(context.Cause(ctx), errFrozen):
-		end.Message = "engine doesn't answer" // it is cancelled once it does
+		end.Message = "engine doesn't answer" // it is canceled at the engine once that answers again
 	case ctx.Err() != nil:
 		end.Code = protocol.CodeCanceled
 		c.cancelAtEngine()
-	case errors.Is(err, errCut):
+	case errors.Is(err, errAborted):
 		end.Code, end.Message = protocol.CodeCanceled, "the caller stopped reading"
 		c.cancelAtEngine()
-	case errors.Is(err, errOtherWeights):
-		end.Message = "engine has other weights"
+	case errors.Is(err, errWeightsMismatch):
+		end.Message = "engine has other weights than requested"
 		c.cancelAtEngine()
 	case errors.Is(err, engine.ErrMalformed):
 		end.Message = "engine's answer is malformed"
 		c.cancelAtEngine()
 	default:
 		end.EngineCrashed = c.crashed(err)
-		end.Message = "engine was lost"
+		end.Message = "engine was lost before the answer ended"
 	}
 	return end
 }
 
-// crashed reports whether the engine that ran this was lost. One that lives and
-// merely has no such stream has not crashed, nor has one that keeps silent;
-// nothing is held against the request then.
+// crashed reports whether the engine that ran this was lost. An engine that is alive
+// but doesn't have the stream has not crashed, and neither has one that doesn't
+// answer; no crash is counted against the request then.
 func (c *completion) crashed(err error) bool {
-	if errors.Is(err, errCrashed) {
+	if errors.Is(err, errEngineCrashed) {
 		return true
 	}
 	ctx, stop := context.WithTimeout(context.Background(), loadTimeout)
@@ -256,10 +257,11 @@
 	return c.incarnation != "" && load.Incarnation != c.incarnation
 }
 
-// cancelAtEngine frees the engine from a stream that nobody reads.
+// cancelAtEngine cancels a stream that nobody reads, so that the engine stops
+// generating it.
 func (c *completion) cancelAtEngine() {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
-	// On failure the engine ends the stream itself after its resume time.
+	// On failure the engine ends the stream itself after its resume timeout.
 	_ = c.engine.Cancel(ctx, c.id)
 }
--- a/internal/endpoint/config.go
+++ b/internal/endpoint/config.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// behindTimeout bounds the wait for a configuration as new as a Run's, and
-	// behindPause the pause between looks.
-	behindTimeout = 2 * time.Second
-	behindPause   = 20 * time.Millisecond
+	// configWaitTimeout bounds the wait for a configuration as new as a Run's;
+	// configPollInterval is the pause between two checks.
+	configWaitTimeout  = 2 * time.Second
+	configPollInterval = 20 * time.Millisecond
 )
 
-// empty stands for the configuration before there is any.
-var empty = config.NewState()
+// emptyConfig is the state before any configuration was received.
+var emptyConfig = config.NewState()
 
-// state is the newest accepted configuration; it is shared.
+// state returns the newest accepted configuration; it is safe for concurrent use.
 func (e *Endpoint) state() *config.State {
 	if s := e.config.State(); s != nil {
 		return s
 	}
-	return empty
+	return emptyConfig
 }
 
-// heardOffset notes the configuration that a peer has. One that is cut off from
-// the log would otherwise go on by what operators have already replaced.
-func (e *Endpoint) heardOffset(s *wire.Session, offset uint64) {
+// observeOffset records the configuration offset of a peer, so that an endpoint that
+// is cut off from the log fetches what operators have changed meanwhile.
+func (e *Endpoint) observeOffset(s *wire.Session, offset uint64) {
 	e.config.Heard(offset, follow.SessionFetch(s))
 }
 
-// onConfigFetch answers a peer that is behind. Encoding a large state takes too
-// long for the loop.
+// onConfigFetch answers a peer whose configuration is behind. It runs off the loop,
+// since encoding a large state takes long.
 func (e *Endpoint) onConfigFetch(s *wire.Session, ref uint32, m *protocol.ConfigFetch) {
 	go func() {
 		answer, err := e.config.Fetch(m)
 		if err != nil {
-			e.log.Warn("configuration not told to a peer", "peer", s.Peer().ID, "error", err)
+			e.log.Warn("configuration not sent to a peer", "peer", s.Peer().ID, "error", err)
 			refusal := protocol.Refusal{Code: protocol.CodeInternal, Message: err.Error(), Ran: protocol.NotRun}
 			e.reply(s, ref, &protocol.Failure{Refusal: refusal})
 			return
@@ -50,23 +50,23 @@
 	}()
 }
 
-// configure makes sure that the configuration is as new as the sender's before
-// the prompt is built: with older standing instructions the answer would follow
-// rules that an operator has already replaced.
-func (e *Endpoint) configure(a *execution) {
+// awaitConfig waits until the configuration is as new as the sender's before the
+// prompt is built: with older standing instructions the answer would follow rules
+// that an operator has already replaced.
+func (e *Endpoint) awaitConfig(a *execution) {
 	if a.run.Call != nil || e.state().Offset >= a.run.ConfigOffset {
 		e.prepare(a)
 		return
 	}
 	if a.session != nil {
-		e.heardOffset(a.session, a.run.ConfigOffset)
+		e.observeOffset(a.session, a.run.ConfigOffset)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), behindTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), configWaitTimeout)
 	a.stop = func(error) { stop() }
 	go func() {
 		defer stop()
 		e.waitOffset(ctx, a.run.ConfigOffset)
-		e.loop.must(func() { e.configured(a) })
+		e.loop.postUnbounded(func() { e.onConfigWaited(a) })
 	}()
 }
 
@@ -75,32 +75,32 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(behindPause):
+		case <-time.After(configPollInterval):
 		}
 	}
 }
 
-func (e *Endpoint) configured(a *execution) {
+func (e *Endpoint) onConfigWaited(a *execution) {
 	if a.phase != phaseWaiting {
 		return // canceled meanwhile
 	}
 	if e.state().Offset < a.run.ConfigOffset {
-		e.end(a, protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: "configuration is behind the entry's"})
+		e.end(a, protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: "configuration is older than the entry's"})
 		return
 	}
 	e.prepare(a)
 }
 
-// prepare builds the whole prompt and lets the attempt wait for its turn.
+// prepare builds the whole prompt and queues the attempt.
 func (e *Endpoint) prepare(a *execution) {
 	if a.run.Call == nil {
-		a.messages = e.prompt(a.run)
+		a.messages = e.fullPrompt(a.run)
 	}
-	e.arrive(a)
+	e.enqueue(a)
 }
 
-// prompt puts the organisation's standing instructions before the messages.
-func (e *Endpoint) prompt(run *protocol.Run) []prefix.Message {
+// fullPrompt puts the organisation's standing instructions before the messages.
+func (e *Endpoint) fullPrompt(run *protocol.Run) []prefix.Message {
 	o := e.state().Organisations[run.Organisation]
 	if o == nil || run.Instructions == 0 {
 		return run.Messages
--- a/internal/endpoint/config_test.go
+++ b/internal/endpoint/config_test.go
@@ -10,8 +10,8 @@
 	"skylarklead/test/kit"
 )
 
-// withState returns a follower that has the records accepted, and their state.
-func withState(t *testing.T, records ...string) (*follow.Follower, *config.State) {
+// followerWithState returns a follower that has accepted the records, and its state.
+func followerWithState(t *testing.T, records ...string) (*follow.Follower, *config.State) {
 	t.Helper()
 	state := config.NewState()
 	for i, r := range records {
@@ -29,15 +29,13 @@
 const organisationRecord = `{"schema":2,"kind":"organisation","key":"org","base":0,` +
 	`"body":{"models":[{"name":"m"}],"instructions":["the firm's rules","the charter"]}}`
 
-// Symptom: after a restart during an outage of the log, answers ignore an
-// organisation's standing instructions.
-// Sequence: a process starts without the log; an entry that has the
-// configuration sends it a request.
-// Cause: an executor built the prompt from what it had.
+// Guards against answers that ignore an organisation's standing instructions after a
+// restart during an outage of the log: the process starts without the log, and an entry
+// that has the configuration sends it a request.
 func TestExecutorFetchesTheSendersConfiguration(t *testing.T) {
-	f, _, n := beside(t, "a")
+	f, _, n := startWithEngine(t, "a")
 	var state *config.State
-	n.config, state = withState(t, organisationRecord)
+	n.config, state = followerWithState(t, organisationRecord)
 	run := chat(1)
 	run.ConfigOffset = state.Offset
 	run.Instructions = state.Organisations["org"].Offset
@@ -55,7 +53,7 @@
 }
 
 func TestRunOfAnUnknownConfigurationIsRefused(t *testing.T) {
-	f, _, n := beside(t, "a")
+	f, _, n := startWithEngine(t, "a")
 	run := chat(1)
 	run.ConfigOffset = 9
 	n.send(run)
--- a/internal/endpoint/drain.go
+++ b/internal/endpoint/drain.go
@@ -7,12 +7,12 @@
 	"skylarklead/internal/wire"
 )
 
-// drainState is whether this endpoint takes no new work, and whether the process
-// ends once the last stream has.
+// drainState is whether this endpoint refuses new work, and whether the process
+// exits after its last stream.
 type drainState struct {
-	leaving bool
-	since   time.Duration
-	// lastEnd is when the last End was written.
+	leaving   bool
+	startedAt time.Duration
+	// lastEnd is when the last End was written to a session.
 	lastEnd  time.Duration
 	stopping bool
 	finished chan struct{}
@@ -20,41 +20,41 @@
 
 func newDrainState() drainState { return drainState{finished: make(chan struct{})} }
 
-// onDrain takes an operator's order to leave.
+// onDrain handles an operator's order to drain.
 func (e *Endpoint) onDrain(s *wire.Session, ref uint32, m *protocol.Drain) {
 	if m.Endpoint != e.settings.ID {
 		refusal := protocol.Refusal{Code: protocol.CodeBadRequest, Message: "not this endpoint", Ran: protocol.NotRun}
 		e.reply(s, ref, &protocol.Failure{Refusal: refusal})
 		return
 	}
-	e.leave("order of " + s.Peer().ID)
+	e.beginDrain("order of " + s.Peer().ID)
 	e.reply(s, ref, &protocol.Drained{Endpoint: m.Endpoint, InFlight: e.executions.inFlight()})
 }
 
-// leave stops new work, for good.
-func (e *Endpoint) leave(reason string) {
+// beginDrain stops accepting new work. It can't be undone.
+func (e *Endpoint) beginDrain(reason string) {
 	if e.drain.leaving {
 		return
 	}
 	e.drain.leaving = true
-	e.drain.since = e.now()
+	e.drain.startedAt = e.now()
 	e.admission.Drain()
-	e.performOnce(e.claims.once.Drain(e.now()))
-	e.beatAll()
+	e.performClaims(e.claims.once.Drain(e.now()))
+	e.sendHeartbeatToAll()
 	e.log.Info("leaving", "reason", reason, "in_flight", e.executions.inFlight())
 }
 
-// stopWhenDrained is the answer to SIGTERM.
+// stopWhenDrained handles SIGTERM.
 func (e *Endpoint) stopWhenDrained() {
 	e.drain.stopping = true
-	e.leave("signal")
+	e.beginDrain("signal")
 	e.checkDrained()
 }
 
-// exitLinger is how long the process stays after its last stream's end was sent.
-// A process that exits with bytes of a peer unread resets the connection, and the
-// reset overtakes what the peer has not read yet: a graceful stop would cut the
-// very answer that it waited for.
+// exitLinger is how long the process stays after the end of its last stream was
+// sent. A process that exits while bytes of a peer are unread resets the connection,
+// and the reset overtakes what the peer has not read yet: a graceful stop would cut
+// off the very answer that it waited for.
 const exitLinger = 300 * time.Millisecond
 
 // checkDrained ends the process when it is to stop and no stream is open.
@@ -65,8 +65,8 @@
 	if e.now()-e.drain.lastEnd < exitLinger {
 		return
 	}
-	if e.claims.once.HeldClaims() > 0 && e.now()-e.drain.since < releaseTimeout {
-		// A claim that dies with this process unreleased blocks its key for good.
+	if e.claims.once.HeldClaims() > 0 && e.now()-e.drain.startedAt < releaseTimeout {
+		// A claim that isn't released before this process ends blocks its key for good.
 		return
 	}
 	select {
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,11 +1,11 @@
-// Package endpoint is the role of the one process beside each engine or plain
-// service. It wires the decision packages to sessions, back end and platform
-// and decides nothing itself.
+// Package endpoint implements the process that runs beside each engine or plain
+// service. It connects the packages that decide (route, admit, attempt, cachemap,
+// member, lease) with sessions, back end and platform, and makes no decisions of its
+// own.
 //
-// All decisions are taken on one goroutine, the loop, which owns every field
-// that isn't said to be shared. Whatever may block (a peer's socket, the back
-// end, the platform) runs on goroutines of its own and posts its result to the
-// loop.
+// All decisions are taken on one goroutine, the loop, which owns every field that
+// isn't marked as shared. Whatever may block (a peer's socket, the back end, the
+// platform) runs on goroutines of its own and posts its result to the loop.
 package endpoint
 
 import (
@@ -27,54 +27,54 @@
 	"skylarklead/internal/wire"
 )
 
-// tickInterval is how often the loop looks at what is due.
+// tickInterval is how often the loop checks its timeouts and periodic work.
 const tickInterval = 100 * time.Millisecond
 
-// kindService is settings.Endpoint.Kind of a plain service.
+// kindService is the value of settings.Endpoint.Kind for a plain service.
 const kindService = "service"
 
-// Endpoint is the running role.
+// Endpoint is one running endpoint process.
 type Endpoint struct {
-	// These are shared and don't change.
-	settings *settings.Settings
-	tel      *telemetry.Telemetry
-	log      *slog.Logger
-	started  time.Time
-	loop     *mailbox
-	pool     *wire.Pool
-	openings *wire.Openings
-	config   *follow.Follower
-	// platformLog is the platform's log.
+	// These are shared; the fields are set once at the start.
+	settings    *settings.Settings
+	tel         *telemetry.Telemetry
+	log         *slog.Logger
+	started     time.Time
+	loop        *mailbox
+	pool        *wire.Pool
+	openings    *wire.Openings
+	config      *follow.Follower
 	platformLog *platform.Log
 	engine      *engine.Client  // nil beside a plain service
 	service     *engine.Service // nil beside an engine
 
-	// The decisions.
+	// These take the decisions.
 	rng       *rand.Rand
 	router    *route.Router
 	admission *admit.Core
 	poison    *attempt.PoisonTracker
 	registry  *attempt.Registry
-	picture   *cachemap.View
+	cacheView *cachemap.View
 	group     group
 
-	// executions run or can be resumed; held ones are admitted and wait for
-	// others to leave the engine.
-	executions executionTable
-	held       []*execution
-	claims     claims
-	placement  placement
-	transfers  transfers
-	watch      engineWatch
-	drain      drainState
-	beatSeq    uint64
-	engineTold engineState
-	// rootsTold is the picture's root version up to which owners are told.
-	rootsTold uint64
-	backlog   route.BacklogTrigger
+	// executions are running or can still be resumed. The admitted ones wait for
+	// other attempts to leave the engine.
+	executions      executionTable
+	admitted        []*execution
+	claims          claims
+	placement       placement
+	transfers       transfers
+	watch           engineWatch
+	drain           drainState
+	heartbeatSeq    uint64
+	sentEngineState engineState
+	// sentLevelVersion is the cache view's level version up to which owners are
+	// informed.
+	sentLevelVersion uint64
+	backlogTrigger   route.BacklogTrigger
 }
 
-// Run serves peers until ctx ends and the last stream has.
+// Run serves peers until ctx ends and the last stream has ended.
 func Run(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error {
 	e := newEndpoint(s, tel)
 	options := wire.Options{Key: s.Key(), AlsoAccept: s.AlsoAccepted(), Self: e.identity, Handler: peerHandler{e}, Traffic: tel.Metrics.Traffic, Openings: e.openings}
@@ -87,10 +87,10 @@
 		return err
 	}
 	defer server.Close()
-	// Streams outlive ctx, which only begins the drain.
+	// Streams outlive ctx, whose end only begins the drain.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	context.AfterFunc(ctx, func() { e.loop.must(e.stopWhenDrained) })
+	context.AfterFunc(ctx, func() { e.loop.postUnbounded(e.stopWhenDrained) })
 	e.startBackground(work, instances)
 	e.loop.run(work, e.drain.finished)
 	return nil
@@ -109,8 +109,8 @@
 		router:     route.NewRouter(route.ParamsOf(s.Endpoint)),
 		admission:  admit.NewCore(admit.ParamsFromSettings(s.Endpoint)),
 		poison:     attempt.NewPoisonTracker(attempt.DefaultPoisonParams),
-		registry:   attempt.NewRegistry(outcomeTime),
-		picture:    cachemap.New(cachemap.Params{}),
+		registry:   attempt.NewRegistry(outcomeRetention),
+		cacheView:  cachemap.New(cachemap.Params{}),
 		group:      newGroup(s.ID, s.Endpoint.Heartbeat.D(), s.Endpoint.SuspectAfter.D(), rng),
 		executions: make(executionTable),
 		drain:      newDrainState(),
@@ -126,7 +126,7 @@
 	return e
 }
 
-// now is the time that decisions go by: monotonic since the process started.
+// now is the time used in all decisions: monotonic since the process started.
 func (e *Endpoint) now() time.Duration { return time.Since(e.started) }
 
 // identity is shared: sessions are opened on goroutines of their own.
@@ -147,11 +147,11 @@
 	go e.claims.reader.run(ctx)
 	go func() {
 		if err := e.config.Run(ctx); ctx.Err() == nil {
-			e.log.Error("configuration is no longer followed", "error", err)
+			e.log.Error("configuration follower stopped", "error", err)
 		}
 	}()
 	go instances.Poll(ctx, listInterval, func(list []platform.Instance, err error) {
-		e.loop.must(func() { e.onList(list, err) })
+		e.loop.postUnbounded(func() { e.onList(list, err) })
 		e.pool.Prove(ctx, platform.Others(list, e.settings.ID))
 		e.tel.NoteKey(e.openings)
 	})
@@ -178,13 +178,13 @@
 func (e *Endpoint) tick() {
 	now := e.now()
 	e.expireExecutions()
-	e.endFrozen()
-	e.perform(e.admission.Tick(now))
-	e.picture.Tick(now)
-	e.logPeers()
-	e.tellClaims()
-	e.place()
-	e.beat()
+	e.stopFrozenRuns()
+	e.performAdmission(e.admission.Tick(now))
+	e.cacheView.Tick(now)
+	e.logPeerChanges()
+	e.updateClaims()
+	e.reconcileWeights()
+	e.sendDueHeartbeats()
 	e.pool.Sweep(time.Now())
 	e.checkDrained()
 }
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -14,37 +14,38 @@
 
 const (
 	// loadInterval is how often the engine's load report is read; after
-	// missedLoads failures in a row the engine counts as down.
-	loadInterval = 250 * time.Millisecond
-	missedLoads  = 2
-	// loadTimeout bounds a look at the load; with missedLoads it tells a frozen
-	// engine within two seconds.
+	// maxMissedReports failures in a row the engine counts as down.
+	loadInterval     = 250 * time.Millisecond
+	maxMissedReports = 2
+	// loadTimeout bounds one read of the load report; together with
+	// maxMissedReports it detects a frozen engine within two seconds.
 	loadTimeout = 750 * time.Millisecond
-	// eventsPause is the pause before the event stream is opened again.
-	eventsPause = 200 * time.Millisecond
+	// eventsRetryInterval is the pause before the event stream is reopened.
+	eventsRetryInterval = 200 * time.Millisecond
 )
 
 // engineWatch is what is known of the engine.
 type engineWatch struct {
-	up          bool
-	downAt      time.Duration // when it went down, 0 for never
-	missed      int
-	incarnation string
-	model       string
-	version     string
-	load        engine.Load
-	loadAt      time.Duration
-	// crashed is the last incarnation that was found lost.
-	crashed string
-	// crashes counts the crashes that strikes were given for.
-	crashes int
-	freeze  freeze
-	// restUntil is until when the engine wants nothing, as it has said when it refused a request.
-	restUntil time.Duration
-	// from is where a resync wants the event stream, 0 for none; cancel ends the
-	// present stream.
-	from   uint64
-	cancel context.CancelFunc
+	up            bool
+	downAt        time.Duration // when it went down, 0 for never
+	missedReports int
+	incarnation   string
+	model         string
+	version       string
+	load          engine.Load
+	loadAt        time.Duration
+	// lostIncarnation is the last incarnation that was found lost.
+	lostIncarnation string
+	// crashCount counts the engine crashes recorded so far.
+	crashCount int
+	freeze     freeze
+	// backoffUntil is until when the engine accepts no work, by its Retry-After on a
+	// refusal.
+	backoffUntil time.Duration
+	// resyncFrom is where a resync wants the event stream to begin, 0 for none;
+	// cancelEvents ends the current stream.
+	resyncFrom   uint64
+	cancelEvents context.CancelFunc
 }
 
 // watchEngine polls the load report until ctx ends.
@@ -53,10 +54,10 @@
 	defer ticker.Stop()
 	for {
 		callCtx, stop := context.WithTimeout(ctx, loadTimeout)
-		asked := e.now()
+		requestedAt := e.now()
 		load, err := e.engine.Load(callCtx)
 		stop()
-		e.loop.must(func() { e.onLoad(asked, load, err) })
+		e.loop.postUnbounded(func() { e.onLoad(requestedAt, load, err) })
 		select {
 		case <-ctx.Done():
 			return
@@ -65,69 +66,70 @@
 	}
 }
 
-// engineUnreachable takes a connection's failure for a sign as good as missed
-// load reports: until the next one, requests would only come to be refused.
-func (e *Endpoint) engineUnreachable(err error) {
+// markEngineDown takes the engine as down after a failed connection, as after missed
+// load reports: until the next report, it would refuse every request.
+func (e *Endpoint) markEngineDown(err error) {
 	if e.watch.up {
 		e.watch.up, e.watch.downAt = false, e.now()
 		e.log.Warn("engine down", "error", err)
-		e.tellEngine()
+		e.advertiseEngineState()
 	}
 }
 
-// maxRest is the longest rest that an engine is given at its word.
-const maxRest = 10 * time.Minute
+// maxBackoff is the longest backoff that an engine can request.
+const maxBackoff = 10 * time.Minute
 
-// engineRests takes an engine's word that it wants nothing for a time. An engine that goes on being
-// handed work refuses all of it, and its callers get nothing but refusals.
-func (e *Endpoint) engineRests(rest time.Duration) {
+// startBackoff stops sending work to an engine that has asked for a backoff. An
+// engine that still got work would refuse all of it, and callers would get nothing
+// but refusals.
+func (e *Endpoint) startBackoff(backoff time.Duration) {
 	now := e.now()
-	if e.watch.restUntil <= now {
-		e.log.Info("engine rests", "rest_ms", rest.Milliseconds())
+	if e.watch.backoffUntil <= now {
+		e.log.Info("engine asked for a backoff", "rest_ms", backoff.Milliseconds())
 	}
-	e.watch.restUntil = max(e.watch.restUntil, now+min(rest, maxRest))
+	e.watch.backoffUntil = max(e.watch.backoffUntil, now+min(backoff, maxBackoff))
 }
 
-// restLeft is for how long the engine wants nothing, 0 if it takes work.
-func (e *Endpoint) restLeft() time.Duration { return max(0, e.watch.restUntil-e.now()) }
+// backoffLeft is for how long the engine accepts no work, 0 if it accepts it now.
+func (e *Endpoint) backoffLeft() time.Duration { return max(0, e.watch.backoffUntil-e.now()) }
 
-// onLoad takes a load report that was asked for at asked. Its age counts from
-// there: on a busy machine an answer takes longer than the report is old, and one
-// from before a change would count as from after it.
-func (e *Endpoint) onLoad(asked time.Duration, load engine.Load, err error) {
+// onLoad handles a load report that was requested at requestedAt. Its age counts from
+// there: on a busy machine an answer can take longer than the report is old, and a
+// report from before a change of weights would count as one from after it.
+func (e *Endpoint) onLoad(requestedAt time.Duration, load engine.Load, err error) {
 	w := &e.watch
 	if err != nil {
-		w.missed++
-		if w.missed >= missedLoads {
-			e.engineUnreachable(err)
-			e.lookForFreeze(err)
+		w.missedReports++
+		if w.missedReports >= maxMissedReports {
+			e.markEngineDown(err)
+			e.detectFreeze(err)
 		}
 		return
 	}
 	if w.incarnation != "" && load.Incarnation != w.incarnation {
-		w.restUntil = 0
-		e.engineCrashed(w.incarnation)
+		w.backoffUntil = 0
+		e.onIncarnationLost(w.incarnation)
 	}
 	if !w.up {
 		e.logEngineUp(load)
 	}
-	e.thawed()
+	e.endFreeze()
 	now := e.now()
-	at := asked - time.Duration(load.AgeMs)*time.Millisecond
-	e.resync(e.picture.Observe(now, now-at, load.Incarnation, load.Weights))
-	w.up, w.missed = true, 0
+	reportedAt := requestedAt - time.Duration(load.AgeMs)*time.Millisecond
+	e.performResync(e.cacheView.Observe(now, now-reportedAt, load.Incarnation, load.Weights))
+	w.up, w.missedReports = true, 0
 	w.incarnation = load.Incarnation
-	if !e.placement.loading && (e.placement.doneAt == 0 || at > e.placement.doneAt) {
-		// The lagging report names the old weights for a while after the engine
-		// was read back with the new ones. Believed, it would start the orders
-		// over again.
+	if !e.placement.loading && (e.placement.loadedAt == 0 || reportedAt > e.placement.loadedAt) {
+		// The report lags: it names the old weights for a while after the engine's
+		// state was read back with the new ones. Accepting it would start the orders
+		// again.
 		w.model, w.version = load.Model, load.Version
 	}
-	w.load, w.loadAt = load, at
-	e.tellEngine()
+	w.load, w.loadAt = load, reportedAt
+	e.advertiseEngineState()
 }
 
-// logEngineUp tells of an engine's first answer, or of the first after it was down.
+// logEngineUp logs an engine's first answer, or the first one after it was down.
 func (e *Endpoint) logEngineUp(load engine.Load) {
 	attrs := []any{"incarnation", load.Incarnation, "model", load.Model, "version", load.Version}
 	if e.watch.downAt == 0 {
@@ -138,31 +140,32 @@
 	e.log.Warn("engine up", append(attrs, "down_ms", down.Milliseconds())...)
 }
 
-// attemptCrashed counts the crash that an attempt met. An engine that crashes
-// again before its load is read has lost an incarnation that this process has no
-// name for: what ran on it carries the name of one that was lost before. Told by
-// the name alone, such a crash would go uncounted, and a request that crashes the
-// engine as soon as it is back would be handed over again and again.
-func (e *Endpoint) attemptCrashed(a *execution) {
+// onAttemptCrash counts the crash that ended an attempt. An engine that crashes again
+// before its load report is read has lost an incarnation that this process has no
+// name for: attempts on it carry the name of one that was lost before. Identified by
+// that name alone, such a crash would not be counted, and a request that crashes the
+// engine as soon as it is back would be sent to it again and again.
+func (e *Endpoint) onAttemptCrash(a *execution) {
 	switch {
-	case a.incarnation != e.watch.crashed:
-		e.engineCrashed(a.incarnation)
-	case a.crashes == e.watch.crashes:
-		e.strike(a.incarnation)
+	case a.incarnation != e.watch.lostIncarnation:
+		e.onIncarnationLost(a.incarnation)
+	case a.crashCount == e.watch.crashCount:
+		e.recordCrash(a.incarnation)
 	}
 }
 
-// engineCrashed puts a strike on all that ran on a lost incarnation, once.
-func (e *Endpoint) engineCrashed(incarnation string) {
-	if incarnation == "" || incarnation == e.watch.crashed {
+// onIncarnationLost counts a crash against all requests that ran on a lost
+// incarnation, once per incarnation.
+func (e *Endpoint) onIncarnationLost(incarnation string) {
+	if incarnation == "" || incarnation == e.watch.lostIncarnation {
 		return
 	}
-	e.strike(incarnation)
+	e.recordCrash(incarnation)
 }
 
-func (e *Endpoint) strike(incarnation string) {
-	e.watch.crashed = incarnation
-	e.watch.crashes++
+func (e *Endpoint) recordCrash(incarnation string) {
+	e.watch.lostIncarnation = incarnation
+	e.watch.crashCount++
 	strikes := e.poison.RecordCrash(e.now())
 	e.tel.Metrics.Count("engine_crashes", 1)
 	e.log.Warn("engine crashed", "incarnation", incarnation, "struck", len(strikes))
@@ -172,9 +175,9 @@
 		}
 	}
 	if len(strikes) > 0 {
-		// An owner that hasn't heard would send a suspect beside others, or to
-		// one engine more than the bound.
-		e.beatAll()
+		// An owner without this report would run a suspect beside other requests, or
+		// on one engine more than the limit.
+		e.sendHeartbeatToAll()
 	}
 }
 
@@ -183,38 +186,38 @@
 	for ctx.Err() == nil {
 		streamCtx, cancel := context.WithCancel(ctx)
 		from := make(chan uint64, 1)
-		e.loop.must(func() { from <- e.openEvents(cancel) })
+		e.loop.postUnbounded(func() { from <- e.openEvents(cancel) })
 		select {
 		case <-ctx.Done():
 		case start := <-from:
 			err := e.engine.Events(streamCtx, start, func(event engine.CacheEvent) error {
-				e.loop.must(func() { e.onCacheEvent(event) })
+				e.loop.postUnbounded(func() { e.onCacheEvent(event) })
 				return nil
 			})
-			e.log.Debug("cache events ended", "error", err)
+			e.log.Debug("cache event stream ended", "error", err)
 		}
 		cancel()
 		select {
 		case <-ctx.Done():
-		case <-time.After(eventsPause):
+		case <-time.After(eventsRetryInterval):
 		}
 	}
 }
 
-// openEvents returns where the event stream that is about to be opened starts.
+// openEvents returns the sequence number from which the next event stream is read.
 func (e *Endpoint) openEvents(cancel context.CancelFunc) uint64 {
-	from := e.watch.from
+	from := e.watch.resyncFrom
 	if from == 0 {
-		from = e.picture.NextSeq()
+		from = e.cacheView.NextSeq()
 	}
-	e.watch.from = 0
-	e.watch.cancel = cancel
-	e.picture.Connected(from)
+	e.watch.resyncFrom = 0
+	e.watch.cancelEvents = cancel
+	e.cacheView.Connected(from)
 	return from
 }
 
 func (e *Endpoint) onCacheEvent(event engine.CacheEvent) {
-	e.resync(e.picture.Apply(e.now(), cachemap.Event{
+	e.performResync(e.cacheView.Apply(e.now(), cachemap.Event{
 		Seq:         event.Seq,
 		Incarnation: event.Incarnation,
 		Weights:     event.Weights,
@@ -223,20 +226,20 @@
 	}))
 }
 
-// resync opens the event stream anew where the picture wants it.
-func (e *Endpoint) resync(actions []cachemap.Action) {
+// performResync reopens the event stream where the cache view asks for it.
+func (e *Endpoint) performResync(actions []cachemap.Action) {
 	for _, action := range actions {
-		if resync, ok := action.(cachemap.Resync); ok && e.watch.from == 0 {
+		if resync, ok := action.(cachemap.Resync); ok && e.watch.resyncFrom == 0 {
 			e.tel.Metrics.Count("cache_resyncs", 1)
-			e.watch.from = resync.From
-			if e.watch.cancel != nil {
-				e.watch.cancel()
+			e.watch.resyncFrom = resync.From
+			if e.watch.cancelEvents != nil {
+				e.watch.cancelEvents()
 			}
 		}
 	}
 }
 
-// engineState is what owners place by and must hear of at once.
+// engineState is what owners base placement on; changes are sent at once.
 type engineState struct {
 	up                          bool
 	incarnation, model, version string
@@ -247,7 +250,7 @@
 	return engineState{up: w.up && !e.placement.loading, incarnation: w.incarnation, model: w.model, version: w.version}
 }
 
-// load is this endpoint's load summary.
+// load returns this endpoint's load summary.
 func (e *Endpoint) load() protocol.Load {
 	summary := e.admission.Summary()
 	load := protocol.Load{
@@ -256,7 +259,7 @@
 		QueuedTokens: summary.QueuedTokens,
 		DecodeTokens: summary.DecodeTokens,
 		Saturated:    summary.Saturated,
-		// Owners tell by it how long an organisation's turn will take.
+		// Owners estimate from it how long an organisation's request will wait.
 		Organisations: summary.Organisations,
 		OutputShare:   summary.OutputShare,
 		EngineUp:      true,
@@ -273,7 +276,7 @@
 	load.Model, load.Version = state.model, state.version
 	load.CacheUsed = w.load.KVUsedBlocks * prefix.BlockTokens
 	load.CacheTotal = w.load.KVTotalBlocks * prefix.BlockTokens
-	load.PictureDoubtful = e.picture.Stale()
+	load.PictureDoubtful = e.cacheView.Stale()
 	load.PictureAgeMs = (e.now() - w.loadAt).Milliseconds()
 	return load
 }
--- a/internal/endpoint/enginewatch_test.go
+++ b/internal/endpoint/enginewatch_test.go
@@ -11,12 +11,11 @@
 	"skylarklead/test/kit"
 )
 
-// Symptom: on a busy machine an engine with new weights is taken for one with the
-// old ones: a request for those runs under the new ones and ends unknown, and the
-// order to load is given once more.
-// Sequence: a load report is asked for; the new weights come into force; the
-// report's answer, from before, is read late.
-// Cause: a report's age was counted from when it was read.
+// Guards against taking an engine with new weights for one with the old ones, which
+// runs a request for the old ones under the new ones with an unknown outcome, and
+// repeats the order to load. On a busy machine a load report is requested, the new
+// weights come into force, and the report from before is read late; its age must not be
+// counted from when it was read.
 func TestLateLoadReportNamesOldWeights(t *testing.T) {
 	const second = time.Second
 	for _, c := range []struct {
@@ -31,7 +30,7 @@
 	} {
 		e, _ := newTestEndpoint(t)
 		e.watch.model, e.watch.version = "m", "v2"
-		e.placement.doneAt = c.done
+		e.placement.loadedAt = c.done
 		e.onLoad(c.asked, engine.Load{Incarnation: "i1", Model: "m", Version: "v1", AgeMs: c.ageMs}, nil)
 		if e.watch.version != c.want {
 			t.Errorf("%s: engine is taken for %s, want %s", c.name, e.watch.version, c.want)
@@ -39,10 +38,9 @@
 	}
 }
 
-// Symptom: an operator finds nothing in the log of why an endpoint got no work.
-// Sequence: its peer falls silent, is reported or can't be reached, or its engine
-// goes down; all come back.
-// Cause: only the states were kept.
+// Guards against a log that doesn't show why an endpoint got no work: its peer falls
+// silent, is reported as unavailable or can't be reached, or its engine goes down; then
+// all come back.
 func TestDownAndUpAreLogged(t *testing.T) {
 	e, log := newTestEndpoint(t)
 	logged := func(what string, words ...string) {
@@ -60,13 +58,13 @@
 	}
 	view := e.group.view
 	seq := uint64(0)
-	heard := func() {
+	receiveHeartbeat := func() {
 		seq++
 		view.HeartbeatReceived(&protocol.Heartbeat{ID: "ep-2", Epoch: 1, Seq: seq}, e.now())
 	}
-	heard()
-	e.logPeers()
-	logged("first heard")
+	receiveHeartbeat()
+	e.logPeerChanges()
+	logged("first heartbeat")
 	for _, c := range []struct {
 		why, msg string
 		down     func()
@@ -76,19 +74,19 @@
 		{"silent", "peer suspect", func() { e.started = e.started.Add(-4 * time.Second) }},
 	} {
 		c.down()
-		e.logPeers()
+		e.logPeerChanges()
 		logged(c.why, c.msg, `"peer":"ep-2"`, `"why":"`+c.why+`"`)
-		e.logPeers()
+		e.logPeerChanges()
 		logged("still down")
-		heard()
-		e.logPeers()
-		logged("heard again", "peer back", `"peer":"ep-2"`, "down_ms")
+		receiveHeartbeat()
+		e.logPeerChanges()
+		logged("heartbeat again", "peer back", `"peer":"ep-2"`, "down_ms")
 	}
 	view.ConnectionFailed("ep-2", e.now())
-	e.logPeers()
+	e.logPeerChanges()
 	log.take()
-	e.started = e.started.Add(-time.Second) // its backoff is over, but it wasn't heard
-	e.logPeers()
+	e.started = e.started.Add(-time.Second) // its backoff is over, but no heartbeat was received
+	e.logPeerChanges()
 	logged("only tried again")
 
 	load := engine.Load{Incarnation: "i1", Model: "m", Version: "v1"}
@@ -102,12 +100,11 @@
 	logged("engine up", "engine up", "down_ms")
 }
 
-// Symptom: requests go to an endpoint for half a second only to be refused.
-// Sequence: its engine's port is closed while a connection that the looks at the
-// load go over is still there.
-// Cause: the engine went by its load reports alone.
+// Guards against sending requests to an endpoint that refuses them all, for half a
+// second, until load reports are missed: the engine's port is closed, while the
+// connection of the load requests is still open.
 func TestUnreachableEngineIsDownAtOnce(t *testing.T) {
-	f, p, n := beside(t, "a")
+	f, p, n := startWithEngine(t, "a")
 	kit.Until(t, "the engine", func() bool { return n.status().Load.EngineUp })
 	f.Listener.Close()
 	n.send(chat(1))
--- a/internal/endpoint/executions.go
+++ b/internal/endpoint/executions.go
@@ -14,78 +14,79 @@
 )
 
 const (
-	// replayTime is how long an ended attempt's pieces can still be resumed.
-	replayTime = 30 * time.Second
-	// maxReplayBytes bounds the pieces of ended attempts that are kept for that
-	// long. Large answers of a plain service would otherwise fill memory at a few
-	// dozen calls a second.
+	// replayRetention is how long the chunks of an ended attempt can be resumed.
+	replayRetention = 30 * time.Second
+	// maxReplayBytes bounds the chunks of ended attempts that are kept for that long.
+	// Large answers of a plain service would otherwise fill memory at a few dozen
+	// calls a second.
 	maxReplayBytes = 32 << 20
-	// outcomeTime is how long an attempt's outcome is remembered, far longer
-	// than any entry waits for one. Forgotten sooner, an attempt that ran would
-	// look unseen to a Resolve, which would answer a false not_run.
-	outcomeTime = time.Hour
+	// outcomeRetention is how long an attempt's outcome is kept, far longer than any
+	// entry waits for one. If it were dropped sooner, an attempt that ran would look
+	// unseen to a Resolve, which would falsely answer not_run.
+	outcomeRetention = time.Hour
 )
 
 // phase is how far an execution has come.
 type phase int
 
-// The phases. A held attempt has its place but waits for others to leave the
+// The phases. An admitted attempt has a slot but waits for others to leave the
 // engine; a following one gets the answer of another with its idempotency key.
 const (
 	phaseWaiting phase = iota
-	phaseHeld
+	phaseAdmitted
 	phaseRunning
 	phaseFollowing
 	phaseEnded
 )
 
-// execution is an attempt that runs here, or did until its stream's pieces are
-// dropped.
+// execution is an attempt that runs here, or one that has ended and whose chunks are
+// still kept.
 type execution struct {
 	id    protocol.AttemptID
 	run   *protocol.Run
 	phase phase
-	// session is the one that the attempt was last run or resumed on, nil once
-	// that is lost.
+	// session is the one that the attempt was last run or resumed on, nil once that
+	// is lost.
 	session   *wire.Session
 	endedAt   time.Duration
 	outcome   protocol.Outcome
 	delivered bool
-	// claimed is set while the attempt runs under an idempotency key; followers
-	// get its answer too.
+	// claimed is set while the attempt runs under an idempotency key; followers get
+	// its answer too.
 	claimed   bool
 	followers []*execution
-	// adoptedFrom is the epoch that the attempt began in, if not in this one.
+	// adoptedFrom is the epoch that the attempt began in, 0 if it is this one.
 	adoptedFrom protocol.Epoch
 	stream      *stream
-	stop        context.CancelCauseFunc // ends the back end's work
+	stop        context.CancelCauseFunc // cancels the back end's work
 	stopPump    context.CancelFunc
 
-	// messages is the whole prompt, chain its blocks; predicted is how many of
-	// its tokens the engine was believed to hold when the attempt arrived, mark
-	// the picture's moment when it was handed to the engine.
-	messages  []prefix.Message
-	chain     []prefix.Hash
-	predicted int
-	mark      cachemap.Revision
-	startedAt time.Duration
-	// incarnation is the engine's when the attempt was handed to it.
+	// messages is the whole prompt and chain the hashes of its blocks.
+	// predictedCached is how many of its tokens the engine was expected to hold when
+	// the attempt arrived; revision is that of the cache view when it was sent to
+	// the engine.
+	messages        []prefix.Message
+	chain           []prefix.Hash
+	predictedCached int
+	revision        cachemap.Revision
+	startedAt       time.Duration
+	// incarnation is the engine's when the attempt was sent to it.
 	incarnation string
-	// crashes is how many crashes were counted when it was handed over.
-	crashes int
-	// enginePriority is by the organisation's use; the caller's own priority
-	// only orders its organisation's queue.
+	// crashCount is engineWatch.crashCount when the attempt was sent to the engine.
+	crashCount int
+	// enginePriority depends on the organisation's use of the engine; the caller's
+	// own priority only orders the queue of its organisation.
 	enginePriority int
 }
 
-// open reports whether a graceful stop has to wait for the execution.
-func (a *execution) open() bool {
+// inProgress reports whether a graceful stop has to wait for the execution.
+func (a *execution) inProgress() bool {
 	return a.phase != phaseEnded || !a.delivered
 }
 
-// repeatable reports whether the attempt's entry can run it elsewhere: not a call
-// to a plain service, one under an idempotency key, or a stream that an earlier
-// epoch began.
+// repeatable reports whether the attempt's entry can run it elsewhere. That excludes
+// calls to a plain service, attempts with an idempotency key, and streams that an
+// earlier epoch began.
 func (a *execution) repeatable() bool {
 	return a.run.Call == nil && len(a.run.Key) == 0 && a.adoptedFrom == 0
 }
@@ -96,71 +97,70 @@
 func (t executionTable) inFlight() int {
 	n := 0
 	for _, a := range t {
-		if a.open() {
+		if a.inProgress() {
 			n++
 		}
 	}
 	return n
 }
 
-// expireExecutions gives up streams that nobody reads or came back for, and
-// drops the pieces of old ones.
+// expireExecutions aborts streams that nobody reads or resumes, and drops the chunks
+// of old ones.
 func (e *Endpoint) expireExecutions() {
 	now := e.now()
 	e.trimReplays()
 	for _, a := range e.executions {
-		cut := a.stream.cut()
+		reason := a.stream.abortReason()
 		switch {
-		case cut != attempt.AbortNone:
-			e.abandon(a, cut)
-		case a.phase == phaseEnded && now-a.endedAt > replayTime:
-			e.free(a)
+		case reason != attempt.AbortNone:
+			e.abort(a, reason)
+		case a.phase == phaseEnded && now-a.endedAt > replayRetention:
+			e.removeExecution(a)
 		}
 	}
 }
 
-// trimReplays drops the pieces of the oldest delivered attempts until the rest
-// is within maxReplayBytes.
+// trimReplays drops the chunks of the oldest delivered attempts until the rest is
+// within maxReplayBytes.
 func (e *Endpoint) trimReplays() {
 	var delivered []*execution
-	kept := 0
+	retained := 0
 	for _, a := range e.executions {
 		if a.phase == phaseEnded {
-			kept += a.stream.bytes()
+			retained += a.stream.retainedBytes()
 			if a.delivered {
 				delivered = append(delivered, a)
 			}
 		}
 	}
-	if kept <= maxReplayBytes {
+	if retained <= maxReplayBytes {
 		return
 	}
 	slices.SortFunc(delivered, func(a, b *execution) int { return cmp.Compare(a.endedAt, b.endedAt) })
 	for _, a := range delivered {
-		if kept <= maxReplayBytes {
+		if retained <= maxReplayBytes {
 			return
 		}
-		kept -= a.stream.bytes()
-		e.free(a)
+		retained -= a.stream.retainedBytes()
+		e.removeExecution(a)
 	}
 }
 
-// abandon gives a stream up. A call to a plain service that nobody reads is left
-// to end by itself: cutting it would undo nothing, and its outcome can still be
-// asked for.
-func (e *Endpoint) abandon(a *execution, cut attempt.AbortReason) {
+// abort ends a stream. A call to a plain service that nobody reads is left to end by
+// itself: canceling it would undo nothing, and its outcome can still be asked for.
+func (e *Endpoint) abort(a *execution, reason attempt.AbortReason) {
 	switch {
 	case a.phase == phaseEnded:
-		e.free(a)
-	case a.run.Call != nil && a.phase == phaseRunning && cut == attempt.AbortAbandoned:
+		e.removeExecution(a)
+	case a.run.Call != nil && a.phase == phaseRunning && reason == attempt.AbortAbandoned:
 	default:
-		e.cancelExecution(a, string(cut))
+		e.cancelExecution(a, string(reason))
 	}
 }
 
-// onDelivered notes that an attempt's End was written to a session. One that has
-// not run has no pieces to resume, and is dropped at once: past saturation there
-// are many refusals a second, which would each be kept for replayTime.
+// onDelivered handles that an attempt's End was written to a session. An attempt that
+// has not run has no chunks to resume and is dropped at once: at saturation there are
+// many refusals a second, each of which would be kept for replayRetention.
 func (e *Endpoint) onDelivered(a *execution, s *wire.Session) {
 	if a.session != s {
 		return // resumed on another one meanwhile
@@ -168,12 +168,12 @@
 	a.delivered = true
 	e.drain.lastEnd = e.now()
 	if a.phase == phaseEnded && a.outcome == protocol.NotRun {
-		e.free(a)
+		e.removeExecution(a)
 	}
 }
 
-// free forgets an ended execution; the registry keeps its outcome.
-func (e *Endpoint) free(a *execution) {
+// removeExecution forgets an ended execution; the registry keeps its outcome.
+func (e *Endpoint) removeExecution(a *execution) {
 	a.stopPump()
 	if a.session != nil {
 		a.stream.detach(a.session)
--- a/internal/endpoint/freeze.go
+++ b/internal/endpoint/freeze.go
@@ -9,94 +9,96 @@
 	"skylarklead/internal/protocol"
 )
 
-// tokenSilence is how long an engine that answers no look at its load may give no
-// token before it counts as frozen, and an attempt on a frozen one before it ends.
-const tokenSilence = time.Second
+// tokenTimeout is how long an engine that answers no load request may produce no
+// token before it counts as frozen, and how long an attempt on a frozen engine may
+// get none before it is stopped.
+const tokenTimeout = time.Second
 
-// errFrozen is what an attempt is stopped with that its entry can run elsewhere.
+// errFrozen stops attempts on a frozen engine that their entry can run elsewhere.
 var errFrozen = errors.New("endpoint: engine doesn't answer")
 
-// freeze is an engine's silence: it keeps its connections and answers nothing.
-// Nothing else ends what runs there, and callers would wait for as long as the
-// engine is stopped.
+// freeze is the state of an engine that keeps its connections open and answers
+// nothing. Nothing else ends the attempts on it, and callers would wait for as long
+// as the engine is stopped.
 type freeze struct {
-	on bool
-	// left are the runs that ended meanwhile and that the engine may go on with.
-	left []leftRun
+	active bool
+	// unfinished are the runs that ended here meanwhile and that the engine may
+	// still continue.
+	unfinished []unfinishedRun
 }
 
-// leftRun is a run that a frozen engine still has.
-type leftRun struct {
+// unfinishedRun is a run that a frozen engine still has.
+type unfinishedRun struct {
 	name        string
 	fingerprint uint64
 }
 
-// lookForFreeze takes a look at the load that failed like those before it.
-func (e *Endpoint) lookForFreeze(err error) {
+// detectFreeze handles a load request that failed with err after others did.
+func (e *Endpoint) detectFreeze(err error) {
 	f := &e.watch.freeze
-	if f.on || !engine.IsSilent(err) || e.now()-e.lastToken() < tokenSilence {
+	if f.active || !engine.IsSilent(err) || e.now()-e.lastTokenAt() < tokenTimeout {
 		return
 	}
-	f.on = true
+	f.active = true
 	e.log.Warn("engine frozen", "running", e.admission.Summary().Running, "error", err)
-	e.endFrozen()
-	e.startHeld()
+	e.stopFrozenRuns()
+	e.startAdmitted()
 }
 
-// lastToken is when the engine last gave a token to anyone.
-func (e *Endpoint) lastToken() time.Duration {
+// lastTokenAt is when the engine last produced a token of any attempt.
+func (e *Endpoint) lastTokenAt() time.Duration {
 	var last time.Duration
 	for _, a := range e.executions {
-		last = max(last, a.stream.lastPiece())
+		last = max(last, a.stream.lastChunkAt())
 	}
 	return last
 }
 
-// endFrozen ends what waits for a frozen engine and can be run elsewhere.
-func (e *Endpoint) endFrozen() {
-	if !e.watch.freeze.on {
+// stopFrozenRuns stops the attempts on a frozen engine that can be run elsewhere.
+func (e *Endpoint) stopFrozenRuns() {
+	if !e.watch.freeze.active {
 		return
 	}
 	now := e.now()
 	for _, a := range e.executions {
-		silence := now - max(a.startedAt, a.stream.lastPiece())
-		if a.phase == phaseRunning && a.repeatable() && silence >= tokenSilence {
+		silence := now - max(a.startedAt, a.stream.lastChunkAt())
+		if a.phase == phaseRunning && a.repeatable() && silence >= tokenTimeout {
 			a.stop(errFrozen)
 		}
 	}
 }
 
-// offEngine notes that an attempt has left the engine.
+// recordRunEnd tells the poison tracker that an attempt has left the engine.
 //
-// A frozen engine may still have it, and whether it crashes is only seen once it
-// answers again. The attempt counts as running until then: a request that hangs an
-// engine until that is restarted would never get its strike otherwise.
-func (e *Endpoint) offEngine(a *execution, end protocol.End) {
+// A frozen engine may still have the attempt, and whether it crashes is only seen
+// when it answers again. The attempt counts as running until then: otherwise no crash
+// would be counted against a request that hangs an engine until that is restarted.
+func (e *Endpoint) recordRunEnd(a *execution, end protocol.End) {
 	f := &e.watch.freeze
-	if f.on && end.Outcome == protocol.Unknown && !end.EngineCrashed {
-		f.left = append(f.left, leftRun{name: streamName(a.run), fingerprint: a.run.Fingerprint})
+	if f.active && end.Outcome == protocol.Unknown && !end.EngineCrashed {
+		f.unfinished = append(f.unfinished, unfinishedRun{name: streamName(a.run), fingerprint: a.run.Fingerprint})
 		return
 	}
 	e.poison.RecordEnd(a.run.Fingerprint, end.Outcome == protocol.Done, e.now())
 }
 
-// thawed takes the engine's first answer after a freeze. A crash meanwhile is
-// counted before. What was left at the engine is cancelled, or it would compute
-// for nobody.
-func (e *Endpoint) thawed() {
+// endFreeze handles the engine's first answer after a freeze. A crash in between is
+// counted before this is called. Runs still on the engine are canceled, as nobody
+// reads them.
+func (e *Endpoint) endFreeze() {
 	f := &e.watch.freeze
-	for _, run := range f.left {
+	for _, run := range f.unfinished {
 		e.poison.RecordEnd(run.fingerprint, false, e.now())
-		go e.cancelLeft(run.name)
+		go e.cancelUnfinished(run.name)
 	}
 	e.watch.freeze = freeze{}
 }
 
-func (e *Endpoint) cancelLeft(name string) {
+func (e *Endpoint) cancelUnfinished(name string) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	if err := e.engine.Cancel(ctx, name); err != nil {
-		// The engine ends the stream itself after its resume time.
-		e.log.Debug("left run not canceled", "stream", name, "error", err)
+		// The engine ends the stream itself after its resume timeout.
+		e.log.Debug("run left at the frozen engine not canceled", "stream", name, "error", err)
 	}
 }
--- a/internal/endpoint/freeze_test.go
+++ b/internal/endpoint/freeze_test.go
@@ -10,23 +10,22 @@
 	"skylarklead/test/kit"
 )
 
-// longFreeze outlasts a test's patience: what happens within it was not the thaw.
+// longFreeze is longer than a test waits, so whatever happens was not due to its end.
 const longFreeze = `{"freeze_ms": 60000}`
 
-// Symptom: while an engine is frozen, callers wait for it: as long as it is frozen
-// for their first token, or 12.5 s in the middle of an answer, and are then made
-// suspects of a crash.
-// Sequence: an engine that runs a request stops, keeping its connections.
-// Cause: only a lost connection ended an attempt, and an engine that resumes no
-// stream for long counted as crashed.
+// Guards against callers that wait for a frozen engine, for as long as it is frozen
+// for the first token, or 12.5 s in the middle of an answer, and whose requests then
+// count as suspects of a crash. An engine that runs a request stops but keeps its
+// connections open: only a lost connection ended an attempt, and an engine that resumed
+// no stream for long counted as crashed.
 func TestFrozenEngine(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		// midway has the engine freeze after the first piece.
+		// midway has the engine freeze after the first chunk.
 		midway bool
-		// after is what becomes of the engine; struck whether that is held against
-		// the request.
+		// after is what happens to the engine; struck is whether a crash is counted
+		// against the request.
 		after  string
 		struck bool
 	}{
@@ -39,16 +38,16 @@
 			backend := startStandinEngine(t)
 			p := startProcess(t, backend, nil)
 			n := p.dial("entry-1")
-			up := func() bool { return n.status().Load.EngineUp }
-			kit.Until(t, "the engine", up)
+			engineUp := func() bool { return n.status().Load.EngineUp }
+			kit.Until(t, "the engine", engineUp)
 			kit.Control(t, backend, `{"step_ms": 20}`)
 			if !c.midway {
 				kit.Control(t, backend, longFreeze)
 			}
 			// One crash is known already, so that one more makes a suspect.
-			again := ask(1)
-			again.Crashed = []string{"ep-9"}
-			suspect := func() bool { return n.decision(again).Suspect }
+			askAgain := ask(1)
+			askAgain.Crashed = []string{"ep-9"}
+			suspect := func() bool { return n.decision(askAgain).Suspect }
 			if suspect() {
 				t.Fatal("a suspect before it ran")
 			}
@@ -64,18 +63,18 @@
 			if end.Outcome != protocol.Unknown || end.Code != protocol.CodeUnknownOutcome || end.EngineCrashed {
 				t.Fatalf("got %+v", end)
 			}
-			if up() {
-				t.Error("a frozen engine is told to be up")
+			if engineUp() {
+				t.Error("a frozen engine is reported as up")
 			}
 			n.send(chat(2))
 			if end := n.end(); end.Outcome != protocol.NotRun {
 				t.Errorf("new work: got %+v", end)
 			}
 			if suspect() {
-				t.Error("a freeze is held against the request")
+				t.Error("a freeze is counted as a crash of the request")
 			}
 			kit.Control(t, backend, c.after)
-			kit.Until(t, "the engine to be back", up)
+			kit.Until(t, "the engine to be back", engineUp)
 			if suspect() != c.struck {
 				t.Errorf("suspect: %v, want %v", !c.struck, c.struck)
 			}
@@ -88,10 +87,9 @@
 	}
 }
 
-// Symptom: a payment-like request is ended as unknown for a pause of its engine.
-// Sequence: an engine freezes and thaws with two requests on it, one of which has
-// an idempotency key.
-// Cause: what can't be run elsewhere was given up as what can.
+// Guards against giving up a request that can't be run elsewhere, with an unknown
+// outcome, because its engine paused. The engine freezes and thaws with two requests, one
+// of which has an idempotency key.
 func TestFrozenEngineKeepsWhatCannotBeRepeated(t *testing.T) {
 	t.Parallel()
 	backend := startStandinEngine(t)
--- a/internal/endpoint/group.go
+++ b/internal/endpoint/group.go
@@ -19,29 +19,30 @@
 type group struct {
 	view  *member.View
 	peers map[string]*peer
-	// down has the members that the log says are down, and since when.
-	down map[string]time.Duration
-	// listRead is set once the instance list was asked for, whether or not it
-	// answered.
-	listRead bool
-	// listed is set once it has answered: only then an empty group is one.
+	// downSince has the members last logged as down, and since when.
+	downSince map[string]time.Duration
+	// listAttempted is set once the instance list was requested, whether or not
+	// that succeeded.
+	listAttempted bool
+	// listed is set once the list was read: only then no members means that there
+	// are none.
 	listed bool
 }
 
-// peer is what a member's heartbeats told, and what ours have told it.
+// peer is what a member's heartbeats reported, and what ours have sent to it.
 type peer struct {
-	load     protocol.Load
-	loadAt   time.Duration
-	hasLoad  bool
-	sending  bool
-	told     bool     // a heartbeat of ours was sent
-	urgent   bool     // the next heartbeat can't wait for its time
-	silent   []string // members to be named as silent in the next heartbeat
-	probing  bool
-	probedAt time.Duration // when it was last asked for a sign of life; 0 is never
-	epoch    protocol.Epoch
-	unsent   map[uint64]int // residents to be told, by hash
-	fullSent time.Duration  // when all residents were last sent; 0 is never
+	load             protocol.Load
+	loadAt           time.Duration
+	hasLoad          bool
+	sending          bool
+	heartbeatSent    bool     // a heartbeat of ours was sent
+	urgent           bool     // the next heartbeat can't wait for its period
+	silentPeers      []string // members to be reported as silent in the next heartbeat
+	probing          bool
+	probedAt         time.Duration // when it was last probed; 0 is never
+	epoch            protocol.Epoch
+	pendingResidents map[uint64]int // tokens of the residents to be sent, by hash
+	fullSentAt       time.Duration  // when all residents were last sent; 0 is never
 }
 
 func newGroup(self string, heartbeat, suspectAfter time.Duration, rng *rand.Rand) group {
@@ -50,21 +51,21 @@
 	params.Interval = heartbeat
 	params.SuspectAfter = suspectAfter
 	params.DeadAfter = max(params.DeadAfter, 2*suspectAfter)
-	return group{view: member.NewView(self, params, rng), peers: make(map[string]*peer), down: make(map[string]time.Duration)}
+	return group{view: member.NewView(self, params, rng), peers: make(map[string]*peer), downSince: make(map[string]time.Duration)}
 }
 
 func (g *group) peer(id string) *peer {
 	p := g.peers[id]
 	if p == nil {
-		p = &peer{unsent: make(map[uint64]int)}
+		p = &peer{pendingResidents: make(map[uint64]int)}
 		g.peers[id] = p
 	}
 	return p
 }
 
-// onList takes the platform's instance list, which proposes members only.
+// onList handles the platform's instance list, which only proposes members.
 func (e *Endpoint) onList(list []platform.Instance, err error) {
-	e.group.listRead = true
+	e.group.listAttempted = true
 	if err != nil {
 		e.log.Debug("instance list not read", "error", err)
 		return
@@ -75,7 +76,7 @@
 		leaving := i.State == platform.StateLeaving
 		switch {
 		case i.ID == e.settings.ID && leaving:
-			e.leave("instance list")
+			e.beginDrain("instance list")
 		case i.ID != e.settings.ID && i.Role == platform.RoleEndpoint && i.Group == e.settings.Endpoint.Group:
 			listed = append(listed, member.Instance{
 				ID:            i.ID,
@@ -89,8 +90,8 @@
 	e.group.view.InstancesListed(listed, e.now())
 }
 
-// epochSeen notes a peer's epoch; what was learnt of an earlier one is void.
-func (e *Endpoint) epochSeen(peer protocol.Identity) {
+// observeEpoch records a peer's epoch. What was learnt of an earlier one is dropped.
+func (e *Endpoint) observeEpoch(peer protocol.Identity) {
 	if peer.Role != protocol.RoleEndpoint || peer.Group != e.settings.Endpoint.Group || peer.ID == e.settings.ID {
 		return
 	}
@@ -105,31 +106,31 @@
 	e.router.RemoveEndpoint(id)
 }
 
-// logPeers tells of members that get no new work from now on, or do again.
+// logPeerChanges logs members that get no new work from now on, or get it again.
 //
 // A failed connection takes a member out for fractions of a second at a time. It
-// counts as back only once it was heard: the log would tell of a dead peer's
-// return several times a second otherwise.
-func (e *Endpoint) logPeers() {
+// counts as back only once a heartbeat was received: otherwise the log would report
+// the return of a dead peer several times a second.
+func (e *Endpoint) logPeerChanges() {
 	now := e.now()
-	maps.DeleteFunc(e.group.down, func(id string, _ time.Duration) bool {
+	maps.DeleteFunc(e.group.downSince, func(id string, _ time.Duration) bool {
 		_, known := e.group.view.Get(id, now)
 		return !known
 	})
 	for _, m := range e.group.view.Members(now) {
-		since, down := e.group.down[m.ID]
+		since, down := e.group.downSince[m.ID]
 		switch {
 		case !down && (m.State == member.Suspect || m.State == member.Dead):
-			e.group.down[m.ID] = now
+			e.group.downSince[m.ID] = now
 			e.log.Warn("peer "+m.State.String(), "peer", m.ID, "why", string(m.Reason), "silent_ms", (now - m.Since).Milliseconds())
 		case down && m.Usable() && m.Since >= since:
-			delete(e.group.down, m.ID)
+			delete(e.group.downSince, m.ID)
 			e.log.Warn("peer back", "peer", m.ID, "why", string(m.Reason), "down_ms", (now - since).Milliseconds())
 		}
 	}
 }
 
-// endpoints is the group as the router sees it, this endpoint included.
+// endpoints returns the group as the router sees it, this endpoint included.
 func (e *Endpoint) endpoints() []route.Endpoint {
 	now := e.now()
 	all := []route.Endpoint{{
@@ -157,7 +158,7 @@
 	return all
 }
 
-// target is where an endpoint of the group takes its Runs.
+// target returns where an endpoint of the group accepts Runs.
 func (e *Endpoint) target(id string) protocol.Target {
 	if id == e.settings.ID {
 		return protocol.Target{Endpoint: id, Address: e.settings.Advertise, Epoch: e.tel.Epoch}
@@ -166,8 +167,8 @@
 	return protocol.Target{Endpoint: id, Address: m.Address, Epoch: m.Epoch}
 }
 
-// unavailable lists who takes no new work, so that entries stop sending to them
-// before the instance list says so.
+// unavailable lists the endpoints that accept no new work, so that entries stop
+// sending to them before the instance list says so.
 func (e *Endpoint) unavailable() []string {
 	var ids []string
 	if e.drain.leaving {
@@ -181,7 +182,7 @@
 	return ids
 }
 
-// usableIDs are this endpoint and the members that may be owners.
+// usableIDs returns this endpoint and the members that may be owners, sorted.
 func (e *Endpoint) usableIDs() []string {
 	ids := []string{e.settings.ID}
 	for _, m := range e.group.view.AppendUsable(nil, e.settings.Endpoint.Group, e.now()) {
--- a/internal/endpoint/group_test.go
+++ b/internal/endpoint/group_test.go
@@ -14,9 +14,9 @@
 	"skylarklead/test/kit"
 )
 
-// rare is a period of heartbeats after which no test would still wait: after the
-// first ones, peers hear of each other only what can't wait for a period.
-const rare = time.Minute
+// longInterval is a heartbeat period that no test waits for: after the first
+// heartbeats, peers only receive those that are sent at once.
+const longInterval = time.Minute
 
 // startEndpoints starts one endpoint process for each engine, with a live instance
 // list, and returns the platform's address; change may be nil.
@@ -33,13 +33,13 @@
 	return group, services.Log
 }
 
-// startMember starts a listed endpoint process with fast heartbeats.
+// startMember starts a listed endpoint process with a long heartbeat period.
 func startMember(t *testing.T, backend string, services settings.Platform, self platform.Instance, change func(*settings.Settings)) *process {
 	t.Helper()
 	return startProcess(t, backend, func(s *settings.Settings) {
 		s.ID, s.Listen, s.Platform = self.ID, self.Address, services
-		s.Endpoint.Heartbeat = settings.Duration(rare)
-		s.Endpoint.SuspectAfter = settings.Duration(3 * rare)
+		s.Endpoint.Heartbeat = settings.Duration(longInterval)
+		s.Endpoint.SuspectAfter = settings.Duration(3 * longInterval)
 		change(s)
 	})
 }
@@ -78,10 +78,8 @@
 	}
 }
 
-// Symptom: a leaving endpoint still gets new work half a minute later.
-// Sequence: an endpoint is told to drain; the instance list goes on calling it
-// live; entries ask another owner.
-// Cause: only the list was believed.
+// Guards against new work for an endpoint half a minute after it began to drain: the
+// instance list still has it as live, and entries ask another owner.
 func TestLeavingEndpointIsNotChosen(t *testing.T) {
 	group := startGroup(t, newFakeEngine(t, "a"), newFakeEngine(t, "a"))
 	leaving, owner := group[1].dial("entry-1"), group[0].dial("entry-1")
@@ -124,10 +122,10 @@
 	}
 }
 
-// Symptom: one request, sent again by its caller, crashes engine after engine.
-// Sequence: it crashes one engine twice; asked for again at another owner it is run
-// beside others; it crashes a second engine; it is asked for once more.
-// Cause: an engine's crash was known to the process beside it alone.
+// Guards against a repeated request that crashes one engine after another because each
+// crash is known only to the process beside that engine. It crashes one engine twice;
+// another owner places it beside other requests; it crashes a second engine; it is
+// asked for once more.
 func TestStrikesReachTheGroup(t *testing.T) {
 	engines := []*fakeEngine{newFakeEngine(t, "a", "b"), newFakeEngine(t, "a", "b"), newFakeEngine(t, "a", "b")}
 	group := startGroup(t, engines...)
@@ -137,11 +135,11 @@
 		run.Fingerprint = 7
 		f := engines[at]
 		f.step = make(chan struct{})
-		f.change(func() { f.cut[run.Attempt.String()] = true })
+		f.withLock(func() { f.cutStreams[run.Attempt.String()] = true })
 		n := group[at].dial("entry-1")
 		n.send(run)
 		n.next() // Start
-		f.change(func() { f.incarnation = fmt.Sprint("restart-", i) })
+		f.withLock(func() { f.incarnation = fmt.Sprint("restart-", i) })
 		close(f.step)
 		if _, end := n.answer(0); !end.EngineCrashed {
 			t.Fatalf("got %+v", end)
@@ -150,7 +148,7 @@
 		again.Fingerprint = 7
 		for _, p := range group {
 			owner := p.dial("entry-1")
-			kit.Until(t, "an owner to judge", func() bool {
+			kit.Until(t, "an owner's verdict", func() bool {
 				d := owner.decision(again)
 				switch i {
 				case 0:
@@ -174,9 +172,8 @@
 	}
 }
 
-// Symptom: the owner of a busy organisation spends two thirds of its control
-// traffic on candidates. Sequence: an entry asks; its log shows no candidates.
-// Cause: they go with each Decision whether or not anyone looks at them.
+// Guards against candidates in each Decision whether or not the entry logs them. For the
+// owner of a busy organisation they made up two thirds of its control traffic.
 func TestCandidatesAreSentWhenAskedFor(t *testing.T) {
 	group := startGroup(t, newFakeEngine(t, "a"), newFakeEngine(t, "a"))
 	n := group[0].dial("entry-1")
@@ -191,51 +188,49 @@
 	}
 }
 
-// Symptom: callers are refused, then wait for seconds, whenever a new version is
-// published.
-// Sequence: the record names v2 while most engines still have v1; requests that
-// name no version ask for v2.
-// Cause: the few engines that have the new weights already got all requests.
+// Guards against refusals and waits of seconds whenever a new version is published. The
+// record names v2 while most engines still have v1, and requests that name no version
+// ask for v2; the few engines that have the new weights already must not get them all.
 func TestOldVersionServesUntilHalfHaveTheNewOne(t *testing.T) {
 	engines := []*fakeEngine{newFakeEngine(t, "a"), newFakeEngine(t, "a"), newFakeEngine(t, "a")}
 	owner := startGroup(t, engines...)[0].dial("entry-1")
 	anyVersion, pinned := ask(1), ask(1)
 	anyVersion.Version, anyVersion.AnyVersion = "v2", true
 	pinned.Version = "v2"
-	load := func(f *fakeEngine) { f.change(func() { f.version = "v2" }) }
-	load(engines[2])
+	loadNewVersion := func(f *fakeEngine) { f.withLock(func() { f.version = "v2" }) }
+	loadNewVersion(engines[2])
 	kit.Until(t, "the first new engine", func() bool {
 		return owner.decision(pinned).Executor.Endpoint == "ep-3"
 	})
 	if d := owner.decision(anyVersion); d.Version != "v1" || d.Refusal == nil {
 		t.Fatalf("got %+v", d)
 	}
-	load(engines[1])
+	loadNewVersion(engines[1])
 	kit.Until(t, "the new version", func() bool {
 		d := owner.decision(anyVersion)
 		return d.Version == "" && d.Refusal == nil && d.Executor.Endpoint != "ep-1"
 	})
 }
 
-// Symptom: an endpoint with a wrong fleet key answers ready and serves nobody.
-// Sequence: it starts beside two others; its configuration comes from the log.
-// Cause: readiness looked at what the process knows, not at who lets it in.
+// Guards against an endpoint with a wrong fleet key that reports ready and serves
+// nobody. It starts beside two others and reads its configuration from the log;
+// readiness must depend on whether its peers accept it.
 func TestWrongKeyIsNotReady(t *testing.T) {
 	f := newFakeEngine(t, "a")
-	const odd = 1
+	const misconfigured = 1
 	group, _ := startEndpoints(t, func(i int, s *settings.Settings) {
-		if i == odd {
+		if i == misconfigured {
 			s.FleetKey = strings.Repeat("cd", 32)
 		}
 	}, f.URL, f.URL, f.URL)
 	for i, p := range group {
 		want := ""
-		if i == odd {
+		if i == misconfigured {
 			want = wire.KeyRefused
 		}
 		kit.Until(t, fmt.Sprintf("process %d to say %q", i, want), func() bool { return p.notReady() == want })
 	}
-	if log := group[odd].log.take(); !strings.Contains(log, `"setting":"fleet_key"`) {
+	if log := group[misconfigured].log.take(); !strings.Contains(log, `"setting":"fleet_key"`) {
 		t.Errorf("the setting isn't named: %s", log)
 	}
 	n := group[0].dial("tool")
--- a/internal/endpoint/harness_test.go
+++ b/internal/endpoint/harness_test.go
@@ -30,7 +30,7 @@
 
 var fleetKey = make([]byte, 32)
 
-// fakeEngine streams words[0], words[1], … and waits at each for step, if set.
+// fakeEngine streams words[0], words[1], … and waits for step before each, if set.
 type fakeEngine struct {
 	*httptest.Server
 	t     *testing.T
@@ -42,11 +42,11 @@
 	version     string
 	runs        map[string]int
 	canceled    map[string]bool
-	cut         map[string]bool // streams whose connection is cut after one word
+	cutStreams  map[string]bool // streams whose connection is cut after one word
 	bodies      []engine.Completion
-	// rest is the Retry-After with which it refuses requests, "" while it takes them.
-	rest    string
-	refused int
+	// retryAfter is the Retry-After with which it refuses requests, "" to accept them.
+	retryAfter string
+	refused    int
 }
 
 func newFakeEngine(t *testing.T, words ...string) *fakeEngine {
@@ -57,7 +57,7 @@
 		version:     "v1",
 		runs:        map[string]int{},
 		canceled:    map[string]bool{},
-		cut:         map[string]bool{},
+		cutStreams:  map[string]bool{},
 	}
 	m := http.NewServeMux()
 	m.HandleFunc("POST /v1/chat/completions", f.complete)
@@ -74,9 +74,9 @@
 	json.NewDecoder(r.Body).Decode(&body)
 	id := r.Header.Get(engine.HeaderRequestID)
 	f.mu.Lock()
-	if f.rest != "" {
+	if f.retryAfter != "" {
 		f.refused++
-		w.Header().Set("Retry-After", f.rest)
+		w.Header().Set("Retry-After", f.retryAfter)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		f.mu.Unlock()
 		return
@@ -128,7 +128,7 @@
 		}
 		fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", i, f.words[i])
 		w.(http.Flusher).Flush()
-		if f.takeCut(id) {
+		if f.shouldCut(id) {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -138,27 +138,27 @@
 	io.WriteString(w, "data: [DONE]\n\n")
 }
 
-func (f *fakeEngine) takeCut(id string) bool {
+func (f *fakeEngine) shouldCut(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	cut := f.cut[id]
-	delete(f.cut, id)
+	cut := f.cutStreams[id]
+	delete(f.cutStreams, id)
 	return cut
 }
 
 func (f *fakeEngine) ran(id protocol.AttemptID) (runs int) {
-	f.change(func() { runs = f.runs[id.String()] })
+	f.withLock(func() { runs = f.runs[id.String()] })
 	return runs
 }
 
-// change does something to the engine under its lock.
-func (f *fakeEngine) change(do func()) {
+// withLock changes or reads the engine's state under its lock.
+func (f *fakeEngine) withLock(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
 }
 
-// wantRuns fails unless the attempt ran that often.
+// wantRuns fails unless the attempt ran that many times.
 func (f *fakeEngine) wantRuns(attempt byte, want int) {
 	f.t.Helper()
 	if got := f.ran(attemptID(attempt)); got != want {
@@ -236,7 +236,7 @@
 	return p
 }
 
-// notReady is what /readyz gives for a reason, "" if the process is ready.
+// notReady returns the reason that /readyz gives, "" if the process is ready.
 func (p *process) notReady() string {
 	p.t.Helper()
 	resp := kit.Must(http.Get("http://" + p.address + "/readyz"))(p.t)
@@ -248,22 +248,22 @@
 	return strings.TrimSpace(string(reason))
 }
 
-// beside starts a process beside a fake engine with these words, and a session.
-func beside(t *testing.T, words ...string) (*fakeEngine, *process, *entry) {
+// startWithEngine starts a process beside a fake engine with these words, and a session.
+func startWithEngine(t *testing.T, words ...string) (*fakeEngine, *process, *entry) {
 	t.Helper()
 	f := newFakeEngine(t, words...)
 	p := startProcess(t, f.URL, nil)
 	return f, p, p.dial("entry-1")
 }
 
-// started is beside with the first word still to come for attempt 1, which has
-// begun. The engine waits for a step before each word.
-func started(t *testing.T, words ...string) (*fakeEngine, *process, *entry) {
+// startWithRun is startWithEngine with attempt 1 begun. The engine waits for a step
+// before each word.
+func startWithRun(t *testing.T, words ...string) (*fakeEngine, *process, *entry) {
 	t.Helper()
-	return startedWith(t, nil, words...)
+	return startWithRunAndSettings(t, nil, words...)
 }
 
-func startedWith(t *testing.T, change func(*settings.Settings), words ...string) (*fakeEngine, *process, *entry) {
+func startWithRunAndSettings(t *testing.T, change func(*settings.Settings), words ...string) (*fakeEngine, *process, *entry) {
 	t.Helper()
 	f := newFakeEngine(t, words...)
 	f.step = make(chan struct{}, 8)
@@ -298,7 +298,7 @@
 	return l.lines.Write(line)
 }
 
-// take returns what was logged since it was last asked.
+// take returns what was logged since the last call.
 func (l *testLog) take() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -361,7 +361,7 @@
 	return reply
 }
 
-// next returns the next message that isn't a heartbeat.
+// next returns the next message that isn't a ConfigFetch.
 func (n *entry) next() protocol.Message {
 	n.t.Helper()
 	select {
@@ -385,13 +385,13 @@
 		case *protocol.Start:
 		case *protocol.Chunk:
 			if m.Seq != seq {
-				n.t.Fatalf("chunk %d where %d was due", m.Seq, seq)
+				n.t.Fatalf("got chunk %d, want %d", m.Seq, seq)
 			}
 			seq++
 			text += string(m.Data)
 		case *protocol.End:
 			if m.Seq != seq {
-				n.t.Fatalf("end at %d where %d was due", m.Seq, seq)
+				n.t.Fatalf("got the end at %d, want it at %d", m.Seq, seq)
 			}
 			return text, m
 		default:
@@ -400,7 +400,7 @@
 	}
 }
 
-// want reads an answer from seq on, and fails unless it is text and ends as told.
+// want reads an answer from seq on, and fails unless it has this text and outcome.
 func (n *entry) want(seq uint64, text string, outcome protocol.Outcome) *protocol.End {
 	n.t.Helper()
 	got, end := n.answer(seq)
@@ -410,7 +410,7 @@
 	return end
 }
 
-// refused reads the end of a Run that must not have run, by code if one is given.
+// refused reads the end of a Run that must not have run, and checks its code if given.
 func (n *entry) refused(code ...protocol.Code) *protocol.End {
 	n.t.Helper()
 	end := n.want(0, "", protocol.NotRun)
@@ -420,7 +420,7 @@
 	return end
 }
 
-// skip reads that many messages, the Start first.
+// skip reads that many messages, the Start included.
 func (n *entry) skip(messages int) {
 	n.t.Helper()
 	for range messages {
@@ -428,19 +428,18 @@
 	}
 }
 
-// decision asks an owner.
+// decision asks an owner for a placement.
 func (n *entry) decision(m *protocol.Ask) *protocol.Decision {
 	n.t.Helper()
 	return n.call(m).(*protocol.Decision)
 }
 
-// status asks a process for its status.
 func (n *entry) status() *protocol.Status {
 	n.t.Helper()
 	return n.call(&protocol.StatusRequest{}).(*protocol.Status)
 }
 
-// end reads up to the next End, of whatever attempt.
+// end reads up to the next End, of any attempt.
 func (n *entry) end() *protocol.End {
 	n.t.Helper()
 	for {
--- a/internal/endpoint/heartbeat.go
+++ b/internal/endpoint/heartbeat.go
@@ -17,224 +17,227 @@
 )
 
 const (
-	// maxResidents bounds the changed residents of one heartbeat; the rest goes
-	// with the next ones. A heartbeat then stays below two kilobytes.
+	// maxResidents bounds the changed residents in one heartbeat; the rest goes into
+	// the next ones. This keeps a heartbeat below two kilobytes.
 	maxResidents = 64
-	// fullInterval is how often all residents are told again. Ownership moves
-	// with membership, and a lost heartbeat takes its changes with it; both
-	// would show as an owner that sends a prefix to engines without it.
-	fullInterval = 30 * time.Second
-	// ownersTold is how many in rendezvous order are told of a resident: the
-	// owner, and the next, who is asked when the owner is slow.
-	ownersTold       = 2
-	heartbeatTimeout = 2 * time.Second
+	// fullSyncInterval is how often all residents are sent again. Ownership moves
+	// with membership, and the changes in a lost heartbeat are lost; both would show
+	// as an owner that sends a prefix to engines that don't hold it.
+	fullSyncInterval = 30 * time.Second
+	// ownersPerResident is how many endpoints, in rendezvous order, are informed of a
+	// resident: the owner, and the next one, which is asked when the owner is slow.
+	ownersPerResident = 2
+	heartbeatTimeout  = 2 * time.Second
 )
 
-// beat sends the heartbeats that are due.
-func (e *Endpoint) beat() {
+// sendDueHeartbeats sends the heartbeats whose period is over.
+func (e *Endpoint) sendDueHeartbeats() {
 	now := e.now()
-	beats := e.group.view.Tick(now)
-	if len(beats) > 0 {
-		e.sendBeats(beats)
+	peers := e.group.view.Tick(now)
+	if len(peers) > 0 {
+		e.sendHeartbeats(peers)
 	}
 }
 
-// beatAll tells the whole group at once what can't wait.
-func (e *Endpoint) beatAll() { e.sendBeats(e.everyone()) }
+// sendHeartbeatToAll sends a heartbeat to the whole group at once, for changes that
+// can't wait for the period.
+func (e *Endpoint) sendHeartbeatToAll() { e.sendHeartbeats(e.allPeersUrgent()) }
 
-// tellEngine tells the whole group at once of an engine that is down, back, empty
-// or has other weights. Until they hear of it, owners place requests here for what
-// the engine held before, or none at all, for as long as a period of the group.
-func (e *Endpoint) tellEngine() {
-	if now := e.engineState(); now != e.engineTold {
-		e.engineTold = now
-		e.beatAll()
+// advertiseEngineState informs the whole group at once when the engine goes down,
+// comes back, is restarted or has other weights. Until owners know, they place
+// requests here for what the engine held before, or none at all, for up to one
+// heartbeat period.
+func (e *Endpoint) advertiseEngineState() {
+	if now := e.engineState(); now != e.sentEngineState {
+		e.sentEngineState = now
+		e.sendHeartbeatToAll()
 	}
 }
 
-// tellSilent tells the whole group of a member that gave no sign of life.
-func (e *Endpoint) tellSilent(id string) {
+// reportSilent informs the whole group of a member that didn't answer a probe.
+func (e *Endpoint) reportSilent(id string) {
 	for _, p := range e.group.peers {
-		if !slices.Contains(p.silent, id) {
-			p.silent = append(p.silent, id)
+		if !slices.Contains(p.silentPeers, id) {
+			p.silentPeers = append(p.silentPeers, id)
 		}
 	}
-	e.beatAll()
+	e.sendHeartbeatToAll()
 }
 
-func (e *Endpoint) everyone() []member.Peer {
-	beats := e.group.view.Peers()
-	for _, b := range beats {
-		e.group.peer(b.ID).urgent = true
+func (e *Endpoint) allPeersUrgent() []member.Peer {
+	peers := e.group.view.Peers()
+	for _, p := range peers {
+		e.group.peer(p.ID).urgent = true
 	}
-	return beats
+	return peers
 }
 
-func (e *Endpoint) sendBeats(beats []member.Peer) {
+func (e *Endpoint) sendHeartbeats(peers []member.Peer) {
 	e.collectResidents()
 	strikes := e.poison.HeartbeatStrikes(e.now())
 	load := e.load()
-	for _, b := range beats {
-		p := e.group.peer(b.ID)
+	for _, to := range peers {
+		p := e.group.peer(to.ID)
 		if p.sending {
-			continue // it doesn't take the last one: more would only pile up
+			continue // the last heartbeat is still being sent: more would only queue up behind it
 		}
 		p.sending, p.urgent = true, false
-		e.beatSeq++
+		e.heartbeatSeq++
 		hb := &protocol.Heartbeat{
 			ID:           e.settings.ID,
 			Epoch:        e.tel.Epoch,
-			Seq:          e.beatSeq,
+			Seq:          e.heartbeatSeq,
 			Leaving:      e.drain.leaving,
 			ConfigOffset: e.state().Offset,
 			Load:         load,
 			Strikes:      strikes,
-			Silent:       p.silent,
-			PeriodMs:     e.group.view.HeartbeatPeriod(b.ID).Milliseconds(),
+			Silent:       p.silentPeers,
+			PeriodMs:     e.group.view.HeartbeatPeriod(to.ID).Milliseconds(),
 		}
-		p.silent = nil
-		hb.Residents, hb.Full = e.residentsFor(b.ID, p)
-		go e.sendBeat(b, hb)
+		p.silentPeers = nil
+		hb.Residents, hb.Full = e.residentsFor(to.ID, p)
+		go e.sendHeartbeat(to, hb)
 	}
 }
 
-func (e *Endpoint) sendBeat(b member.Peer, hb *protocol.Heartbeat) {
+func (e *Endpoint) sendHeartbeat(to member.Peer, hb *protocol.Heartbeat) {
 	ctx, stop := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer stop()
-	s, err := e.pool.Get(ctx, b.Address)
-	if err == nil && s.Peer().ID != b.ID {
-		err = fmt.Errorf("endpoint: %s is %s now", b.Address, s.Peer().ID)
+	s, err := e.pool.Get(ctx, to.Address)
+	if err == nil && s.Peer().ID != to.ID {
+		err = fmt.Errorf("endpoint: %s now belongs to %s", to.Address, s.Peer().ID)
 	}
 	if err == nil {
 		err = s.Send(hb)
 	}
-	e.loop.must(func() {
-		e.group.peer(b.ID).sending = false
+	e.loop.postUnbounded(func() {
+		e.group.peer(to.ID).sending = false
 		if err != nil {
-			e.group.peer(b.ID).fullSent = 0
-			e.group.view.ConnectionFailed(b.ID, e.now())
+			e.group.peer(to.ID).fullSentAt = 0
+			e.group.view.ConnectionFailed(to.ID, e.now())
 			return
 		}
-		e.epochSeen(s.Peer())
-		e.group.peer(b.ID).told = true
-		e.heardOffset(s, s.Peer().ConfigOffset)
-		if e.group.peer(b.ID).urgent {
-			// What can't wait came up while this one was on its way, without it.
-			e.sendBeats([]member.Peer{b})
+		e.observeEpoch(s.Peer())
+		e.group.peer(to.ID).heartbeatSent = true
+		e.observeOffset(s, s.Peer().ConfigOffset)
+		if e.group.peer(to.ID).urgent {
+			// An urgent change came up while this heartbeat was being sent without it.
+			e.sendHeartbeats([]member.Peer{to})
 		}
 	})
 }
 
-// collectResidents shares out what has changed in the cache picture among the
-// owners concerned, this endpoint always being one.
+// collectResidents distributes the changes of the cache view to the owners concerned.
+// This endpoint always counts as one.
 func (e *Endpoint) collectResidents() {
-	changed, next := e.picture.LevelsSince(e.rootsTold)
-	e.rootsTold = next
+	changed, next := e.cacheView.LevelsSince(e.sentLevelVersion)
+	e.sentLevelVersion = next
 	if len(changed) == 0 {
 		return
 	}
 	ids := e.usableIDs()
 	own := make([]protocol.Resident, 0, len(changed))
-	for _, root := range changed {
-		own = append(own, root.Resident)
-		for _, id := range owners(root, ids) {
+	for _, level := range changed {
+		own = append(own, level.Resident)
+		for _, id := range ownersOf(level, ids) {
 			if id != e.settings.ID {
-				e.group.peer(id).unsent[uint64(root.Resident.Hash)] = root.Resident.Tokens
+				e.group.peer(id).pendingResidents[uint64(level.Resident.Hash)] = level.Resident.Tokens
 			}
 		}
 	}
-	e.advertised(e.settings.ID, e.tel.Epoch, e.watch.incarnation, e.watch.version, own, false)
+	e.applyAdvertisement(e.settings.ID, e.tel.Epoch, e.watch.incarnation, e.watch.version, own, false)
 }
 
-func owners(root cachemap.TrackedLevel, ids []string) []string {
-	order := rendezvous.Order(root.OwnerKey, ids)
-	return order[:min(ownersTold, len(order))]
+func ownersOf(level cachemap.TrackedLevel, ids []string) []string {
+	order := rendezvous.Order(level.OwnerKey, ids)
+	return order[:min(ownersPerResident, len(order))]
 }
 
-// residentsFor returns what to tell a peer now, and whether it is all there is.
+// residentsFor returns the residents to send to a peer now, and whether these are all.
 func (e *Endpoint) residentsFor(id string, p *peer) (residents []protocol.Resident, full bool) {
 	now := e.now()
-	if p.fullSent == 0 || now-p.fullSent > fullInterval {
-		p.fullSent = now
-		clear(p.unsent)
+	if p.fullSentAt == 0 || now-p.fullSentAt > fullSyncInterval {
+		p.fullSentAt = now
+		clear(p.pendingResidents)
 		return e.allResidents(id), true
 	}
-	for hash, tokens := range p.unsent {
+	for hash, tokens := range p.pendingResidents {
 		if len(residents) == maxResidents {
 			break
 		}
 		residents = append(residents, protocol.Resident{Hash: prefix.Hash(hash), Tokens: tokens})
-		delete(p.unsent, hash)
+		delete(p.pendingResidents, hash)
 	}
 	return residents, false
 }
 
 func (e *Endpoint) allResidents(id string) []protocol.Resident {
-	all, _ := e.picture.LevelsSince(0)
+	all, _ := e.cacheView.LevelsSince(0)
 	ids := e.usableIDs()
 	if !slices.Contains(ids, id) {
-		// It isn't usable yet only because its own heartbeat is still to come.
+		// It isn't usable yet only because its own first heartbeat has not arrived.
 		ids = append(ids, id)
 	}
 	var residents []protocol.Resident
-	for _, root := range all {
-		if root.Resident.Tokens > 0 && slices.Contains(owners(root, ids), id) {
-			residents = append(residents, root.Resident)
+	for _, level := range all {
+		if level.Resident.Tokens > 0 && slices.Contains(ownersOf(level, ids), id) {
+			residents = append(residents, level.Resident)
 		}
 	}
 	return residents
 }
 
-// onHeartbeat takes a peer's heartbeat.
+// onHeartbeat handles a peer's heartbeat.
 func (e *Endpoint) onHeartbeat(s *wire.Session, hb *protocol.Heartbeat) {
 	from := s.Peer()
 	if hb.ID != from.ID || hb.Epoch != from.Epoch || from.Group != e.settings.Endpoint.Group {
-		e.dropped("heartbeat of another", s, "claimed", hb.ID)
+		e.recordDropped("heartbeat of another", s, "claimed", hb.ID)
 		return
 	}
-	e.epochSeen(from)
+	e.observeEpoch(from)
 	now := e.now()
 	if !e.group.view.HeartbeatReceived(hb, now) {
-		e.dropped("late heartbeat", s)
+		e.recordDropped("late heartbeat", s)
 		return
 	}
-	p := e.group.peer(hb.ID)
-	e.noteIncarnation(hb, p)
-	p.load, p.loadAt, p.hasLoad, p.epoch = hb.Load, now, true, hb.Epoch
-	e.heardStrikes(hb.Strikes, from.ID)
-	e.advertised(hb.ID, hb.Epoch, hb.Load.Incarnation, hb.Load.Version, hb.Residents, hb.Full)
-	e.heardOffset(s, hb.ConfigOffset)
+	peer := e.group.peer(hb.ID)
+	e.logIncarnationChange(hb, peer)
+	peer.load, peer.loadAt, peer.hasLoad, peer.epoch = hb.Load, now, true, hb.Epoch
+	e.mergePeerStrikes(hb.Strikes, from.ID)
+	e.applyAdvertisement(hb.ID, hb.Epoch, hb.Load.Incarnation, hb.Load.Version, hb.Residents, hb.Full)
+	e.observeOffset(s, hb.ConfigOffset)
 	e.probe(hb.Silent, false)
 }
 
-// noteIncarnation logs which engine a peer stands before, when that is news. From
-// here on this process places nothing there for what an earlier one held.
-func (e *Endpoint) noteIncarnation(hb *protocol.Heartbeat, p *peer) {
+// logIncarnationChange logs a new incarnation of a peer's engine. From then on this
+// process places nothing there for what an earlier one held.
+func (e *Endpoint) logIncarnationChange(hb *protocol.Heartbeat, p *peer) {
 	if after := hb.Load.Incarnation; after != "" && after != p.load.Incarnation {
-		e.log.Info("peer's engine", "peer", hb.ID, "incarnation", after, "before", p.load.Incarnation)
+		e.log.Info("peer engine has a new incarnation", "peer", hb.ID, "incarnation", after, "before", p.load.Incarnation)
 	}
 }
 
-// heardStrikes takes what a peer holds against requests.
-func (e *Endpoint) heardStrikes(strikes []protocol.Strike, from string) {
+// mergePeerStrikes merges the crash counts of requests that a peer reports.
+func (e *Endpoint) mergePeerStrikes(strikes []protocol.Strike, from string) {
 	now := e.now()
 	for _, s := range strikes {
 		before := e.poison.Judge(s.Fingerprint, now).Kind
 		e.poison.Merge([]protocol.Strike{s}, now)
 		if kind := e.poison.Judge(s.Fingerprint, now).Kind; kind > before {
-			e.log.Warn("strike heard of", "peer", from, "fingerprint", fmt.Sprintf("%016x", s.Fingerprint), "verdict", kind.String())
+			e.log.Warn("crash count received from peer", "peer", from, "fingerprint", fmt.Sprintf("%016x", s.Fingerprint), "verdict", kind.String())
 		}
 	}
 }
 
-// struck notes strikes that a sender knows of. The peer's own word may come
-// later: without it, a later crash would pass for an earlier one.
-func (e *Endpoint) struck(fingerprint uint64, crashes int) {
+// mergeCrashCount merges the crashes of a request that a sender knows of. The report
+// of the endpoint concerned may arrive later: without this one, a later crash would
+// be taken for an earlier one.
+func (e *Endpoint) mergeCrashCount(fingerprint uint64, crashes int) {
 	count := min(crashes, attempt.DefaultPoisonParams.ExclusiveFrom())
 	e.poison.Merge([]protocol.Strike{{Fingerprint: fingerprint, Count: count}}, e.now())
 }
 
-func (e *Endpoint) advertised(id string, epoch protocol.Epoch, incarnation, version string, residents []protocol.Resident, full bool) {
+func (e *Endpoint) applyAdvertisement(id string, epoch protocol.Epoch, incarnation, version string, residents []protocol.Resident, full bool) {
 	e.router.ApplyAdvertisement(e.now(), route.Advertisement{
 		Endpoint:    id,
 		Epoch:       epoch,
--- a/internal/endpoint/logreader.go
+++ b/internal/endpoint/logreader.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// logWait is how long one read of a log stream waits for a record. It bounds
-	// how old "nothing new" may be, so it stays below attempt.OnceParams.FreshFor.
-	logWait = 4 * time.Second
-	// maxLogPause bounds the pause after a failed read: calls with a key wait for it
-	// at an outage's end.
+	// logReadWait is how long one read of a log stream waits for a record. It bounds
+	// the age of a result without records, so it stays below
+	// attempt.OnceParams.MaxLogStaleness.
+	logReadWait = 4 * time.Second
+	// maxLogPause bounds the pause after a failed read: at the end of an outage, calls
+	// with an idempotency key wait for it.
 	maxLogPause = 2 * time.Second
 )
 
-// logReader follows one stream of the platform's log for the loop. It tells when a
-// read has reached the end, and goes on past what retention took.
+// logReader follows one stream of the platform's log for the loop. It reports when a
+// read has reached the end, and skips records that retention has removed.
 type logReader struct {
 	log    *platform.Log
 	stream string
@@ -27,20 +28,20 @@
 	now    func() time.Duration
 	logger *slog.Logger
 
-	// These are called on the loop. caughtUp is told when the read began that
-	// found nothing more.
-	record   func(offset uint64, data []byte)
-	caughtUp func(started time.Duration)
-	gap      func(oldest uint64)
-	oldest   func(offset uint64)
+	// These are called on the loop. onCaughtUp gets the time at which the read that
+	// found no more records was begun.
+	onRecord   func(offset uint64, data []byte)
+	onCaughtUp func(started time.Duration)
+	onGap      func(oldest uint64)
+	onOldest   func(offset uint64)
 
-	poke chan struct{}
+	interrupt chan struct{}
 }
 
-// readNow ends the present wait, for a reader that has to know the stream's end.
-func (r *logReader) readNow() {
+// interruptWait ends the current wait, for a caller that needs the stream's end now.
+func (r *logReader) interruptWait() {
 	select {
-	case r.poke <- struct{}{}:
+	case r.interrupt <- struct{}{}:
 	default:
 	}
 }
@@ -57,18 +58,19 @@
 		switch {
 		case errors.As(err, &retained):
 			from = retained.Oldest
-			r.loop.must(func() { r.gap(retained.Oldest) })
+			r.loop.postUnbounded(func() { r.onGap(retained.Oldest) })
 		case errors.Is(err, context.Canceled):
-			wait = 0 // poked
+			wait = 0 // interrupted
 		case err != nil:
 			pacer.Failed(ctx, err)
 		default:
 			from = page.Next
 			r.deliver(page, started)
 			pacer.Answered(ctx, len(page.Records), wait, r.now()-started)
-			// A page may be cut short anywhere. Only a read that finds nothing
-			// shows the end, so one without a wait follows each that finds some.
-			wait = logWait
+			// A page may be cut short anywhere. Only a read that finds nothing shows
+			// the end, so a read that finds records is followed by one that doesn't
+			// wait.
+			wait = logReadWait
 			if len(page.Records) > 0 {
 				wait = 0
 			}
@@ -83,7 +85,7 @@
 	defer close(done)
 	go func() {
 		select {
-		case <-r.poke:
+		case <-r.interrupt:
 			stop()
 		case <-done:
 		}
@@ -96,13 +98,13 @@
 }
 
 func (r *logReader) deliver(page platform.Page, started time.Duration) {
-	r.loop.must(func() {
-		r.oldest(page.Oldest)
+	r.loop.postUnbounded(func() {
+		r.onOldest(page.Oldest)
 		for _, rec := range page.Records {
-			r.record(rec.Offset, rec.Data)
+			r.onRecord(rec.Offset, rec.Data)
 		}
 		if len(page.Records) == 0 {
-			r.caughtUp(started)
+			r.onCaughtUp(started)
 		}
 	})
 }
--- a/internal/endpoint/mailbox.go
+++ b/internal/endpoint/mailbox.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// maxMailbox bounds what waits for the loop. Sessions post without blocking, so
-// a flood from a peer would otherwise fill memory.
-const maxMailbox = 1 << 16
+// maxQueued bounds the functions that wait for the loop. Sessions post without
+// blocking, so a flood of messages from a peer would otherwise fill memory.
+const maxQueued = 1 << 16
 
 // mailbox is the queue of the loop. It is shared.
 type mailbox struct {
@@ -18,11 +18,11 @@
 
 func newMailbox() *mailbox { return &mailbox{wake: make(chan struct{}, 1)} }
 
-// post queues f for the loop. It never blocks; it reports false, and drops f,
-// when the queue is full.
+// post queues f for the loop. It never blocks; when the queue is full it drops f and
+// reports false.
 func (m *mailbox) post(f func()) bool {
 	m.mu.Lock()
-	full := len(m.queue) >= maxMailbox
+	full := len(m.queue) >= maxQueued
 	if !full {
 		m.queue = append(m.queue, f)
 	}
@@ -37,10 +37,10 @@
 	return true
 }
 
-// must queues f whatever the length: the result of work that this process
-// itself began, which is bounded where it began. To lose one would leave an
-// attempt running for ever, seen as a drain that never ends.
-func (m *mailbox) must(f func()) {
+// postUnbounded queues f whatever the length of the queue. It is for results of work
+// that this process itself began and that is bounded where it began. Losing such a
+// result would leave an attempt running for ever, and a drain would never end.
+func (m *mailbox) postUnbounded(f func()) {
 	m.mu.Lock()
 	m.queue = append(m.queue, f)
 	m.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-func (m *mailbox) take() []func() {
+func (m *mailbox) takeAll() []func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	batch := m.queue
@@ -58,7 +58,7 @@
 	return batch
 }
 
-// run calls what was posted, in order, until ctx ends or finished is closed.
+// run calls the posted functions in order, until ctx ends or finished is closed.
 func (m *mailbox) run(ctx context.Context, finished <-chan struct{}) {
 	for {
 		select {
@@ -68,7 +68,7 @@
 			return
 		case <-m.wake:
 		}
-		for _, f := range m.take() {
+		for _, f := range m.takeAll() {
 			f()
 		}
 	}
--- a/internal/endpoint/once.go
+++ b/internal/endpoint/once.go
@@ -14,12 +14,12 @@
 const (
 	// appendTimeout bounds an append to the log.
 	appendTimeout = 3 * time.Second
-	// releaseTimeout bounds how long a stopping process waits for its claims to
-	// be released.
+	// releaseTimeout bounds how long a stopping process waits for its claims to be
+	// released.
 	releaseTimeout = 3 * time.Second
 )
 
-// claims wires idempotency keys to the log stream claims.GROUP.
+// claims connects idempotency keys with the log stream claims.GROUP.
 type claims struct {
 	once   *attempt.Once
 	reader *logReader
@@ -33,37 +33,37 @@
 	}
 	c := claims{once: attempt.NewOnce(e.settings.ID, e.tel.Epoch, params)}
 	c.timer = time.AfterFunc(time.Hour, func() {
-		e.loop.must(func() { e.performOnce(e.claims.once.Tick(e.now())) })
+		e.loop.postUnbounded(func() { e.performClaims(e.claims.once.Tick(e.now())) })
 	})
 	c.reader = &logReader{
-		logger: e.log,
-		log:    e.platformLog,
-		stream: "claims." + e.settings.Endpoint.Group,
-		loop:   e.loop,
-		now:    e.now,
-		poke:   make(chan struct{}, 1),
-		record: func(offset uint64, data []byte) {
-			e.performOnce(e.claims.once.ApplyRecord(offset, data, e.now()))
+		logger:    e.log,
+		log:       e.platformLog,
+		stream:    "claims." + e.settings.Endpoint.Group,
+		loop:      e.loop,
+		now:       e.now,
+		interrupt: make(chan struct{}, 1),
+		onRecord: func(offset uint64, data []byte) {
+			e.performClaims(e.claims.once.ApplyRecord(offset, data, e.now()))
 		},
-		caughtUp: func(started time.Duration) {
-			e.performOnce(e.claims.once.CaughtUp(started, e.now()))
+		onCaughtUp: func(started time.Duration) {
+			e.performClaims(e.claims.once.CaughtUp(started, e.now()))
 		},
-		gap: func(oldest uint64) {
-			e.performOnce(e.claims.once.Truncated(oldest, e.now()))
+		onGap: func(oldest uint64) {
+			e.performClaims(e.claims.once.Truncated(oldest, e.now()))
 		},
-		oldest: func(uint64) {},
+		onOldest: func(uint64) {},
 	}
 	return c
 }
 
-// claim lets an attempt with an idempotency key run if the key is its own.
+// claim requests a claim on the idempotency key of an attempt, under which it may run.
 func (e *Endpoint) claim(a *execution) {
 	key, ok := keyDigest(a.run.Key)
 	if !ok {
 		e.end(a, protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeBadRequest, Message: "malformed key digest"})
 		return
 	}
-	e.performOnce(e.claims.once.Run(attempt.KeyedRun{
+	e.performClaims(e.claims.once.Run(attempt.KeyedRun{
 		Attempt:       a.id,
 		Key:           key,
 		Fingerprint:   a.run.Fingerprint,
@@ -77,8 +77,8 @@
 	return d, copy(d[:], key) == len(d)
 }
 
-// performOnce does what the claims ask for.
-func (e *Endpoint) performOnce(actions []attempt.OnceAction) {
+// performClaims carries out the actions of the claims.
+func (e *Endpoint) performClaims(actions []attempt.OnceAction) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case attempt.AppendClaims:
@@ -100,10 +100,10 @@
 	ctx, stop := context.WithTimeout(context.Background(), appendTimeout)
 	defer stop()
 	_, err := e.platformLog.Append(ctx, e.claims.reader.stream, [][]byte{action.Data})
-	e.loop.must(func() { e.performOnce(e.appended(action.Batch, err)) })
+	e.loop.postUnbounded(func() { e.performClaims(e.onClaimsAppended(action.Batch, err)) })
 }
 
-func (e *Endpoint) appended(batch uint64, err error) []attempt.OnceAction {
+func (e *Endpoint) onClaimsAppended(batch uint64, err error) []attempt.OnceAction {
 	now := e.now()
 	var limited *platform.RateLimitedError
 	switch {
@@ -115,8 +115,8 @@
 		e.log.Warn("claims not appended", "error", err)
 		return e.claims.once.AppendFailed(batch, 0, now)
 	}
-	e.log.Warn("answer to claims lost", "error", err)
-	e.claims.reader.readNow()
+	e.log.Warn("append of claims unconfirmed", "error", err)
+	e.claims.reader.interruptWait()
 	return e.claims.once.AppendUnknown(batch, now)
 }
 
@@ -124,19 +124,19 @@
 func (e *Endpoint) execute(action attempt.Execute) {
 	a := e.executions[action.Attempt]
 	if a == nil || a.phase != phaseWaiting {
-		e.performOnce(e.claims.once.Finished(action.Key, protocol.NotRun, nil, e.now()))
+		e.performClaims(e.claims.once.Finished(action.Key, protocol.NotRun, nil, e.now()))
 		return
 	}
 	a.claimed = true
-	a.stream.record()
-	e.configure(a)
+	a.stream.startRecording()
+	e.awaitConfig(a)
 }
 
-// settleClaim tells the claims what came of an attempt that they let run.
+// settleClaim reports to the claims how an attempt that they let run has ended.
 func (e *Endpoint) settleClaim(a *execution, end protocol.End) {
 	key, _ := keyDigest(a.run.Key)
-	result := a.stream.recorded(end)
-	e.performOnce(e.claims.once.Finished(key, end.Outcome, result, e.now()))
+	result := a.stream.recordedResult(end)
+	e.performClaims(e.claims.once.Finished(key, end.Outcome, result, e.now()))
 }
 
 // attach gives an attempt the answer of the one that runs under its key.
@@ -145,24 +145,24 @@
 	if a == nil || a.phase != phaseWaiting {
 		return
 	}
-	if to == nil || !to.stream.follow(a.stream) {
-		e.end(a, protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "the request runs already"})
+	if to == nil || !to.stream.addFollower(a.stream) {
+		e.end(a, protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "a request with this key is already running"})
 		return
 	}
 	a.phase = phaseFollowing
 	to.followers = append(to.followers, a)
 }
 
-// replay gives an attempt the kept answer of its key.
+// replay gives an attempt the stored answer of its key.
 func (e *Endpoint) replay(action attempt.Replay) {
 	a := e.executions[action.Attempt]
 	if a == nil || a.phase != phaseWaiting {
 		return
 	}
-	a.stream.begin(action.Result.Status, action.Result.ContentType)
-	for _, piece := range action.Result.Chunks {
-		if err := a.stream.add(piece); err != nil {
-			break // the end that follows tells how many there were
+	a.stream.start(action.Result.Status, action.Result.ContentType)
+	for _, chunk := range action.Result.Chunks {
+		if err := a.stream.add(chunk); err != nil {
+			break // the end that follows has the number of chunks
 		}
 	}
 	e.end(a, action.Result.End)
@@ -176,7 +176,7 @@
 	}
 	end := action.End
 	if end.Redirect != nil {
-		end.Redirect = e.sameProcess(end.Redirect)
+		end.Redirect = e.resolveProcess(end.Redirect)
 	}
 	if end.Outcome == protocol.Unknown && end.Redirect == nil && end.Code == protocol.CodeNone {
 		end.Code = protocol.CodeUnknownOutcome
@@ -184,9 +184,9 @@
 	e.end(a, end)
 }
 
-// sameProcess completes the address of a process, or returns nil if that epoch
-// isn't known to live: only the process that claimed a key can answer for it.
-func (e *Endpoint) sameProcess(t *protocol.Target) *protocol.Target {
+// resolveProcess completes the address of a process, or returns nil if that epoch
+// isn't known to be alive: only the process that claimed a key can answer for it.
+func (e *Endpoint) resolveProcess(t *protocol.Target) *protocol.Target {
 	m, ok := e.group.view.Get(t.Endpoint, e.now())
 	if !ok || m.Epoch != t.Epoch || m.Address == "" {
 		return nil
@@ -194,9 +194,9 @@
 	return &protocol.Target{Endpoint: t.Endpoint, Address: m.Address, Epoch: t.Epoch}
 }
 
-// tellClaims tells the claims about the group: whose epochs live, and whether
+// updateClaims informs the claims of the group: which epochs are alive, and whether
 // this process is the one that carries old claims forward.
-func (e *Endpoint) tellClaims() {
+func (e *Endpoint) updateClaims() {
 	once := e.claims.once
 	for _, m := range e.group.view.Members(e.now()) {
 		switch m.State {
--- a/internal/endpoint/once_test.go
+++ b/internal/endpoint/once_test.go
@@ -50,18 +50,18 @@
 	return f.runs[body]
 }
 
-// keyedGroup is service endpoints before one service, with a log.
+// keyedGroup is a group of endpoints in front of one service, with a log.
 type keyedGroup struct {
-	service  *fakeService
-	platform string
-	members  []*process
-	start    func(i int) *process
+	service     *fakeService
+	platformURL string
+	members     []*process
+	start       func(i int) *process
 }
 
 func startKeyedGroup(t *testing.T, n int) *keyedGroup {
 	t.Helper()
 	services, list := startPlatform(t, n)
-	g := &keyedGroup{service: newFakeService(t), platform: services.Log}
+	g := &keyedGroup{service: newFakeService(t), platformURL: services.Log}
 	g.start = func(i int) *process {
 		return startMember(t, g.service.URL, services, list[i], func(s *settings.Settings) { s.Endpoint.Kind = kindService })
 	}
@@ -95,9 +95,8 @@
 	}
 }
 
-// Symptom: a service that looks up idempotency keys itself runs a call again.
-// Sequence: a keyed call comes with its request ID only.
-// Cause: the key that entries send along was not handed on.
+// Guards against a repeated call at a service that looks up idempotency keys itself: the
+// key that entries send along must be forwarded with the request ID.
 func TestServiceGetsTheKey(t *testing.T) {
 	g := startKeyedGroup(t, 1)
 	n := g.members[0].dial("entry-1")
@@ -110,10 +109,9 @@
 	}
 }
 
-// Symptom: a payment is made twice.
-// Sequence: a caller's answer is late; it sends the same key again through
-// another entry while the first sending still runs.
-// Cause: a key was looked up only among finished calls.
+// Guards against a payment that is made twice. The answer is late, and the caller sends
+// the same key again through another entry while the first attempt still runs; a key
+// must be looked up among running calls too.
 func TestSecondSenderGetsTheRunningAnswer(t *testing.T) {
 	g := startKeyedGroup(t, 1)
 	g.service.hold = make(chan struct{})
@@ -131,14 +129,12 @@
 	}
 }
 
-// Symptom: a pledge letter goes out twice.
-// Sequence: the same key is sent to two endpoints at the same moment, and one
-// answer of the log is lost after its effect.
-// Cause: each endpoint knew only its own senders, or took a lost answer for a
-// lost append.
+// Guards against two runs of one key in a group. The key is sent to two endpoints at the
+// same moment, and one answer of the log is lost after its append has taken effect:
+// endpoints must know of each other's attempts, and a lost answer is no lost append.
 func TestKeyRunsOnceInTheGroup(t *testing.T) {
 	g := startKeyedGroup(t, 3)
-	kit.Control(t, g.platform, `{"lose_next_answers": 1}`)
+	kit.Control(t, g.platformURL, `{"lose_next_answers": 1}`)
 	var senders []*entry
 	for i, p := range g.members {
 		n := p.dial("entry-1")
@@ -152,7 +148,7 @@
 		case end.Outcome == protocol.Done:
 			done++
 		case end.Outcome == protocol.NotRun:
-			t.Fatalf("not_run was said of a key that ran: %+v", end)
+			t.Fatalf("not_run was answered for a key that ran: %+v", end)
 		}
 	}
 	if done != 1 || g.service.ran("k1") != 1 {
@@ -160,18 +156,18 @@
 	}
 }
 
-// Symptom: a payment runs although its caller was told that it did not.
-// Sequence: the log is out; a keyed call is refused; the log comes back.
-// Cause: the call stayed queued behind the outage.
+// Guards against a payment that runs although its caller was told that it did not. The
+// log is down, a keyed call is refused, and the log comes back: the call must not stay
+// queued meanwhile.
 func TestLogOutageRefusesAndNothingRunsLater(t *testing.T) {
 	g := startKeyedGroup(t, 1)
 	n := g.members[0].dial("entry-1")
 	n.send(payment(1, 1))
 	n.answer(0)
-	kit.Control(t, g.platform, `{"log_down": true}`)
+	kit.Control(t, g.platformURL, `{"log_down": true}`)
 	n.send(payment(2, 2))
 	n.refused(protocol.CodeLogUnavailable)
-	kit.Control(t, g.platform, `{"log_down": false}`)
+	kit.Control(t, g.platformURL, `{"log_down": false}`)
 	sending := byte(3)
 	kit.Until(t, "the log", func() bool {
 		n.send(payment(sending, 3))
@@ -184,10 +180,9 @@
 	}
 }
 
-// Symptom: a payment is made again after a restart.
-// Sequence: a process stops while a call runs; its successor, with empty memory,
-// gets the same key.
-// Cause: what a key's claim says was forgotten with the process.
+// Guards against a payment that is made again after a restart. A process stops after a
+// call ran; its successor, with empty memory, gets the same key and must find the claim
+// in the log.
 func TestKeyOfAnEarlierEpochIsNotRunAgain(t *testing.T) {
 	g := startKeyedGroup(t, 1)
 	n := g.members[0].dial("entry-1")
--- a/internal/endpoint/orders.go
+++ b/internal/endpoint/orders.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// orderPoll is how often the engine's state is read while it changes.
-	orderPoll = 250 * time.Millisecond
-	// orderTimeout bounds an order's way to the engine. It stays below
-	// lease.Params.OrderMargin, so that an order arrives under its lease or not
+	// orderPollInterval is how often the engine's state is read while it changes.
+	orderPollInterval = 250 * time.Millisecond
+	// orderTimeout bounds the request that carries an order to the engine. It stays
+	// below lease.Params.OrderMargin, so that an order arrives under its lease or not
 	// at all.
 	orderTimeout = 1500 * time.Millisecond
-	// orderFresh is how long after the check of the lease an order may be
-	// written. A process that was stopped in between must not send it: another
-	// holder may have given newer orders since.
-	orderFresh = 200 * time.Millisecond
+	// maxLeaseCheckAge is how long after the check of the lease an order may be
+	// sent. A process that was paused in between must not send it: another holder
+	// may have sent newer orders since.
+	maxLeaseCheckAge = 200 * time.Millisecond
 )
 
-var errStaleCheck = errors.New("endpoint: paused between the lease's check and the order")
+var errStaleLeaseCheck = errors.New("endpoint: paused too long between the lease check and the order")
 
-// placement keeps the engine's weights equal to the configuration's.
+// placement keeps the engine's weights equal to those of the configuration.
 type placement struct {
 	leases *lease.Leases
 	permit *lease.Permit
 	orders *lease.Orders
 	name   lease.Name
 	reader *logReader
-	// want is what the engine is to have loaded; active is set until it has.
-	want   lease.Order
+	// wanted is what the engine is to load; active is set until it has loaded it.
+	wanted lease.Order
 	active bool
-	// loading is set from the order until the engine is read back with it.
+	// loading is set from the order until the engine's state shows the weights.
 	loading bool
-	// waits is set while the permit is held and the group can't spare this replica.
-	waits bool
-	// doneAt is when the engine was last read back with the wanted weights.
-	doneAt time.Duration
+	// loadPostponed is set while the permit is held and too few other replicas
+	// serve for this one to load.
+	loadPostponed bool
+	// loadedAt is when the engine's state last showed the wanted weights.
+	loadedAt time.Duration
 }
 
 func (e *Endpoint) newPlacement() placement {
@@ -52,36 +53,36 @@
 	return placement{
 		leases: leases,
 		permit: lease.NewPermit(leases, config.DefaultLoadPermits, e.rng),
-		orders: lease.NewOrders(leases, name, orderPoll),
+		orders: lease.NewOrders(leases, name, orderPollInterval),
 		name:   name,
 		reader: &logReader{
-			logger: e.log,
-			log:    e.platformLog,
-			stream: "leases." + e.settings.Endpoint.Group,
-			loop:   e.loop,
-			now:    e.now,
-			poke:   make(chan struct{}, 1),
-			record: func(offset uint64, data []byte) {
+			logger:    e.log,
+			log:       e.platformLog,
+			stream:    "leases." + e.settings.Endpoint.Group,
+			loop:      e.loop,
+			now:       e.now,
+			interrupt: make(chan struct{}, 1),
+			onRecord: func(offset uint64, data []byte) {
 				e.performLease(leases.Record(offset, data, e.now()))
 			},
-			caughtUp: func(time.Duration) { e.performLease(leases.CaughtUp(e.now())) },
-			gap:      func(oldest uint64) { e.performLease(leases.Gap(oldest, e.now())) },
-			oldest:   leases.Oldest,
+			onCaughtUp: func(time.Duration) { e.performLease(leases.CaughtUp(e.now())) },
+			onGap:      func(oldest uint64) { e.performLease(leases.Gap(oldest, e.now())) },
+			onOldest:   leases.Oldest,
 		},
 	}
 }
 
-// place compares the engine with the configuration and goes on with what is
-// under way.
-func (e *Endpoint) place() {
+// reconcileWeights compares the engine's weights with the configuration and continues
+// a change that is under way.
+func (e *Endpoint) reconcileWeights() {
 	if e.engine == nil {
 		return
 	}
 	p := &e.placement
 	now := e.now()
-	if want, ok := e.wantedWeights(); ok && (!p.active || p.want != want) {
-		p.want, p.active = want, true
-		e.log.Info("weights wanted", "model", want.Model, "version", want.Version,
+	if want, ok := e.wantedWeights(); ok && (!p.active || p.wanted != want) {
+		p.wanted, p.active = want, true
+		e.log.Info("configured weights differ from the engine's", "model", want.Model, "version", want.Version,
 			"has_model", e.watch.model, "has_version", e.watch.version)
 	}
 	if !p.active {
@@ -95,17 +96,17 @@
 	e.performLease(p.permit.Want(now))
 	e.performLease(p.permit.Tick(now))
 	if e.mayLoad() || p.loading {
-		e.performOrders(p.orders.Want(p.want, now))
+		e.performOrders(p.orders.Want(p.wanted, now))
 	}
 }
 
 // mayLoad reports whether the engine may load weights right now: under a permit,
-// and with enough of the group left to serve.
+// and with enough other replicas of the group serving.
 func (e *Endpoint) mayLoad() bool {
 	p := &e.placement
 	now := e.now()
 	if !p.permit.Check(now) {
-		p.waits = false
+		p.loadPostponed = false
 		return false
 	}
 	others := e.group.view.Members(now)
@@ -115,19 +116,20 @@
 			serving = append(serving, m.ID)
 		}
 	}
-	// A process that was restarted without the list knows of nobody until it is
-	// heard; all of a group would take themselves for alone.
+	// A process that was restarted without the list knows no member until it
+	// receives a heartbeat; every replica of a group would take itself for the only
+	// one.
 	known := e.group.listed || len(others) > 0
-	spared := known && p.permit.Spared(len(others), serving, e.settings.Endpoint.KeepServing)
-	if !spared && !p.waits {
-		e.log.Warn("weights wait: too few other replicas would serve meanwhile", "list_read", e.group.listed, "others", len(others), "serving", serving)
+	enough := known && p.permit.Spared(len(others), serving, e.settings.Endpoint.KeepServing)
+	if !enough && !p.loadPostponed {
+		e.log.Warn("weight load postponed: too few other replicas are serving", "list_read", e.group.listed, "others", len(others), "serving", serving)
 	}
-	p.waits = !spared
-	return spared
+	p.loadPostponed = !enough
+	return enough
 }
 
-// wantedWeights returns the order that the configuration asks for, if the engine
-// that is up has something else.
+// wantedWeights returns the order for the weights in the configuration, and whether
+// the engine is up and has other ones.
 func (e *Endpoint) wantedWeights() (lease.Order, bool) {
 	model := e.wantedModel()
 	if model == nil || !e.watch.up || e.drain.leaving {
@@ -140,7 +142,7 @@
 	return order, model.ID != e.watch.model || model.Version != e.watch.version
 }
 
-// wantedModel is the group's model: the one that the engine has if the group has
+// wantedModel returns the group's model: the one that the engine has if the group has
 // several, else the first by name.
 func (e *Endpoint) wantedModel() *config.Model {
 	var first *config.Model
@@ -174,9 +176,9 @@
 	defer stop()
 	_, err := e.platformLog.Append(ctx, e.placement.reader.stream, [][]byte{action.Data})
 	if err == nil {
-		return // it shows in the stream
+		return // the record is read back from the stream
 	}
-	e.loop.must(func() {
+	e.loop.postUnbounded(func() {
 		e.log.Warn("lease record not appended", "error", err)
 		e.performLease(e.placement.leases.Failed(action.Seq, e.now()))
 	})
@@ -199,18 +201,18 @@
 	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
 	state, err := e.engine.Orders(ctx)
-	e.loop.must(func() {
+	e.loop.postUnbounded(func() {
 		now := e.now()
 		if err != nil {
 			e.placement.orders.ReadFailed(now)
 			return
 		}
-		want := e.placement.want
+		want := e.placement.wanted
 		if state.Loading {
-			// The order of a process before this one: the group must not count on
-			// this engine, or the next one would load as well.
+			// An order of an earlier process: the group must not count on this engine,
+			// or another one would load at the same time.
 			e.placement.loading = true
-			e.tellEngine()
+			e.advertiseEngineState()
 		}
 		e.performOrders(e.placement.orders.Observe(lease.Observed{
 			Fence:   state.Fence,
@@ -220,7 +222,7 @@
 	})
 }
 
-// sendOrder gives the engine an order, if the leases hold right now.
+// sendOrder sends an order to the engine, if the leases are held right now.
 func (e *Endpoint) sendOrder(action lease.SendOrder) {
 	p := &e.placement
 	now := e.now()
@@ -229,17 +231,17 @@
 		return
 	}
 	p.loading = true
-	e.tellEngine()
+	e.advertiseEngineState()
 	e.recordPlacement(action, "ordered")
 	go func() {
 		err := e.writeOrder(action, now)
-		e.loop.must(func() { e.orderAnswered(action, err) })
+		e.loop.postUnbounded(func() { e.orderAnswered(action, err) })
 	}()
 }
 
-func (e *Endpoint) writeOrder(action lease.SendOrder, checked time.Duration) error {
-	if e.now()-checked > orderFresh {
-		return errStaleCheck
+func (e *Endpoint) writeOrder(action lease.SendOrder, checkedAt time.Duration) error {
+	if e.now()-checkedAt > maxLeaseCheckAge {
+		return errStaleLeaseCheck
 	}
 	ctx, stop := context.WithTimeout(context.Background(), orderTimeout)
 	defer stop()
@@ -260,9 +262,9 @@
 	case errors.Is(err, engine.ErrStaleFence):
 		e.recordPlacement(action, "stale_fence")
 		e.placement.orders.Refused(now)
-	case errors.Is(err, engine.ErrNotSent), errors.Is(err, errStaleCheck):
+	case errors.Is(err, engine.ErrNotSent), errors.Is(err, errStaleLeaseCheck):
 		e.recordPlacement(action, "not_sent")
-		e.placement.orders.Answered(now) // reading back goes on from there
+		e.placement.orders.Answered(now) // reading the state shows what to do next
 	default:
 		e.recordPlacement(action, "answer_lost")
 		e.placement.orders.Unanswered(now)
@@ -273,13 +275,13 @@
 	p := &e.placement
 	now := e.now()
 	p.active, p.loading = false, false
-	p.doneAt = now
+	p.loadedAt = now
 	e.watch.model, e.watch.version = order.Model, order.Version
-	e.tellEngine()
+	e.advertiseEngineState()
 	e.recordPlacement(lease.SendOrder{Order: order}, "in_force")
 	e.performLease(p.permit.Done(now))
 	e.performLease(p.leases.Drop(p.name, now))
-	e.startHeld()
+	e.startAdmitted()
 }
 
 func (e *Endpoint) recordPlacement(action lease.SendOrder, reason string) {
--- a/internal/endpoint/orders_test.go
+++ b/internal/endpoint/orders_test.go
@@ -18,22 +18,22 @@
 	"skylarklead/test/kit"
 )
 
-// startStandinEngine runs the stand-in engine with model m at version v1 and
-// returns its base URL. Its load report lags.
+// startStandinEngine runs the stand-in engine with model m at version v1 and returns
+// its base URL. Its load report lags.
 func startStandinEngine(t *testing.T) string {
 	t.Helper()
-	return serveStandin(t, standinengine.Defaults())
+	return serveStandinEngine(t, standinengine.Defaults())
 }
 
-// startStandin runs one whose load report is as of now.
-func startStandin(t *testing.T) string {
+// startCurrentStandinEngine runs one whose load report doesn't lag.
+func startCurrentStandinEngine(t *testing.T) string {
 	t.Helper()
 	settings := standinengine.Defaults()
 	settings.LoadLagMs = 0
-	return serveStandin(t, settings)
+	return serveStandinEngine(t, settings)
 }
 
-func serveStandin(t *testing.T, settings standinengine.Settings) string {
+func serveStandinEngine(t *testing.T, settings standinengine.Settings) string {
 	t.Helper()
 	e := standinengine.New(standinengine.Options{Model: "m", Version: "v1", Role: "mixed", Seed: 1, Settings: settings})
 	ctx, stop := context.WithCancel(context.Background())
@@ -64,10 +64,10 @@
 	return state.Loading
 }
 
-// Symptom: all replicas of a group load weights at once.
-// Sequence: they are restarted while the platform's list is out, or wait for one
-// that is listed and doesn't serve.
-// Cause: a process that knows of nobody took itself for alone.
+// Guards against all replicas of a group loading weights at once: they are restarted
+// while the platform's instance list is unavailable, or wait for a member that is listed
+// and doesn't serve. A process that knows no member must not take itself for the only
+// one.
 func TestLoadsOnlyWithAnotherAtWork(t *testing.T) {
 	e, log := newTestEndpoint(t)
 	p := &e.placement
@@ -76,7 +76,7 @@
 		p.leases.Record(1, a.(lease.Append).Data, e.now())
 	}
 	other := platform.Instance{ID: "ep-2", Role: platform.RoleEndpoint, Address: "127.0.0.1:1", Group: "g", State: platform.StateLive}
-	beat := func(seq uint64, up bool) {
+	receiveHeartbeat := func(seq uint64, up bool) {
 		hb := &protocol.Heartbeat{ID: "ep-2", Epoch: 1, Seq: seq, Load: protocol.Load{EngineUp: up}}
 		e.group.view.HeartbeatReceived(hb, e.now())
 		peer := e.group.peer("ep-2")
@@ -88,11 +88,11 @@
 		want bool
 	}{
 		{"the list was never read", func() {}, false},
-		{"the list is out", func() { e.onList(nil, errors.New("out")) }, false},
+		{"the list is unavailable", func() { e.onList(nil, errors.New("out")) }, false},
 		{"alone by the list", func() { e.onList(nil, nil) }, true},
-		{"another is listed and was never heard", func() { e.onList([]platform.Instance{other}, nil) }, false},
-		{"it loads itself", func() { beat(1, false) }, false},
-		{"it serves", func() { beat(2, true) }, true},
+		{"another is listed and has sent no heartbeat", func() { e.onList([]platform.Instance{other}, nil) }, false},
+		{"it is loading weights too", func() { receiveHeartbeat(1, false) }, false},
+		{"it serves", func() { receiveHeartbeat(2, true) }, true},
 		{"it is silent, and the permit still held", func() { e.started = e.started.Add(-5 * time.Second) }, false},
 	} {
 		step.do()
@@ -100,24 +100,23 @@
 			t.Errorf("%s: may load: %v", step.name, got)
 		}
 	}
-	if n := strings.Count(log.take(), "weights wait"); n != 3 {
-		t.Errorf("the log tells %d times that weights wait, want once each time it begins", n)
+	if n := strings.Count(log.take(), "weight load postponed"); n != 3 {
+		t.Errorf("the log has %d lines on a postponed load, want one each time that it begins", n)
 	}
 }
 
-// Symptom: after a new version is published, engines go on with the old one, or
-// all of a group load at once and none serves.
-// Sequence: a model's record changes its version; two replicas share one permit, or
-// have one each.
-// Cause: nothing but the processes beside the engines gives them orders; permits
-// alone don't look at who is left.
+// Guards against engines that keep the old version after a new one is published, and
+// against a group that loads all at once and serves nothing meanwhile. A model's record
+// changes its version; two replicas share one permit, or have one each. Only the
+// processes beside the engines send them orders, and permits alone don't check how many
+// replicas still serve.
 func TestEnginesGetTheConfiguredWeights(t *testing.T) {
 	for permits := 1; permits <= 2; permits++ {
-		t.Run(fmt.Sprintf("permits %d", permits), func(t *testing.T) { getWeights(t, permits) })
+		t.Run(fmt.Sprintf("permits %d", permits), func(t *testing.T) { testConfiguredWeights(t, permits) })
 	}
 }
 
-func getWeights(t *testing.T, permits int) {
+func testConfiguredWeights(t *testing.T, permits int) {
 	backends := []string{startStandinEngine(t), startStandinEngine(t)}
 	var engines []*engine.Client
 	for _, backend := range backends {
--- a/internal/endpoint/parameters_test.go
+++ b/internal/endpoint/parameters_test.go
@@ -8,11 +8,10 @@
 	"skylarklead/test/kit"
 )
 
-// Symptom: temperature and stop have no effect.
-// Sequence: a Run with a caller's parameters goes to an engine.
-// Cause: an endpoint that makes the engine's request of the fields it knows.
+// Guards against parameters such as temperature and stop that have no effect, because
+// the endpoint builds the engine's request only from the fields that it knows.
 func TestParametersReachTheEngine(t *testing.T) {
-	base := startStandin(t)
+	base := startCurrentStandinEngine(t)
 	n := startProcess(t, base, nil).dial("entry-1")
 	run := chat(1)
 	run.Parameters = []byte(`{"cache_salt":"other","temperature":0.2,"stop":["x"]}`)
--- a/internal/endpoint/probe_test.go
+++ b/internal/endpoint/probe_test.go
@@ -15,21 +15,20 @@
 	"skylarklead/test/kit"
 )
 
-// deaf is a peer that takes sessions and messages and never answers, as a
+// unresponsivePeer accepts sessions and messages and never answers, which is how a
 // stopped process looks from outside.
-type deaf struct{}
+type unresponsivePeer struct{}
 
-func (deaf) Handle(*wire.Session, uint32, protocol.Message) {}
-func (deaf) Closed(*wire.Session, error)                    {}
+func (unresponsivePeer) Handle(*wire.Session, uint32, protocol.Message) {}
+func (unresponsivePeer) Closed(*wire.Session, error)                    {}
 
-// Symptom: for seconds after a process has stopped, each request sent to it
-// waits until its entry gives it up.
-// Sequence: a peer is stopped right after a heartbeat; an entry gives up on it
-// and asks the owner again, with the peer as failed; other entries ask.
-// Cause: only the silence of SuspectAfter took a peer out of the group.
+// Guards against requests that are sent to a stopped process for seconds, each of which
+// waits until its entry gives up. A peer is stopped right after a heartbeat; an entry
+// gives up on it and asks the owner again, with the peer as failed. Other entries that
+// ask must not wait for SuspectAfter until the peer is out.
 func TestStoppedPeerIsOutAfterItsFirstFailure(t *testing.T) {
 	peer := protocol.Identity{ID: "ep-2", Role: protocol.RoleEndpoint, Epoch: 7, Group: "g"}
-	options := wire.Options{Key: fleetKey, Self: func() protocol.Identity { return peer }, Handler: deaf{}}
+	options := wire.Options{Key: fleetKey, Self: func() protocol.Identity { return peer }, Handler: unresponsivePeer{}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { wire.Accept(w, r, options) }))
 	t.Cleanup(server.Close)
 	list := []platform.Instance{{
--- a/internal/endpoint/recording.go
+++ b/internal/endpoint/recording.go
@@ -7,33 +7,33 @@
 	"skylarklead/internal/protocol"
 )
 
-// maxRecording bounds in bytes the answer that is kept for an idempotency key.
-const maxRecording = 1 << 20
+// maxRecordingBytes bounds the answer that is kept for an idempotency key.
+const maxRecordingBytes = 1 << 20
 
-// recording is the answer of an attempt that runs under an idempotency key, for
-// the same key's other senders. The stream's mutex guards it.
+// recording is the answer of an attempt that runs under an idempotency key, kept for
+// other attempts with the same key. The stream's mutex guards it.
 type recording struct {
-	begun     bool
+	started   bool
 	result    attempt.Result
 	bytes     int
 	followers []*stream
 }
 
-// record begins to keep the answer.
-func (st *stream) record() {
+// startRecording begins to keep the answer.
+func (st *stream) startRecording() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.recording = &recording{}
 }
 
-func (r *recording) begin(status int, contentType string) {
+func (r *recording) start(status int, contentType string) {
 	if r == nil {
 		return
 	}
-	r.begun = true
+	r.started = true
 	r.result.Status, r.result.ContentType = status, contentType
 	for _, f := range r.followers {
-		f.begin(status, contentType)
+		f.start(status, contentType)
 	}
 }
 
@@ -42,22 +42,22 @@
 		return
 	}
 	r.bytes += len(data)
-	if r.whole() {
+	if r.withinLimit() {
 		r.result.Chunks = append(r.result.Chunks, data)
 	}
 	for _, f := range r.followers {
-		_ = f.add(data) // a follower that doesn't read is cut off by itself
+		_ = f.add(data) // a follower that doesn't read is aborted by its own limits
 	}
 }
 
-func (r *recording) whole() bool { return r.bytes <= maxRecording }
+func (r *recording) withinLimit() bool { return r.bytes <= maxRecordingBytes }
 
-// recorded returns the whole answer, or nil if it wasn't kept.
-func (st *stream) recorded(end protocol.End) *attempt.Result {
+// recordedResult returns the whole answer, or nil if it wasn't kept.
+func (st *stream) recordedResult(end protocol.End) *attempt.Result {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	r := st.recording
-	if r == nil || !r.whole() || end.Outcome != protocol.Done {
+	if r == nil || !r.withinLimit() || end.Outcome != protocol.Done {
 		return nil
 	}
 	result := r.result
@@ -69,17 +69,17 @@
 	return &result
 }
 
-// follow gives f all that st was and will be given, but the end. It reports
-// false when the beginning is no longer kept.
-func (st *stream) follow(f *stream) bool {
+// addFollower sends to f everything that st was and will be given, except the end. It
+// reports false when the beginning is no longer kept.
+func (st *stream) addFollower(f *stream) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	r := st.recording
-	if r == nil || !r.whole() {
+	if r == nil || !r.withinLimit() {
 		return false
 	}
-	if r.begun {
-		f.begin(r.result.Status, r.result.ContentType)
+	if r.started {
+		f.start(r.result.Status, r.result.ContentType)
 	}
 	for _, data := range r.result.Chunks {
 		_ = f.add(data) // as in add
--- a/internal/endpoint/resume.go
+++ b/internal/endpoint/resume.go
@@ -12,18 +12,18 @@
 func (e *Endpoint) onCredit(s *wire.Session, m *protocol.Credit) {
 	a := e.executions[m.Attempt]
 	if a == nil || a.session != s {
-		e.dropped("late credit", s, "attempt", m.Attempt.String())
+		e.recordDropped("late credit", s, "attempt", m.Attempt.String())
 		return
 	}
-	a.stream.grant(m.Seq)
+	a.stream.addCredit(m.Seq)
 }
 
-// onCancel ends an attempt, on no session but the one that it was last run or
-// resumed on: through another entry the caller may be back.
+// onCancel cancels an attempt, but only from the session on which it was last run or
+// resumed: the caller may have come back through another entry.
 func (e *Endpoint) onCancel(s *wire.Session, m *protocol.Cancel) {
 	a := e.executions[m.Attempt]
 	if a == nil || a.session != s {
-		e.dropped("late cancel", s, "attempt", m.Attempt.String())
+		e.recordDropped("late cancel", s, "attempt", m.Attempt.String())
 		return
 	}
 	e.cancelExecution(a, "canceled by the entry")
@@ -33,16 +33,16 @@
 	switch a.phase {
 	case phaseFollowing:
 		e.end(a, protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeCanceled, Message: reason})
-	case phaseWaiting, phaseHeld:
+	case phaseWaiting, phaseAdmitted:
 		e.withdraw(a)
 		outcome := protocol.NotRun
 		if len(a.run.Key) > 0 && !a.claimed {
-			outcome = protocol.Unknown // an earlier sending of its key may have run
+			outcome = protocol.Unknown // an earlier attempt with its key may have run
 		}
 		e.end(a, protocol.End{Outcome: outcome, Code: protocol.CodeCanceled, Message: reason})
 	case phaseRunning:
 		if a.claimed {
-			return // it runs once, and its key's next sender wants the answer
+			return // it runs once, and the next attempt with its key needs the answer
 		}
 		e.log.Info("attempt canceled", "request", a.run.Request, "attempt", a.id.String(), "reason", reason)
 		a.stop(errCanceled)
@@ -56,7 +56,7 @@
 		go e.adopt(s, m)
 		return
 	}
-	known := a != nil && a.isOf(m.Epoch, e.tel.Epoch) && m.Organisation == a.run.Organisation
+	known := a != nil && a.matchesEpoch(m.Epoch, e.tel.Epoch) && m.Organisation == a.run.Organisation
 	if !known || !a.stream.attach(s, m.Seq, m.Window) {
 		e.refuseResume(s, m)
 		return
@@ -65,18 +65,19 @@
 	a.delivered = false
 }
 
-// isOf reports whether an attempt of the asked epoch is the one that runs here.
-func (a *execution) isOf(asked, own protocol.Epoch) bool {
-	return asked == own || a.adoptedFrom != 0 && asked == a.adoptedFrom
+// matchesEpoch reports whether a Resume with this epoch may refer to the attempt: the
+// epoch is own, that of this process, or the one that the attempt was adopted from.
+func (a *execution) matchesEpoch(epoch, own protocol.Epoch) bool {
+	return epoch == own || a.adoptedFrom != 0 && epoch == a.adoptedFrom
 }
 
 func (e *Endpoint) refuseResume(s *wire.Session, m *protocol.Resume) {
-	e.dropped("resume of an unknown attempt", s, "attempt", m.Attempt.String())
+	e.recordDropped("resume of an unknown attempt", s, "attempt", m.Attempt.String())
 	end := &protocol.End{Attempt: m.Attempt, Seq: m.Seq, Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome}
-	go s.Send(end) // lost only with the session, which tells as much
+	go s.Send(end) // lost only when the session is, which tells the peer the same
 }
 
-// onResolve tells what became of an attempt, and fences an unseen one.
+// onResolve reports the outcome of an attempt, and fences an unseen one.
 func (e *Endpoint) onResolve(s *wire.Session, ref uint32, m *protocol.Resolve) {
 	if m.Epoch != e.tel.Epoch {
 		// An earlier epoch may have run it: this one can't know.
@@ -86,7 +87,8 @@
 	e.reply(s, ref, e.registry.Resolve(m.Attempt, e.now()))
 }
 
-// sessionLost keeps the session's attempts for the grace.
+// sessionLost detaches the session's attempts, which can be resumed during the grace
+// period.
 func (e *Endpoint) sessionLost(s *wire.Session, err error) {
 	level := slog.LevelDebug
 	if errors.Is(err, wire.ErrMalformed) {
--- a/internal/endpoint/run.go
+++ b/internal/endpoint/run.go
@@ -12,23 +12,23 @@
 	"skylarklead/internal/wire"
 )
 
-// drainRetryAfter is what a refused caller of a leaving endpoint is told.
+// drainRetryAfter is the retry delay sent with a refusal while draining.
 const drainRetryAfter = time.Second
 
 var errCanceled = errors.New("endpoint: attempt canceled")
 
-// onRun takes a request that this process is to execute.
+// onRun handles a request that this process is to execute.
 func (e *Endpoint) onRun(s *wire.Session, run *protocol.Run) {
 	switch e.registry.Arrive(run.Attempt, e.now()) {
 	case attempt.ArrivalDuplicate:
-		e.dropped("doubled run", s, "attempt", run.Attempt.String())
+		e.recordDropped("doubled run", s, "attempt", run.Attempt.String())
 		return
 	case attempt.ArrivalFenced:
 		e.refuseFenced(s, run)
 		return
 	}
-	a := e.open(s, run)
-	if refusal := e.refuse(run); refusal != nil {
+	a := e.addExecution(s, run)
+	if refusal := e.runRefusal(run); refusal != nil {
 		e.end(a, *refusal)
 		return
 	}
@@ -36,18 +36,18 @@
 		e.claim(a)
 		return
 	}
-	e.configure(a)
+	e.awaitConfig(a)
 }
 
-// refuseFenced ends a Run whose attempt was answered not_run before it came.
+// refuseFenced ends a Run whose attempt was answered not_run before the Run arrived.
 func (e *Endpoint) refuseFenced(s *wire.Session, run *protocol.Run) {
-	e.dropped("fenced run", s, "attempt", run.Attempt.String())
+	e.recordDropped("fenced run", s, "attempt", run.Attempt.String())
 	end := &protocol.End{Attempt: run.Attempt, Seq: run.FirstSeq, Outcome: protocol.NotRun, Code: protocol.CodeNotRun}
-	go s.Send(end) // the sender has its answer from Resolve already
+	go s.Send(end) // the sender already has this answer from Resolve
 }
 
-// open enters a new attempt in the table and starts to serve its stream.
-func (e *Endpoint) open(s *wire.Session, run *protocol.Run) *execution {
+// addExecution adds a new attempt to the table and starts to send its stream.
+func (e *Endpoint) addExecution(s *wire.Session, run *protocol.Run) *execution {
 	ctx, stopPump := context.WithCancel(context.Background())
 	a := &execution{
 		id:       run.Attempt,
@@ -61,13 +61,13 @@
 	e.executions[run.Attempt] = a
 	e.tel.Metrics.Requests.Mark(1)
 	go a.stream.pump(ctx, func(s *wire.Session) {
-		e.loop.must(func() { e.onDelivered(a, s) })
+		e.loop.postUnbounded(func() { e.onDelivered(a, s) })
 	})
 	return a
 }
 
-// refuse returns why a request can't be run here, or nil.
-func (e *Endpoint) refuse(run *protocol.Run) *protocol.End {
+// runRefusal returns why a request can't be run here, or nil.
+func (e *Endpoint) runRefusal(run *protocol.Run) *protocol.End {
 	isCall := run.Call != nil
 	switch {
 	case run.Group != e.settings.Endpoint.Group,
@@ -75,8 +75,8 @@
 		isCall == (len(run.Messages) > 0):
 		return &protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeBadRequest, Message: "not for this endpoint"}
 	case e.drain.leaving && len(run.Key) == 0:
-		// A key may have run already, here or elsewhere; only its claim can tell
-		// whether not_run would be true.
+		// A request with the key may have run already, here or elsewhere; only its
+		// claim can tell whether not_run would be true.
 		return &protocol.End{
 			Outcome:      protocol.NotRun,
 			Code:         protocol.CodeDraining,
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// redirect names another endpoint for a request that was not run here, or nil.
+// redirect returns another endpoint for a request that was not run here, or nil.
 func (e *Endpoint) redirect(run *protocol.Run) *protocol.Target {
 	if run.Redirected {
 		return nil
@@ -116,20 +116,21 @@
 	return &target
 }
 
-// strikeHeadStart is how long a strike goes ahead of the outcome. A caller, or an
-// entry on its behalf, sends a request that failed again at once; an owner that
-// has not heard of the strike by then would hand it to one more engine.
-const strikeHeadStart = 50 * time.Millisecond
+// crashReportLead is how much earlier a crash is reported to the group than the
+// outcome to the entry. A caller, or an entry on its behalf, repeats a failed request
+// at once; an owner that has not received the report by then would send it to one
+// more engine.
+const crashReportLead = 50 * time.Millisecond
 
-// start hands an admitted attempt to the back end.
+// start sends an admitted attempt to the back end.
 func (e *Endpoint) start(a *execution) {
 	ctx, stop := context.WithCancelCause(context.Background())
 	a.phase = phaseRunning
 	a.startedAt = e.now()
 	a.stop = stop
-	a.mark = e.picture.NextRevision()
-	a.incarnation, a.crashes = e.watch.incarnation, e.watch.crashes
-	j := job{run: a.run, messages: a.messages, stream: a.stream, begun: time.Now(), incarnation: a.incarnation,
+	a.revision = e.cacheView.NextRevision()
+	a.incarnation, a.crashCount = e.watch.incarnation, e.watch.crashCount
+	j := job{run: a.run, messages: a.messages, stream: a.stream, startedAt: time.Now(), incarnation: a.incarnation,
 		priority: a.enginePriority, repeatable: a.repeatable()}
 	imported := e.importFor(a)
 	go func() {
@@ -142,10 +143,10 @@
 			end = e.runCompletion(ctx, j)
 		}
 		if end.EngineCrashed {
-			e.loop.must(func() { e.attemptCrashed(a) })
-			time.Sleep(strikeHeadStart)
+			e.loop.postUnbounded(func() { e.onAttemptCrash(a) })
+			time.Sleep(crashReportLead)
 		}
-		e.loop.must(func() { e.finished(a, end) })
+		e.loop.postUnbounded(func() { e.onRunEnded(a, end) })
 	}()
 }
 
@@ -154,7 +155,7 @@
 	run         *protocol.Run
 	messages    []prefix.Message
 	stream      *stream
-	begun       time.Time
+	startedAt   time.Time
 	incarnation string
 	priority    int
 	repeatable  bool
@@ -170,7 +171,7 @@
 	a.endedAt = e.now()
 	e.registry.End(a.id, end.Outcome, a.endedAt)
 	a.stream.finish(end)
-	e.account(a, end)
+	e.recordEnd(a, end)
 	for _, f := range a.followers {
 		e.end(f, end)
 	}
--- a/internal/endpoint/run_test.go
+++ b/internal/endpoint/run_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestRunStreamsTheAnswer(t *testing.T) {
-	_, _, n := beside(t, "one ", "two ", "three")
+	_, _, n := startWithEngine(t, "one ", "two ", "three")
 	n.send(chat(1))
 	if end := n.want(0, "one two three", protocol.Done); end.CachedTokens != 16 {
 		t.Fatalf("got %+v", end)
@@ -26,7 +26,7 @@
 }
 
 func TestCreditBoundsWhatIsSent(t *testing.T) {
-	_, _, n := beside(t, "a", "b", "c", "d")
+	_, _, n := startWithEngine(t, "a", "b", "c", "d")
 	run := chat(1)
 	run.Window = 2
 	n.send(run)
@@ -40,12 +40,11 @@
 	n.want(2, "cd", protocol.Done)
 }
 
-// Symptom: a caller whose entry died gets a cut answer, though its stream lived.
-// Sequence: the session is lost after two chunks; the caller comes back through
-// another entry with the last number it had.
-// Cause: an answer's chunks were known to the lost session alone.
+// Guards against a cut answer when the caller's entry died but the stream did not. The
+// session is lost after two chunks, and the caller comes back through another entry with
+// the last sequence number it had.
 func TestResumeOnAnotherSession(t *testing.T) {
-	f, p, n := started(t, "a", "b", "c", "d")
+	f, p, n := startWithRun(t, "a", "b", "c", "d")
 	f.step <- struct{}{}
 	f.step <- struct{}{}
 	n.skip(2)
@@ -57,35 +56,33 @@
 	f.wantRuns(1, 1)
 }
 
-// Symptom: an answer ends early although the engine goes on generating it.
-// Sequence: the connection to the engine is cut after a word; the engine lives.
-// Cause: a lost connection was taken for a lost engine.
+// Guards against an answer that ends early although the engine still generates it: the
+// connection to the engine is cut after a word, but the engine is alive.
 func TestEngineConnectionLost(t *testing.T) {
-	f, _, n := beside(t, "a", "b", "c")
-	f.change(func() { f.cut[attemptID(1).String()] = true })
+	f, _, n := startWithEngine(t, "a", "b", "c")
+	f.withLock(func() { f.cutStreams[attemptID(1).String()] = true })
 	n.send(chat(1))
 	n.want(0, "abc", protocol.Done)
 	f.wantRuns(1, 1)
 }
 
-// Symptom: a caller is told done, or waits for ever, after its engine died.
-// Sequence: the engine dies after a word and comes back as another incarnation.
-// Cause: an engine's stream belongs to one incarnation.
+// Guards against reporting done, or waiting for ever, after the engine died. It dies
+// after a word and comes back as another incarnation, to which the stream doesn't
+// belong.
 func TestEngineCrash(t *testing.T) {
-	f, _, n := started(t, "a", "b", "c")
-	f.change(func() { f.cut[attemptID(1).String()], f.incarnation = true, "i2" })
+	f, _, n := startWithRun(t, "a", "b", "c")
+	f.withLock(func() { f.cutStreams[attemptID(1).String()], f.incarnation = true, "i2" })
 	close(f.step)
 	if end := n.want(0, "a", protocol.Unknown); !end.EngineCrashed {
 		t.Fatalf("got %+v", end)
 	}
 }
 
-// Symptom: a caller is told not_run, and its payment runs nevertheless.
-// Sequence: a session stalls with a Run on it; the entry asks on another one
-// what became of the attempt, and is told not_run; then the Run arrives.
-// Cause: what was answered to Resolve wasn't kept.
+// Guards against a not_run answer for a payment that runs nevertheless. A session stalls
+// with a Run on it; the entry asks on another session for the outcome and is answered
+// not_run; then the Run arrives.
 func TestResolveFencesAnUnseenAttempt(t *testing.T) {
-	f, p, n := beside(t, "a")
+	f, p, n := startWithEngine(t, "a")
 	resolve := &protocol.Resolve{Attempt: attemptID(1), Epoch: p.tel.Epoch}
 	if r := n.call(resolve).(*protocol.Resolved); r.Outcome != protocol.NotRun || r.Running {
 		t.Fatalf("got %+v", r)
@@ -96,7 +93,7 @@
 }
 
 func TestResolveOfAnotherEpoch(t *testing.T) {
-	_, p, n := beside(t, "a")
+	_, p, n := startWithEngine(t, "a")
 	r := n.call(&protocol.Resolve{Attempt: attemptID(1), Epoch: p.tel.Epoch + 1}).(*protocol.Resolved)
 	if r.Outcome != protocol.Unknown || r.Running {
 		t.Fatalf("got %+v", r)
@@ -104,7 +101,7 @@
 }
 
 func TestDoubledRunIsDropped(t *testing.T) {
-	f, _, n := beside(t, "a")
+	f, _, n := startWithEngine(t, "a")
 	n.send(chat(1))
 	n.send(chat(1))
 	n.answer(0)
@@ -114,23 +111,22 @@
 }
 
 func TestCancelReachesTheEngine(t *testing.T) {
-	f, p, n := started(t, "a", "b")
+	f, p, n := startWithRun(t, "a", "b")
 	p.dial("entry-2").send(&protocol.Cancel{Attempt: attemptID(1)})
 	n.send(&protocol.Cancel{Attempt: attemptID(1)})
 	if _, end := n.answer(0); end.Code != protocol.CodeCanceled {
 		t.Fatalf("got %+v", end)
 	}
 	kit.Until(t, "the engine's cancel", func() (canceled bool) {
-		f.change(func() { canceled = f.canceled[attemptID(1).String()] })
+		f.withLock(func() { canceled = f.canceled[attemptID(1).String()] })
 		return canceled
 	})
 }
 
-// Symptom: a rolling restart cuts answers.
-// Sequence: SIGTERM arrives while an answer is being generated.
-// Cause: the process ended with its context in place of its last stream.
+// Guards against a rolling restart that cuts answers: SIGTERM arrives while an answer is
+// being generated, and the process must end with its last stream, not with its context.
 func TestDrainCutsNothing(t *testing.T) {
-	f, p, n := started(t, "a", "b")
+	f, p, n := startWithRun(t, "a", "b")
 	p.stop()
 	kit.Until(t, "the refusal", func() bool { return n.status().Leaving })
 	n.send(chat(2))
@@ -140,9 +136,9 @@
 	kit.OK(t, <-p.ended)
 }
 
-// Symptom: the last answer before a graceful stop is cut.
-// Sequence: its end is written to a peer, and the process exits at once.
-// Cause: exit resets connections, and the reset overtakes what wasn't read yet.
+// Guards against a graceful stop that cuts the last answer. Its end is written to a peer
+// and the process exits at once; the exit resets the connection, and the reset overtakes
+// what the peer has not read yet.
 func TestExitLingersAfterTheLastEnd(t *testing.T) {
 	e, _ := newTestEndpoint(t)
 	ended := func() bool {
@@ -154,22 +150,20 @@
 			return false
 		}
 	}
-	e.drain.lastEnd = e.now() + time.Minute // no wait of the machine's counts
+	e.drain.lastEnd = e.now() + time.Minute // in the future, so that a slow test doesn't use up the linger time
 	if e.drain.stopping = true; ended() {
 		t.Fatal("ended with its last end just sent")
 	}
 	e.started = e.started.Add(-time.Minute - exitLinger)
 	if !ended() {
-		t.Fatal("doesn't end")
+		t.Fatal("doesn't end after the linger time")
 	}
 }
 
-// Symptom: a request runs on an engine that its caller's group doesn't have.
-// Sequence: an entry with an old list asks, or sends a Run, to a process that has
-// changed its group or kind.
-// Cause: a process took what it was sent.
+// Guards against running a request at an endpoint of another group or kind: an entry
+// with an old list asks, or sends a Run to, a process that has changed its group or kind.
 func TestWhatIsNotForThisEndpointIsRefused(t *testing.T) {
-	f, _, n := beside(t, "a")
+	f, _, n := startWithEngine(t, "a")
 	for i, change := range []func(*protocol.Run){
 		func(r *protocol.Run) { r.Group = "other" },
 		func(r *protocol.Run) { r.Call, r.Messages = &protocol.Call{Service: "s"}, nil },
@@ -190,7 +184,7 @@
 }
 
 func TestQueueOverflowIsRefused(t *testing.T) {
-	f, _, n := startedWith(t, func(s *settings.Settings) { s.Endpoint.MaxRunning, s.Endpoint.MaxQueue = 1, 1 }, "a")
+	f, _, n := startWithRunAndSettings(t, func(s *settings.Settings) { s.Endpoint.MaxRunning, s.Endpoint.MaxQueue = 1, 1 }, "a")
 	n.send(chat(2))
 	n.send(chat(3))
 	if _, end := n.answer(0); end.Attempt != attemptID(3) || end.Code != protocol.CodeOverloaded || end.RetryAfterMs == 0 {
@@ -199,11 +193,10 @@
 	close(f.step)
 }
 
-// Symptom: a caller gets the rest of another organisation's answer.
-// Sequence: it comes back with a Last-Event-ID that isn't its own.
-// Cause: an attempt's ID alone was taken for the right to its stream.
+// Guards against giving a caller the rest of another organisation's answer: it resumes
+// with a Last-Event-ID that isn't its own.
 func TestResumeByAnotherOrganisation(t *testing.T) {
-	f, p, n := started(t, "a", "b")
+	f, p, n := startWithRun(t, "a", "b")
 	other := p.dial("entry-2")
 	other.send(&protocol.Resume{Attempt: attemptID(1), Epoch: p.tel.Epoch, Window: 10, Organisation: "other"})
 	other.want(0, "", protocol.Unknown)
@@ -211,15 +204,14 @@
 	n.want(0, "ab", protocol.Done)
 }
 
-// Symptom: one bad peer takes down the streams of all.
-// Sequence: peers without the key, with garbage for frames and with messages
-// that match nothing come while an answer streams.
-// Cause: a session's failure wasn't kept to it.
+// Guards against one bad peer that breaks the streams of others. Peers without the key,
+// with malformed frames, and with messages that match nothing come while an answer is
+// streamed.
 func TestBadPeersHarmNoOther(t *testing.T) {
-	f, p, n := started(t, "a", "b")
-	stranger := wire.Options{Key: []byte("another key"), Self: func() protocol.Identity { return protocol.Identity{} }, Handler: n}
-	if _, err := wire.Dial(context.Background(), p.address, stranger); err == nil {
-		t.Fatal("a peer without the key was let in")
+	f, p, n := startWithRun(t, "a", "b")
+	wrongKey := wire.Options{Key: []byte("another key"), Self: func() protocol.Identity { return protocol.Identity{} }, Handler: n}
+	if _, err := wire.Dial(context.Background(), p.address, wrongKey); err == nil {
+		t.Fatal("a peer without the key was accepted")
 	}
 	conn, _, err := websocket.Dial(context.Background(), "ws://"+p.address+wire.Path, nil)
 	if err != nil {
@@ -231,12 +223,12 @@
 	if _, _, err := conn.Read(context.Background()); err == nil {
 		t.Fatal("a peer that sends garbage was not cut off")
 	}
-	odd := p.dial("entry-2")
-	odd.send(&protocol.Credit{Attempt: attemptID(1), Seq: 1 << 40})
-	odd.send(&protocol.End{Attempt: attemptID(1)})
-	odd.send(&protocol.Heartbeat{ID: "ep-9"})
-	odd.send(&protocol.Run{Attempt: attemptID(9)})
-	odd.refused(protocol.CodeBadRequest)
+	badPeer := p.dial("entry-2")
+	badPeer.send(&protocol.Credit{Attempt: attemptID(1), Seq: 1 << 40})
+	badPeer.send(&protocol.End{Attempt: attemptID(1)})
+	badPeer.send(&protocol.Heartbeat{ID: "ep-9"})
+	badPeer.send(&protocol.Run{Attempt: attemptID(9)})
+	badPeer.refused(protocol.CodeBadRequest)
 	close(f.step)
 	n.want(0, "ab", protocol.Done)
 	if dropped := p.tel.Metrics.Dropped.Count(); dropped != 3 {
@@ -244,13 +236,13 @@
 	}
 }
 
-// Symptom: a daemon's memory grows to gigabytes beside a busy service.
-// Sequence: many calls with large answers end within half a minute.
-// Cause: every ended attempt's pieces are kept for that time.
+// Guards against memory that grows to gigabytes beside a busy service: many calls with
+// large answers end within half a minute, the time for which the chunks of an ended
+// attempt are kept.
 func TestReplaysAreBounded(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 4<<20)
 	f := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // else the server resets the connection
+		io.Copy(io.Discard, r.Body) // otherwise the server resets the connection
 		w.Write(large)
 	}))
 	t.Cleanup(f.Close)
--- a/internal/endpoint/server.go
+++ b/internal/endpoint/server.go
@@ -14,14 +14,14 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout lets go of a caller of /healthz that is gone without a word:
-	// wire.Listen has the kernel not probe for it.
+	// idleTimeout closes connections to /healthz whose caller is gone without closing
+	// them: wire.Listen disables the kernel's keep-alive probes.
 	idleTimeout = 2 * time.Minute
 )
 
-var errFlooded = errors.New("endpoint: too many messages wait")
+var errQueueFull = errors.New("endpoint: too many queued messages")
 
-// listen serves peers and /healthz on the settings' address.
+// listen serves peers, /healthz and /readyz on the address in the settings.
 func listen(e *Endpoint, options wire.Options) (*http.Server, error) {
 	listener, err := wire.Listen(e.settings.Listen)
 	if err != nil {
@@ -40,10 +40,11 @@
 	return server, nil
 }
 
-// readyz tells whoever restarts the fleet whether to go on with the next process.
+// readyz tells the tool that restarts the fleet whether the next process may be
+// restarted.
 func (e *Endpoint) readyz(w http.ResponseWriter, r *http.Request) {
 	answer := make(chan string, 1)
-	e.loop.must(func() { answer <- e.notReady() })
+	e.loop.postUnbounded(func() { answer <- e.notReadyReason() })
 	select {
 	case reason := <-answer:
 		if reason != "" {
@@ -53,26 +54,25 @@
 	}
 }
 
-// notReady is why the group can't count on this endpoint, "" if it can: its back
-// end is up and every peer has had a heartbeat of this epoch. A peer that hasn't
-// still takes it for leaving. If the next process stopped now, there might be
-// nobody left that an owner would choose, and callers would be refused in a rolling
-// restart. The first process of all has nobody to ask: it is ready by its back end
-// alone.
-func (e *Endpoint) notReady() string {
+// notReadyReason returns why the group can't count on this endpoint, "" if it can: its
+// back end is up and every peer was sent a heartbeat of this epoch. A peer that was
+// not still takes it for leaving. If the next process stopped then, owners might have
+// no endpoint left to choose, and callers would be refused during a rolling restart.
+// The first process of a group has no peers: it is ready by its back end alone.
+func (e *Endpoint) notReadyReason() string {
 	switch {
 	case e.drain.leaving:
 		return "leaving"
 	case len(e.openings.Refusers()) > 0:
 		return wire.KeyRefused
-	case !e.group.listRead:
-		return "instance list not asked yet"
+	case !e.group.listAttempted:
+		return "instance list not requested yet"
 	case !e.load().EngineUp:
-		return "back end is down or loads weights"
+		return "back end is down or loading weights"
 	}
 	for _, m := range e.group.view.Members(e.now()) {
-		if m.Usable() && !e.group.peer(m.ID).told {
-			return m.ID + " had no heartbeat yet"
+		if m.Usable() && !e.group.peer(m.ID).heartbeatSent {
+			return m.ID + " was sent no heartbeat yet"
 		}
 	}
 	return ""
@@ -89,21 +89,21 @@
 	}
 }
 
-// peerHandler hands what arrives on sessions to the loop.
+// peerHandler passes messages from sessions to the loop.
 type peerHandler struct{ e *Endpoint }
 
 // Handle implements wire.Handler.
 func (h peerHandler) Handle(s *wire.Session, ref uint32, m protocol.Message) {
 	if !h.e.loop.post(func() { h.e.handle(s, ref, m) }) {
-		// A dropped Run or Resolve would leave its sender waiting; the end of
-		// the session tells it at once.
-		s.Close(errFlooded)
+		// A dropped Run or Resolve would leave its sender waiting; the end of the
+		// session informs it at once.
+		s.Close(errQueueFull)
 	}
 }
 
 // Closed implements wire.Handler.
 func (h peerHandler) Closed(s *wire.Session, err error) {
-	h.e.loop.must(func() { h.e.sessionLost(s, err) })
+	h.e.loop.postUnbounded(func() { h.e.sessionLost(s, err) })
 }
 
 func (e *Endpoint) handle(s *wire.Session, ref uint32, m protocol.Message) {
@@ -133,18 +133,18 @@
 	case *protocol.Drain:
 		e.onDrain(s, ref, m)
 	default:
-		e.dropped("unexpected", s, "type", fmt.Sprintf("%T", m))
+		e.recordDropped("unexpected", s, "type", fmt.Sprintf("%T", m))
 	}
 }
 
-// dropped counts and logs a message that matches nothing.
-func (e *Endpoint) dropped(reason string, s *wire.Session, attrs ...any) {
+// recordDropped counts and logs a message that can't be handled.
+func (e *Endpoint) recordDropped(reason string, s *wire.Session, attrs ...any) {
 	e.tel.Metrics.Dropped.Inc(1)
 	attrs = append([]any{"reason", reason, "peer", s.Peer().ID}, attrs...)
 	e.log.Info("message dropped", attrs...)
 }
 
-// reply answers off the loop, since a stopped peer holds a write up for seconds.
+// reply answers off the loop, since a write to a stopped peer blocks for seconds.
 func (e *Endpoint) reply(s *wire.Session, ref uint32, m protocol.Message) {
 	go func() {
 		if err := s.Reply(ref, m); err != nil {
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -11,8 +11,8 @@
 	"skylarklead/internal/protocol"
 )
 
-// callPiece is the size of the pieces of a service's answer in bytes.
-const callPiece = 16 << 10
+// callChunkBytes is the size of the chunks of a service's answer.
+const callChunkBytes = 16 << 10
 
 // runCall sends a call to the plain service, once, and returns how it ended.
 func (e *Endpoint) runCall(ctx context.Context, j job) protocol.End {
@@ -29,23 +29,23 @@
 	case errors.Is(err, engine.ErrNotSent):
 		return protocol.End{Outcome: protocol.NotRun, Code: protocol.CodeNotRun, Message: "service is not reachable"}
 	case err != nil:
-		return protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "service's answer was lost"}
+		return protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "service's response was lost"}
 	}
 	defer resp.Body.Close()
-	j.stream.begin(resp.Status, resp.ContentType)
-	if err := copyPieces(ctx, j.stream, resp.Body); err != nil {
-		e.log.Warn("service's answer was cut", "request", j.run.Request, "error", err)
-		return protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "service's answer was cut"}
+	j.stream.start(resp.Status, resp.ContentType)
+	if err := copyChunks(ctx, j.stream, resp.Body); err != nil {
+		e.log.Warn("service's response was cut off", "request", j.run.Request, "error", err)
+		return protocol.End{Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome, Message: "service's response was cut off"}
 	}
 	return protocol.End{Outcome: protocol.Done}
 }
 
-func copyPieces(ctx context.Context, st *stream, body io.Reader) error {
-	buf := make([]byte, callPiece)
+func copyChunks(ctx context.Context, st *stream, body io.Reader) error {
+	buf := make([]byte, callChunkBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if err := st.waitRoom(ctx); err != nil {
+			if err := st.waitForSpace(ctx); err != nil {
 				return err
 			}
 			if err := st.add(bytes.Clone(buf[:n])); err != nil {
--- a/internal/endpoint/status.go
+++ b/internal/endpoint/status.go
@@ -2,7 +2,7 @@
 
 import "skylarklead/internal/protocol"
 
-// status is what skylarkctl shows of this process.
+// status returns what skylarkctl shows of this process.
 func (e *Endpoint) status() *protocol.Status {
 	now := e.now()
 	status := &protocol.Status{
@@ -15,7 +15,7 @@
 		InFlight:      e.executions.inFlight(),
 		UptimeMs:      now.Milliseconds(),
 		UnknownSchema: len(e.state().Opaque),
-		NotReady:      e.notReady(),
+		NotReady:      e.notReadyReason(),
 	}
 	for _, m := range e.group.view.Members(now) {
 		status.Members = append(status.Members, protocol.MemberStatus{
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxUnsent bounds in bytes what is read of a plain service's answer ahead
-	// of the receiver. A slow caller holds up its own answer there, no other.
+	// maxUnsent bounds in bytes how far a plain service's answer is read ahead of the
+	// receiver. A slow caller then delays only its own answer.
 	maxUnsent = 64 << 10
-	// callBytes bounds what is kept of a plain service's answer: a window of
-	// pieces and maxUnsent more fit well.
-	callBytes = 8 << 20
+	// maxCallBytes bounds what is kept of a plain service's answer: a window of
+	// chunks and maxUnsent fit well.
+	maxCallBytes = 8 << 20
 )
 
-// errCut is what a back end's work ends with when its stream was cut off.
-var errCut = errors.New("endpoint: stream cut off")
+// errAborted ends a back end's work when its stream was aborted.
+var errAborted = errors.New("endpoint: stream aborted")
 
-// stream is one attempt's answer on its way to the session that takes it. It is
+// stream is one attempt's answer on its way to the session that receives it. It is
 // shared between the reader of the back end, the pump that sends, and the loop.
 type stream struct {
 	now  func() time.Duration
@@ -33,21 +33,21 @@
 	sender  *attempt.Sender
 	session *wire.Session
 	release func()
-	// outbox is what the sender wants sent on session, in order.
+	// outbox has the messages to be sent on session, in order.
 	outbox []protocol.Message
-	// unsent are the bytes produced of pieces numbered unsentFrom and up, which
-	// no session was ever given.
+	// unsent counts the bytes in chunks numbered unsentFrom and up, which were never
+	// queued for a session.
 	unsent     int
 	unsentFrom uint64
-	addedAt    time.Duration // when the last piece came, 0 for never
-	room       chan struct{} // closed and replaced when unsent shrinks
-	recording  *recording    // nil but for an answer under an idempotency key
+	addedAt    time.Duration // when the last chunk was added, 0 for never
+	spaceFreed chan struct{} // closed and replaced when unsent shrinks
+	recording  *recording    // nil unless the answer is under an idempotency key
 }
 
 func newStream(run *protocol.Run, s *wire.Session, now func() time.Duration) *stream {
 	limits := attempt.DefaultSenderLimits
 	if run.Call != nil {
-		limits.MaxBytes = callBytes
+		limits.MaxBytes = maxCallBytes
 	}
 	return &stream{
 		now:        now,
@@ -56,12 +56,12 @@
 		session:    s,
 		release:    s.Hold(),
 		unsentFrom: run.FirstSeq,
-		room:       make(chan struct{}),
+		spaceFreed: make(chan struct{}),
 	}
 }
 
-// queue takes what the sender wants sent; mu is held.
-func (st *stream) queue(out attempt.Output) {
+// enqueue queues the sender's output; mu must be held.
+func (st *stream) enqueue(out attempt.Output) {
 	st.outbox = append(st.outbox, out.Send...)
 	for _, m := range out.Send {
 		if chunk, ok := m.(*protocol.Chunk); ok && chunk.Seq >= st.unsentFrom {
@@ -72,23 +72,23 @@
 	if len(out.Send) == 0 {
 		return
 	}
-	close(st.room)
-	st.room = make(chan struct{})
+	close(st.spaceFreed)
+	st.spaceFreed = make(chan struct{})
 	select {
 	case st.wake <- struct{}{}:
 	default:
 	}
 }
 
-// begin queues the Start.
-func (st *stream) begin(status int, contentType string) {
+// start queues the Start.
+func (st *stream) start(status int, contentType string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.recording.begin(status, contentType)
-	st.queue(st.sender.Start(status, contentType))
+	st.recording.start(status, contentType)
+	st.enqueue(st.sender.Start(status, contentType))
 }
 
-// add appends a piece. The error is errCut when the receiver has left too much
+// add appends a chunk. The error is errAborted when the receiver has left too much
 // unread.
 func (st *stream) add(data []byte) error {
 	st.mu.Lock()
@@ -97,28 +97,28 @@
 	st.unsent += len(data)
 	st.addedAt = st.now()
 	out := st.sender.Produce(data, st.addedAt)
-	st.queue(out)
+	st.enqueue(out)
 	if out.Abort != attempt.AbortNone {
-		return errCut
+		return errAborted
 	}
 	return nil
 }
 
-// lastPiece is when the back end last gave a piece, 0 for never.
-func (st *stream) lastPiece() time.Duration {
+// lastChunkAt is when the back end last produced a chunk, 0 for never.
+func (st *stream) lastChunkAt() time.Duration {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.addedAt
 }
 
-// waitRoom blocks while too much is unsent, until ctx ends.
-func (st *stream) waitRoom(ctx context.Context) error {
+// waitForSpace blocks while too much is unsent, until ctx ends.
+func (st *stream) waitForSpace(ctx context.Context) error {
 	for {
 		st.mu.Lock()
-		full, room := st.unsent >= maxUnsent, st.room
+		full, spaceFreed := st.unsent >= maxUnsent, st.spaceFreed
 		if st.recording != nil {
-			// The first sender may be gone, and others want the answer.
-			full = full && !st.recording.whole()
+			// The first receiver may be gone while others need the answer.
+			full = full && !st.recording.withinLimit()
 		}
 		st.mu.Unlock()
 		if !full {
@@ -127,7 +127,7 @@
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case <-room:
+		case <-spaceFreed:
 		}
 	}
 }
@@ -137,19 +137,19 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if !st.sender.Ended() {
-		st.queue(st.sender.Finish(end, st.now()))
+		st.enqueue(st.sender.Finish(end, st.now()))
 	}
 }
 
-// grant lets pieces below seq be sent.
-func (st *stream) grant(seq uint64) {
+// addCredit lets chunks below seq be sent.
+func (st *stream) addCredit(seq uint64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.queue(st.sender.Credit(seq, st.now()))
+	st.enqueue(st.sender.Credit(seq, st.now()))
 }
 
-// attach sends from piece seq on to another session. It reports false when that
-// piece isn't there.
+// attach continues from chunk seq on another session. It reports false when that
+// chunk is no longer kept.
 func (st *stream) attach(s *wire.Session, seq uint64, window uint32) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -161,11 +161,11 @@
 	st.session = s
 	st.release = s.Hold()
 	st.outbox = nil
-	st.queue(out)
+	st.enqueue(out)
 	return true
 }
 
-// detach stops sending to s; it does nothing if another session has taken over.
+// detach stops sending to s; it does nothing if another session has replaced s.
 func (st *stream) detach(s *wire.Session) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -178,24 +178,24 @@
 	st.sender.Detach(st.now())
 }
 
-// cut reports whether and why the stream has to be given up.
-func (st *stream) cut() attempt.AbortReason {
+// abortReason returns why the stream has to be aborted, AbortNone if it hasn't.
+func (st *stream) abortReason() attempt.AbortReason {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.sender.Tick(st.now())
 }
 
-// bytes is the size of the pieces kept.
-func (st *stream) bytes() int {
+// retainedBytes is the size of the chunks kept.
+func (st *stream) retainedBytes() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.sender.Bytes()
 }
 
-// pump sends until ctx ends. delivered is called each time an End was written.
+// pump sends until ctx ends. It calls delivered each time an End was written.
 func (st *stream) pump(ctx context.Context, delivered func(*wire.Session)) {
 	for {
-		s, m := st.take()
+		s, m := st.takeNext()
 		if m == nil {
 			select {
 			case <-ctx.Done():
@@ -214,7 +214,7 @@
 	}
 }
 
-func (st *stream) take() (*wire.Session, protocol.Message) {
+func (st *stream) takeNext() (*wire.Session, protocol.Message) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.session == nil || len(st.outbox) == 0 {
