--- a/internal/endpoint/transfer.go
+++ b/internal/endpoint/transfer.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxImports and maxExports bound the transfers at once, either way, and
-	// maxTransferBlocks the blocks of one. Past them prefixes are computed.
+	// maxImports and maxExports bound the concurrent transfers in each direction, and
+	// maxTransferBlocks the blocks of one. Beyond these limits prefixes are computed.
 	maxImports        = 4
 	maxExports        = 4
 	maxTransferBlocks = 2048
 )
 
-// The outcomes of an import beside those of wire.ExportRefusal.
+// The outcomes of an import besides those of protocol.ExportRefusal.
 const (
 	importDone        = "imported"
 	importOtherPrompt = "other_prompt"
@@ -30,11 +30,11 @@
 	importFailed      = "import_failed"
 )
 
-// transfers are the imports and exports that this process has under way.
+// transfers are the imports and exports in progress.
 //
-// An import is an optimisation: whatever goes wrong, the request is handed to the
-// engine after the import's bound and computes what isn't there. Nothing counts as
-// held for its sake; that comes with the engine's own events and answers.
+// An import is an optimisation: whatever fails, the request is sent to the engine after
+// the import's timeout and computes the missing blocks. An import alone doesn't make
+// blocks count as resident; the engine's own events and answers do.
 type transfers struct {
 	imports map[prefix.Hash]*transfer // by the hash of the level
 	exports int
@@ -42,19 +42,19 @@
 
 // transfer is an import that attempts wait for until done is closed.
 type transfer struct {
-	donor  *protocol.Donor
-	run    *protocol.Run // the first of them
-	hashes []prefix.Hash
-	bound  time.Duration
-	done   chan struct{}
+	donor   *protocol.Donor
+	run     *protocol.Run // the first that asked for it
+	hashes  []prefix.Hash
+	timeout time.Duration
+	done    chan struct{}
 }
 
-// importFor returns the import that an attempt is to wait for, or nil. One that
-// has no donor waits for what others import of its prompt, or it would compute
-// the same blocks beside them.
+// importFor returns the import that an attempt has to wait for, or nil. An attempt
+// without a donor waits for imports of its prompt by others, as it would otherwise
+// compute the same blocks at the same time.
 func (e *Endpoint) importFor(a *execution) *transfer {
-	for _, l := range a.run.Levels {
-		if t := e.transfers.imports[l.Hash]; t != nil {
+	for _, level := range a.run.Levels {
+		if t := e.transfers.imports[level.Hash]; t != nil {
 			return t
 		}
 	}
@@ -70,32 +70,32 @@
 	return t
 }
 
-// newImport returns what a's donor is to be asked for, nil if nothing.
+// newImport returns the import from a's donor, nil if there is nothing to import.
 func (e *Endpoint) newImport(a *execution) *transfer {
 	d := a.run.Donor
 	if d == nil || e.settings.Endpoint.TransferTokensPerSecond <= 0 || e.engine == nil || d.Target.Endpoint == e.settings.ID {
 		return nil
 	}
 	blocks := d.Level.Tokens / prefix.BlockTokens
-	// The chain is salted by the organisation, model and weights of the Run. A
-	// level that isn't in it is another organisation's, or of other weights;
-	// asked for, its blocks would come under a salt that they don't belong to.
+	// The chain is salted with the organisation, model and weights of the Run. A
+	// level that isn't in it belongs to another organisation or to other weights; its
+	// blocks would be imported under the wrong salt.
 	if blocks < 1 || blocks > len(a.chain) || a.chain[blocks-1] != d.Level.Hash || d.Version != a.run.Version {
 		e.recordImport(&transfer{donor: d, run: a.run}, importOtherPrompt, 0)
 		return nil
 	}
-	resident, _ := e.picture.Resident(a.chain)
+	resident, _ := e.cacheView.Resident(a.chain)
 	from := resident / prefix.BlockTokens
 	if from >= blocks || blocks-from > maxTransferBlocks {
 		return nil
 	}
 	hashes := a.chain[from:blocks]
-	computing := float64(len(hashes)*prefix.BlockTokens) / e.settings.Endpoint.PrefillTokensPerSecond
-	bound := min(e.settings.Endpoint.TransferWait.D(), time.Duration(computing*float64(time.Second)))
-	return &transfer{donor: d, run: a.run, hashes: hashes, bound: bound, done: make(chan struct{})}
+	computeSeconds := float64(len(hashes)*prefix.BlockTokens) / e.settings.Endpoint.PrefillTokensPerSecond
+	timeout := min(e.settings.Endpoint.TransferWait.D(), time.Duration(computeSeconds*float64(time.Second)))
+	return &transfer{donor: d, run: a.run, hashes: hashes, timeout: timeout, done: make(chan struct{})}
 }
 
-// await holds an attempt up until the import has ended, which its bound sees to.
+// await blocks until the import has ended, which its timeout guarantees, or ctx has.
 func (t *transfer) await(ctx context.Context) {
 	if t == nil {
 		return
@@ -107,23 +107,23 @@
 }
 
 func (e *Endpoint) runImport(t *transfer) {
-	ctx, stop := context.WithTimeout(context.Background(), t.bound)
+	ctx, stop := context.WithTimeout(context.Background(), t.timeout)
 	defer stop()
 	outcome, blocks := e.importBlocks(ctx, t)
 	close(t.done)
 	e.recordImport(t, outcome, blocks)
-	e.loop.must(func() { delete(e.transfers.imports, t.donor.Level.Hash) })
+	e.loop.postUnbounded(func() { delete(e.transfers.imports, t.donor.Level.Hash) })
 }
 
-// importBlocks moves a transfer's blocks, and returns how many the engine took.
+// importBlocks moves a transfer's blocks, and returns how many the engine accepted.
 func (e *Endpoint) importBlocks(ctx context.Context, t *transfer) (outcome string, blocks int) {
-	exported, err := e.askDonor(ctx, t)
+	exported, err := e.requestExport(ctx, t)
 	if err != nil {
-		e.log.Debug("donor not asked", "donor", t.donor.Target.Endpoint, "error", err)
+		e.log.Debug("export not received from donor", "donor", t.donor.Target.Endpoint, "error", err)
 		return importDonorLost, 0
 	}
-	if why := t.refuse(exported); why != "" {
-		return why, 0
+	if reason := t.refusalReason(exported); reason != "" {
+		return reason, 0
 	}
 	e.tel.Metrics.Count("kv_import_bytes", int64(len(exported.Blob)))
 	blocks, err = e.engine.ImportKV(ctx, engine.KV{
@@ -143,7 +143,7 @@
 	return importDone, blocks
 }
 
-func (e *Endpoint) askDonor(ctx context.Context, t *transfer) (*protocol.Exported, error) {
+func (e *Endpoint) requestExport(ctx context.Context, t *transfer) (*protocol.Exported, error) {
 	s, err := e.pool.Get(ctx, t.donor.Target.Address)
 	if err != nil {
 		return nil, err
@@ -159,19 +159,19 @@
 	}
 	exported, ok := reply.(*protocol.Exported)
 	if !ok {
-		return nil, errNoExport
+		return nil, errUnexpectedReply
 	}
 	return exported, nil
 }
 
-var errNoExport = errors.New("endpoint: donor's reply is no export")
+var errUnexpectedReply = errors.New("endpoint: unexpected reply to an export request")
 
-// refuse returns why an answer isn't imported, empty if it is.
+// refusalReason returns why an answer must not be imported, "" if it may be.
 //
-// The donor's engine may have crashed, its process restarted or its weights
-// changed since the decision. The answer then has blocks that the owner never
-// decided on: an engine that doesn't check would serve them as this prompt's.
-func (t *transfer) refuse(x *protocol.Exported) string {
+// The donor's engine may have crashed, its process restarted or its weights changed
+// since the decision. The answer then has blocks that the owner didn't decide on: an
+// engine that doesn't check would serve them as this prompt's.
+func (t *transfer) refusalReason(x *protocol.Exported) string {
 	switch {
 	case x.Refusal != "":
 		return string(x.Refusal)
@@ -209,10 +209,10 @@
 	})
 }
 
-// onExport gives blocks of the engine to a peer that imports them.
+// onExport sends blocks of the engine to a peer that imports them.
 func (e *Endpoint) onExport(s *wire.Session, ref uint32, m *protocol.Export) {
-	if why := e.refuseExport(m); why != "" {
-		e.reply(s, ref, &protocol.Exported{Refusal: why, Epoch: e.tel.Epoch})
+	if refusal := e.exportRefusal(m); refusal != "" {
+		e.reply(s, ref, &protocol.Exported{Refusal: refusal, Epoch: e.tel.Epoch})
 		return
 	}
 	e.transfers.exports++
@@ -220,14 +220,14 @@
 		ctx, stop := context.WithTimeout(context.Background(), e.settings.Endpoint.TransferWait.D())
 		defer stop()
 		x := e.export(ctx, m)
-		e.loop.must(func() {
+		e.loop.postUnbounded(func() {
 			e.transfers.exports--
 			e.reply(s, ref, x)
 		})
 	}()
 }
 
-func (e *Endpoint) refuseExport(m *protocol.Export) protocol.ExportRefusal {
+func (e *Endpoint) exportRefusal(m *protocol.Export) protocol.ExportRefusal {
 	switch {
 	case e.engine == nil, e.transfers.exports >= maxExports:
 		return protocol.ExportBusy
@@ -243,14 +243,15 @@
 	return ""
 }
 
-// export reads blocks from the engine. What the watch knows of it is a load report
-// old; the answer's own word is of the moment of the export.
+// export reads blocks from the engine. The watch's knowledge of the engine is as old
+// as the last load report; the answer itself names the incarnation and weights at the
+// time of the export.
 func (e *Endpoint) export(ctx context.Context, m *protocol.Export) *protocol.Exported {
 	kv, err := e.engine.ExportKV(ctx, m.Hashes)
 	x := &protocol.Exported{Epoch: e.tel.Epoch, Incarnation: kv.Incarnation, Version: kv.Weights, Hashes: kv.Hashes, Blob: kv.Blob}
 	switch {
 	case err != nil:
-		e.log.Debug("engine exported nothing", "error", err)
+		e.log.Debug("engine did not export blocks", "error", err)
 		x.Refusal = protocol.ExportFailed
 	case kv.Incarnation != m.Incarnation:
 		x.Refusal = protocol.ExportOtherIncarnation
--- a/internal/endpoint/transfer_test.go
+++ b/internal/endpoint/transfer_test.go
@@ -21,8 +21,8 @@
 	"skylarklead/test/kit"
 )
 
-// fakeDonor answers each Export with what reply makes of a good answer, or not at
-// all if that is nil.
+// fakeDonor answers each Export with reply's result for a good answer, or not at all if
+// that is nil.
 type fakeDonor struct {
 	reply func(*protocol.Exported) *protocol.Exported
 }
@@ -49,15 +49,14 @@
 	return server.Listener.(*net.TCPListener).Addr().String()
 }
 
-// Symptom: a request hangs, or runs on blocks that nobody decided on.
-// Sequence: the executor asks the donor that the decision names; that answers
-// nothing, or for another process, engine, weights or prefix; or the executor's
+// Guards against a request that hangs on an import, or runs on blocks that the decision
+// doesn't cover. The executor asks the donor that the decision names; the donor doesn't
+// answer, or answers for another process, engine, weights or prefix; or the executor's
 // own weights change before the import.
-// Cause: an import that is waited for without a bound, or taken unseen.
 func TestImportTakesOnlyWhatItAskedFor(t *testing.T) {
 	tests := []struct {
 		outcome string
-		status  int // of the engine's answer to the import
+		status  int // of the engine's response to the import
 		imports int32
 		reply   func(*protocol.Exported) *protocol.Exported
 	}{
@@ -106,7 +105,7 @@
 			t.Errorf("%s: %q, %+v", test.outcome, text, end)
 		}
 		var got string
-		kit.Until(t, "the import's account", func() bool {
+		kit.Until(t, "the import's decision record", func() bool {
 			records := p.tel.Decisions.Explain(run.Request)
 			i := slices.IndexFunc(records, func(r protocol.DecisionRecord) bool { return r.Kind == telemetry.KindImport })
 			if i >= 0 {
@@ -121,10 +120,9 @@
 	}
 }
 
-// Symptom: a donor gives blocks that its decision doesn't cover.
-// Sequence: its engine crashes or changes weights; before the next load report
-// says so, an Export for what was before arrives.
-// Cause: an export that goes by the load report alone.
+// Guards against a donor that sends blocks its decision doesn't cover. Its engine
+// crashes or changes weights; an Export for the earlier state arrives before the next
+// load report, so the check must use the export's own incarnation and weights.
 func TestExportGoesByTheEnginesOwnWord(t *testing.T) {
 	asked := &protocol.Export{Incarnation: "i1", Version: "v1", Hashes: []prefix.Hash{1}}
 	tests := []struct {
@@ -139,7 +137,7 @@
 	for _, test := range tests {
 		e, log := newTestEndpoint(t)
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body) // closed with a body unread, the connection is reset
+			io.Copy(io.Discard, r.Body) // closing with an unread body would reset the connection
 			json.NewEncoder(w).Encode(test.kv)
 		}))
 		t.Cleanup(server.Close)
--- a/internal/endpoint/versions.go
+++ b/internal/endpoint/versions.go
@@ -8,22 +8,22 @@
 	"skylarklead/internal/route"
 )
 
-// otherVersion returns the version that a request which named none should ask
-// for in place of the configured one, or "" to go on with that.
+// fallbackVersion returns the version to be used by a request that named none instead
+// of the configured one, or "" for the configured one.
 //
-// When a model's record changes its version, a few engines at a time load the
-// new weights. Sent to the new version from the first moment, all requests would
+// When a model's record changes its version, a few engines at a time load the new
+// weights. If all requests asked for the new version from the first moment, they would
 // find no engine, and then crowd on the first few that have it, which shows as
-// refusals and a long time to first token until the last one has loaded. So the
-// old version serves until half of the group has the new one.
-func (e *Endpoint) otherVersion(ask *protocol.Ask, endpoints []route.Endpoint) string {
+// refusals and a long time to first token until the last one has loaded. So the old
+// version serves until half of the group has the new one.
+func (e *Endpoint) fallbackVersion(ask *protocol.Ask, endpoints []route.Endpoint) string {
 	if !ask.AnyVersion {
 		return ""
 	}
 	counts := make(map[string]int)
 	total := 0
 	for i := range endpoints {
-		if version := servedVersion(ask.Model, &endpoints[i]); version != "" && e.mayUse(ask, version) {
+		if version := servedVersion(ask.Model, &endpoints[i]); version != "" && e.mayUseVersion(ask, version) {
 			counts[version]++
 			total++
 		}
@@ -31,13 +31,13 @@
 	if 2*counts[ask.Version] >= total {
 		return ""
 	}
-	most := ""
+	best := ""
 	for _, version := range slices.Sorted(maps.Keys(counts)) {
-		if version != ask.Version && (most == "" || counts[version] > counts[most]) {
-			most = version
+		if version != ask.Version && (best == "" || counts[version] > counts[best]) {
+			best = version
 		}
 	}
-	return most
+	return best
 }
 
 // servedVersion is the version of a model that an endpoint would run now, or "".
@@ -48,17 +48,17 @@
 	return e.Load.Version
 }
 
-// mayUse reports whether the configuration lets an organisation use a version.
-func (e *Endpoint) mayUse(ask *protocol.Ask, version string) bool {
+// mayUseVersion reports whether the configuration lets an organisation use a version.
+func (e *Endpoint) mayUseVersion(ask *protocol.Ask, version string) bool {
 	model := e.state().Models[ask.Model]
 	organisation := e.state().Organisations[ask.Organisation]
 	return model != nil && organisation != nil &&
 		slices.Contains(model.Versions, version) && organisation.Allows(ask.Model, version)
 }
 
-// askOther refuses to place a request under the version that it asked for, and
-// names the one to ask for.
-func (e *Endpoint) askOther(ask *protocol.Ask, version string) *protocol.Decision {
+// suggestVersion refuses to place a request under the version that it asked for, and
+// names the version to ask for.
+func (e *Endpoint) suggestVersion(ask *protocol.Ask, version string) *protocol.Decision {
 	return &protocol.Decision{
 		Request: ask.Request,
 		Owner:   e.settings.ID,
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -122,7 +122,7 @@
 	harness.Await(t, "all endpoint processes to have heard", func() bool {
 		heard := 0
 		for _, n := range c.Endpoints {
-			heard += min(1, n.Count("strike heard of", "verdict", "given_up")+n.Count("request given up"))
+			heard += min(1, n.Count("crash count received from peer", "verdict", "given_up")+n.Count("request given up"))
 		}
 		return heard == len(c.Endpoints)
 	})
--- a/test/promise1_cache_test.go
+++ b/test/promise1_cache_test.go
@@ -47,7 +47,7 @@
 	for _, n := range c.Endpoints {
 		if n != holder {
 			harness.Await(t, "the group to hear of it", func() bool {
-				return n.Count("peer's engine", "peer", holder.ID, "incarnation", now) > 0
+				return n.Count("peer engine has a new incarnation", "peer", holder.ID, "incarnation", now) > 0
 			})
 		}
 	}
