--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -29,7 +29,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := l.Check(OrderName("endpoint-0"), time.Second); !ok {
-			b.Fatal("not held")
+			b.Fatal("the lease is not held")
 		}
 	}
 }
@@ -44,7 +44,7 @@
 		l.ApplyRecord(1, data, 0)
 		l.CaughtUp(time.Hour)
 		if l.Table().Position() != 1 {
-			t.Error("a record was not passed")
+			t.Error("the reader did not move past the record")
 		}
 	})
 }
--- a/internal/lease/contention_test.go
+++ b/internal/lease/contention_test.go
@@ -10,18 +10,18 @@
 	"skylarklead/internal/protocol"
 )
 
-// Figures of the log that claimants contend on: an append takes a partition a few
-// milliseconds, an answer as long again. Records that a process doesn't write itself
-// are read by a long poll, or, where that costs too many calls, about once a second.
+// Timing of the log that claimants contend for: an append occupies a partition for a few
+// milliseconds, and its answer takes as long again. Records of other processes are read by a
+// long poll or, where that would take too many calls, about once a second.
 const (
-	contendAppend = 4 * time.Millisecond
-	contendTrip   = 5 * time.Millisecond
-	contendPoll   = 20 * time.Millisecond
-	contendRead   = 1200 * time.Millisecond
-	contendTick   = 25 * time.Millisecond
+	appendTime        = 4 * time.Millisecond
+	networkDelay      = 5 * time.Millisecond
+	longPollInterval  = 20 * time.Millisecond
+	plainReadInterval = 1200 * time.Millisecond
+	tickInterval      = 25 * time.Millisecond
 )
 
-// event is something that happens at a time of the simulation.
+// event is a function to run at a simulated time.
 type event struct {
 	at  time.Duration
 	run func()
@@ -40,17 +40,16 @@
 	return last
 }
 
-// contention is a number of claimants of one lease on a log that takes one append
-// at a time.
+// contention simulates claimants of one lease on a log that processes one append at a time.
 type contention struct {
-	now     time.Duration
-	queue   events
-	log     [][]byte
-	free    time.Duration
-	params  Params
-	appends int
-	// conditional is set where the log takes appends under a condition; long polls
-	// are then left out.
+	now       time.Duration
+	queue     events
+	log       [][]byte
+	logFreeAt time.Duration
+	params    Params
+	appends   int
+	// conditional is set where the log supports conditional appends; there are then no long
+	// polls.
 	conditional bool
 }
 
@@ -62,53 +61,53 @@
 type claimant struct {
 	c      *contention
 	leases *Leases
-	// leaves makes it give the lease back as soon as it has it.
-	leaves, left bool
+	// releasesAtOnce makes it release the lease as soon as it is granted.
+	releasesAtOnce, released bool
 }
 
-func (p *claimant) do(actions []Action) {
+func (p *claimant) perform(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Append:
 			p.append(a)
 		case Granted:
-			if p.leaves {
-				p.left = true
-				p.do(p.leases.Release(a.Name, p.c.now))
+			if p.releasesAtOnce {
+				p.released = true
+				p.perform(p.leases.Release(a.Name, p.c.now))
 			}
 		}
 	}
 }
 
-// append queues a record at the log. Where the log has conditional appends, a claim
-// lands only right after what its claimant had read.
+// append queues a record at the log. Where the log supports conditional appends, a claim is
+// appended only directly after what its claimant had read.
 func (p *claimant) append(a Append) {
 	c := p.c
 	c.appends++
 	read := p.leases.Table().Position()
-	c.free = max(c.free, c.now+contendTrip) + contendAppend
-	c.after(c.free-c.now, func() {
-		landed := !c.conditional || !a.Claim || read == uint64(len(c.log))
-		if landed {
+	c.logFreeAt = max(c.logFreeAt, c.now+networkDelay) + appendTime
+	c.after(c.logFreeAt-c.now, func() {
+		appended := !c.conditional || !a.Claim || read == uint64(len(c.log))
+		if appended {
 			c.log = append(c.log, a.Data)
 		}
-		c.after(contendTrip, func() {
-			if !landed {
-				p.do(p.leases.AppendFailed(a.Seq, c.now))
+		c.after(networkDelay, func() {
+			if !appended {
+				p.perform(p.leases.AppendFailed(a.Seq, c.now))
 			}
-			c.after(contendTrip, p.read)
+			c.after(networkDelay, p.read)
 		})
 	})
 }
 
-// read takes what the log had half a trip ago.
+// read applies what the log had one network delay ago.
 func (p *claimant) read() {
 	records := p.c.log
-	p.c.after(contendTrip, func() {
+	p.c.after(networkDelay, func() {
 		for at := p.leases.Table().Position(); at < uint64(len(records)); at++ {
-			p.do(p.leases.ApplyRecord(at+1, records[at], p.c.now))
+			p.perform(p.leases.ApplyRecord(at+1, records[at], p.c.now))
 		}
-		p.do(p.leases.CaughtUp(p.c.now))
+		p.perform(p.leases.CaughtUp(p.c.now))
 	})
 }
 
@@ -119,13 +118,13 @@
 
 func (c *contention) readEvery() time.Duration {
 	if c.conditional {
-		return contendRead
+		return plainReadInterval
 	}
-	return contendPoll
+	return longPollInterval
 }
 
-// held is how many claimants may use the lease now.
-func (c *contention) held(claimants []*claimant, name Name) int {
+// countHolders returns how many claimants may use the lease now.
+func (c *contention) countHolders(claimants []*claimant, name Name) int {
 	n := 0
 	for _, p := range claimants {
 		if _, ok := p.leases.Check(name, c.now); ok {
@@ -135,21 +134,18 @@
 	return n
 }
 
-// TestManyClaimantsOfAReleasedLease
+// Guards against a rollout of weights that stops for good, even across a restart of all entries,
+// while requests are refused because the replicas' weights are overdue and the entries make four
+// times as many calls to the store as usual.
 //
-// Symptom: a rollout of weights stands still for as long as the day lasts, even
-// through a restart of all entries; requests are refused since the replicas' weights
-// are overdue; calls to the store are four times as many as usual.
+// The holder is disconnected and its lease expires. Thirty entries claim it at the same moment.
+// The one that gets it is shutting down and releases it at once, so that the others' invalid
+// claims are appended after the release. Then thirty entries claim the free lease.
 //
-// Sequence: the holder is cut off, and its lease ends. Thirty entries claim it in the
-// same moment. The one that gets it is shutting down and gives it back at once, so
-// that the others' claims, without effect, land after the release. Thirty entries
-// claim the free lease.
-//
-// Cause: a claim is valid if it names the last record of its lease. One without
-// effect counts as the last record too. Each entry claimed again as soon as it had
-// read its own claim back, so that a record of another landed between each claim's
-// reading and its own landing: no claim was ever valid.
+// A claim is valid only if it supersedes the last record of its lease, and an invalid claim counts
+// as the last record too. If each entry claims again as soon as it has read its own claim back,
+// another entry's record is always appended between reading the log and appending the claim, and
+// no claim is ever valid.
 func TestManyClaimantsOfAReleasedLease(t *testing.T) {
 	const within = 5 * time.Second
 	for _, conditional := range []bool{false, true} {
@@ -181,14 +177,14 @@
 	for i := range n {
 		id := fmt.Sprintf("entry-%d", i)
 		p := &claimant{c: c, leases: NewLeases(id, protocol.Epoch(i+1), c.params, rand.New(rand.NewPCG(seed, uint64(i))))}
-		// A fifth of them are shutting down.
-		p.leaves = i%5 == 0
+		// A fifth of the claimants are shutting down.
+		p.releasesAtOnce = i%5 == 0
 		claimants = append(claimants, p)
 		c.after(time.Duration(rng.Int64N(int64(30*time.Millisecond))), func() {
 			p.every(c.readEvery(), p.read)
-			p.every(contendTick, func() {
-				if !p.left {
-					p.do(p.leases.Acquire(name, c.now))
+			p.every(tickInterval, func() {
+				if !p.released {
+					p.perform(p.leases.Acquire(name, c.now))
 				}
 			})
 		})
@@ -198,12 +194,12 @@
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
 		e.run()
-		switch held := c.held(claimants, name); held {
+		switch holders := c.countHolders(claimants, name); holders {
 		case 0:
 		case 1:
 			return c.now - began, c.appends
 		default:
-			t.Fatalf("%d hold the lease", held)
+			t.Fatalf("%d claimants hold the lease at once", holders)
 		}
 	}
 	return c.now - began, c.appends
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -12,10 +12,10 @@
 	"skylarklead/test/kit"
 )
 
-// worldSteps is how many things happen in one run of the model.
-const worldSteps = 200
+// simulationSteps is the number of random events in one simulation.
+const simulationSteps = 200
 
-// proc is one process with a monotonic clock of its own.
+// proc is a process with its own monotonic clock.
 type proc struct {
 	leases  *Leases
 	permit  *Permit
@@ -25,61 +25,61 @@
 	paused  bool
 }
 
-// world is a group of processes that share a log. It may be down, lose answers
-// and apply appends long after their sender gave them up.
-type world struct {
-	t     *rapid.T
-	now   time.Duration
-	log   [][]byte
-	up    bool
-	limbo [][]byte
-	procs []*proc
-	epoch protocol.Epoch
-	// permits is the group's number of permits to load.
+// simulation is a group of processes that share a log. The log may be down, lose answers
+// and append records long after their sender stopped waiting for them.
+type simulation struct {
+	t       *rapid.T
+	now     time.Duration
+	log     [][]byte
+	up      bool
+	delayed [][]byte
+	procs   []*proc
+	epoch   protocol.Epoch
+	// permits is the group's number of permits to load weights.
 	permits int
 	order   Name
 	orders  []uint64
 }
 
-func newWorld(t *rapid.T, n, permits int) *world {
-	w := &world{t: t, now: time.Minute, up: true, permits: permits, order: OrderName("endpoint-0")}
+func newSimulation(t *rapid.T, n, permits int) *simulation {
+	s := &simulation{t: t, now: time.Minute, up: true, permits: permits, order: OrderName("endpoint-0")}
 	for i := range n {
-		w.procs = append(w.procs, &proc{})
-		w.restart(i)
+		s.procs = append(s.procs, &proc{})
+		s.restart(i)
 	}
-	return w
+	return s
 }
 
-func (w *world) restart(i int) {
-	w.epoch++
-	for _, a := range w.procs[i].appends {
-		w.limbo = append(w.limbo, a.Data)
+func (s *simulation) restart(i int) {
+	s.epoch++
+	for _, a := range s.procs[i].appends {
+		s.delayed = append(s.delayed, a.Data)
 	}
-	rng := rand.New(rand.NewPCG(uint64(w.epoch), 7))
-	l := NewLeases(fmt.Sprintf("endpoint-%d", i), w.epoch, DefaultParams, rng)
-	*w.procs[i] = proc{
-		leases: l, permit: NewPermit(l, w.permits, rng),
-		base: time.Duration(rapid.IntRange(0, 1000).Draw(w.t, "base")) * time.Second,
-		rate: 1 + float64(rapid.IntRange(-2, 2).Draw(w.t, "drift"))/100,
+	rng := rand.New(rand.NewPCG(uint64(s.epoch), 7))
+	l := NewLeases(fmt.Sprintf("endpoint-%d", i), s.epoch, DefaultParams, rng)
+	*s.procs[i] = proc{
+		leases: l, permit: NewPermit(l, s.permits, rng),
+		base: time.Duration(rapid.IntRange(0, 1000).Draw(s.t, "base")) * time.Second,
+		rate: 1 + float64(rapid.IntRange(-2, 2).Draw(s.t, "drift"))/100,
 	}
 }
 
-// clock is what a process reads: clocks start anywhere and drift by up to 2 %.
-func (w *world) clock(i int) time.Duration {
-	p := w.procs[i]
-	return p.base + time.Duration(float64(w.now)*p.rate)
+// clock is the time at a process: clocks start anywhere and drift by up to 2 %.
+func (s *simulation) clock(i int) time.Duration {
+	p := s.procs[i]
+	return p.base + time.Duration(float64(s.now)*p.rate)
 }
 
-func (w *world) do(i int, actions []Action) {
+func (s *simulation) perform(i int, actions []Action) {
 	for _, action := range actions {
 		if a, ok := action.(Append); ok {
-			w.procs[i].appends = append(w.procs[i].appends, a)
+			s.procs[i].appends = append(s.procs[i].appends, a)
 		}
 	}
 }
 
-func (w *world) settle(i int, how string) {
-	p := w.procs[i]
+func (s *simulation) finishAppend(i int, how string) {
+	p := s.procs[i]
 	if len(p.appends) == 0 || p.paused {
 		return
 	}
@@ -87,77 +87,78 @@
 	p.appends = p.appends[1:]
 	switch {
 	case how == "late":
-		// Its sender gives it up; it may land at any time.
-		w.limbo = append(w.limbo, a.Data)
-	case w.up && how != "refused":
-		w.log = append(w.log, a.Data)
+		// Its sender stops waiting; it may be appended at any time.
+		s.delayed = append(s.delayed, a.Data)
+	case s.up && how != "refused":
+		s.log = append(s.log, a.Data)
 	}
-	if how != "ok" || !w.up {
-		w.do(i, p.leases.AppendFailed(a.Seq, w.clock(i)))
+	if how != "ok" || !s.up {
+		s.perform(i, p.leases.AppendFailed(a.Seq, s.clock(i)))
 	}
 }
 
-func (w *world) read(i, limit int) {
-	p := w.procs[i]
-	if !w.up || p.paused {
+func (s *simulation) read(i, limit int) {
+	p := s.procs[i]
+	if !s.up || p.paused {
 		return
 	}
 	for range limit {
 		at := p.leases.Table().Position()
-		if at == uint64(len(w.log)) {
-			w.do(i, p.leases.CaughtUp(w.clock(i)))
+		if at == uint64(len(s.log)) {
+			s.perform(i, p.leases.CaughtUp(s.clock(i)))
 			return
 		}
-		w.do(i, p.leases.ApplyRecord(at+1, w.log[at], w.clock(i)))
+		s.perform(i, p.leases.ApplyRecord(at+1, s.log[at], s.clock(i)))
 	}
 }
 
-func (w *world) tick(i int) {
-	p := w.procs[i]
+func (s *simulation) tick(i int) {
+	p := s.procs[i]
 	if p.paused {
 		return
 	}
-	w.do(i, p.leases.Tick(w.clock(i)))
-	w.do(i, p.permit.Tick(w.clock(i)))
+	s.perform(i, p.leases.Tick(s.clock(i)))
+	s.perform(i, p.permit.Tick(s.clock(i)))
 }
 
-// give lets a process order the engine, if its check allows it now. An engine
-// that checks fencing numbers gets the order later, in any order.
-func (w *world) give(i int) {
-	if fence, ok := w.procs[i].leases.Check(w.order, w.clock(i)); ok && !w.procs[i].paused {
-		w.orders = append(w.orders, fence)
+// issueOrder has a process send the engine an order if its check allows it now. Orders may
+// reach an engine that checks fencing numbers later and in any sequence.
+func (s *simulation) issueOrder(i int) {
+	if fence, ok := s.procs[i].leases.Check(s.order, s.clock(i)); ok && !s.procs[i].paused {
+		s.orders = append(s.orders, fence)
 	}
 }
 
-// check fails when two processes may use one lease at the same moment, or when all
-// may load weights, each of them having last heard that all others serve.
-func (w *world) check() {
+// check fails if two processes may use one lease at the same moment, if more processes have
+// permits than there are, or if all may load weights, each having last been told that all
+// others serve.
+func (s *simulation) check() {
 	orders, permits, loading := 0, 0, 0
-	for i, p := range w.procs {
-		if _, ok := p.leases.Check(w.order, w.clock(i)); ok {
+	for i, p := range s.procs {
+		if _, ok := p.leases.Check(s.order, s.clock(i)); ok {
 			orders++
 		}
-		if p.permit.Check(w.clock(i)) {
+		if p.permit.Check(s.clock(i)) {
 			permits++
-			if p.permit.EnoughServing(len(w.procs)-1, w.others(i), 0) {
+			if p.permit.EnoughServing(len(s.procs)-1, s.others(i), 0) {
 				loading++
 			}
 		}
 	}
 	if orders > 1 {
-		w.t.Fatalf("%d processes hold the order lease", orders)
+		s.t.Fatalf("%d processes hold the order lease", orders)
 	}
-	if permits > w.permits {
-		w.t.Fatalf("%d processes hold %d permits", permits, w.permits)
+	if permits > s.permits {
+		s.t.Fatalf("%d processes hold %d permits", permits, s.permits)
 	}
-	if loading >= len(w.procs) {
-		w.t.Fatalf("all of %d processes load weights", loading)
+	if loading >= len(s.procs) {
+		s.t.Fatalf("all of %d processes load weights", loading)
 	}
 }
 
-// others are the IDs of all processes but one.
-func (w *world) others(self int) (ids []string) {
-	for i := range w.procs {
+// others returns the IDs of all processes but one.
+func (s *simulation) others(self int) (ids []string) {
+	for i := range s.procs {
 		if i != self {
 			ids = append(ids, fmt.Sprintf("endpoint-%d", i))
 		}
@@ -165,97 +166,96 @@
 	return ids
 }
 
-func (w *world) run() {
+func (s *simulation) run() {
 	kinds := []string{
 		"nothing", "order", "order", "permit", "permit", "done", "drop", "append", "append", "append", "append", "read", "read",
 		"read", "all", "all", "all", "land", "log", "up", "up", "pause", "go on", "go on", "restart", "time", "time", "time",
 	}
-	for range worldSteps {
-		i := rapid.IntRange(0, len(w.procs)-1).Draw(w.t, "proc")
-		w.step(i, rapid.SampledFrom(kinds).Draw(w.t, "step"))
-		w.check()
+	for range simulationSteps {
+		i := rapid.IntRange(0, len(s.procs)-1).Draw(s.t, "proc")
+		s.step(i, rapid.SampledFrom(kinds).Draw(s.t, "step"))
+		s.check()
 	}
 }
 
-func (w *world) step(i int, kind string) {
-	p := w.procs[i]
+func (s *simulation) step(i int, kind string) {
+	p := s.procs[i]
 	switch kind {
 	case "order":
-		w.do(i, p.leases.Acquire(w.order, w.clock(i)))
-		w.give(i)
+		s.perform(i, p.leases.Acquire(s.order, s.clock(i)))
+		s.issueOrder(i)
 	case "permit":
-		w.do(i, p.permit.Acquire(w.clock(i)))
+		s.perform(i, p.permit.Acquire(s.clock(i)))
 	case "done":
-		w.do(i, p.permit.Release(w.clock(i)))
+		s.perform(i, p.permit.Release(s.clock(i)))
 	case "drop":
-		w.do(i, p.leases.Release(w.order, w.clock(i)))
+		s.perform(i, p.leases.Release(s.order, s.clock(i)))
 	case "append":
-		w.settle(i, rapid.SampledFrom([]string{"ok", "ok", "lost", "late", "refused"}).Draw(w.t, "how"))
+		s.finishAppend(i, rapid.SampledFrom([]string{"ok", "ok", "lost", "late", "refused"}).Draw(s.t, "how"))
 	case "read":
-		w.read(i, rapid.IntRange(1, 4).Draw(w.t, "limit"))
+		s.read(i, rapid.IntRange(1, 4).Draw(s.t, "limit"))
 	case "all":
-		w.pump()
+		s.stepAll()
 	case "land":
-		if len(w.limbo) > 0 && w.up {
-			w.log = append(w.log, w.limbo[0])
-			w.limbo = w.limbo[1:]
+		if len(s.delayed) > 0 && s.up {
+			s.log = append(s.log, s.delayed[0])
+			s.delayed = s.delayed[1:]
 		}
 	case "log":
-		w.up = false
+		s.up = false
 	case "up":
-		w.up = true
+		s.up = true
 	case "pause":
 		p.paused = true
 	case "go on":
 		p.paused = false
 	case "restart":
-		if rapid.IntRange(0, 3).Draw(w.t, "really") == 0 {
-			w.restart(i)
+		if rapid.IntRange(0, 3).Draw(s.t, "really") == 0 {
+			s.restart(i)
 		}
 	case "time":
-		w.now += time.Duration(rapid.SampledFrom([]int{1, 100, 1000, 3000, 9000, 12000}).Draw(w.t, "ms")) * time.Millisecond
+		s.now += time.Duration(rapid.SampledFrom([]int{1, 100, 1000, 3000, 9000, 12000}).Draw(s.t, "ms")) * time.Millisecond
 	}
 }
 
-func (w *world) pump() {
-	for i := range w.procs {
-		w.tick(i)
-		w.settle(i, "ok")
-		w.read(i, 1000)
-		w.give(i)
+func (s *simulation) stepAll() {
+	for i := range s.procs {
+		s.tick(i)
+		s.finishAppend(i, "ok")
+		s.read(i, 1000)
+		s.issueOrder(i)
 	}
 }
 
-// Symptom: two processes order one engine, or three replicas load weights where
-// two may; or nobody in the group serves, since there are as many permits.
-// Sequence: a holder is stopped past its lease and goes on; renewals and claims
-// are refused, lose their answers or land long after they were sent; the log is
-// down; processes restart.
-// Cause looked for: a holder that counts its lease from a later moment than the
-// sending of what the log took, or a claim on a lease that was renewed.
+// Guards against two processes that send orders to one engine, more replicas loading weights
+// than there are permits, and no replica serving when there are as many permits as replicas.
+// This comes about if a holder counts its lease from a later moment than when it sent the
+// record, or if a claim succeeds on a lease that was renewed. The simulation pauses holders
+// past their lease, fails or delays appends, loses their answers, stops the log and restarts
+// processes.
 func TestLeasesAndPermitsAreExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 3, rapid.IntRange(2, 3).Draw(t, "permits"))
-		w.run()
+		s := newSimulation(t, 3, rapid.IntRange(2, 3).Draw(t, "permits"))
+		s.run()
 	})
 }
 
 func TestSpared(t *testing.T) {
-	w := &world{now: time.Minute, up: true, permits: 3, order: OrderName("endpoint-0")}
+	s := &simulation{now: time.Minute, up: true, permits: 3, order: OrderName("endpoint-0")}
 	for i := range 3 {
 		rng := rand.New(rand.NewPCG(uint64(i), 7))
 		l := NewLeases(fmt.Sprintf("endpoint-%d", i), 1, DefaultParams, rng)
-		w.procs = append(w.procs, &proc{leases: l, permit: NewPermit(l, w.permits, rng), rate: 1})
+		s.procs = append(s.procs, &proc{leases: l, permit: NewPermit(l, s.permits, rng), rate: 1})
 	}
-	w.pump()
-	if w.procs[0].permit.EnoughServing(0, nil, 0) {
-		t.Error("spared without a permit")
+	s.stepAll()
+	if s.procs[0].permit.EnoughServing(0, nil, 0) {
+		t.Error("enough replicas serve without a permit")
 	}
-	for i, p := range w.procs {
-		w.do(i, p.permit.Acquire(w.clock(i)))
+	for i, p := range s.procs {
+		s.perform(i, p.permit.Acquire(s.clock(i)))
 		for range 9 {
-			w.now += time.Second / 4
-			w.pump()
+			s.now += time.Second / 4
+			s.stepAll()
 		}
 	}
 	const a, b, c = "endpoint-0", "endpoint-1", "endpoint-2"
@@ -279,59 +279,59 @@
 		{"all, first", 0, 2, []string{b, c}, 1, true},
 		{"all, and one is down", 0, 2, []string{b}, 1, false},
 	} {
-		if got := w.procs[tt.self].permit.EnoughServing(tt.others, tt.serving, tt.share); got != tt.want {
+		if got := s.procs[tt.self].permit.EnoughServing(tt.others, tt.serving, tt.share); got != tt.want {
 			t.Errorf("%s: %v", tt.name, got)
 		}
 	}
 }
 
-// Symptom: nobody can load weights any more after an outage.
+// Guards against leases that can't be acquired any more after an outage of the log.
 func TestLeasesAreGrantedOnceTheLogIsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 3, 2)
-		w.run()
-		w.up = true
+		s := newSimulation(t, 3, 2)
+		s.run()
+		s.up = true
 		last := rapid.IntRange(0, 2).Draw(t, "wanting")
-		for i, p := range w.procs {
+		for i, p := range s.procs {
 			p.paused = false
-			w.do(i, p.permit.Release(w.clock(i)))
-			w.do(i, p.leases.Release(w.order, w.clock(i)))
+			s.perform(i, p.permit.Release(s.clock(i)))
+			s.perform(i, p.leases.Release(s.order, s.clock(i)))
 		}
-		w.do(last, w.procs[last].permit.Acquire(w.clock(last)))
-		w.do(last, w.procs[last].leases.Acquire(w.order, w.clock(last)))
+		s.perform(last, s.procs[last].permit.Acquire(s.clock(last)))
+		s.perform(last, s.procs[last].leases.Acquire(s.order, s.clock(last)))
 		for range 200 {
-			w.now += 100 * time.Millisecond
-			w.pump()
-			w.check()
+			s.now += 100 * time.Millisecond
+			s.stepAll()
+			s.check()
 		}
-		if !w.procs[last].permit.Check(w.clock(last)) {
-			t.Fatalf("no permit")
+		if !s.procs[last].permit.Check(s.clock(last)) {
+			t.Fatalf("no permit was granted")
 		}
-		if _, ok := w.procs[last].leases.Check(w.order, w.clock(last)); !ok {
-			t.Fatalf("no order lease")
+		if _, ok := s.procs[last].leases.Check(s.order, s.clock(last)); !ok {
+			t.Fatalf("the order lease was not granted")
 		}
 	})
 }
 
-// Symptom: an engine goes back to old weights.
-// Sequence: a holder is stopped between its check and its order; another is
-// granted the lease and orders; the first goes on and its order arrives.
-// Cause: without the fencing number the engine can't tell the two apart.
+// Guards against an engine that goes back to old weights: a holder is paused between its check
+// and its order, another process is granted the lease and sends its order, and then the first
+// order arrives. Only the fencing number lets the engine tell the two apart.
 func TestNoOlderOrderTakesEffectAfterANewerOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 3, 2)
-		w.run()
-		arrived := rapid.Permutation(w.orders).Draw(t, "arrival")
+		s := newSimulation(t, 3, 2)
+		s.run()
+		arrived := rapid.Permutation(s.orders).Draw(t, "arrival")
 		var newest uint64
 		var effective []uint64
 		for _, fence := range arrived {
+			// What an engine that checks fencing numbers does.
 			if fence >= newest { // what an engine that checks does
 				newest = fence
 				effective = append(effective, fence)
 			}
 		}
 		grants := map[uint64]bool{}
-		for _, f := range w.orders {
+		for _, f := range s.orders {
 			grants[f] = true
 		}
 		for i, f := range effective {
@@ -339,41 +339,40 @@
 				t.Fatalf("order %d takes effect after %v", f, effective[:i])
 			}
 		}
-		for i := 1; i < len(w.orders); i++ {
-			if w.orders[i] < w.orders[i-1] {
-				t.Fatalf("a later holder has the older number: %v", w.orders)
+		for i := 1; i < len(s.orders); i++ {
+			if s.orders[i] < s.orders[i-1] {
+				t.Fatalf("a later holder has a lower fencing number: %v", s.orders)
 			}
 		}
 	})
 }
 
-// Symptom: readers that began at different offsets disagree on who holds a lease.
-// Sequence: the log's retention takes a lease's early records; one process read
-// them, another was started later; each claims.
-// Cause looked for: a rule that needs records which are gone.
+// Guards against readers that started at different offsets and disagree on who holds a lease,
+// because the rule needs early records that retention has removed: one process has read them,
+// another was started later, and each of them claims.
 func TestReadersFromAnyOffsetAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 3, 2)
-		w.run()
-		if len(w.log) == 0 {
+		s := newSimulation(t, 3, 2)
+		s.run()
+		if len(s.log) == 0 {
 			return
 		}
-		oldest := uint64(rapid.IntRange(1, len(w.log)).Draw(t, "oldest"))
+		oldest := uint64(rapid.IntRange(1, len(s.log)).Draw(t, "oldest"))
 		whole, late := NewTable(), NewTable()
 		late.SkipTo(oldest)
-		for offset := uint64(1); offset <= uint64(len(w.log)); offset++ {
-			whole.Apply(offset, w.log[offset-1], w.now)
-			late.Apply(offset, w.log[offset-1], w.now)
+		for offset := uint64(1); offset <= uint64(len(s.log)); offset++ {
+			whole.Apply(offset, s.log[offset-1], s.now)
+			late.Apply(offset, s.log[offset-1], s.now)
 		}
 		for _, claimFrom := range []*Table{whole, late} {
-			last := claimFrom.LastOffset(w.order)
-			claim := &Record{Kind: KindClaim, Name: w.order, Holder: "endpoint-9", Epoch: 99, Supersedes: last, Seq: 1, DurationMs: 1}
+			last := claimFrom.LastOffset(s.order)
+			claim := &Record{Kind: KindClaim, Name: s.order, Holder: "endpoint-9", Epoch: 99, Supersedes: last, Seq: 1, DurationMs: 1}
 			if last < oldest {
 				claim.Supersedes, claim.Oldest = 0, oldest
 			}
 			data := kit.Must(Encode(claim))(t)
-			_, a := whole.Apply(whole.Position()+1, data, w.now)
-			_, b := late.Apply(late.Position()+1, data, w.now)
+			_, a := whole.Apply(whole.Position()+1, data, s.now)
+			_, b := late.Apply(late.Position()+1, data, s.now)
 			if a != b || !a && claimFrom == whole {
 				t.Fatalf("a claim that supersedes %d: %v for one reader, %v for the other", last, a, b)
 			}
@@ -381,33 +380,32 @@
 	})
 }
 
-// Symptom: two processes hold the order lease for a second or two.
-// Sequence: a renewal's answer is lost, though it took effect; its sender, which
-// reads the log late, sends another one and then reads the first; the second is
-// lost. Another process counts from when it saw the first.
-// Cause: counting the first renewal from when the second was sent.
+// Guards against two holders of the order lease for a second or two. The answer to a renewal
+// that took effect is lost; its sender reads the log late, sends a second renewal, which is
+// lost, and then reads the first one. If it counts the first one from when the second was sent,
+// it holds the lease longer than another process, which counts from when it read the first.
 func TestRenewalCountsFromItsOwnSending(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 2, 2)
-		w.procs[0].rate, w.procs[1].rate = 1, 1
-		w.pump()
-		w.do(0, w.procs[0].leases.Acquire(w.order, w.clock(0)))
-		w.pump()
-		w.do(1, w.procs[1].leases.Acquire(w.order, w.clock(1)))
-		w.now += DefaultParams.Duration - DefaultParams.RenewBefore
-		w.tick(0)
-		w.settle(0, "lost")
-		w.read(1, 9)
-		w.now += 5 * time.Second
-		w.tick(0)
-		w.settle(0, "refused")
-		w.read(0, 9)
+		s := newSimulation(t, 2, 2)
+		s.procs[0].rate, s.procs[1].rate = 1, 1
+		s.stepAll()
+		s.perform(0, s.procs[0].leases.Acquire(s.order, s.clock(0)))
+		s.stepAll()
+		s.perform(1, s.procs[1].leases.Acquire(s.order, s.clock(1)))
+		s.now += DefaultParams.Duration - DefaultParams.RenewBefore
+		s.tick(0)
+		s.finishAppend(0, "lost")
+		s.read(1, 9)
+		s.now += 5 * time.Second
+		s.tick(0)
+		s.finishAppend(0, "refused")
+		s.read(0, 9)
 		for range 200 {
-			w.now += 100 * time.Millisecond
-			w.tick(1)
-			w.settle(1, "ok")
-			w.read(1, 9)
-			w.check()
+			s.now += 100 * time.Millisecond
+			s.tick(1)
+			s.finishAppend(1, "ok")
+			s.read(1, 9)
+			s.check()
 		}
 	})
 }
@@ -416,17 +414,17 @@
 	table := NewTable()
 	for i, data := range [][]byte{nil, []byte("nonsense"), {0xa0}} {
 		if r, valid := table.Apply(uint64(i+1), data, 0); r != nil || valid {
-			t.Errorf("%q was taken", data)
+			t.Errorf("malformed record %q was applied", data)
 		}
 	}
 	if table.Position() != 3 {
-		t.Errorf("position %d", table.Position())
+		t.Errorf("position %d after 3 malformed records", table.Position())
 	}
 }
 
-// Symptom: after a loss of power at all processes nobody gives orders for a lease's whole
-// time. Sequence: the holder is back and reads its own old grant. Cause: it waits for the
-// end of a process that was its own predecessor.
+// Guards against a full lease duration without any orders after a power loss at all processes:
+// the restarted holder reads its own old grant and waits for it to expire, although the process
+// that held it was its own predecessor.
 func TestRestartedHolderReclaims(t *testing.T) {
 	params := DefaultParams
 	params.RestartReclaims = true
@@ -449,12 +447,12 @@
 		return l
 	}
 	if !claims(started("a@1", 8, params)) {
-		t.Error("the holder's successor waits for the lease's end")
+		t.Error("the successor of the holder waits for the lease to expire")
 	}
 	if claims(started("b@2", 8, params)) {
-		t.Error("another process doesn't wait for the lease's end")
+		t.Error("another process doesn't wait for the lease to expire")
 	}
 	if claims(started("a@1", 8, DefaultParams)) {
-		t.Error("a process of the holder's name claims where two may run at once")
+		t.Error("a process of the same name claims at once though two may run at a time")
 	}
 }
--- a/internal/lease/leases.go
+++ b/internal/lease/leases.go
@@ -9,364 +9,371 @@
 	"skylarklead/internal/protocol"
 )
 
-// Params time leases.
+// Params are the durations and the reclaim rule of leases.
 type Params struct {
 	// Duration is how long a grant or renewal lasts.
 	Duration time.Duration
-	// Margin is what a claimant waits beyond the duration. It covers what two
-	// monotonic clocks may differ by over a duration.
+	// Margin is how long a claimant waits beyond Duration. It covers the drift of two
+	// monotonic clocks over one Duration.
 	Margin time.Duration
-	// RenewBefore is how long before its end a lease is renewed.
+	// RenewBefore is how long before its expiry a lease is renewed.
 	RenewBefore time.Duration
-	// OrderMargin is what has to be left of a lease when it is used: longer than
-	// an order may take to arrive.
+	// OrderMargin is the time to expiry that a lease must still have when it is used.
+	// It is longer than an order may take to arrive.
 	OrderMargin time.Duration
-	// RestartReclaims says that a process of the same name as the holder has followed it:
-	// the holder is over, and its successor needn't wait for the lease's end. Without it a
-	// loss of power at all processes leaves nobody to order for a lease's whole time after
-	// they are back. Set only where no two processes of a name ever run at once.
+	// RestartReclaims lets a process claim at once a lease that an earlier process of
+	// the same name holds, without waiting for its expiry. Without it, after a power
+	// loss at all processes nobody can send orders for a full lease duration after the
+	// restart. Set it only where no two processes of one name ever run at once.
 	RestartReclaims bool
-	// RetryMin and RetryMax bound the jittered wait after an append that failed.
-	// After a record without effect it may grow up to Duration.
+	// RetryMin and RetryMax bound the jittered backoff after a failed append. After a
+	// record that was appended but is invalid the backoff may grow up to Duration.
 	RetryMin time.Duration
 	RetryMax time.Duration
 }
 
-// DefaultParams outlast the pauses seen in ordinary operation.
+// DefaultParams outlast the process pauses of ordinary operation.
 var DefaultParams = Params{
 	Duration: 10 * time.Second, Margin: time.Second, RenewBefore: 6 * time.Second,
 	OrderMargin: 2 * time.Second, RetryMin: 100 * time.Millisecond, RetryMax: 2 * time.Second,
 }
 
-// Action is what Leases ask their process to do or tell it.
+// Action is a request or notification from Leases to its process: Append, Granted or
+// Lost.
 type Action interface{ leaseAction() }
 
-// Append appends Data to leases.GROUP and reports Failed if that had no effect
-// or an unknown one. A success shows in the stream.
+// Append asks the process to append Data to leases.GROUP and to call AppendFailed if
+// that had no effect or an unknown one. A success shows when the record is read back.
 type Append struct {
 	Seq  uint64
 	Data []byte
-	// Claim marks a record that has no effect unless it directly follows, among the
-	// records of its lease, the last one read. Where the log takes conditional appends
-	// it is to be appended only if nothing has landed since.
+	// Claim marks a record that is invalid unless it directly follows, among the records
+	// of its lease, the last one read. Where the log supports conditional appends, append
+	// it only if nothing was appended since.
 	Claim bool
 }
 
-// Granted: this process holds the lease. Use it by Check only.
+// Granted says that this process holds the lease. Call Leases.Check before each use.
 type Granted struct {
 	Name  Name
 	Fence uint64
 }
 
-// Lost: the lease is over; whatever was done under it and has no answer counts
-// as lost, not done.
+// Lost says that this process no longer holds the lease. Operations under it that have
+// no answer yet are to be treated as lost, not as done.
 type Lost struct{ Name Name }
 
 func (Append) leaseAction()  {}
 func (Granted) leaseAction() {}
 func (Lost) leaseAction()    {}
 
-// held is one lease that this process wants or has.
+// leaseState is the state of one lease that this process wants or holds.
 //
-// Invariants: fence is 0 unless granted and not yet seen to be over; until
-// counts from before the append of the last record seen to be valid was sent.
-type held struct {
-	wanted  bool
-	fence   uint64
-	until   time.Duration
-	sent    map[uint64]time.Duration
-	pending uint64
-	tries   int
-	nextTry time.Duration
-	release uint64
+// Invariants: fence is 0 unless the lease is granted and not yet known to have ended;
+// expiresAt counts from before the append of the last record read as valid was sent.
+type leaseState struct {
+	wanted       bool
+	fence        uint64
+	expiresAt    time.Duration
+	sentAt       map[uint64]time.Duration
+	pendingSeq   uint64
+	attempts     int
+	nextAttempt  time.Duration
+	releaseFence uint64
 }
 
-// Leases are one process's leases of a group.
+// Leases claims, renews and releases one process's leases of a group.
 type Leases struct {
-	params   Params
-	self     string
-	epoch    protocol.Epoch
-	rng      *rand.Rand
-	table    *Table
-	oldest   uint64
-	caughtUp bool
-	seq      uint64
-	held     map[Name]*held
-	out      []Action
+	params       Params
+	self         string
+	epoch        protocol.Epoch
+	rng          *rand.Rand
+	table        *Table
+	oldestOffset uint64
+	caughtUp     bool
+	seq          uint64
+	states       map[Name]*leaseState
+	actions      []Action
 }
 
-// NewLeases returns the state of a process that has read nothing of the log yet.
+// NewLeases returns the leases of a process that has not read any of the log yet.
 func NewLeases(self string, epoch protocol.Epoch, params Params, rng *rand.Rand) *Leases {
 	return &Leases{
 		params: params, self: self, epoch: epoch, rng: rng,
-		table: NewTable(), oldest: 1, held: map[Name]*held{},
+		table: NewTable(), oldestOffset: 1, states: map[Name]*leaseState{},
 	}
 }
 
-// Table is what the log says.
+// Table returns the state of all leases of the group as read from the log.
 func (l *Leases) Table() *Table { return l.table }
 
-// Acquire asks for a lease and keeps it until Drop.
+// Acquire starts claiming a lease and keeps it renewed until Release.
 func (l *Leases) Acquire(n Name, now time.Duration) []Action {
-	h := l.of(n)
+	h := l.stateOf(n)
 	if !h.wanted {
-		h.wanted, h.nextTry, h.tries = true, now, 0
+		h.wanted, h.nextAttempt, h.attempts = true, now, 0
 	}
 	return l.Tick(now)
 }
 
-// Release gives a lease back. From here on Check refuses it.
+// Release stops claiming or renewing a lease and releases it. Check fails for it from
+// now on.
 func (l *Leases) Release(n Name, now time.Duration) []Action {
-	h, ok := l.held[n]
+	h, ok := l.states[n]
 	if !ok {
 		return nil
 	}
 	h.wanted = false
 	if h.fence != 0 {
-		h.release = h.fence
+		h.releaseFence = h.fence
 		h.fence = 0
 	}
 	return l.Tick(now)
 }
 
-// Check returns the fencing number under which an order may be given right now.
-// The caller reads the clock for it right before the order: one that was paused
-// past its lease finds out here.
+// Check returns the fencing number under which an order may be sent now. The caller
+// reads the clock right before it sends, so that a process that was paused past the
+// expiry of its lease sends nothing.
 func (l *Leases) Check(n Name, now time.Duration) (fence uint64, ok bool) {
-	h, known := l.held[n]
-	if !known || h.fence == 0 || now+l.params.OrderMargin >= h.until {
+	h, known := l.states[n]
+	if !known || h.fence == 0 || now+l.params.OrderMargin >= h.expiresAt {
 		return 0, false
 	}
 	return h.fence, true
 }
 
-// HeldOrReleasing reports whether this process has a lease, or has not yet read back that it
-// gave it back. One that ends before leaves the others to wait for the lease's end.
+// HeldOrReleasing reports whether this process holds a lease, or has not yet read its
+// own release of it from the log. If it exits before that, others have to wait until
+// the lease expires.
 func (l *Leases) HeldOrReleasing(n Name) bool {
-	h, known := l.held[n]
-	return known && (h.fence != 0 || h.release != 0)
+	h, known := l.states[n]
+	return known && (h.fence != 0 || h.releaseFence != 0)
 }
 
-// ApplyRecord takes the next record of the stream, in order of offset.
+// ApplyRecord applies the next record of the stream. Records come in offset order.
 func (l *Leases) ApplyRecord(offset uint64, data []byte, now time.Duration) []Action {
 	r, valid := l.table.Apply(offset, data, now)
 	if r == nil {
 		return l.Tick(now)
 	}
-	h, known := l.held[r.Name]
+	h, known := l.states[r.Name]
 	if known {
-		l.take(h, r, offset, valid, now)
+		l.applyToState(h, r, offset, valid, now)
 	}
 	return l.Tick(now)
 }
 
-func (l *Leases) take(h *held, r *Record, offset uint64, valid bool, now time.Duration) {
+func (l *Leases) applyToState(h *leaseState, r *Record, offset uint64, valid bool, now time.Duration) {
 	own := r.Holder == l.self && r.Epoch == l.epoch
 	if !own {
 		if valid && r.Kind == KindClaim {
-			l.lose(h, r.Name)
+			l.markLost(h, r.Name)
 		}
 		return
 	}
-	if h.pending == r.Seq {
-		h.pending = 0
-		l.landed(h, valid, now)
+	if h.pendingSeq == r.Seq {
+		h.pendingSeq = 0
+		l.appendLanded(h, valid, now)
 	}
-	sentAt, mine := h.sent[r.Seq]
-	delete(h.sent, r.Seq)
+	sentAt, sentHere := h.sentAt[r.Seq]
+	delete(h.sentAt, r.Seq)
 	switch {
-	case r.Kind == KindRelease && h.release == r.Fence:
-		h.release = 0
-	case valid && mine && r.Kind == KindClaim:
+	case r.Kind == KindRelease && h.releaseFence == r.Fence:
+		h.releaseFence = 0
+	case valid && sentHere && r.Kind == KindClaim:
 		l.grant(h, r, offset, sentAt, now)
-	case valid && mine && r.Kind == KindRenew && h.fence == r.Fence:
-		h.until = max(h.until, sentAt+r.duration())
+	case valid && sentHere && r.Kind == KindRenew && h.fence == r.Fence:
+		h.expiresAt = max(h.expiresAt, sentAt+r.duration())
 	}
 }
 
-// landed takes it that the record waited for is on the log.
+// appendLanded handles the pending record once it was read back from the log.
 //
-// Of many that claim a free lease at once, those that claim again as soon as they
-// have read their claim back as one without effect keep all of them from it: each
-// such record makes the claims void that are on their way. It is seen as claims at
-// the rate that the log can take, with no holder. So the pause after a record without
-// effect grows until few enough are on their way.
-func (l *Leases) landed(h *held, valid bool, now time.Duration) {
+// After an invalid record the backoff grows. Each claim on the log, valid or not,
+// invalidates the claims that are in flight. If many processes that claim a free lease
+// at once claimed again as soon as they read back their invalid claim, no claim would
+// ever be valid: the log would be full of claims at the highest rate that it accepts,
+// and nobody would hold the lease. With backoff, few enough claims are in flight.
+func (l *Leases) appendLanded(h *leaseState, valid bool, now time.Duration) {
 	if valid {
-		h.tries = 0
+		h.attempts = 0
 		return
 	}
-	h.tries++
-	h.nextTry = now + l.wait(h.tries, l.params.Duration)
+	h.attempts++
+	h.nextAttempt = now + l.backoff(h.attempts, l.params.Duration)
 }
 
-// grant takes this process's own valid claim. One that was read back after its
-// end, since the process or the log stood still, is not held.
-func (l *Leases) grant(h *held, r *Record, offset uint64, sentAt, now time.Duration) {
+// grant handles this process's own valid claim. A claim that is read back after its
+// expiry, because the process or the log was stalled, does not grant the lease.
+func (l *Leases) grant(h *leaseState, r *Record, offset uint64, sentAt, now time.Duration) {
 	until := sentAt + r.duration()
 	if !h.wanted {
-		h.release = offset
+		h.releaseFence = offset
 		return
 	}
 	if now >= until {
 		return
 	}
-	h.fence, h.until = offset, until
-	l.out = append(l.out, Granted{Name: r.Name, Fence: offset})
+	h.fence, h.expiresAt = offset, until
+	l.actions = append(l.actions, Granted{Name: r.Name, Fence: offset})
 }
 
-func (l *Leases) lose(h *held, n Name) {
-	h.release = 0
+func (l *Leases) markLost(h *leaseState, n Name) {
+	h.releaseFence = 0
 	if h.fence != 0 {
 		h.fence = 0
-		l.out = append(l.out, Lost{Name: n})
+		l.actions = append(l.actions, Lost{Name: n})
 	}
 }
 
-// CaughtUp says that a read has reached the end of the stream.
+// CaughtUp reports that a read has reached the end of the stream. Nothing is claimed
+// before.
 func (l *Leases) CaughtUp(now time.Duration) []Action {
 	l.caughtUp = true
 	return l.Tick(now)
 }
 
-// Truncated says that the log's oldest record is now oldest, beyond the next one to
-// read, or, at the start, where reading begins.
+// Truncated reports that the oldest record of the log is now at oldest, beyond the next
+// one to read, or, at the start, that reading begins there.
 func (l *Leases) Truncated(oldest uint64, now time.Duration) []Action {
-	l.oldest = oldest
+	l.oldestOffset = oldest
 	l.table.SkipTo(oldest)
 	l.caughtUp = false
 	return l.Tick(now)
 }
 
-// LogRestored says that the log came back from an older copy and is read anew from oldest on, a
-// greater offset than any before. No lease of before is held any more.
+// LogRestored reports that the log was restored from an older copy and is read again from
+// oldest on, a greater offset than any before. All leases of this process are lost.
 func (l *Leases) LogRestored(oldest uint64, now time.Duration) []Action {
-	l.oldest, l.caughtUp = oldest, false
+	l.oldestOffset, l.caughtUp = oldest, false
 	l.table.LogRestored(oldest, now)
-	for _, n := range l.names() {
-		h := l.held[n]
-		l.lose(h, n)
-		h.pending = 0
-		clear(h.sent)
+	for _, n := range l.sortedNames() {
+		h := l.states[n]
+		l.markLost(h, n)
+		h.pendingSeq = 0
+		clear(h.sentAt)
 	}
 	return l.Tick(now)
 }
 
-// SetOldest tells which record is the oldest that the log still has, as its
-// answers say.
-func (l *Leases) SetOldest(offset uint64) { l.oldest = max(l.oldest, offset) }
+// SetOldest sets the offset of the oldest record that the log still has, as reported
+// in its answers.
+func (l *Leases) SetOldest(offset uint64) { l.oldestOffset = max(l.oldestOffset, offset) }
 
-// AppendFailed says that an append had no effect, or an unknown one. Should it show
-// up in the log after all, it counts from when it was sent.
+// AppendFailed reports that an append had no effect, or an unknown one. If the record
+// is read back after all, its duration counts from when it was sent.
 func (l *Leases) AppendFailed(seq uint64, now time.Duration) []Action {
-	for _, h := range l.held {
-		if h.pending == seq {
-			h.pending = 0
-			h.tries++
-			h.nextTry = now + l.wait(h.tries, l.params.RetryMax)
+	for _, h := range l.states {
+		if h.pendingSeq == seq {
+			h.pendingSeq = 0
+			h.attempts++
+			h.nextAttempt = now + l.backoff(h.attempts, l.params.RetryMax)
 		}
 	}
 	return l.Tick(now)
 }
 
-// Tick claims, renews, releases and ends leases as time goes.
+// Tick claims, renews, releases and expires leases that are due at now.
 func (l *Leases) Tick(now time.Duration) []Action {
-	for _, n := range l.names() {
-		h := l.held[n]
-		if h.fence != 0 && now >= h.until {
-			l.lose(h, n)
+	for _, n := range l.sortedNames() {
+		h := l.states[n]
+		if h.fence != 0 && now >= h.expiresAt {
+			l.markLost(h, n)
 		}
-		if !h.wanted && h.fence == 0 && h.release == 0 && len(h.sent) == 0 {
-			delete(l.held, n)
+		if !h.wanted && h.fence == 0 && h.releaseFence == 0 && len(h.sentAt) == 0 {
+			delete(l.states, n)
 			continue
 		}
 		l.advance(n, h, now)
 	}
-	out := l.out
-	l.out = nil
+	out := l.actions
+	l.actions = nil
 	return out
 }
 
-func (l *Leases) advance(n Name, h *held, now time.Duration) {
-	h.forgetSent(now - l.params.Duration)
-	if now < h.nextTry || h.pending != 0 {
+func (l *Leases) advance(n Name, h *leaseState, now time.Duration) {
+	h.forgetExpired(now - l.params.Duration)
+	if now < h.nextAttempt || h.pendingSeq != 0 {
 		return
 	}
 	switch {
-	case h.release != 0:
-		l.advanceRelease(n, h, now)
-	case h.fence != 0 && now >= h.until-l.params.RenewBefore:
+	case h.releaseFence != 0:
+		l.sendRelease(n, h, now)
+	case h.fence != 0 && now >= h.expiresAt-l.params.RenewBefore:
 		l.send(h, &Record{Kind: KindRenew, Name: n, Fence: h.fence}, now)
 	case h.fence == 0 && h.wanted && l.caughtUp && l.claimable(n, now):
 		claim := &Record{Kind: KindClaim, Name: n, Supersedes: l.table.LastOffset(n)}
-		if claim.Supersedes < l.oldest {
-			claim.Supersedes, claim.Oldest = 0, l.oldest
+		if claim.Supersedes < l.oldestOffset {
+			claim.Supersedes, claim.Oldest = 0, l.oldestOffset
 		}
 		l.send(h, claim, now)
 	}
 }
 
-// advanceRelease gives a lease back, as long as it is still this process's.
-func (l *Leases) advanceRelease(n Name, h *held, now time.Duration) {
+// sendRelease releases a lease if this process is still its holder on the log.
+func (l *Leases) sendRelease(n Name, h *leaseState, now time.Duration) {
 	grant, ok := l.table.Holder(n)
-	if !ok || grant.Fence != h.release {
-		h.release = 0
+	if !ok || grant.Fence != h.releaseFence {
+		h.releaseFence = 0
 		return
 	}
-	l.send(h, &Record{Kind: KindRelease, Name: n, Fence: h.release}, now)
+	l.send(h, &Record{Kind: KindRelease, Name: n, Fence: h.releaseFence}, now)
 }
 
-// claimable: what this very process held before needs no wait, since it knows
-// that it doesn't use it any more; nor does what one before it held, if it is over.
+// claimable reports whether a lease may be claimed now. A process need not wait for the
+// expiry of a lease that it held itself, since it knows that it no longer uses it, nor,
+// with RestartReclaims, of one that its predecessor of the same name held.
 func (l *Leases) claimable(n Name, now time.Duration) bool {
 	grant, ok := l.table.Holder(n)
 	own := ok && grant.Holder == l.self && (grant.Epoch == l.epoch || l.params.RestartReclaims)
 	return own || now >= l.table.ClaimableAt(n, l.params.Margin)
 }
 
-func (l *Leases) send(h *held, r *Record, now time.Duration) {
+func (l *Leases) send(h *leaseState, r *Record, now time.Duration) {
 	l.seq++
 	r.Holder, r.Epoch, r.Seq = l.self, l.epoch, l.seq
 	r.DurationMs = l.params.Duration.Milliseconds()
 	data, err := Encode(r)
 	if err != nil {
-		panic(err) // a record is made of plain values
+		panic(err) // cannot fail: a record has only plain values
 	}
-	h.sent[l.seq] = now
-	h.pending = l.seq
-	l.out = append(l.out, Append{Seq: l.seq, Data: data, Claim: r.Kind == KindClaim})
+	h.sentAt[l.seq] = now
+	h.pendingSeq = l.seq
+	l.actions = append(l.actions, Append{Seq: l.seq, Data: data, Claim: r.Kind == KindClaim})
 }
 
-// forgetSent forgets records whose time would be over if they showed up now.
-func (h *held) forgetSent(before time.Duration) {
-	for seq, at := range h.sent {
+// forgetExpired forgets sent records whose duration would be over if they were read
+// back now.
+func (h *leaseState) forgetExpired(before time.Duration) {
+	for seq, at := range h.sentAt {
 		if at <= before {
-			delete(h.sent, seq)
-			if h.pending == seq {
-				h.pending = 0
+			delete(h.sentAt, seq)
+			if h.pendingSeq == seq {
+				h.pendingSeq = 0
 			}
 		}
 	}
 }
 
-// wait is the jittered pause after so many tries without effect, at most the longest.
-func (l *Leases) wait(tries int, longest time.Duration) time.Duration {
+// backoff returns the jittered exponential backoff after a number of failed attempts,
+// at most longest.
+func (l *Leases) backoff(tries int, longest time.Duration) time.Duration {
 	d := min(l.params.RetryMin<<min(tries-1, 16), longest)
 	return d/2 + time.Duration(l.rng.Int64N(int64(d/2)+1))
 }
 
-func (l *Leases) of(n Name) *held {
-	h, ok := l.held[n]
+func (l *Leases) stateOf(n Name) *leaseState {
+	h, ok := l.states[n]
 	if !ok {
-		h = &held{sent: map[uint64]time.Duration{}}
-		l.held[n] = h
+		h = &leaseState{sentAt: map[uint64]time.Duration{}}
+		l.states[n] = h
 	}
 	return h
 }
 
-func (l *Leases) names() []Name {
-	names := make([]Name, 0, len(l.held))
-	for n := range l.held {
+func (l *Leases) sortedNames() []Name {
+	names := make([]Name, 0, len(l.states))
+	for n := range l.states {
 		names = append(names, n)
 	}
 	slices.SortFunc(names, func(a, b Name) int { return strings.Compare(string(a), string(b)) })
--- a/internal/lease/orders_test.go
+++ b/internal/lease/orders_test.go
@@ -8,7 +8,7 @@
 
 const orderName = Name("order/endpoint-0")
 
-// granted returns leases whose order lease is held from second 0 to 10.
+// granted returns Leases that hold the order lease from second 0 to 10.
 func granted(t *testing.T) *Leases {
 	t.Helper()
 	l := NewLeases("endpoint-0", 1, DefaultParams, rand.New(rand.NewPCG(1, 1)))
@@ -19,12 +19,12 @@
 		}
 	}
 	if _, ok := l.Check(orderName, 0); !ok {
-		t.Fatal("no lease")
+		t.Fatal("the lease was not granted")
 	}
 	return l
 }
 
-func sends(actions []OrderAction) bool {
+func hasSendOrder(actions []OrderAction) bool {
 	for _, a := range actions {
 		if _, ok := a.(SendOrder); ok {
 			return true
@@ -33,7 +33,7 @@
 	return false
 }
 
-func done(actions []OrderAction) bool {
+func hasOrderDone(actions []OrderAction) bool {
 	for _, a := range actions {
 		if _, ok := a.(OrderDone); ok {
 			return true
@@ -42,41 +42,40 @@
 	return false
 }
 
-// Symptom: an order counts as done and the engine runs other weights.
-// Sequence: the engine, which ignores fencing numbers, answers; an older order of
-// a holder that was stopped arrives right after.
-// Cause: trusting the answer in place of the state.
+// Guards against an order that counts as done although the engine runs other weights: the
+// engine ignores fencing numbers and answers, and then an older order of a paused holder
+// arrives. The answer must not be trusted in place of the state.
 func TestOrderIsDoneOnlyWhenReadBack(t *testing.T) {
 	o := NewOrderReconciler(granted(t), orderName, time.Second)
 	o.SetDesired(Order{Op: "load_version", Version: "v2"}, 0)
-	if !sends(o.Observe(Observed{}, 0)) {
-		t.Fatal("nothing is ordered")
+	if !hasSendOrder(o.Observe(Observed{}, 0)) {
+		t.Fatal("no order is sent")
 	}
 	o.OrderAnswered(0)
 	if len(o.Tick(0)) != 1 {
 		t.Fatal("the state isn't read back")
 	}
-	if !sends(o.Observe(Observed{}, 0)) {
-		t.Fatal("a lost effect isn't ordered again")
+	if !hasSendOrder(o.Observe(Observed{}, 0)) {
+		t.Fatal("the order isn't sent again after its effect was lost")
 	}
 	o.OrderAnswered(0)
 	o.Tick(0)
-	if !done(o.Observe(Observed{Matches: true}, 0)) {
-		t.Fatal("not done although read back")
+	if !hasOrderDone(o.Observe(Observed{Matches: true}, 0)) {
+		t.Fatal("the order isn't done although the state matches")
 	}
 }
 
-// Symptom: a holder that was stopped overwrites its successor's order.
-// Sequence: stopped between reading the state and ordering, past its lease.
-// Cause: a lease checked before the pause only.
+// Guards against a holder that overwrites its successor's order because it was paused past the
+// expiry of its lease between reading the state and sending the order, and checked the lease
+// only before the pause.
 func TestNoOrderAfterThePauseOutlastsTheLease(t *testing.T) {
 	o := NewOrderReconciler(granted(t), orderName, time.Second)
 	o.SetDesired(Order{Op: "load_version"}, 0)
-	if sends(o.Observe(Observed{}, DefaultParams.Duration)) {
-		t.Error("ordered without a lease")
+	if hasSendOrder(o.Observe(Observed{}, DefaultParams.Duration)) {
+		t.Error("an order is sent without a lease")
 	}
 	if o.Tick(DefaultParams.Duration) != nil {
-		t.Error("goes on without a lease")
+		t.Error("reads the state without a lease")
 	}
 }
 
@@ -84,17 +83,17 @@
 	irreversible := Order{Op: "set_role", Irreversible: true}
 	o := NewOrderReconciler(granted(t), orderName, time.Second)
 	o.SetDesired(irreversible, 0)
-	if !sends(o.Observe(Observed{}, 0)) {
-		t.Fatal("nothing is ordered")
+	if !hasSendOrder(o.Observe(Observed{}, 0)) {
+		t.Fatal("no order is sent")
 	}
 	o.OrderUnanswered(0)
 	o.Tick(0)
-	if sends(o.Observe(Observed{}, 0)) {
-		t.Error("what can't be undone is ordered twice")
+	if hasSendOrder(o.Observe(Observed{}, 0)) {
+		t.Error("an irreversible order is sent twice")
 	}
 	newer := NewOrderReconciler(granted(t), orderName, time.Second)
 	newer.SetDesired(Order{Op: "load_version"}, 0)
-	if sends(newer.Observe(Observed{Fence: 1 << 40}, 0)) {
-		t.Error("ordered although the engine has seen a newer number")
+	if hasSendOrder(newer.Observe(Observed{Fence: 1 << 40}, 0)) {
+		t.Error("an order is sent although the engine has seen a higher fencing number")
 	}
 }
--- a/internal/lease/permits.go
+++ b/internal/lease/permits.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Permit is one process's wish for one of a group's permits to load weights.
-// It claims one free permit at a time and keeps what it gets until Done.
+// Permit acquires any one of a group's permits to load weights for one process. It
+// claims one free permit at a time and keeps the one it gets until Release.
 type Permit struct {
-	leases *Leases
-	rng    *rand.Rand
-	count  int
-	wanted bool
-	name   Name
+	leases  *Leases
+	rng     *rand.Rand
+	permits int
+	wanted  bool
+	name    Name
 }
 
-// NewPermit returns a permit out of count, on the leases of the same process.
+// NewPermit returns a Permit for one of count permits, on the leases of the same process.
 func NewPermit(leases *Leases, count int, rng *rand.Rand) *Permit {
-	return &Permit{leases: leases, rng: rng, count: count}
+	return &Permit{leases: leases, rng: rng, permits: count}
 }
 
-// SetCount takes the group's configured number of permits. A permit held beyond
-// it is kept until Done.
-func (p *Permit) SetCount(count int) { p.count = count }
+// SetCount sets the group's configured number of permits. A permit held beyond it is
+// kept until Release.
+func (p *Permit) SetCount(count int) { p.permits = count }
 
-// Acquire asks for a permit.
+// Acquire starts claiming a permit.
 func (p *Permit) Acquire(now time.Duration) []Action {
 	p.wanted = true
 	return p.Tick(now)
 }
 
-// Check reports whether weights may be loaded right now.
+// Check reports whether a permit is held, with enough time left to start loading.
 func (p *Permit) Check(now time.Duration) bool {
 	if !p.wanted || p.name == "" {
 		return false
@@ -40,36 +40,37 @@
 	return ok
 }
 
-// MinServing is how many of a group's replicas go on serving at the least while
+// MinServing is the least number of a group's replicas that continue to serve while
 // others load, whatever the number of permits.
 const MinServing = 1
 
-// EnoughServing reports whether the group can do without this replica while it loads.
-// Others are the group's other replicas, up or not; serving are those of them that
-// take work; share is the part of the group that is to go on serving, 0 to 1. As
-// many as that part, rounded up, serve, at least KeepServing; but one may always
-// load while all others serve.
+// EnoughServing reports whether enough of the group's other replicas serve while this one
+// loads. others is the number of the group's other replicas, up or not; serving are those
+// of them that accept work; share is the fraction of the group that must continue to serve,
+// 0 to 1, rounded up to whole replicas and at least MinServing. One replica may always load
+// while all others serve.
 //
-// Permits alone bound only how many load. With as many permits as replicas all
-// would load at once, and each request of those seconds would be refused. Of two
-// that hold permits the one with the later grant waits for the earlier, and takes
-// it for not serving; the log has one order for all. A group of one has no choice.
+// Permits alone bound only how many replicas load. With as many permits as replicas all
+// would load at once, and every request meanwhile would be refused. Of two permit holders
+// the one with the later grant counts the earlier one as not serving and waits for it; the
+// order of grants is the same for all readers of the log. In a group of one it is true once
+// the permit is held.
 func (p *Permit) EnoughServing(others int, serving []string, share float64) bool {
 	own, held := p.leases.table.Holder(p.name)
 	if !held {
 		return false
 	}
-	left := 0
+	remaining := 0
 	for _, id := range serving {
-		if !p.leases.table.loadsBefore(id, own.Fence) {
-			left++
+		if !p.leases.table.holdsEarlierPermit(id, own.Fence) {
+			remaining++
 		}
 	}
-	keep := max(MinServing, int(math.Ceil(share*float64(others+1))))
-	return left >= min(keep, others)
+	minimum := max(MinServing, int(math.Ceil(share*float64(others+1))))
+	return remaining >= min(minimum, others)
 }
 
-// Release gives the permit back.
+// Release releases the permit.
 func (p *Permit) Release(now time.Duration) []Action {
 	p.wanted = false
 	if p.name == "" {
@@ -80,8 +81,8 @@
 	return p.leases.Release(name, now)
 }
 
-// Tick looks for a permit that can be claimed when there is none, or when the
-// one that was tried went to another process.
+// Tick claims another permit if none is held or being claimed, for example because the
+// last one tried was granted to another process.
 func (p *Permit) Tick(now time.Duration) []Action {
 	if !p.wanted || p.leases.Holds(p.name, now) {
 		return nil
@@ -94,18 +95,19 @@
 		out = p.leases.Release(p.name, now)
 		p.name = ""
 	}
-	if n, ok := p.free(now); ok {
+	if n, ok := p.pickClaimable(now); ok {
 		p.name = n
 		out = append(out, p.leases.Acquire(n, now)...)
 	}
 	return out
 }
 
-// free picks one of the claimable permits at random: a herd that all took the
-// first one would need as many rounds as it has members.
-func (p *Permit) free(now time.Duration) (Name, bool) {
+// pickClaimable picks one of the claimable permits at random. If many processes that
+// start at once all claimed the first one, they would need as many rounds as there are
+// processes.
+func (p *Permit) pickClaimable(now time.Duration) (Name, bool) {
 	var names []Name
-	for i := range p.count {
+	for i := range p.permits {
 		if n := PermitName(i); p.leases.claimable(n, now) {
 			names = append(names, n)
 		}
@@ -116,15 +118,15 @@
 	return names[p.rng.IntN(len(names))], true
 }
 
-// Holds reports whether a lease is granted to this process and not over.
+// Holds reports whether this process holds a lease that has not expired.
 func (l *Leases) Holds(n Name, now time.Duration) bool {
-	h, ok := l.held[n]
-	return ok && h.fence != 0 && now < h.until
+	h, ok := l.states[n]
+	return ok && h.fence != 0 && now < h.expiresAt
 }
 
-// CanClaim reports whether this process's claim of a lease is under way or could be
-// made now.
+// CanClaim reports whether this process wants a lease and its claim is in flight or could
+// be sent now.
 func (l *Leases) CanClaim(n Name, now time.Duration) bool {
-	h, ok := l.held[n]
-	return ok && h.wanted && (h.pending != 0 || l.claimable(n, now))
+	h, ok := l.states[n]
+	return ok && h.wanted && (h.pendingSeq != 0 || l.claimable(n, now))
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -1,13 +1,14 @@
-// Package lease decides who holds a lease on the log stream leases.GROUP: the
-// right to give one engine orders, or one of a group's permits to load weights.
+// Package lease decides who holds a lease, from the records of the log stream
+// leases.GROUP. A lease is the right to send orders to one engine, or one of a
+// group's permits to load weights. The package is pure: it does no I/O.
 //
-// Readers apply one rule in offset order, without clocks: a claim is valid if it
-// names the offset of the last record of its lease as the one it supersedes. Only
-// the claimant looks at time: it claims once it has seen that record unrenewed
-// for the whole duration and a margin, by its own monotonic clock. The holder
-// counts from before it sent the append. So a holder's time is over before
-// another's grant, however the two clocks stand, as long as neither runs faster
-// than the margin allows.
+// All readers apply one rule in offset order, without clocks: a claim is valid if
+// Supersedes is the offset of the last record of its lease. Only the claimant uses
+// time: it claims once that record has not been renewed for the lease duration plus
+// a margin, by its own monotonic clock. The holder counts the duration from before
+// it sent the append. A lease therefore expires at its holder before another process
+// is granted it, whatever the offset between the two clocks, as long as neither runs
+// faster than the margin allows.
 package lease
 
 import (
@@ -21,23 +22,22 @@
 	"skylarklead/internal/strictcbor"
 )
 
-// Name is what a lease is for.
+// Name identifies a lease within its group.
 type Name string
 
-// OrderName is the lease of the right to give an endpoint's engine orders.
+// OrderName names the lease for sending orders to an endpoint's engine.
 func OrderName(endpoint string) Name { return Name("order/" + endpoint) }
 
-// PermitName is the lease of the n-th permit to load weights.
+// PermitName names the lease of the n-th permit to load weights.
 func PermitName(n int) Name { return Name(fmt.Sprintf("%s%d", permitPrefix, n)) }
 
 const permitPrefix = "load/"
 
 func isPermit(n Name) bool { return strings.HasPrefix(string(n), permitPrefix) }
 
-// Kind is what a record does.
+// Kind is the operation of a record.
 type Kind uint8
 
-// The kinds.
 const (
 	KindClaim Kind = iota + 1
 	KindRenew
@@ -50,28 +50,29 @@
 	Name   Name           `cbor:"2,keyasint"`
 	Holder string         `cbor:"3,keyasint"`
 	Epoch  protocol.Epoch `cbor:"4,keyasint"`
-	// Supersedes is, in a claim, the offset of the last record of this lease that
+	// Supersedes is set in a claim: the offset of the last record of this lease that
 	// the claimant has read, 0 if none.
 	Supersedes uint64 `cbor:"5,keyasint,omitempty"`
-	// Oldest is, in a claim with nothing to supersede, the oldest offset that the
-	// log still had: earlier records are gone by retention.
+	// Oldest is set in a claim with nothing to supersede: the oldest offset that the
+	// log still had. Earlier records were removed by retention.
 	Oldest uint64 `cbor:"6,keyasint,omitempty"`
-	// Fence is, in a renewal or release, the offset of the holder's grant.
+	// Fence is set in a renewal or release: the offset of the holder's grant.
 	Fence uint64 `cbor:"7,keyasint,omitempty"`
-	// DurationMs is how long the lease lasts from before the append was sent.
+	// DurationMs is the lease duration, counted from before the append was sent.
 	DurationMs int64 `cbor:"8,keyasint,omitempty"`
-	// Seq numbers what a process sends. It ties a record to when it was sent: an
-	// earlier renewal that lands late must not be counted from a later sending.
+	// Seq numbers the records of a process and thereby identifies when each was sent:
+	// an earlier renewal that is appended late must not be counted from the time of a
+	// later one.
 	Seq uint64 `cbor:"9,keyasint"`
 }
 
-// ErrMalformedRecord is wrapped by errors about a record that can't be read. Every reader
-// skips the same records.
+// ErrMalformedRecord is wrapped by errors about a record that can't be decoded. All
+// readers skip the same records.
 var ErrMalformedRecord = errors.New("lease: malformed record")
 
-var recordMode = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
+var recordDecoder = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
 
-// Encode returns the bytes of a record.
+// Encode returns the CBOR encoding of a record.
 func Encode(r *Record) ([]byte, error) {
 	data, err := cbor.Marshal(r)
 	if err != nil {
@@ -80,14 +81,14 @@
 	return data, nil
 }
 
-// Decode reads a record. Errors wrap ErrRecord.
+// Decode parses and validates a record. Errors wrap ErrMalformedRecord.
 func Decode(data []byte) (*Record, error) {
 	r := new(Record)
-	if err := recordMode.Unmarshal(data, r); err != nil {
+	if err := recordDecoder.Unmarshal(data, r); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformedRecord, err)
 	}
 	if r.Kind < KindClaim || r.Kind > KindRelease || r.Name == "" || r.Holder == "" || r.Epoch == 0 || r.DurationMs < 0 {
-		return nil, fmt.Errorf("%w: kind %d of %q", ErrMalformedRecord, r.Kind, r.Name)
+		return nil, fmt.Errorf("%w: invalid field in record of kind %d for lease %q", ErrMalformedRecord, r.Kind, r.Name)
 	}
 	return r, nil
 }
--- a/internal/lease/rewind_test.go
+++ b/internal/lease/rewind_test.go
@@ -10,15 +10,16 @@
 
 const rewindName = Name("rollout")
 
-// oneLog is a log that several holders read and write, all at once.
-type oneLog struct {
+// sharedLog is a log that several Leases read and write without delay.
+type sharedLog struct {
 	end     uint64
 	holders []*Leases
 	now     time.Duration
 }
 
-// carry appends what a holder asks for and has all read it, until nothing is left to do.
-func (l *oneLog) carry(actions []Action) {
+// deliver appends the requested records and has all Leases apply them, until there are no
+// further actions.
+func (l *sharedLog) deliver(actions []Action) {
 	for len(actions) > 0 {
 		a, ok := actions[0].(Append)
 		actions = actions[1:]
@@ -43,20 +44,21 @@
 	return ok
 }
 
-// Guards against two holders at a time, and against none for ever, after the log came back from an
-// older copy: one that reads both eras and one that starts in the new one agree who holds.
+// Guards against two holders at a time, and against no holder ever again, after the log was
+// restored from an older copy: a reader of both eras and one that starts in the new era must
+// agree on the holder.
 func TestALeaseAfterTheLogCameBack(t *testing.T) {
 	a, b := newHolder("a", 1), newHolder("b", 2)
-	log := &oneLog{holders: []*Leases{a, b}, now: time.Second}
+	log := &sharedLog{holders: []*Leases{a, b}, now: time.Second}
 	claim := a.Acquire(rewindName, log.now)
-	log.carry(claim)
+	log.deliver(claim)
 	if !holds(a, log.now) {
 		t.Fatal("a free lease isn't granted")
 	}
 	fence, _ := a.Check(rewindName, log.now)
-	lost := log.end
+	endBefore := log.end
 
-	// The copy has a's claim; c starts in the new era and has read only that.
+	// The copy has the claim of a. c starts in the new era and has read only that.
 	const era = 1 << 20
 	log.end = era
 	c := newHolder("c", 3)
@@ -67,30 +69,31 @@
 	}
 	log.end++
 	if holds(a, log.now) {
-		t.Error("a lease of before is held on to")
+		t.Error("a lease from before the restore is still held")
 	}
-	log.carry(b.CaughtUp(log.now))
-	log.carry(b.Acquire(rewindName, log.now))
+	log.deliver(b.CaughtUp(log.now))
+	log.deliver(b.Acquire(rewindName, log.now))
 	if holds(b, log.now) {
-		t.Error("another holds a lease whose holder may not know that the log came back")
+		t.Error("granted to another process while the holder may not know that the log was restored")
 	}
-	log.carry(c.CaughtUp(log.now))
-	log.carry(a.CaughtUp(log.now))
-	if again, ok := a.Check(rewindName, log.now); !ok || again <= fence || again <= lost {
-		t.Errorf("fence %d, %t after %d", again, ok, fence)
+	log.deliver(c.CaughtUp(log.now))
+	log.deliver(a.CaughtUp(log.now))
+	if again, ok := a.Check(rewindName, log.now); !ok || again <= fence || again <= endBefore {
+		t.Errorf("fence %d, %t; want one above %d", again, ok, fence)
 	}
-	log.carry(c.Acquire(rewindName, log.now))
+	log.deliver(c.Acquire(rewindName, log.now))
 	if holds(c, log.now) || holds(b, log.now) {
-		t.Error("two hold the lease")
+		t.Error("two processes hold the lease")
 	}
 	for _, h := range log.holders {
 		if grant, ok := h.Table().Holder(rewindName); !ok || grant.Holder != "a" {
-			t.Errorf("%+v, %t holds by one reader's table", grant, ok)
+			t.Errorf("grant %+v, %t in one reader's table; want a as the holder", grant, ok)
 		}
 	}
 }
 
-// Guards against a record of before that comes into the log again and is taken for one of now.
+// Guards against claiming at once when a record of the earlier era is appended again after a
+// restore: its sender may still hold the lease.
 func TestALeaseRecordOfAnEarlierEraHoldsOthersBack(t *testing.T) {
 	a := newHolder("a", 1)
 	claim := a.Acquire(rewindName, 0)[0].(Append)
@@ -101,24 +104,25 @@
 	b.CaughtUp(0)
 	b.Acquire(rewindName, 0)
 	if actions := b.Tick(DefaultParams.Duration); len(actions) > 0 {
-		t.Errorf("%+v before the holder's time can be over", actions)
+		t.Errorf("actions %+v before the holder's lease can have expired", actions)
 	}
 	if actions := b.Tick(DefaultParams.Duration + DefaultParams.Margin + time.Second); len(actions) != 1 {
-		t.Errorf("%+v once it is over", actions)
+		t.Errorf("actions %+v once it has expired; want one claim", actions)
 	}
 }
 
-// Guards against a claim right after the log came back, which lost a renewal that nobody else read.
+// Guards against a claim right after the log was restored without a renewal that nobody else
+// has read.
 func TestALostRenewalHoldsOthersBack(t *testing.T) {
 	a, b := newHolder("a", 1), newHolder("b", 2)
-	log := &oneLog{holders: []*Leases{a, b}}
-	log.carry(a.Acquire(rewindName, 0))
+	log := &sharedLog{holders: []*Leases{a, b}}
+	log.deliver(a.Acquire(rewindName, 0))
 	const era = 1 << 20
 	back := DefaultParams.Duration + DefaultParams.Margin - time.Millisecond
 	b.LogRestored(era+1, back)
 	b.CaughtUp(back)
 	b.Acquire(rewindName, back)
 	if actions := b.Tick(back + DefaultParams.Duration); len(actions) > 0 {
-		t.Errorf("%+v before the holder's time can be over", actions)
+		t.Errorf("actions %+v before the holder's lease can have expired", actions)
 	}
 }
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -6,52 +6,54 @@
 	"skylarklead/internal/protocol"
 )
 
-// Grant is a valid claim as every reader sees it.
+// Grant is the valid claim that a lease is held by. All readers agree on it.
 type Grant struct {
-	// Fence is the claim's offset: it grows with each grant of any lease.
+	// Fence is the claim's offset, the fencing number. It grows with each grant of any
+	// lease.
 	Fence  uint64
 	Holder string
 	Epoch  protocol.Epoch
 }
 
-// entry is one lease as read from the log.
+// tableEntry is one lease as read from the log.
 //
-// Invariants: last is the offset of its last record, valid or not, 0 for none since the log
-// came back from an older copy; grant is nil when it is free.
-type entry struct {
-	last     uint64
-	seen     time.Duration
-	duration time.Duration
-	grant    *Grant
+// Invariants: lastOffset is the offset of its last record, valid or not, 0 if there is none
+// since the log was restored from an older copy; grant is nil while the lease is free.
+type tableEntry struct {
+	lastOffset uint64
+	lastSeen   time.Duration
+	duration   time.Duration
+	grant      *Grant
 }
 
-// Table is what the log says of all leases of a group. It is the same for every
-// reader, but for records before the oldest one that a reader could still get.
+// Table is the state of all leases of a group as read from the log. It is the same at
+// all readers, except for records that retention removed before a reader could get them.
 type Table struct {
 	position uint64
-	entries  map[Name]*entry
+	entries  map[Name]*tableEntry
 }
 
-// NewTable returns the table before the first record.
-func NewTable() *Table { return &Table{entries: map[Name]*entry{}} }
+// NewTable returns the table of a reader before the first record.
+func NewTable() *Table { return &Table{entries: map[Name]*tableEntry{}} }
 
-// Position is the offset of the last record taken.
+// Position is the offset of the last record applied.
 func (t *Table) Position() uint64 { return t.position }
 
-// SkipTo moves on to oldest, where the log no longer has what comes next.
+// SkipTo continues at oldest because the log no longer has the records before.
 func (t *Table) SkipTo(oldest uint64) { t.position = max(t.position, oldest-1) }
 
-// LogRestored says that the log came back from an older copy and is read anew from oldest on. All
-// readers do, so that they agree again. Holders may not know yet: whoever was known to hold a
-// lease keeps others from it for the whole duration.
+// LogRestored handles a log that was restored from an older copy and is read again from oldest
+// on. All readers do so and then agree again. A holder may not know of it yet, so each known
+// grant blocks claims by others for its whole duration from now.
 func (t *Table) LogRestored(oldest uint64, now time.Duration) {
 	t.position = max(t.position, oldest-1)
 	for _, e := range t.entries {
-		e.last, e.seen = 0, now
+		e.lastOffset, e.lastSeen = 0, now
 	}
 }
 
-// Apply takes the next record and returns the lease it concerns, "" if none.
+// Apply applies the next record. It returns the record, nil if it is malformed or was
+// applied before, and whether it is valid.
 func (t *Table) Apply(offset uint64, data []byte, now time.Duration) (*Record, bool) {
 	if offset <= t.position {
 		return nil, false
@@ -63,33 +65,33 @@
 	}
 	e, known := t.entries[r.Name]
 	if !known {
-		e = &entry{}
+		e = &tableEntry{}
 		t.entries[r.Name] = e
 	}
-	known = known && e.last != 0
+	known = known && e.lastOffset != 0
 	valid := e.apply(r, offset, known)
-	e.last, e.seen = offset, now
+	e.lastOffset, e.lastSeen = offset, now
 	return r, valid
 }
 
-func (e *entry) apply(r *Record, offset uint64, known bool) bool {
+func (e *tableEntry) apply(r *Record, offset uint64, known bool) bool {
 	switch r.Kind {
 	case KindClaim:
-		if !e.supersededBy(r, known) {
+		if !e.acceptsClaim(r, known) {
 			return false
 		}
 		e.grant = &Grant{Fence: offset, Holder: r.Holder, Epoch: r.Epoch}
 		e.duration = r.duration()
 	case KindRenew:
-		if known && !e.heldBy(r) {
+		if known && !e.isHeldBy(r) {
 			return false
 		}
-		// A renewal whose claim was taken by retention: hold its word good, which
-		// only makes this reader wait for its end.
+		// If retention removed the claim of this renewal, the renewal is trusted: the
+		// only effect is that this reader waits for its expiry.
 		e.grant = &Grant{Fence: r.Fence, Holder: r.Holder, Epoch: r.Epoch}
 		e.duration = r.duration()
 	case KindRelease:
-		if known && !e.heldBy(r) {
+		if known && !e.isHeldBy(r) {
 			return false
 		}
 		e.grant = nil
@@ -97,23 +99,23 @@
 	return true
 }
 
-// supersededBy is the rule: of several claims on the same last record the first
-// is valid and thereby becomes the last record itself. Where the last record is
-// gone from the log for some readers, the claim says so by Oldest.
-func (e *entry) supersededBy(r *Record, known bool) bool {
-	if !known || r.Supersedes == e.last {
+// acceptsClaim decides whether a claim is valid. Of several claims that supersede the same
+// last record the first is valid and thereby becomes the last record itself. A claim whose
+// sender could not read the last record, because retention removed it, says so by Oldest.
+func (e *tableEntry) acceptsClaim(r *Record, known bool) bool {
+	if !known || r.Supersedes == e.lastOffset {
 		return true
 	}
-	return r.Supersedes == 0 && e.last < r.Oldest
+	return r.Supersedes == 0 && e.lastOffset < r.Oldest
 }
 
-func (e *entry) heldBy(r *Record) bool {
+func (e *tableEntry) isHeldBy(r *Record) bool {
 	return e.grant != nil && e.grant.Fence == r.Fence && e.grant.Holder == r.Holder && e.grant.Epoch == r.Epoch
 }
 
 func (r *Record) duration() time.Duration { return time.Duration(r.DurationMs) * time.Millisecond }
 
-// Holder returns who was last granted a lease and has not released it.
+// Holder returns the last grant of a lease, if it was not released. It may have expired.
 func (t *Table) Holder(n Name) (Grant, bool) {
 	e, ok := t.entries[n]
 	if !ok || e.grant == nil {
@@ -122,8 +124,8 @@
 	return *e.grant, true
 }
 
-// loadsBefore reports whether a process has a permit that was granted before fence.
-func (t *Table) loadsBefore(holder string, fence uint64) bool {
+// holdsEarlierPermit reports whether a process has a permit that was granted before fence.
+func (t *Table) holdsEarlierPermit(holder string, fence uint64) bool {
 	for name, e := range t.entries {
 		if isPermit(name) && e.grant != nil && e.grant.Holder == holder && e.grant.Fence < fence {
 			return true
@@ -132,20 +134,20 @@
 	return false
 }
 
-// ClaimableAt returns from when on a lease may be claimed: at once if it is free,
-// else when its last record has stood for the whole duration and the margin.
+// ClaimableAt returns the time from which a lease may be claimed: 0 if it is free, else
+// when the duration plus margin has passed since its last record was read.
 func (t *Table) ClaimableAt(n Name, margin time.Duration) time.Duration {
 	e, ok := t.entries[n]
 	if !ok || e.grant == nil {
 		return 0
 	}
-	return e.seen + e.duration + margin
+	return e.lastSeen + e.duration + margin
 }
 
 // LastOffset is the offset of a lease's last record, 0 if none was read.
 func (t *Table) LastOffset(n Name) uint64 {
 	if e, ok := t.entries[n]; ok {
-		return e.last
+		return e.lastOffset
 	}
 	return 0
 }
