--- a/internal/rollout/board.go
+++ b/internal/rollout/board.go
@@ -2,122 +2,125 @@
 
 import "time"
 
-// OrderedTTL is how long a replica stays without new work on the word of a note
-// that nothing has followed. Finishing what runs and loading takes a second or two;
-// a holder that was lost meanwhile leaves nobody to say that it is over.
+// OrderedTTL is how long a replica gets no new work after an ordered record that no other
+// record follows. Finishing the running requests and loading takes a second or two. If the
+// lease holder is lost meanwhile, nobody publishes the end of the load.
 const OrderedTTL = 6 * time.Second
 
-// slot is what is believed of one replica's weights of one model.
+// modelState is what is known of one replica's weights of one model.
 //
-// Invariant: version and orders only grow, since an incarnation never goes back.
-type slot struct {
-	version   uint64
-	orders    uint64
-	orderedAt time.Duration
-	// target is the version of the order under way, 0 if none is.
-	target uint64
-	// planned is the version that its turn at turnAt is for, 0 if none is planned.
-	planned uint64
-	turnAt  time.Duration
+// Invariant: version and acceptedOrders only grow, since an incarnation never goes back to
+// an older version.
+type modelState struct {
+	version        uint64
+	acceptedOrders uint64
+	orderedAt      time.Duration
+	// orderedVersion is the version of the order in progress, 0 if there is none.
+	orderedVersion uint64
+	// slotVersion is the version that the slot at slotAt is for, 0 if none is planned.
+	slotVersion uint64
+	slotAt      time.Duration
 }
 
-type slotKey struct{ replica, model string }
+type stateKey struct{ replica, model string }
 
-// VersionTracker is one entry's belief of which weights each replica serves. Records,
-// notes and answers all speak of it, each late in its own way; the newest version
-// that any of them has named is taken.
+// VersionTracker is one entry's view of the weights version at each replica. Registrations,
+// rollout records and responses all report versions, with different delays; the highest
+// reported version counts.
 type VersionTracker struct {
-	slots map[slotKey]*slot
+	states map[stateKey]*modelState
 }
 
-// NewVersionTracker returns an empty board.
-func NewVersionTracker() *VersionTracker { return &VersionTracker{slots: map[slotKey]*slot{}} }
+// NewVersionTracker returns a VersionTracker that knows no versions.
+func NewVersionTracker() *VersionTracker { return &VersionTracker{states: map[stateKey]*modelState{}} }
 
-func (b *VersionTracker) slot(replica, model string) *slot {
-	k := slotKey{replica, model}
-	s := b.slots[k]
+func (t *VersionTracker) state(replica, model string) *modelState {
+	k := stateKey{replica, model}
+	s := t.states[k]
 	if s == nil {
-		s = &slot{}
-		b.slots[k] = s
+		s = &modelState{}
+		t.states[k] = s
 	}
 	return s
 }
 
-// ObserveVersion takes a version that a replica was seen to serve, and the number of orders
-// it has accepted if known. It reports whether the version is news.
-func (b *VersionTracker) ObserveVersion(replica, model string, version, orders uint64) bool {
-	s := b.slot(replica, model)
-	s.orders = max(s.orders, orders)
+// ObserveVersion records that a replica was seen to serve a version, and the number of orders
+// that it has accepted, 0 if unknown. It reports whether the version is higher than any
+// observed before.
+func (t *VersionTracker) ObserveVersion(replica, model string, version, orders uint64) bool {
+	s := t.state(replica, model)
+	s.acceptedOrders = max(s.acceptedOrders, orders)
 	if version <= s.version {
 		return false
 	}
 	s.version = version
-	if version >= s.target {
-		s.target = 0
+	if version >= s.orderedVersion {
+		s.orderedVersion = 0
 	}
 	return true
 }
 
-// ApplyRecord applies a note and reports whether the replica's version is news.
-func (b *VersionTracker) ApplyRecord(n *Record, now time.Duration) bool {
-	s := b.slot(n.Replica, n.Model)
-	switch n.Phase {
+// ApplyRecord applies a rollout record and reports whether it has a higher version of the
+// replica than any observed before.
+func (t *VersionTracker) ApplyRecord(r *Record, now time.Duration) bool {
+	s := t.state(r.Replica, r.Model)
+	switch r.Phase {
 	case PhaseServing:
-		if n.Version >= s.target {
-			s.target = 0
+		if r.Version >= s.orderedVersion {
+			s.orderedVersion = 0
 		}
-		return b.ObserveVersion(n.Replica, n.Model, n.Version, n.AcceptedOrders)
+		return t.ObserveVersion(r.Replica, r.Model, r.Version, r.AcceptedOrders)
 	case PhaseReleased:
-		s.target = 0
+		s.orderedVersion = 0
 	case PhaseOrdered:
-		if n.Version > s.version {
-			s.target, s.orderedAt = n.Version, now
+		if r.Version > s.version {
+			s.orderedVersion, s.orderedAt = r.Version, now
 		}
 	case PhasePlanned:
-		s.planned, s.turnAt = n.Version, now+time.Duration(n.AfterMs)*time.Millisecond
+		s.slotVersion, s.slotAt = r.Version, now+time.Duration(r.AfterMs)*time.Millisecond
 	}
 	return false
 }
 
-// TimeToSlot is how long it is until a replica's planned order, if one is planned.
-func (b *VersionTracker) TimeToSlot(replica, model string, now time.Duration) (time.Duration, bool) {
-	s := b.slots[slotKey{replica, model}]
-	if s == nil || s.planned <= s.version || now > s.turnAt+planFor {
+// TimeToSlot returns the time until the replica's next slot, if one is planned.
+func (t *VersionTracker) TimeToSlot(replica, model string, now time.Duration) (time.Duration, bool) {
+	s := t.states[stateKey{replica, model}]
+	if s == nil || s.slotVersion <= s.version || now > s.slotAt+slotTTL {
 		return 0, false
 	}
-	return max(0, s.turnAt-now), true
+	return max(0, s.slotAt-now), true
 }
 
-// planFor is how long after its time a planned turn is still believed to come.
-const planFor = 3 * time.Second
+// slotTTL is how long after its scheduled start a slot is still expected to begin.
+const slotTTL = 3 * time.Second
 
-// Version is the version that a replica is believed to serve, 0 if unknown.
-func (b *VersionTracker) Version(replica, model string) uint64 {
-	if s := b.slots[slotKey{replica, model}]; s != nil {
+// Version is the version that a replica is known to serve, 0 if unknown.
+func (t *VersionTracker) Version(replica, model string) uint64 {
+	if s := t.states[stateKey{replica, model}]; s != nil {
 		return s.version
 	}
 	return 0
 }
 
-// AcceptedOrders is how many orders a replica is known to have accepted.
-func (b *VersionTracker) AcceptedOrders(replica, model string) uint64 {
-	if s := b.slots[slotKey{replica, model}]; s != nil {
-		return s.orders
+// AcceptedOrders is the number of orders that a replica is known to have accepted.
+func (t *VersionTracker) AcceptedOrders(replica, model string) uint64 {
+	if s := t.states[stateKey{replica, model}]; s != nil {
+		return s.acceptedOrders
 	}
 	return 0
 }
 
-// Ordered reports whether a replica is about to load or loading.
-func (b *VersionTracker) Ordered(replica, model string, now time.Duration) bool {
-	s := b.slots[slotKey{replica, model}]
-	return s != nil && s.target != 0 && now-s.orderedAt < OrderedTTL
+// Ordered reports whether a replica is about to load or is loading.
+func (t *VersionTracker) Ordered(replica, model string, now time.Duration) bool {
+	s := t.states[stateKey{replica, model}]
+	return s != nil && s.orderedVersion != 0 && now-s.orderedAt < OrderedTTL
 }
 
-// Forget forgets a replica.
-func (b *VersionTracker) Forget(replica string) {
-	for k := range b.slots {
+// Forget drops all state of a replica.
+func (t *VersionTracker) Forget(replica string) {
+	for k := range t.states {
 		if k.replica == replica {
-			delete(b.slots, k)
+			delete(t.states, k)
 		}
 	}
 }
--- a/internal/rollout/board_test.go
+++ b/internal/rollout/board_test.go
@@ -7,158 +7,156 @@
 	"skylarklead/internal/rollout"
 )
 
-func note(phase rollout.Phase, version uint64) *rollout.Record {
+func record(phase rollout.Phase, version uint64) *rollout.Record {
 	return &rollout.Record{Holder: "entry-1", Replica: "r", Model: model, Version: version, Phase: phase}
 }
 
-// Symptom: a replica gets no work for ever. Sequence: it is announced as ordered, and
-// the holder of the lease is killed before it says that the load is over. Cause: a
-// note believed without an end.
+// Guards against a replica that never gets work again: it is announced as ordered, and the lease
+// holder is killed before it publishes the end of the load.
 func TestOrderedNoteRunsOut(t *testing.T) {
-	b := rollout.NewVersionTracker()
-	b.ObserveVersion("r", model, 1, 0)
-	b.ApplyRecord(note(rollout.PhaseOrdered, 2), 0)
-	if !b.Ordered("r", model, time.Second) {
-		t.Fatal("not ordered after the note")
+	tracker := rollout.NewVersionTracker()
+	tracker.ObserveVersion("r", model, 1, 0)
+	tracker.ApplyRecord(record(rollout.PhaseOrdered, 2), 0)
+	if !tracker.Ordered("r", model, time.Second) {
+		t.Fatal("not ordered after an ordered record")
 	}
-	if b.Ordered("r", model, rollout.OrderedTTL) {
-		t.Fatal("still ordered when nothing has followed")
+	if tracker.Ordered("r", model, rollout.OrderedTTL) {
+		t.Fatal("still ordered after OrderedTTL without another record")
 	}
 }
 
 func TestVersionOnlyGrows(t *testing.T) {
-	b := rollout.NewVersionTracker()
-	b.ApplyRecord(note(rollout.PhaseServing, 3), 0)
-	if b.ObserveVersion("r", model, 2, 0) {
-		t.Fatal("an older record is news")
+	tracker := rollout.NewVersionTracker()
+	tracker.ApplyRecord(record(rollout.PhaseServing, 3), 0)
+	if tracker.ObserveVersion("r", model, 2, 0) {
+		t.Fatal("an older version counts as higher than any before")
 	}
-	if v := b.Version("r", model); v != 3 {
+	if v := tracker.Version("r", model); v != 3 {
 		t.Fatalf("version %d after an older record", v)
 	}
 }
 
 func TestServingOrReleasedEndsOrdered(t *testing.T) {
-	for _, end := range []*rollout.Record{note(rollout.PhaseServing, 2), note(rollout.PhaseReleased, 2)} {
-		b := rollout.NewVersionTracker()
-		b.ObserveVersion("r", model, 1, 0)
-		b.ApplyRecord(note(rollout.PhaseOrdered, 2), 0)
-		b.ApplyRecord(end, 0)
-		if b.Ordered("r", model, 0) {
+	for _, end := range []*rollout.Record{record(rollout.PhaseServing, 2), record(rollout.PhaseReleased, 2)} {
+		tracker := rollout.NewVersionTracker()
+		tracker.ObserveVersion("r", model, 1, 0)
+		tracker.ApplyRecord(record(rollout.PhaseOrdered, 2), 0)
+		tracker.ApplyRecord(end, 0)
+		if tracker.Ordered("r", model, 0) {
 			t.Errorf("still ordered after %v", end.Phase)
 		}
 	}
 }
 
-// Symptom: three seconds after an entry has started two replicas of nine serve
-// everything. Sequence: a version is named while it runs; it takes the name for one
-// that was there at the start. Cause: what is overdue counted from the wrong time.
+// Guards against an entry that uses only the few replicas with the newest weights soon after its
+// start: a version is announced while the entry runs, and is taken for one that was there at the
+// start. Three seconds later two replicas of nine then serve everything.
 func TestOldestVersionThatMayBegin(t *testing.T) {
-	d := rollout.NewVersionHistory(10 * time.Second)
-	if d.OldestAllowed(time.Hour) != 0 {
-		t.Fatal("nothing was named, and yet old weights are overdue")
+	history := rollout.NewVersionHistory(10 * time.Second)
+	if history.OldestAllowed(time.Hour) != 0 {
+		t.Fatal("no version was announced, and yet old weights are overdue")
 	}
-	d.Add(2, 0)
-	d.Add(3, 4*time.Second)
+	history.Add(2, 0)
+	history.Add(3, 4*time.Second)
 	for _, c := range []struct {
 		at   time.Duration
 		want uint64
 	}{{9 * time.Second, 0}, {10 * time.Second, 2}, {13 * time.Second, 2}, {14 * time.Second, 3}} {
-		if got := d.OldestAllowed(c.at); got != c.want {
+		if got := history.OldestAllowed(c.at); got != c.want {
 			t.Errorf("at %v: oldest %d; want %d", c.at, got, c.want)
 		}
 	}
-	if d.Add(3, time.Hour) || d.Newest() != 3 {
-		t.Error("a version named again is news")
+	if history.Add(3, time.Hour) || history.Newest() != 3 {
+		t.Error("a version announced again counts as new")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, e := range []rollout.Envelope{{Lease: []byte{1}}, {Rollout: note(rollout.PhaseOrdered, 2)}} {
+	for _, e := range []rollout.Envelope{{Lease: []byte{1}}, {Rollout: record(rollout.PhaseOrdered, 2)}} {
 		f.Add(e.Encode())
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		e, err := rollout.Decode(data)
 		if err == nil && (e.Lease == nil) == (e.Rollout == nil) {
-			t.Fatal("an envelope of no kind or of both")
+			t.Fatal("an envelope with neither or both of Lease and Rollout")
 		}
 	})
 }
 
-// Symptom: after all entries lost power most replicas are refused, though the version that
-// they lack was named seconds ago; or, the other way round, weights that two newer
-// versions have replaced are used.
-// Sequence: versions 3 and 4 are named; an entry starts and reads version 4 alone; another
-// one's word says when.
-// Cause: what is there at the start taken for overdue; or what came before it forgotten.
+// Guards against two errors after a restart of all entries: replicas are refused although the
+// version that they lack was announced seconds ago, or weights are used that two newer versions
+// have replaced. Versions 3 and 4 are announced, and an entry starts and reads only version 4;
+// the announcement of another entry tells it when. What is there at the start must not count as
+// overdue, and the version before must not be forgotten.
 func TestNamingsTellAStartedEntryWhatIsOverdue(t *testing.T) {
 	assumed := -7 * time.Second // overdue at 3 s
 	start := func() *rollout.VersionHistory {
-		d := rollout.NewVersionHistory(10 * time.Second)
-		d.Add(4, assumed)
-		return d
+		history := rollout.NewVersionHistory(10 * time.Second)
+		history.Add(4, assumed)
+		return history
 	}
 	if got := start().OldestAllowed(4 * time.Second); got != 4 {
-		t.Errorf("without word: %d", got)
+		t.Errorf("without an announcement by another entry: oldest %d; want 4", got)
 	}
-	d := start()
-	d.AddPrevious(4, 3, assumed)
-	d.AnnouncedNoEarlier(4, -2*time.Second)
+	history := start()
+	history.AddPrevious(4, 3, assumed)
+	history.AnnouncedNoEarlier(4, -2*time.Second)
 	for _, c := range []struct {
 		at   time.Duration
 		want uint64
 	}{{2 * time.Second, 0}, {4 * time.Second, 3}, {7 * time.Second, 3}, {8 * time.Second, 4}} {
-		if got := d.OldestAllowed(c.at); got != c.want {
+		if got := history.OldestAllowed(c.at); got != c.want {
 			t.Errorf("at %v no request may begin on weights before %d; want %d", c.at, got, c.want)
 		}
 	}
-	d = start()
-	d.AddPrevious(4, 3, assumed)
-	d.AnnouncedNoEarlier(4, -2*time.Second)
-	d.AnnouncedNoEarlier(3, -4*time.Second)
-	if got := d.OldestAllowed(4 * time.Second); got != 0 {
-		t.Errorf("both were named a moment ago, and %d is overdue", got)
+	history = start()
+	history.AddPrevious(4, 3, assumed)
+	history.AnnouncedNoEarlier(4, -2*time.Second)
+	history.AnnouncedNoEarlier(3, -4*time.Second)
+	if got := history.OldestAllowed(4 * time.Second); got != 0 {
+		t.Errorf("both were announced a moment ago, and version %d is overdue", got)
 	}
-	d.AnnouncedNoEarlier(4, -20*time.Second)
-	if got := d.OldestAllowed(7 * time.Second); got != 3 {
-		t.Errorf("an earlier time replaced a later one: %d", got)
+	history.AnnouncedNoEarlier(4, -20*time.Second)
+	if got := history.OldestAllowed(7 * time.Second); got != 3 {
+		t.Errorf("an earlier time replaced a later one: oldest %d; want 3", got)
 	}
 }
 
-// Symptom: as in the test of the entry's reader. Sequence: a version is named between 2 s and
-// 12 s, as far as the entry knows, and read at 12 s; words say when. Cause: the reading
-// taken for the naming.
+// Guards against an entry that takes the time when it read a version for the time of its
+// announcement. The version is announced between 2 s and 12 s, as far as the entry knows, and read
+// at 12 s; announcements by other entries tell when.
 func TestWordsTellWhenAVersionReadLateWasNamed(t *testing.T) {
 	late := func() *rollout.VersionHistory {
-		d := rollout.NewVersionHistory(10 * time.Second)
-		d.Add(2, 12*time.Second)
-		d.MarkReadLate(2, 2*time.Second)
-		return d
+		history := rollout.NewVersionHistory(10 * time.Second)
+		history.Add(2, 12*time.Second)
+		history.MarkReadLate(2, 2*time.Second)
+		return history
 	}
 	cases := []struct {
 		name    string
-		words   []time.Duration
+		times   []time.Duration
 		overdue time.Duration
 	}{
-		{"no word", nil, 22 * time.Second},
-		{"a word", []time.Duration{5 * time.Second}, 15 * time.Second},
-		{"an earlier word follows", []time.Duration{8 * time.Second, 5 * time.Second}, 15 * time.Second},
-		{"a later word follows", []time.Duration{5 * time.Second, 8 * time.Second}, 15 * time.Second},
-		{"a word from before it can have been", []time.Duration{-time.Hour}, 12 * time.Second},
-		{"a word from after the reading", []time.Duration{time.Hour}, 22 * time.Second},
+		{"no announcement", nil, 22 * time.Second},
+		{"an announcement", []time.Duration{5 * time.Second}, 15 * time.Second},
+		{"an earlier time follows", []time.Duration{8 * time.Second, 5 * time.Second}, 15 * time.Second},
+		{"a later time follows", []time.Duration{5 * time.Second, 8 * time.Second}, 15 * time.Second},
+		{"a time before it can have been announced", []time.Duration{-time.Hour}, 12 * time.Second},
+		{"a time after it was read", []time.Duration{time.Hour}, 22 * time.Second},
 	}
 	for _, c := range cases {
-		d := late()
-		for _, at := range c.words {
-			d.AnnouncedNoLater(2, at)
+		history := late()
+		for _, at := range c.times {
+			history.AnnouncedNoLater(2, at)
 		}
-		if d.OldestAllowed(c.overdue-time.Millisecond) != 0 || d.OldestAllowed(c.overdue) != 2 {
+		if history.OldestAllowed(c.overdue-time.Millisecond) != 0 || history.OldestAllowed(c.overdue) != 2 {
 			t.Errorf("%s: not overdue at %v", c.name, c.overdue)
 		}
 	}
-	d := rollout.NewVersionHistory(10 * time.Second)
-	d.Add(2, 12*time.Second)
-	d.AnnouncedNoLater(2, time.Second)
-	if d.OldestAllowed(22*time.Second-time.Millisecond) != 0 {
-		t.Error("a word about a version that was read at once changed when it counts as named")
+	history := rollout.NewVersionHistory(10 * time.Second)
+	history.Add(2, 12*time.Second)
+	history.AnnouncedNoLater(2, time.Second)
+	if history.OldestAllowed(22*time.Second-time.Millisecond) != 0 {
+		t.Error("an announcement changed the time of a version that was read at once")
 	}
 }
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -9,40 +9,40 @@
 	"skylarklead/internal/fleet"
 )
 
-// Params time a rollout.
+// Params are the timing and the concurrency of a rollout.
 type Params struct {
-	// LoadShare is the part of a model's replicas that load at once, 0 to 1, rounded:
-	// what a store of weights feeds without loads taking longer. More would be away for
-	// longer and none be back sooner. Rounded down, nine replicas loaded one by one and
-	// were on weights that had been replaced for 17 s of each change; two by two it is half.
+	// LoadShare is the fraction of a model's replicas that load at once, 0 to 1, rounded to
+	// whole replicas. It is what a weights store serves at full speed: with more, each load takes
+	// longer and none ends sooner. It is not rounded down, since nine replicas that load one by
+	// one serve replaced weights for 17 s after each change, and for half of that two by two.
 	LoadShare float64
-	// ReportLag is how long after the end of a load it is heard of: the store stands idle
-	// for as long unless that many more load meanwhile.
+	// ReportLag is the delay until the end of a load is reported. The weights store would be
+	// idle for that long unless correspondingly more replicas load at once.
 	ReportLag time.Duration
-	// LoadTime is how long it takes from an order to its end being heard of until loads
-	// were seen, Learning the weight of each that was, MaxLoadTime the most that one says
-	// of the others: one whose order was carried out late takes seconds more.
+	// LoadTime is the initial estimate of the time from an order until the end of its load is
+	// reported. LearningRate is the weight of each observed load. MaxLoadTime limits an observed
+	// load, since an order that was executed late takes seconds more and says little of others.
 	LoadTime, MaxLoadTime time.Duration
 	LearningRate          float64
-	// PublishLead is the time from a note's acceptance to the order: the entries' long
-	// polls have brought it by then. PublishTimeout is how long an order waits for a note
-	// that the store doesn't accept: replicas then refuse what entries still send.
+	// PublishLead is the time from when a record is accepted by the topic to the order; the
+	// entries' long polls have delivered it by then. PublishTimeout is how long an order waits
+	// for a record that the store doesn't accept; replicas then refuse what entries still send.
 	PublishLead, PublishTimeout time.Duration
-	// FirstPoll and PollInterval are when a replica that took an order is asked for its
-	// state. What it reports is a few hundred milliseconds old.
+	// FirstPoll and PollInterval are when a replica that accepted an order is queried for its
+	// state. Its report is a few hundred milliseconds old.
 	FirstPoll, PollInterval time.Duration
-	// RetryBackoff is the pause before a replica is ordered again after a reply that
-	// leaves it as it was.
+	// RetryBackoff is the pause before the next order after a reply that leaves the replica as
+	// it was.
 	RetryBackoff time.Duration
-	// LoadTimeout is when a replica that doesn't come out of its load frees its place.
+	// LoadTimeout is when a replica whose load doesn't end no longer counts against the limit of
+	// concurrent loads.
 	LoadTimeout time.Duration
-	// SlotDelay is how long after its announcement a replica's turn is expected.
+	// SlotDelay is the expected time from when a replica's slot is published to its start.
 	SlotDelay time.Duration
 }
 
-// DefaultParams suit loads of about a second until others were seen. Stores of weights
-// fed 2 of 9, 2 of 12, 3 of 18, 7 of 38, 9 of 46 and 11 of 56 replicas at full speed where
-// it was known.
+// DefaultParams suit loads that initially take about a second. Weights stores serve 2 of 9, 2 of
+// 12, 3 of 18, 7 of 38, 9 of 46 and 11 of 56 replicas at full speed where that is known.
 var DefaultParams = Params{
 	LoadShare: 0.18, ReportLag: 300 * time.Millisecond, LoadTime: 1200 * time.Millisecond,
 	MaxLoadTime: 4 * time.Second, LearningRate: 0.3, SlotDelay: 1200 * time.Millisecond, PublishLead: 20 * time.Millisecond, PublishTimeout: 400 * time.Millisecond,
@@ -53,138 +53,138 @@
 // State is one replica of the model as the entry sees it now.
 type State struct {
 	Replica *fleet.Replica
-	// Version and Orders are as the Board has them.
+	// Version and AcceptedOrders are as in the VersionTracker.
 	Version        uint64
 	AcceptedOrders uint64
-	// Reachable replicas can be given an order.
+	// Reachable replicas can be sent an order.
 	Reachable bool
-	// Running is how much this entry has there.
+	// Running is the number of requests that this entry has running there.
 	Running int
-	// TimeToSlot is the time until its planned turn, if Planned.
+	// TimeToSlot is the time until the replica's slot, if HasSlot.
 	TimeToSlot time.Duration
 	HasSlot    bool
 }
 
-// turn orders replicas by their plan; those without one come last.
-func (s *State) turn() time.Duration {
+// slotOrder is the sort key of a replica's slot; replicas without a slot come last.
+func (s *State) slotOrder() time.Duration {
 	if s.HasSlot {
 		return s.TimeToSlot
 	}
 	return math.MaxInt64
 }
 
-// Action is what a Core asks its entry to do: Announce, Give or Ask.
+// Action is what a Core asks its entry to do: Publish, SendOrder or QueryState.
 type Action interface{ rolloutAction() }
 
-// Publish appends a note to the entries' topic.
+// Publish asks to append a record to the entries' topic and to call RecordPublished.
 type Publish struct{ Record Record }
 
-// SendOrder sends an order and reports Replied.
+// SendOrder asks to send an order and to call OrderReplied.
 type SendOrder struct{ Order fleet.Order }
 
-// QueryState asks a replica for its state and reports Reported or ReportFailed.
+// QueryState asks to query a replica for its state and to call StateReported or QueryFailed.
 type QueryState struct{ Replica *fleet.Replica }
 
 func (Publish) rolloutAction()    {}
 func (SendOrder) rolloutAction()  {}
 func (QueryState) rolloutAction() {}
 
-type step uint8
+type orderStep uint8
 
 const (
-	stepAnnounced step = iota
-	stepGiven
+	stepPublished orderStep = iota
+	stepOrderSent
 	stepLoading
 	stepPaused
 )
 
-// target is one replica that an order is under way for.
-type target struct {
-	replica *fleet.Replica
-	version uint64
-	orders  uint64
-	// tried is the number of orders that the latest one expected, refused says that
-	// it was refused as a conflict.
-	tried   uint64
-	refused bool
-	step    step
-	since   time.Duration
-	next    time.Duration
-	started time.Duration
-	asked   bool
+// pendingOrder is an order in progress, from the publication of its record to the end of the
+// load.
+type pendingOrder struct {
+	replica        *fleet.Replica
+	version        uint64
+	acceptedOrders uint64
+	// expectedOrders is the ExpectedOrders of the latest order; refused is set if that order
+	// was refused as a conflict.
+	expectedOrders uint64
+	refused        bool
+	step           orderStep
+	stepSince      time.Duration
+	nextAction     time.Duration
+	started        time.Duration
+	querying       bool
 }
 
-// maxAwayShift bounds the pause between tries at a replica that doesn't answer to
-// eight times Again.
-const maxAwayShift = 3
+// maxBackoffShift limits the backoff of a replica that doesn't answer to eight times
+// RetryBackoff.
+const maxBackoffShift = 3
 
-// Core gives the orders for one model while its entry holds the lease.
+// Core issues the orders for one model while its entry holds the lease.
 //
-// Invariant: at most one order is under way for a replica, and none is given
-// without a fence.
+// Invariant: at most one order per replica is in progress, and none is sent without a fence.
 type Core struct {
 	params  Params
 	holder  string
 	model   string
-	wanted  uint64
-	targets map[string]*target
-	// planned has the version that a replica was last announced to come next for.
-	planned map[string]uint64
-	// away has the replicas that didn't answer: how often in a row, and when they
-	// are tried next.
-	away map[string]absence
-	// loadTime is how long loads take, learnt from those that this holder ordered.
+	desired uint64
+	pending map[string]*pendingOrder
+	// slotPublished has the version for which a replica's slot was last published.
+	slotPublished map[string]uint64
+	// unreachable has the replicas that didn't answer.
+	unreachable map[string]unreachableReplica
+	// loadTime is the estimated duration of a load, learnt from the orders of this holder.
 	loadTime time.Duration
 }
 
-// absence is a replica that an order didn't reach, or that gave no report.
-type absence struct {
-	times int
-	until time.Duration
+// unreachableReplica is a replica that an order didn't reach or that didn't report its state:
+// how often in a row, and when it is tried next.
+type unreachableReplica struct {
+	failures int
+	retryAt  time.Duration
 }
 
-// NewCore returns the rollout of a model by the holder named.
+// NewCore returns the rollout of a model by the given lease holder.
 func NewCore(model, holder string, p Params) *Core {
-	return &Core{params: p, holder: holder, model: model, targets: map[string]*target{}, away: map[string]absence{}, planned: map[string]uint64{}, loadTime: p.LoadTime}
+	return &Core{params: p, holder: holder, model: model, pending: map[string]*pendingOrder{}, unreachable: map[string]unreachableReplica{}, slotPublished: map[string]uint64{}, loadTime: p.LoadTime}
 }
 
-// SetDesired sets the version to bring the replicas to. It never goes back.
-func (c *Core) SetDesired(version uint64) { c.wanted = max(c.wanted, version) }
+// SetDesired sets the version to bring the replicas to. Lower versions than before are ignored.
+func (c *Core) SetDesired(version uint64) { c.desired = max(c.desired, version) }
 
 // Desired is the version that the replicas are brought to.
-func (c *Core) Desired() uint64 { return c.wanted }
-
-// leave gives the place of a replica that doesn't answer to another one. Dark
-// replicas would otherwise hold all places until each of their calls has timed out,
-// and those that run would serve old weights beyond the time allowed.
-func (c *Core) leave(id string, now time.Duration) []Action {
-	delete(c.targets, id)
-	a := c.away[id]
-	a.until = now + c.params.RetryBackoff<<min(a.times, maxAwayShift)
-	a.times++
-	c.away[id] = a
-	return []Action{Publish{c.note(id, c.wanted, PhaseReleased, 0)}}
+func (c *Core) Desired() uint64 { return c.desired }
+
+// releaseUnreachable ends the order for a replica that doesn't answer, so that another replica
+// may load. Otherwise unreachable replicas would block the rollout until each of their calls has
+// timed out, and the running ones would serve old weights beyond the time allowed.
+func (c *Core) releaseUnreachable(id string, now time.Duration) []Action {
+	delete(c.pending, id)
+	u := c.unreachable[id]
+	u.retryAt = now + c.params.RetryBackoff<<min(u.failures, maxBackoffShift)
+	u.failures++
+	c.unreachable[id] = u
+	return []Action{Publish{c.record(id, c.desired, PhaseReleased, 0)}}
 }
 
-// NeedsOrders reports whether any replica is to be given an order.
+// NeedsOrders reports whether any replica is to be sent an order.
 func (c *Core) NeedsOrders(replicas []State) bool {
 	for i := range replicas {
-		if replicas[i].Version < c.wanted {
+		if replicas[i].Version < c.desired {
 			return true
 		}
 	}
 	return false
 }
 
-// Stop drops all that is under way: the lease is over, and whatever was ordered
-// may or may not take place.
+// Stop drops all orders in progress because the lease is lost. Whether they take effect is
+// unknown.
 func (c *Core) Stop() {
-	clear(c.targets)
-	clear(c.planned)
+	clear(c.pending)
+	clear(c.slotPublished)
 }
 
-// Active reports whether orders are under way.
-func (c *Core) Active() bool { return len(c.targets) > 0 }
+// Active reports whether orders are in progress.
+func (c *Core) Active() bool { return len(c.pending) > 0 }
 
 // Step returns what to do next under the fence.
 func (c *Core) Step(now time.Duration, fence uint64, replicas []State) []Action {
@@ -194,90 +194,90 @@
 		byID[replicas[i].Replica.ID] = &replicas[i]
 	}
 	for _, id := range c.ids() {
-		actions = append(actions, c.advance(now, fence, c.targets[id], byID[id])...)
+		actions = append(actions, c.advance(now, fence, c.pending[id], byID[id])...)
 	}
 	due := c.due(now, replicas)
-	places := c.places(replicas)
-	begun := max(0, min(places-len(c.targets), len(due)))
-	actions = append(actions, c.begin(now, due[:begun])...)
-	return append(actions, c.plan(due[begun:], places)...)
+	limit := c.maxLoads(replicas)
+	starting := max(0, min(limit-len(c.pending), len(due)))
+	actions = append(actions, c.startOrders(now, due[:starting])...)
+	return append(actions, c.publishSlots(due[starting:], limit)...)
 }
 
 func (c *Core) ids() []string {
-	ids := make([]string, 0, len(c.targets))
-	for id := range c.targets {
+	ids := make([]string, 0, len(c.pending))
+	for id := range c.pending {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// advance moves one target on.
-func (c *Core) advance(now time.Duration, fence uint64, t *target, s *State) []Action {
+// advance continues one order in progress.
+func (c *Core) advance(now time.Duration, fence uint64, o *pendingOrder, s *State) []Action {
 	if s == nil {
-		delete(c.targets, t.replica.ID)
-		delete(c.away, t.replica.ID)
+		delete(c.pending, o.replica.ID)
+		delete(c.unreachable, o.replica.ID)
 		return nil
 	}
-	if s.Version >= t.version {
-		if t.step == stepLoading && !t.refused {
-			c.loaded(now - t.since)
+	if s.Version >= o.version {
+		if o.step == stepLoading && !o.refused {
+			c.learnLoadTime(now - o.stepSince)
 		}
-		delete(c.targets, t.replica.ID)
-		// The reply to the order may say more of their number than records do.
-		return []Action{Publish{c.note(t.replica.ID, s.Version, PhaseServing, max(t.orders, s.AcceptedOrders))}}
+		delete(c.pending, o.replica.ID)
+		// The reply to the order may have a higher count of accepted orders than the registration.
+		return []Action{Publish{c.record(o.replica.ID, s.Version, PhaseServing, max(o.acceptedOrders, s.AcceptedOrders))}}
 	}
-	if now-t.started > c.params.LoadTimeout {
-		return c.leave(t.replica.ID, now)
+	if now-o.started > c.params.LoadTimeout {
+		return c.releaseUnreachable(o.replica.ID, now)
 	}
-	if now < t.next {
+	if now < o.nextAction {
 		return nil
 	}
-	switch t.step {
-	case stepAnnounced, stepPaused:
-		return c.give(now, fence, t, s)
+	switch o.step {
+	case stepPublished, stepPaused:
+		return c.sendOrder(now, fence, o, s)
 	case stepLoading:
-		if t.asked {
+		if o.querying {
 			return nil
 		}
-		t.asked = true
-		return []Action{QueryState{Replica: t.replica}}
+		o.querying = true
+		return []Action{QueryState{Replica: o.replica}}
 	}
 	return nil
 }
 
-// give orders the newest version, which may have been named since the note. What runs
-// goes on: waiting for it would leave a loaded replica without work for as long as
-// its longest stream takes, and the others with that much more.
-func (c *Core) give(now time.Duration, fence uint64, t *target, s *State) []Action {
-	t.version = c.wanted
-	t.orders = max(t.orders, s.AcceptedOrders)
-	t.step, t.since = stepGiven, now
-	t.tried, t.refused = t.orders, false
+// sendOrder orders the newest version, which may have been announced since the record was
+// published. Requests that run continue: waiting for them would leave a loaded replica without
+// work until its longest stream ends, and give the other replicas that much more.
+func (c *Core) sendOrder(now time.Duration, fence uint64, o *pendingOrder, s *State) []Action {
+	o.version = c.desired
+	o.acceptedOrders = max(o.acceptedOrders, s.AcceptedOrders)
+	o.step, o.stepSince = stepOrderSent, now
+	o.expectedOrders, o.refused = o.acceptedOrders, false
 	return []Action{SendOrder{Order: fleet.Order{
-		Replica: t.replica, Model: c.model, Version: t.version, Mode: fleet.ModeRetain,
-		Holder: c.holder, Fence: fence, ExpectedOrders: t.orders,
+		Replica: o.replica, Model: c.model, Version: o.version, Mode: fleet.ModeRetain,
+		Holder: c.holder, Fence: fence, ExpectedOrders: o.acceptedOrders,
 	}}}
 }
 
-// due lists the replicas to take up, in order.
+// due lists the replicas to send an order to, in order.
 func (c *Core) due(now time.Duration, replicas []State) []*State {
 	var due []*State
 	for i := range replicas {
 		s := &replicas[i]
 		id := s.Replica.ID
-		if s.Version < c.wanted && s.Reachable && c.targets[id] == nil && now >= c.away[id].until {
+		if s.Version < c.desired && s.Reachable && c.pending[id] == nil && now >= c.unreachable[id].retryAt {
 			due = append(due, s)
 		}
 	}
 	slices.SortFunc(due, func(a, b *State) int {
-		// The oldest first: with versions in quick succession each new one would
-		// otherwise send replicas that have just loaded round again, while one that was
-		// passed over serves its old weights beyond the time allowed.
+		// Oldest version first: with versions in quick succession, replicas that have just loaded
+		// would otherwise load again, while one that was skipped serves its old weights beyond the
+		// time allowed.
 		if d := cmp.Compare(a.Version, b.Version); d != 0 {
 			return d
 		}
-		if d := cmp.Compare(a.turn(), b.turn()); d != 0 {
+		if d := cmp.Compare(a.slotOrder(), b.slotOrder()); d != 0 {
 			return d
 		}
 		if d := cmp.Compare(a.Running, b.Running); d != 0 {
@@ -288,127 +288,126 @@
 	return due
 }
 
-// plan tells all entries which replicas come next. Streams that would outlast their
-// turn then go elsewhere, so that it finds them with little to finish; without that
-// a replica stands idle for seconds while its last stream ends.
-func (c *Core) plan(due []*State, places int) []Action {
+// publishSlots tells all entries which replicas load next. Streams that would outlast the start
+// of the slot are then sent elsewhere, so that little is left to finish. Otherwise a replica is
+// idle for seconds while its last stream ends.
+func (c *Core) publishSlots(due []*State, limit int) []Action {
 	var actions []Action
-	for _, s := range due[:min(places, len(due))] {
+	for _, s := range due[:min(limit, len(due))] {
 		id := s.Replica.ID
-		if c.planned[id] >= c.wanted {
+		if c.slotPublished[id] >= c.desired {
 			continue
 		}
-		c.planned[id] = c.wanted
-		n := c.note(id, c.wanted, PhasePlanned, 0)
-		n.AfterMs = c.params.SlotDelay.Milliseconds()
-		actions = append(actions, Publish{n})
+		c.slotPublished[id] = c.desired
+		r := c.record(id, c.desired, PhasePlanned, 0)
+		r.AfterMs = c.params.SlotDelay.Milliseconds()
+		actions = append(actions, Publish{r})
 	}
 	return actions
 }
 
-// begin takes replicas up.
-func (c *Core) begin(now time.Duration, due []*State) []Action {
+// startOrders publishes the records of new orders.
+func (c *Core) startOrders(now time.Duration, due []*State) []Action {
 	var actions []Action
 	for _, s := range due {
-		c.targets[s.Replica.ID] = &target{
-			replica: s.Replica, version: c.wanted, orders: s.AcceptedOrders,
-			step: stepAnnounced, since: now, started: now, next: now + c.params.PublishTimeout,
+		c.pending[s.Replica.ID] = &pendingOrder{
+			replica: s.Replica, version: c.desired, acceptedOrders: s.AcceptedOrders,
+			step: stepPublished, stepSince: now, started: now, nextAction: now + c.params.PublishTimeout,
 		}
-		actions = append(actions, Publish{c.note(s.Replica.ID, c.wanted, PhaseOrdered, s.AcceptedOrders)})
+		actions = append(actions, Publish{c.record(s.Replica.ID, c.desired, PhaseOrdered, s.AcceptedOrders)})
 	}
 	return actions
 }
 
-// places is how many replicas may be out of service at once for their weights, of
-// those that can be reached. One of several always serves on.
-func (c *Core) places(replicas []State) int {
+// maxLoads is how many of the reachable replicas may load at once. One of several always serves.
+func (c *Core) maxLoads(replicas []State) int {
 	reachable := 0
 	for i := range replicas {
 		if replicas[i].Reachable {
 			reachable++
 		}
 	}
-	whole := float64(c.loadTime)
-	unheard := whole / (whole - float64(c.params.ReportLag))
-	loads := int(math.Round(float64(reachable) * c.params.LoadShare * unheard))
+	loadTime := float64(c.loadTime)
+	lagFactor := loadTime / (loadTime - float64(c.params.ReportLag))
+	loads := int(math.Round(float64(reachable) * c.params.LoadShare * lagFactor))
 	return max(1, min(loads, reachable-1))
 }
 
-// loaded learns from a load that was heard to be over some time after its order.
-func (c *Core) loaded(took time.Duration) {
+// learnLoadTime updates the estimate by a load whose end was reported took after its order.
+func (c *Core) learnLoadTime(took time.Duration) {
 	took = min(max(took, 2*c.params.ReportLag), c.params.MaxLoadTime)
 	c.loadTime += time.Duration(c.params.LearningRate * float64(took-c.loadTime))
 }
 
-func (c *Core) note(replica string, version uint64, phase Phase, orders uint64) Record {
+func (c *Core) record(replica string, version uint64, phase Phase, orders uint64) Record {
 	return Record{Holder: c.holder, Replica: replica, Model: c.model, Version: version, Phase: phase, AcceptedOrders: orders}
 }
 
-// RecordPublished says that the note about a replica's order is on the topic.
+// RecordPublished reports that the record of a replica's order is on the topic.
 func (c *Core) RecordPublished(id string, now time.Duration) {
-	if t := c.targets[id]; t != nil && t.step == stepAnnounced {
-		t.next = now + c.params.PublishLead
+	if o := c.pending[id]; o != nil && o.step == stepPublished {
+		o.nextAction = now + c.params.PublishLead
 	}
 }
 
-// OrderReplied takes a replica's reply to an order. After ReplyFenced the lease must be
-// given up: another holder has a higher fence.
+// OrderReplied handles a replica's reply to an order. After ReplyFenced the lease must be
+// released: another holder has a higher fence.
 func (c *Core) OrderReplied(id string, reply fleet.Reply, now time.Duration) []Action {
-	t := c.targets[id]
-	if t == nil || t.step != stepGiven {
+	o := c.pending[id]
+	if o == nil || o.step != stepOrderSent {
 		return nil
 	}
 	switch reply {
 	case fleet.ReplyAccepted:
-		t.orders++
-		t.step, t.next, t.asked = stepLoading, now+c.params.FirstPoll, false
+		o.acceptedOrders++
+		o.step, o.nextAction, o.querying = stepLoading, now+c.params.FirstPoll, false
 	case fleet.ReplyConflict:
-		t.refused = true
-		t.step, t.next, t.asked = stepLoading, now, false
+		o.refused = true
+		o.step, o.nextAction, o.querying = stepLoading, now, false
 	case fleet.ReplyInForce, fleet.ReplyUnknown:
-		// Its state tells: it may be loading for an order whose reply was lost.
-		t.step, t.next, t.asked = stepLoading, now, false
+		// Its state will tell: it may be loading for an order whose reply was lost.
+		o.step, o.nextAction, o.querying = stepLoading, now, false
 	case fleet.ReplyFenced:
 		c.Stop()
 	case fleet.ReplyMisdirected, fleet.ReplyNotSent:
-		return c.leave(id, now)
+		return c.releaseUnreachable(id, now)
 	default:
-		t.step, t.next = stepPaused, now+c.params.RetryBackoff
+		o.step, o.nextAction = stepPaused, now+c.params.RetryBackoff
 	}
 	return nil
 }
 
-// StateReported takes a replica's state. It returns the note to announce once the
-// version is in force.
+// StateReported handles a replica's state. It returns the record to publish once the version is
+// in force.
 func (c *Core) StateReported(id string, r *fleet.Report, now time.Duration) []Action {
-	t := c.targets[id]
-	if t == nil || !t.asked {
+	o := c.pending[id]
+	if o == nil || !o.querying {
 		return nil
 	}
-	t.asked = false
-	delete(c.away, id)
-	t.orders = max(t.orders, r.AcceptedOrders)
-	t.next = now + c.params.PollInterval
-	if version := r.Weights[c.model]; version >= t.version && !r.Busy {
-		c.loaded(now - t.since)
-		delete(c.targets, id)
-		return []Action{Publish{c.note(id, version, PhaseServing, t.orders)}}
+	o.querying = false
+	delete(c.unreachable, id)
+	o.acceptedOrders = max(o.acceptedOrders, r.AcceptedOrders)
+	o.nextAction = now + c.params.PollInterval
+	if version := r.Weights[c.model]; version >= o.version && !r.Busy {
+		c.learnLoadTime(now - o.stepSince)
+		delete(c.pending, id)
+		return []Action{Publish{c.record(id, version, PhaseServing, o.acceptedOrders)}}
 	}
-	// Not busy soon after the order may be older than the order. One that was refused
-	// for its number began nothing: a giver that has just started knows no numbers, and
-	// waiting would leave each replica without work in its turn for nothing.
-	explained := t.refused && r.AcceptedOrders > t.tried
-	if r.Busy || !explained && now-t.since < c.params.FirstPoll {
+	// A report that the replica isn't busy, soon after the order, may be older than the order. An
+	// order that was refused for its expected count started nothing: an issuer that has just
+	// started knows no counts, and waiting would leave each replica without work for nothing.
+	conflictExplained := o.refused && r.AcceptedOrders > o.expectedOrders
+	if r.Busy || !conflictExplained && now-o.stepSince < c.params.FirstPoll {
 		return nil
 	}
-	t.step, t.next = stepPaused, now
+	o.step, o.nextAction = stepPaused, now
 	return nil
 }
 
-// QueryFailed says that a replica's state couldn't be read.
+// QueryFailed reports that a replica's state couldn't be read.
 func (c *Core) QueryFailed(id string, now time.Duration) []Action {
-	if c.targets[id] == nil {
+	if c.pending[id] == nil {
 		return nil
 	}
-	return c.leave(id, now)
+	return c.releaseUnreachable(id, now)
 }
--- a/internal/rollout/core_test.go
+++ b/internal/rollout/core_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-// ordered returns the replicas that a step announced an order for.
+// ordered returns the replicas for which a step published an ordered record.
 func ordered(actions []rollout.Action) []string {
 	var ids []string
 	for _, a := range actions {
@@ -42,7 +42,7 @@
 	return ids
 }
 
-func given(actions []rollout.Action) []fleet.Order {
+func sentOrders(actions []rollout.Action) []fleet.Order {
 	var orders []fleet.Order
 	for _, a := range actions {
 		if g, ok := a.(rollout.SendOrder); ok {
@@ -52,10 +52,9 @@
 	return orders
 }
 
-// Symptom: a request begins on the first weights long after the second were named,
-// although replicas were loaded all the while. Sequence: versions come in quick
-// succession; each sends replicas that have just loaded round again. Cause: the
-// order of a rollout doesn't look at how old a replica's weights are.
+// Guards against replicas that serve old weights long after a newer version was announced: with
+// versions in quick succession, each one makes replicas load that have just loaded, if the
+// order of a rollout ignores the age of a replica's weights.
 func TestOldestWeightsFirst(t *testing.T) {
 	got := ordered(newCore(3).Step(0, 1, states(2, 2, 1, 2, 2, 1, 2, 2, 2, 2)))
 	for _, want := range []string{"r02", "r05"} {
@@ -64,18 +63,16 @@
 			found = found || id == want
 		}
 		if !found {
-			t.Errorf("%s, on the oldest weights, isn't among the first: %v", want, got)
+			t.Errorf("%s, on the oldest weights, isn't among the first to load: %v", want, got)
 		}
 	}
 }
 
-// The pattern: a version is named while all replicas serve. How many load at once decides
-// how long requests begin on weights that were replaced, and how many replicas are left
-// to serve.
-// Grounds: loads take longer while more than 2 of 9, 2 of 12, 3 of 18, 7 of 38, 9 of 46 are
-// under way, as the operators of deployments of these sizes say of theirs. Their end is
-// heard of 0.3 s late, in which a third of a load of 0.8 s is lost and a sixth of one of
-// 1.8 s.
+// A version is announced while all replicas serve. The number of concurrent loads decides how
+// long requests begin on replaced weights, and how many replicas are left to serve.
+// Loads take longer with more than 2 of 9, 2 of 12, 3 of 18, 7 of 38 or 9 of 46 in progress,
+// according to the operators of deployments of these sizes. Their end is reported 0.3 s late. That
+// wastes a third of the time of a load of 0.8 s and a sixth of one of 1.8 s.
 func TestAsManyLoadAsTheWeightsStoreFeeds(t *testing.T) {
 	for _, c := range []struct {
 		replicas int
@@ -94,24 +91,24 @@
 		}
 		core.SetDesired(20)
 		if got := len(ordered(core.Step(now, 1, states(make([]uint64, c.replicas)...)))); got != c.want {
-			t.Errorf("%d of %d replicas load at once where it takes %v; want %d", got, c.replicas, c.took, c.want)
+			t.Errorf("%d of %d replicas load at once where a load takes %v; want %d", got, c.replicas, c.took, c.want)
 		}
 	}
 }
 
-// loadAll has the replicas load the version, each in the time given, and returns when
-// that is over.
+// loadAll has the replicas load the version, each in the given time, and returns the time after
+// that.
 func loadAll(t *testing.T, c *rollout.Core, now, took time.Duration, version uint64, all []rollout.State) time.Duration {
 	t.Helper()
 	ids := ordered(c.Step(now, 1, all))
 	now += time.Second
-	for range given(c.Step(now, 1, all)) {
+	for range sentOrders(c.Step(now, 1, all)) {
 	}
 	for _, id := range ids {
 		c.OrderReplied(id, fleet.ReplyAccepted, now)
 	}
 	now += took
-	c.Step(now, 1, all) // asks
+	c.Step(now, 1, all) // queries the state
 	for _, id := range ids {
 		c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: version}}, now)
 	}
@@ -119,9 +116,9 @@
 	return now
 }
 
-// Symptom: the rollout stands still while some replicas are dark. Sequence: dark
-// replicas are taken up first; each of their calls times out, and is tried again.
-// Cause: a replica that doesn't answer keeps its place.
+// Guards against a rollout that stops while some replicas are unreachable: they are ordered first,
+// each call times out and is tried again, and they count against the limit of concurrent loads
+// meanwhile.
 func TestUnansweringReplicaGivesItsPlaceUp(t *testing.T) {
 	c := newCore(2)
 	all := states(1, 1, 1, 1, 1)
@@ -137,55 +134,56 @@
 		}
 	}
 	if released != len(first) {
-		t.Errorf("%d of %d released to the other entries", released, len(first))
+		t.Errorf("%d of %d unreachable replicas are published as released", released, len(first))
 	}
 	for _, id := range ordered(c.Step(now, 1, all)) {
 		for _, old := range first {
 			if id == old {
-				t.Errorf("%s was taken up again at once, before others", id)
+				t.Errorf("%s is ordered again at once, before other replicas", id)
 			}
 		}
 	}
 }
 
-// Symptom: an order that was thought lost takes effect seconds later and sets a
-// replica back. Sequence: the first order's answer is lost, a second one is given,
-// the first is carried out after it. Cause: both name the same number of orders.
+// Guards against an order that was believed lost, takes effect seconds later and sets a replica
+// back to older weights: its answer is lost, a second order is sent, and the first one is executed
+// after it. It can't if the two expect different numbers of accepted orders.
 func TestOrderNamesOrdersAccepted(t *testing.T) {
 	c := newCore(2)
 	all := states(1, 1)
 	id := ordered(c.Step(0, 1, all))[0]
 	now := time.Second
-	if o := given(c.Step(now, 1, all)); len(o) != 1 || o[0].ExpectedOrders != 0 || o[0].Fence != 1 {
-		t.Fatalf("first order: %+v", o)
+	if o := sentOrders(c.Step(now, 1, all)); len(o) != 1 || o[0].ExpectedOrders != 0 || o[0].Fence != 1 {
+		t.Fatalf("first orders %+v; want one that expects 0 under fence 1", o)
 	}
 	c.OrderReplied(id, fleet.ReplyUnknown, now)
-	c.Step(now, 1, all) // asks
+	c.Step(now, 1, all) // queries the state
 	now += 2 * time.Second
 	c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: 1}, AcceptedOrders: 1}, now)
-	if o := given(c.Step(now, 1, all)); len(o) != 1 || o[0].ExpectedOrders != 1 {
-		t.Fatalf("order after a report of one accepted order: %+v", o)
+	if o := sentOrders(c.Step(now, 1, all)); len(o) != 1 || o[0].ExpectedOrders != 1 {
+		t.Fatalf("orders %+v after a report of one accepted order; want one that expects 1", o)
 	}
 }
 
-// Guards against an order that is refused for its number, as a record showed the load before the reply was counted.
+// Guards against an order that is refused as a conflict because the replica's registration showed
+// the load before the reply to its order was counted.
 func TestLoadSeenByItsRecordCountsItsOrder(t *testing.T) {
 	c := newCore(2)
 	c.Step(0, 1, states(1, 1))
 	c.RecordPublished("r00", 0)
 	at := time.Second
-	given(c.Step(at, 1, states(1, 1)))
+	sentOrders(c.Step(at, 1, states(1, 1)))
 	c.OrderReplied("r00", fleet.ReplyAccepted, at)
 	at += 500 * time.Millisecond
 	for _, a := range c.Step(at, 1, states(2, 1)) {
 		if n, ok := a.(rollout.Publish); ok && n.Record.Phase == rollout.PhaseServing && n.Record.Replica == "r00" {
 			if n.Record.AcceptedOrders != 1 {
-				t.Errorf("the note has %d orders; the replica has taken 1", n.Record.AcceptedOrders)
+				t.Errorf("the record has %d accepted orders; the replica has accepted 1", n.Record.AcceptedOrders)
 			}
 			return
 		}
 	}
-	t.Error("no note says that the replica serves")
+	t.Error("no serving record is published")
 }
 
 func TestFencedHolderStops(t *testing.T) {
@@ -195,12 +193,12 @@
 	c.Step(time.Second, 1, all)
 	c.OrderReplied(id, fleet.ReplyFenced, time.Second)
 	if c.Active() {
-		t.Fatal("orders are under way after another holder's higher fence")
+		t.Fatal("orders are in progress after another holder's higher fence")
 	}
 }
 
-// However replies and reports fall, no replica has two orders under way, never more
-// than the places are out, and one of several always serves.
+// Whatever the sequence of replies and reports, no replica has two orders in progress, and one of
+// several always serves.
 func TestRolloutBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 20).Draw(t, "replicas")
@@ -209,86 +207,82 @@
 			versions[i] = 1
 		}
 		c, now := newCore(2), time.Duration(0)
-		out := map[string]bool{}
-		var asked, open []string
-		note := func(actions []rollout.Action) {
+		loading := map[string]bool{}
+		var queried, unanswered []string
+		observe := func(actions []rollout.Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
 				case rollout.Publish:
 					switch a.Record.Phase {
 					case rollout.PhaseOrdered:
-						if out[a.Record.Replica] {
-							t.Fatalf("%s is taken up twice", a.Record.Replica)
+						if loading[a.Record.Replica] {
+							t.Fatalf("%s is ordered twice at a time", a.Record.Replica)
 						}
-						out[a.Record.Replica] = true
+						loading[a.Record.Replica] = true
 					case rollout.PhaseServing, rollout.PhaseReleased:
-						delete(out, a.Record.Replica)
+						delete(loading, a.Record.Replica)
 					}
 				case rollout.SendOrder:
-					open = append(open, a.Order.Replica.ID)
+					unanswered = append(unanswered, a.Order.Replica.ID)
 				case rollout.QueryState:
-					asked = append(asked, a.Replica.ID)
+					queried = append(queried, a.Replica.ID)
 				}
 			}
-			if len(out) >= n {
-				t.Fatalf("all %d replicas are out", n)
+			if len(loading) >= n {
+				t.Fatalf("all %d replicas load at once", n)
 			}
 		}
 		for range 60 {
-			note(c.Step(now, 1, states(versions...)))
+			observe(c.Step(now, 1, states(versions...)))
 			replies := []fleet.Reply{fleet.ReplyAccepted, fleet.ReplyUnknown, fleet.ReplyConflict, fleet.ReplyNotSent, fleet.ReplyInvalid}
-			for _, id := range open {
-				note(c.OrderReplied(id, rapid.SampledFrom(replies).Draw(t, "reply"), now))
+			for _, id := range unanswered {
+				observe(c.OrderReplied(id, rapid.SampledFrom(replies).Draw(t, "reply"), now))
 			}
-			open = nil
-			for _, id := range asked {
+			unanswered = nil
+			for _, id := range queried {
 				if rapid.Bool().Draw(t, "reported") {
 					v := uint64(rapid.IntRange(1, 2).Draw(t, "version"))
-					note(c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: v}}, now))
+					observe(c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: v}}, now))
 				} else {
-					note(c.QueryFailed(id, now))
+					observe(c.QueryFailed(id, now))
 				}
 			}
-			asked = nil
+			queried = nil
 			now += time.Duration(rapid.IntRange(10, 900).Draw(t, "ms")) * time.Millisecond
 		}
 	})
 }
 
-// TestRestartedGiverOrdersAtOnce
+// Guards against a rollout that takes twice as long after a restart of the entries: half of the
+// time replicas have neither work nor an order, and requests are refused because the weights of
+// the others are overdue.
 //
-// Symptom: after a restart of the entries a rollout takes twice as long; half of the
-// time replicas stand without work and without an order, and requests are refused
-// since the rest has overdue weights.
-//
-// Sequence: the new giver doesn't know how many orders a replica has accepted. Its
-// order is refused as a conflict; the replica reports the number and that it isn't
-// busy.
-//
-// Cause: after an order that a replica may have taken, a report that it isn't busy is
-// distrusted for as long as it may be older than the order. A refused one began
-// nothing, and a number higher than the order's says why it was refused.
+// The new lease holder doesn't know how many orders a replica has accepted. Its order is refused
+// as a conflict, and the replica reports the count and that it isn't busy. After an order that a
+// replica may have accepted, such a report is ignored for as long as it may be older than the
+// order. But a refused order started nothing, and a count higher than the order expected explains
+// why it was refused.
 func TestRestartedGiverOrdersAtOnce(t *testing.T) {
 	c := newCore(3)
 	all := states(2, 2, 2, 2, 2)
 	id := ordered(c.Step(0, 1, all))[0]
 	now := rollout.DefaultParams.PublishTimeout
-	if orders := given(c.Step(now, 1, all)); len(orders) != 1 || orders[0].ExpectedOrders != 0 {
-		t.Fatalf("given %v", orders)
+	if orders := sentOrders(c.Step(now, 1, all)); len(orders) != 1 || orders[0].ExpectedOrders != 0 {
+		t.Fatalf("sent orders %v; want one that expects 0", orders)
 	}
 	c.OrderReplied(id, fleet.ReplyConflict, now)
-	c.Step(now, 1, all) // asks
+	c.Step(now, 1, all) // queries the state
 	c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: 2}, AcceptedOrders: 1}, now+5*time.Millisecond)
-	orders := given(c.Step(now+30*time.Millisecond, 1, all))
+	orders := sentOrders(c.Step(now+30*time.Millisecond, 1, all))
 	if len(orders) != 1 || orders[0].ExpectedOrders != 1 {
-		t.Fatalf("30 ms after the conflict given %v; want one that expects 1", orders)
+		t.Fatalf("30 ms after the conflict sent orders %v; want one that expects 1", orders)
 	}
 
-	// A report with the number that was refused is older than what it was refused for.
+	// A report with the count that the refused order expected is older than the order that caused the refusal.
 	c.OrderReplied(id, fleet.ReplyConflict, now+40*time.Millisecond)
 	c.Step(now+40*time.Millisecond, 1, all)
 	c.StateReported(id, &fleet.Report{Weights: map[string]uint64{model: 2}, AcceptedOrders: 1}, now+45*time.Millisecond)
-	if orders := given(c.Step(now+50*time.Millisecond, 1, all)); len(orders) != 0 {
-		t.Fatalf("given %v on a report that explains nothing", orders)
+	if orders := sentOrders(c.Step(now+50*time.Millisecond, 1, all)); len(orders) != 0 {
+		t.Fatalf("sent orders %v on a report that doesn't explain the conflict", orders)
 	}
 }
--- a/internal/rollout/demand.go
+++ b/internal/rollout/demand.go
@@ -2,106 +2,108 @@
 
 import "time"
 
-// VersionHistory is which versions of a model's weights the operator has named, and when.
-// From a given time after a version was named no request may begin on an older one.
+// VersionHistory has the versions of a model's weights that the operator announced, and when.
+// No request may begin on a version once oldVersionTTL has passed since the announcement of a
+// newer one.
 //
-// Invariant: named is in ascending order of version and time.
+// Invariant: announced is in ascending order of version and time.
 type VersionHistory struct {
-	within time.Duration
-	named  []naming
+	oldVersionTTL time.Duration
+	announced     []announcedVersion
 }
 
-type naming struct {
-	version uint64
-	at      time.Duration
-	// late is set where it was read some time after it can have been named, earliest is
-	// when that was.
-	late     bool
+type announcedVersion struct {
+	version     uint64
+	announcedAt time.Duration
+	// readLate is set if the version may have been announced some time before it was read.
+	// earliest is then the earliest time at which it can have been announced.
+	readLate bool
 	earliest time.Duration
 }
 
-// NewVersionHistory returns the demand for versions that must be in use within a time.
-func NewVersionHistory(within time.Duration) *VersionHistory { return &VersionHistory{within: within} }
+// NewVersionHistory returns a history in which a version may be used for ttl after a newer one
+// was announced.
+func NewVersionHistory(ttl time.Duration) *VersionHistory { return &VersionHistory{oldVersionTTL: ttl} }
 
-// Add takes a version that was named at a time and reports whether it is newer
-// than all before.
-func (d *VersionHistory) Add(version uint64, at time.Duration) bool {
-	if version <= d.Newest() {
+// Add adds a version that was announced at a time. It reports whether the version is higher
+// than all before; others are ignored.
+func (h *VersionHistory) Add(version uint64, at time.Duration) bool {
+	if version <= h.Newest() {
 		return false
 	}
-	d.named = append(d.named, naming{version: version, at: at})
+	h.announced = append(h.announced, announcedVersion{version: version, announcedAt: at})
 	return true
 }
 
-// MarkReadLate says that a version may have been named before it was read, at the earliest at
-// a time: the reader was cut off from the operator's records until then.
-func (d *VersionHistory) MarkReadLate(version uint64, earliest time.Duration) {
-	for i := range d.named {
-		if n := &d.named[i]; n.version == version {
-			n.late, n.earliest = true, min(n.at, earliest)
+// MarkReadLate records that a version may have been announced before it was read, at the
+// earliest at a given time, until when the reader had lost contact with the operator's records.
+func (h *VersionHistory) MarkReadLate(version uint64, earliest time.Duration) {
+	for i := range h.announced {
+		if v := &h.announced[i]; v.version == version {
+			v.readLate, v.earliest = true, min(v.announcedAt, earliest)
 		}
 	}
 }
 
-// AnnouncedNoLater takes word that a version was named at a time or before. It counts for one that
-// was read late.
+// AnnouncedNoLater records that a version was announced at a time or before. It has an effect
+// only on a version that was read late.
 //
-// Symptom without it: an entry that was cut off begins requests on weights that were
-// replaced longer ago than allowed, while its peers don't. The time allowed runs from the naming,
-// which the peers have read, and not from the reading at this entry.
-func (d *VersionHistory) AnnouncedNoLater(version uint64, at time.Duration) {
-	for i := range d.named {
-		if n := &d.named[i]; n.version == version && n.late {
-			n.at = min(n.at, max(at, n.earliest))
+// Without it an entry that had lost contact begins requests on weights that were replaced longer
+// ago than allowed, while its peers do not: the time allowed runs from the announcement, which
+// the peers have read, and not from when this entry read it.
+func (h *VersionHistory) AnnouncedNoLater(version uint64, at time.Duration) {
+	for i := range h.announced {
+		if v := &h.announced[i]; v.version == version && v.readLate {
+			v.announcedAt = min(v.announcedAt, max(at, v.earliest))
 		}
 	}
 }
 
-// AddPrevious takes word which version one was named after, and until when that may be used
-// at the latest by what is known: replicas may be on versions before both.
-func (d *VersionHistory) AddPrevious(version, before uint64, at time.Duration) {
-	if before == 0 || before >= version || len(d.named) == 0 || d.named[0].version != version {
+// AddPrevious adds the version that was desired before the oldest one known, and the latest time
+// at which it can have been announced. Replicas may serve versions older than both.
+func (h *VersionHistory) AddPrevious(version, before uint64, at time.Duration) {
+	if before == 0 || before >= version || len(h.announced) == 0 || h.announced[0].version != version {
 		return
 	}
-	at = min(at, d.named[0].at)
-	d.named = append([]naming{{version: before, at: at}}, d.named...)
+	at = min(at, h.announced[0].announcedAt)
+	h.announced = append([]announcedVersion{{version: before, announcedAt: at}}, h.announced...)
 }
 
-// AnnouncedNoEarlier takes word that a version was named at a time and no earlier. It counts
-// where that is later than what was assumed, and at most until the next one was named:
-// of the latest version it is told first.
-func (d *VersionHistory) AnnouncedNoEarlier(version uint64, at time.Duration) {
-	for i := range d.named {
-		if d.named[i].version != version {
+// AnnouncedNoEarlier records that a version was announced at a time and no earlier. It has an
+// effect if that is later than the time assumed so far, and is limited by the announcement of
+// the next version. It is therefore called for the latest version first.
+func (h *VersionHistory) AnnouncedNoEarlier(version uint64, at time.Duration) {
+	for i := range h.announced {
+		if h.announced[i].version != version {
 			continue
 		}
-		if i+1 < len(d.named) {
-			at = min(at, d.named[i+1].at)
+		if i+1 < len(h.announced) {
+			at = min(at, h.announced[i+1].announcedAt)
 		}
-		d.named[i].at = max(d.named[i].at, at)
+		h.announced[i].announcedAt = max(h.announced[i].announcedAt, at)
 	}
 }
 
-// Newest is the version wanted, 0 if none was named.
-func (d *VersionHistory) Newest() uint64 {
-	if len(d.named) == 0 {
+// Newest is the version to be used, 0 if none was announced.
+func (h *VersionHistory) Newest() uint64 {
+	if len(h.announced) == 0 {
 		return 0
 	}
-	return d.named[len(d.named)-1].version
+	return h.announced[len(h.announced)-1].version
 }
 
-// OldestAllowed is the oldest version that a request may begin on now. Those that are
-// overdue have been named, and not superseded by one that is overdue too.
-func (d *VersionHistory) OldestAllowed(now time.Duration) uint64 {
+// OldestAllowed is the oldest version on which a request may begin now, 0 if any. Versions older
+// than it are forgotten.
+func (h *VersionHistory) OldestAllowed(now time.Duration) uint64 {
 	overdue := -1
-	for i := range d.named {
-		if now >= d.named[i].at+d.within {
+	for i := range h.announced {
+		if now >= h.announced[i].announcedAt+h.oldVersionTTL {
 			overdue = i
 		}
 	}
 	if overdue < 0 {
 		return 0
 	}
-	d.named = d.named[overdue:]
-	return d.named[0].version
+	h.announced = h.announced[overdue:]
+	return h.announced[0].version
 }
