--- a/internal/follow/exchange.go
+++ b/internal/follow/exchange.go
@@ -10,7 +10,8 @@
 	"skylarklead/internal/protocol"
 )
 
-// Fetch answers a peer's ConfigFetch: with nothing if it has as much.
+// Fetch answers a peer's ConfigFetch. The answer is empty if the peer is as up to date as this
+// process.
 func (f *Follower) Fetch(m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 	if m.Part > 0 {
 		return f.answers.part(m)
@@ -35,7 +36,7 @@
 	return a.part(0)
 }
 
-// answer is an encoded state, or what is new of it after an offset.
+// answer is an encoded state, or its difference from the one at offset after.
 type answer struct {
 	offset, after uint64
 	data          []byte
@@ -49,18 +50,18 @@
 		return nil, fmt.Errorf("%w: %d bytes", ErrTooLarge, len(a.data))
 	}
 	if i < 0 || i >= parts {
-		return nil, fmt.Errorf("follow: part %d of %d", i, parts)
+		return nil, fmt.Errorf("follow: part %d requested of a state of %d parts", i, parts)
 	}
 	data := a.data[i*partBytes : min((i+1)*partBytes, len(a.data))]
 	return &protocol.ConfigState{Offset: a.offset, State: data, Parts: parts}, nil
 }
 
-// cachedAnswers is enough for peers that are behind by different offsets to get
-// all parts of theirs.
-const cachedAnswers = 4
+// maxCachedAnswers is enough for peers that are behind by different offsets to get all parts of
+// their answers.
+const maxCachedAnswers = 4
 
-// answerCache keeps the last answers. After a restart of many processes each
-// peer is asked for the same whole state by several of them, in parts.
+// answerCache keeps the last answers. After a restart of many processes, several of them ask
+// each peer for the same complete state, in parts.
 type answerCache struct {
 	mu      sync.Mutex
 	answers []*answer
@@ -78,7 +79,7 @@
 	}
 	a := &answer{offset: s.Offset, after: after, data: data}
 	c.answers = append(c.answers, a)
-	if len(c.answers) > cachedAnswers {
+	if len(c.answers) > maxCachedAnswers {
 		c.answers = c.answers[1:]
 	}
 	return a, nil
@@ -103,29 +104,29 @@
 	return a.part(m.Part)
 }
 
-// ask fetches from one peer and merges what it has.
-func (f *Follower) ask(ctx context.Context, fetch FetchFunc) error {
-	data, err := FetchState(ctx, f.noting(fetch), f.offset())
+// fetchFrom fetches from one peer and merges the result.
+func (f *Follower) fetchFrom(ctx context.Context, fetch FetchFunc) error {
+	data, err := FetchState(ctx, f.withSnapshotAge(fetch), f.offset())
 	if err != nil || len(data) == 0 {
 		return err
 	}
 	return f.Merge(data, SourcePeer)
 }
 
-// noting returns a Fetch that takes from answers how long the newest snapshot is
-// young enough.
-func (f *Follower) noting(fetch FetchFunc) FetchFunc {
+// withSnapshotAge wraps a FetchFunc so that each answer updates the time until the newest
+// snapshot becomes too old.
+func (f *Follower) withSnapshotAge(fetch FetchFunc) FetchFunc {
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		answer, err := fetch(ctx, m)
 		if err == nil {
-			f.snapshots.told(time.Duration(answer.SnapshotLeftMs)*time.Millisecond, f.now())
+			f.snapshots.peerReported(time.Duration(answer.SnapshotLeftMs)*time.Millisecond, f.now())
 		}
 		return answer, err
 	}
 }
 
-// FetchState returns what a peer has in force after an offset, encoded by package
-// config; nothing if it has as much.
+// FetchState returns what changed in a peer's state after an offset, encoded by package config.
+// It is empty if the peer has nothing newer.
 func FetchState(ctx context.Context, fetch FetchFunc, after uint64) ([]byte, error) {
 	first, err := fetchPart(ctx, fetch, &protocol.ConfigFetch{After: after})
 	if err != nil {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -21,7 +21,7 @@
 	standin "skylarklead/internal/standin/platform"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 type fixture struct {
 	t   *testing.T
@@ -78,22 +78,22 @@
 
 func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not seen: " + what)
+			t.Fatal("not observed in time: " + what)
 		}
 	}
 }
 
-func (f *fixture) reaches(follower *Follower, offset uint64, source Source) {
+func (f *fixture) waitForOffset(follower *Follower, offset uint64, source Source) {
 	f.t.Helper()
 	until(f.t, fmt.Sprintf("offset %d from %s", offset, source), func() bool {
 		return follower.offset() >= offset && follower.Source() == string(source)
 	})
 }
 
-// meetsNoParts checks that followers meet marks of snapshots only.
-func (f *fixture) meetsNoParts() {
+// checkNoSnapshotParts checks that the configuration stream has marks of snapshots only, no parts.
+func (f *fixture) checkNoSnapshotParts() {
 	f.t.Helper()
 	page, err := f.log.Read(f.t.Context(), Stream, 1, platform.MaxPage, 0)
 	if err != nil {
@@ -102,67 +102,65 @@
 	for _, r := range page.Records {
 		record, err := config.ParseRecord(r.Data, "record")
 		if _, mark := record.SnapshotMark(); err != nil || record.Kind == config.KindSnapshot && !mark {
-			f.t.Errorf("followers meet %s: %v", r.Data, err)
+			f.t.Errorf("the configuration stream has %s: %v", r.Data, err)
 		}
 	}
 }
 
-// from is a peer that answers out of another follower.
-func from(peer *Follower) FetchFunc {
+// fetchFrom returns the FetchFunc for another follower.
+func fetchFrom(peer *Follower) FetchFunc {
 	return func(_ context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		return peer.Fetch(m)
 	}
 }
 
-// cutLog is a log that can't be reached.
-type cutLog struct{}
+// downLog is an unreachable log.
+type downLog struct{}
 
-var errCut = errors.New("cut off")
+var errDown = errors.New("log unreachable")
 
-func (cutLog) Read(context.Context, string, uint64, int, time.Duration) (platform.Page, error) {
-	return platform.Page{}, errCut
+func (downLog) Read(context.Context, string, uint64, int, time.Duration) (platform.Page, error) {
+	return platform.Page{}, errDown
 }
 
-func (cutLog) Append(context.Context, string, [][]byte) (uint64, error) { return 0, errCut }
+func (downLog) Append(context.Context, string, [][]byte) (uint64, error) { return 0, errDown }
 
 func TestFollowsLog(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	follower := f.follow(Options{})
-	f.reaches(follower, first, SourceLog)
+	f.waitForOffset(follower, first, SourceLog)
 	second := f.publish(first)
-	f.reaches(follower, second, SourceLog)
+	f.waitForOffset(follower, second, SourceLog)
 	if got := follower.State().Groups["g"].LoadPermits; got != int(first)+1 {
-		t.Errorf("load permits %d", got)
+		t.Errorf("load permits %d; want offset + 1", got)
 	}
 	if !follower.LogReachable() {
-		t.Error("the log counts as not reachable")
+		t.Error("the log is reported as unreachable")
 	}
 }
 
-// Symptom: a process cut off from the log goes on with an old configuration.
-// Sequence: the log is cut at one process only; operators publish; other
-// processes talk to it. Cause: it would learn of changes from the log alone.
+// Guards against a process that keeps an old configuration while only it can't reach the log:
+// operators publish changes, and other processes send messages to it.
 func TestFollowsPeersWithoutLog(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	peer := f.follow(Options{})
-	f.reaches(peer, first, SourceLog)
-	cut := f.follow(Options{Log: cutLog{}, Peers: func(context.Context) []FetchFunc { return []FetchFunc{from(peer)} }})
-	f.reaches(cut, first, SourcePeer)
+	f.waitForOffset(peer, first, SourceLog)
+	isolated := f.follow(Options{Log: downLog{}, Peers: func(context.Context) []FetchFunc { return []FetchFunc{fetchFrom(peer)} }})
+	f.waitForOffset(isolated, first, SourcePeer)
 	second := f.publish(first)
-	f.reaches(peer, second, SourceLog)
-	cut.PeerHasOffset(second, from(peer))
-	f.reaches(cut, second, SourcePeer)
-	if cut.LogReachable() {
-		t.Error("the log counts as reachable")
+	f.waitForOffset(peer, second, SourceLog)
+	isolated.PeerHasOffset(second, fetchFrom(peer))
+	f.waitForOffset(isolated, second, SourcePeer)
+	if isolated.LogReachable() {
+		t.Error("the log is reported as reachable")
 	}
 }
 
-// Symptom: a follower misses the record that was appended during an outage, or its
-// log is full of one outage's lines.
-// Sequence: a long poll waits, the log goes down, comes back, and grows.
-// Cause: the poll's failure ends the follower, or moves its offset.
+// Guards against a follower that misses a record appended during an outage, or logs a line for each
+// failed read: a long poll is waiting when the log goes down, comes back and grows. The failed poll
+// must neither end the follower nor move its offset.
 func TestFollowsOnAfterOutage(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
@@ -171,56 +169,53 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- follower.Run(ctx) }()
-	f.reaches(follower, first, SourceLog)
+	f.waitForOffset(follower, first, SourceLog)
 	f.control(`{"log_down":true}`)
 	until(t, "the outage", func() bool { return !follower.LogReachable() })
 	f.control(`{"log_down":false}`)
 	second := f.publish(first)
-	f.reaches(follower, f.publish(second), SourceLog)
+	f.waitForOffset(follower, f.publish(second), SourceLog)
 	cancel()
 	<-ended
 	if text := lines.String(); strings.Count(text, "log not read") != 1 || strings.Count(text, "log reached") != 2 {
-		t.Errorf("lines of the outage:\n%s", text)
+		t.Errorf("log lines of the outage; want 1 \"log not read\" and 2 \"log reached\":\n%s", text)
 	}
 }
 
-// readsFrom is a log that tells the offset of each read.
-type readsFrom struct {
+// offsetRecorder is a log that records the offset of each read.
+type offsetRecorder struct {
 	Log
 	offsets chan uint64
 }
 
-func (l readsFrom) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (platform.Page, error) {
+func (l offsetRecorder) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (platform.Page, error) {
 	l.offsets <- from
 	return l.Log.Read(ctx, stream, from, limit, wait)
 }
 
-// Symptom: when a failure domain comes back the log has to give all of itself to
-// each process.
-// Sequence: a process starts beside one that has the state.
-// Cause: the log is read from its beginning while the peer is asked.
+// Guards against each process reading the whole log when a failure domain comes back: the log must
+// not be read from its beginning while a peer that has the state is asked.
 func TestStartReadsTheLogFromThePeersState(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	peer := f.follow(Options{})
-	f.reaches(peer, first, SourceLog)
-	log := readsFrom{f.log, make(chan uint64, 1000)}
-	started := f.follow(Options{Log: log, Peers: func(context.Context) []FetchFunc { return []FetchFunc{from(peer)} }})
-	f.reaches(started, f.publish(first), SourceLog)
+	f.waitForOffset(peer, first, SourceLog)
+	log := offsetRecorder{f.log, make(chan uint64, 1000)}
+	started := f.follow(Options{Log: log, Peers: func(context.Context) []FetchFunc { return []FetchFunc{fetchFrom(peer)} }})
+	f.waitForOffset(started, f.publish(first), SourceLog)
 	if got := <-log.offsets; got != first+1 {
 		t.Errorf("the first read is from offset %d, want %d", got, first+1)
 	}
 }
 
-// Symptom: after a failure of a whole site an entry takes a key that was taken back.
-// Sequence: the log is down, an old file is there; the one peer that has the newer
-// state fails the first question.
-// Cause: each peer is asked once, and then the file is read.
+// Guards against an entry that accepts a revoked key after a failure of a whole site: the log is
+// down, there is an old bootstrap file, and the one peer with the newer state fails the first
+// request. The peer must be asked again before the file is read.
 func TestPeerThatFailsOnceIsAskedAgain(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	peer := f.follow(Options{})
-	f.reaches(peer, first, SourceLog)
+	f.waitForOffset(peer, first, SourceLog)
 	exported, err := config.EncodeState(peer.State())
 	if err != nil {
 		t.Fatal(err)
@@ -230,24 +225,24 @@
 		t.Fatal(err)
 	}
 	second := f.publish(first)
-	f.reaches(peer, second, SourceLog)
+	f.waitForOffset(peer, second, SourceLog)
 	failed := false
 	busy := func(_ context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		if !failed {
 			failed = true
-			return nil, errCut
+			return nil, errDown
 		}
 		return peer.Fetch(m)
 	}
-	cut := f.follow(Options{Log: cutLog{}, Bootstrap: file, Peers: func(context.Context) []FetchFunc { return []FetchFunc{busy} }})
-	<-cut.Ready()
-	if cut.offset() != second || cut.Source() != string(SourcePeer) {
-		t.Errorf("starts with offset %d from %s, want %d", cut.offset(), cut.Source(), second)
+	isolated := f.follow(Options{Log: downLog{}, Bootstrap: file, Peers: func(context.Context) []FetchFunc { return []FetchFunc{busy} }})
+	<-isolated.Ready()
+	if isolated.offset() != second || isolated.Source() != string(SourcePeer) {
+		t.Errorf("starts with offset %d from %s, want %d", isolated.offset(), isolated.Source(), second)
 	}
 }
 
-// A state of several parts arrives whole though the peer's state moves on while
-// the parts are fetched.
+// A state of several parts is complete even if the peer's state changes while the parts are
+// fetched.
 func TestStateInParts(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -265,43 +260,42 @@
 		last = offset
 	}
 	peer := f.follow(Options{})
-	f.reaches(peer, last, SourceLog)
+	f.waitForOffset(peer, last, SourceLog)
 	parts := 0
 	moving := func(_ context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		answer, err := peer.Fetch(m)
 		if parts++; parts == 1 {
-			f.reaches(peer, f.publish(0), SourceLog)
+			f.waitForOffset(peer, f.publish(0), SourceLog)
 		}
 		return answer, err
 	}
-	cut := f.follow(Options{Log: cutLog{}})
-	cut.PeerHasOffset(last, moving)
-	f.reaches(cut, last, SourcePeer)
+	isolated := f.follow(Options{Log: downLog{}})
+	isolated.PeerHasOffset(last, moving)
+	f.waitForOffset(isolated, last, SourcePeer)
 	if parts < 2 {
-		t.Errorf("the state came in %d part", parts)
+		t.Errorf("the state was fetched in %d parts; want at least 2", parts)
 	}
-	if o := cut.State().Organisations["o2"]; o == nil || len(o.Instructions[0]) != 200<<10 {
-		t.Error("the state isn't whole")
+	if o := isolated.State().Organisations["o2"]; o == nil || len(o.Instructions[0]) != 200<<10 {
+		t.Error("the state is incomplete")
 	}
 }
 
-// Symptom: a configuration reverts after it was in force. Sequence: a process
-// asks a peer that is behind, or is sent an old state. Cause: whoever answers
-// last would win.
+// Guards against a configuration that reverts after it was in force, because a process asks a peer
+// that is behind, or receives an old state.
 func TestNeverGoesBack(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	stale := f.follow(Options{})
-	f.reaches(stale, first, SourceLog)
+	f.waitForOffset(stale, first, SourceLog)
 	old, err := config.EncodeState(stale.State())
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := f.publish(first)
-	follower := f.follow(Options{Log: cutLog{}})
-	f.reaches(stale, second, SourceLog)
-	follower.PeerHasOffset(second, from(stale))
-	f.reaches(follower, second, SourcePeer)
+	follower := f.follow(Options{Log: downLog{}})
+	f.waitForOffset(stale, second, SourceLog)
+	follower.PeerHasOffset(second, fetchFrom(stale))
+	f.waitForOffset(follower, second, SourcePeer)
 	if err := follower.Merge(old, SourcePeer); err != nil {
 		t.Fatal(err)
 	}
@@ -315,14 +309,13 @@
 	}
 }
 
-// Symptom: after all processes were replaced during an outage of the log nobody
-// serves. Sequence: log down, every peer new as well. Cause: nothing is left that
-// knows the configuration but the operators' exported file.
+// Guards against a fleet that can't serve after all processes were replaced during an outage of the
+// log: no peer has a state either, and only the exported file has the configuration.
 func TestBootstrapFile(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	before := f.follow(Options{})
-	f.reaches(before, first, SourceLog)
+	f.waitForOffset(before, first, SourceLog)
 	exported, err := config.EncodeState(before.State())
 	if err != nil {
 		t.Fatal(err)
@@ -333,14 +326,13 @@
 	}
 	f.control(`{"log_down":true}`)
 	follower := f.follow(Options{Bootstrap: file})
-	f.reaches(follower, first, SourceBootstrap)
+	f.waitForOffset(follower, first, SourceBootstrap)
 	f.control(`{"log_down":false}`)
-	f.reaches(follower, f.publish(first), SourceLog)
+	f.waitForOffset(follower, f.publish(first), SourceLog)
 }
 
-// Symptom: a process that starts after retention has passed has no
-// configuration. Sequence: records, a snapshot, the log drops what is before it.
-// Cause: the first records are gone.
+// Guards against a process without a configuration if it starts after retention has removed the
+// first records: the log has records and a snapshot, and drops what precedes the snapshot.
 func TestSnapshotOutlivesRetention(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	last := uint64(0)
@@ -350,31 +342,31 @@
 	// A retention this short makes the first snapshot due at once.
 	writer := f.follow(Options{ProcessName: "writer", Retention: 50 * time.Millisecond})
 	until(t, "a snapshot on the log", func() bool { return writer.offset() > last })
-	f.meetsNoParts()
+	f.checkNoSnapshotParts()
 	f.control(`{"retention_count":2}`)
 	after := f.publish(last)
 	f.control(`{"retention_count":0}`)
-	f.reaches(writer, after, SourceLog)
+	f.waitForOffset(writer, after, SourceLog)
 	page, err := f.log.Read(t.Context(), Stream, 1, 1, 0)
 	var retained *platform.RetainedError
 	if !errors.As(err, &retained) {
 		t.Fatalf("the log still has its first record: %v %v", page, err)
 	}
 	late := f.follow(Options{ProcessName: "late"})
-	f.reaches(late, after, SourceLog)
+	f.waitForOffset(late, after, SourceLog)
 	if late.State().Groups["g"].Offset != after {
 		t.Errorf("group %+v, want the one at %d", late.State().Groups["g"], after)
 	}
 }
 
-// Symptom: after an update of the fleet a process that starts has no configuration.
-// Sequence: builds that keep snapshots on the configuration's own stream wrote the
-// last one; retention passes. Cause: only the snapshots' stream is read.
+// Guards against a process without a configuration if it starts after an update of the fleet: older
+// builds wrote the last snapshot to the configuration stream itself, and retention has passed. The
+// stream of snapshots alone doesn't have it.
 func TestSnapshotOfAnOlderBuildIsRead(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	old := f.follow(Options{})
-	f.reaches(old, first, SourceLog)
+	f.waitForOffset(old, first, SourceLog)
 	parts, err := config.SnapshotRecords(old.State(), "old")
 	if err != nil {
 		t.Fatal(err)
@@ -384,18 +376,17 @@
 	}
 	last := f.publish(first)
 	f.control(fmt.Sprintf(`{"retention_count":%d}`, len(parts)+1))
-	f.reaches(f.follow(Options{ProcessName: "late"}), last, SourceLog)
+	f.waitForOffset(f.follow(Options{ProcessName: "late"}), last, SourceLog)
 }
 
-// Symptom: each process that is started writes a snapshot of its own.
-// Sequence: a process meets the mark of one; another takes its state from this, a
-// third has as much from the log already and asks the second.
-// Cause: only who has met the last snapshot knows its age.
+// Guards against each started process writing a snapshot of its own, because only a process that
+// has read the last snapshot's mark knows its age. One process reads the mark, another one gets its
+// state from it, and a third one, which is as up to date from the log, asks the second.
 func TestPeersTellOfTheSnapshot(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	peer := f.follow(Options{})
-	f.reaches(peer, first, SourceLog)
+	f.waitForOffset(peer, first, SourceLog)
 	mark, err := config.SnapshotMark{AsOf: first, ID: "w"}.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -403,19 +394,18 @@
 	if _, err := f.log.Append(t.Context(), Stream, [][]byte{mark}); err != nil {
 		t.Fatal(err)
 	}
-	f.reaches(peer, first+1, SourceLog)
-	for _, opts := range []Options{{Log: cutLog{}}, {}} {
+	f.waitForOffset(peer, first+1, SourceLog)
+	for _, opts := range []Options{{Log: downLog{}}, {}} {
 		before := peer
-		opts.Peers = func(context.Context) []FetchFunc { return []FetchFunc{from(before)} }
+		opts.Peers = func(context.Context) []FetchFunc { return []FetchFunc{fetchFrom(before)} }
 		peer = f.follow(opts)
-		until(t, "the peer's word", func() bool { return peer.snapshots.due()-peer.now() > 29*time.Minute })
+		until(t, "the snapshot age from the peer", func() bool { return peer.snapshots.due()-peer.now() > 29*time.Minute })
 	}
 }
 
-// Symptom: a process behind retention serves less than what is in force.
-// Sequence: a snapshot written late by a stopped process claims an offset whose
-// next records are gone already. Cause: applying the rest of the log on it would
-// leave a gap.
+// Guards against a process behind retention that serves an incomplete configuration: a paused process
+// wrote a snapshot late, as of an offset whose next records are already gone. Applying the rest of
+// the log to it would leave a gap.
 func TestSnapshotWithGapIsNotUsed(t *testing.T) {
 	s := config.NewState()
 	s, _ = s.Apply(1, []byte(`{"schema":1,"kind":"group","key":"g","base":0,"body":{}}`))
--- a/internal/follow/hearsay.go
+++ b/internal/follow/hearsay.go
@@ -5,56 +5,56 @@
 	"sync"
 )
 
-// hearsay is the newest offset that a peer was heard to have and how to ask it.
-type hearsay struct {
+// newestPeer is the highest offset that a peer reported, and how to fetch from that peer.
+type newestPeer struct {
 	mu     sync.Mutex
 	offset uint64
 	fetch  FetchFunc
 	wake   chan struct{}
 }
 
-// PeerHasOffset notes that a peer has the given offset. If that is newer than the state
-// here, the peer is asked, one question at a time whatever the number of
-// messages. It doesn't block.
+// PeerHasOffset reports that a peer has the given offset. If it is higher than that of the local
+// state, the peer is asked, with one request at a time whatever the number of messages. It
+// doesn't block.
 func (f *Follower) PeerHasOffset(offset uint64, fetch FetchFunc) {
 	if offset <= f.offset() {
 		return
 	}
-	h := &f.hearsay
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if offset < h.offset {
+	n := &f.newestPeer
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if offset < n.offset {
 		return
 	}
-	h.offset, h.fetch = offset, fetch
+	n.offset, n.fetch = offset, fetch
 	select {
-	case h.signal() <- struct{}{}:
-	default: // a wake-up is waiting already
+	case n.signal() <- struct{}{}:
+	default: // followPeerOffsets is already signalled
 	}
 }
 
-// signal returns the channel that wakes followHearsay; h.mu is held.
-func (h *hearsay) signal() chan struct{} {
-	if h.wake == nil {
-		h.wake = make(chan struct{}, 1)
+// signal returns the channel that wakes followPeerOffsets. n.mu must be held.
+func (n *newestPeer) signal() chan struct{} {
+	if n.wake == nil {
+		n.wake = make(chan struct{}, 1)
 	}
-	return h.wake
+	return n.wake
 }
 
-// take returns the newest hearsay and forgets it, so that an offset which its
-// peer can't back up doesn't keep out lower ones.
-func (h *hearsay) take() (offset uint64, fetch FetchFunc) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	offset, fetch = h.offset, h.fetch
-	h.offset, h.fetch = 0, nil
+// take returns and clears the highest reported offset, so that an offset which its peer doesn't
+// really have can't block lower ones.
+func (n *newestPeer) take() (offset uint64, fetch FetchFunc) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	offset, fetch = n.offset, n.fetch
+	n.offset, n.fetch = 0, nil
 	return offset, fetch
 }
 
-func (f *Follower) followHearsay(ctx context.Context) {
-	f.hearsay.mu.Lock()
-	wake := f.hearsay.signal()
-	f.hearsay.mu.Unlock()
+func (f *Follower) followPeerOffsets(ctx context.Context) {
+	f.newestPeer.mu.Lock()
+	wake := f.newestPeer.signal()
+	f.newestPeer.mu.Unlock()
 	for {
 		select {
 		case <-ctx.Done():
@@ -62,12 +62,12 @@
 		case <-wake:
 		}
 		if f.LogReachable() {
-			// The log brings a new record to all at about the same time. Asking at
-			// once would add a fetch for each change and peer to no end.
-			pause(ctx, tailGrace)
+			// The log delivers a new record to all processes at about the same time. Asking at once
+			// would add a useless fetch for each change and peer.
+			pause(ctx, logGrace)
 		}
-		if offset, fetch := f.hearsay.take(); offset > f.offset() {
-			f.askOne(ctx, fetch)
+		if offset, fetch := f.newestPeer.take(); offset > f.offset() {
+			f.tryPeer(ctx, fetch)
 		}
 	}
 }
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -11,33 +11,33 @@
 
 // History is all that the log has of the configuration.
 type History struct {
-	// Base is the state before the first record that can be judged: an empty one,
-	// or a snapshot's.
+	// Base is the state before the first record that can be judged: an empty one, or that
+	// of a snapshot.
 	Base *config.State
-	// Records are all that the log keeps. Those at or before Base's offset can't
+	// Records are all records that the log retains. Those at or before Base's offset can't
 	// be judged any more.
 	Records []config.Entry
 	// State is the state after the last record.
 	State *config.State
-	// Verdicts belong to Records; those that can't be judged have no Reason.
+	// Verdicts correspond to Records; those that can't be judged have no Reason.
 	Verdicts []config.Verdict
 }
 
-// ReadLog reads the whole log once.
+// ReadLog reads the complete log once.
 func ReadLog(ctx context.Context, log Log) (*History, error) {
 	h := &History{Base: config.NewState()}
 	records, err := readAll(ctx, log, Stream, 1, platform.MaxPage)
 	var retained *platform.RetainedError
 	var snapshot *config.Snapshot
 	if errors.As(err, &retained) {
-		records, snapshot, err = readContinued(ctx, log, retained.Oldest)
+		records, snapshot, err = readLogAndSnapshot(ctx, log, retained.Oldest)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if retained != nil {
 		if snapshot == nil {
-			return nil, fmt.Errorf("%w: oldest is %d", errNoSnapshot, retained.Oldest)
+			return nil, fmt.Errorf("%w: oldest offset is %d", errNoSnapshot, retained.Oldest)
 		}
 		if h.Base, err = snapshot.Decode(); err != nil {
 			return nil, err
@@ -47,7 +47,7 @@
 	return h, nil
 }
 
-// ReadSince reads what the log has after a state.
+// ReadSince reads the records of the log after a state.
 func ReadSince(ctx context.Context, log Log, s *config.State) (*History, error) {
 	records, err := readAll(ctx, log, Stream, s.Offset+1, platform.MaxPage)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// readAll reads a stream from an offset to its end, so many records at once.
+// readAll reads a stream from an offset to its end, limit records per request.
 func readAll(ctx context.Context, log Log, stream string, from uint64, limit int) ([]platform.Record, error) {
 	var all []platform.Record
 	for {
--- a/internal/follow/peers.go
+++ b/internal/follow/peers.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// firstPeers is how many peers are asked at once at the start.
-	firstPeers = 3
-	// maxFirstPeers is how many are asked one after the other while none of
+	// parallelPeers is how many peers are asked in parallel at the start.
+	parallelPeers = 3
+	// maxInitialPeers is how many peers are asked in one round at the start while none of
 	// them has a state.
-	maxFirstPeers = 48
+	maxInitialPeers = 48
 )
 
-// listPatience bounds the wait for the instance list, which may be down together
-// with the log: the fixed peers are asked without it then.
-const listPatience = 500 * time.Millisecond
+// listTimeout bounds the wait for the instance list, which may be down together with the log.
+// The fixed peers are then asked without it.
+const listTimeout = 500 * time.Millisecond
 
-// PeerFetch returns the Fetch that asks the daemon at address.
+// PeerFetch returns the FetchFunc for the daemon at an address.
 func PeerFetch(pool *wire.Pool, address string) FetchFunc {
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		session, err := pool.Get(ctx, address)
@@ -38,7 +38,7 @@
 	}
 }
 
-// SessionFetch returns the Fetch that asks the peer of an open session.
+// SessionFetch returns the FetchFunc for the peer of an open session.
 func SessionFetch(session *wire.Session) FetchFunc {
 	return func(ctx context.Context, m *protocol.ConfigFetch) (*protocol.ConfigState, error) {
 		reply, err := session.Call(ctx, m)
@@ -55,22 +55,22 @@
 	}
 }
 
-// followPeers asks several peers at the start and then, while the log can't be
-// reached, one at a time. Messages from peers with a newer state bring it sooner
-// (Heard); this finds it for a process that nobody talks to.
+// followPeers asks several peers at the start and then, while the log is unreachable, one at a
+// time. Peers with a newer state usually announce it in their messages (PeerHasOffset); this
+// finds it for a process that gets no messages.
 func (f *Follower) followPeers(ctx context.Context) {
 	if f.opts.Peers == nil {
-		close(f.asked)
+		close(f.peersTried)
 		return
 	}
-	f.askSeveral(ctx, f.opts.Peers(ctx))
-	close(f.asked)
+	f.tryPeers(ctx, f.opts.Peers(ctx))
+	close(f.peersTried)
 	for began := f.now(); f.State() == nil && f.now()-began < bootstrapAfter && ctx.Err() == nil; {
-		pause(ctx, minPause)
-		f.askSeveral(ctx, f.opts.Peers(ctx))
+		pause(ctx, minInterval)
+		f.tryPeers(ctx, f.opts.Peers(ctx))
 	}
 	for {
-		pause(ctx, peerPause/2+rand.N(peerPause))
+		pause(ctx, peerInterval/2+rand.N(peerInterval))
 		if ctx.Err() != nil {
 			return
 		}
@@ -78,29 +78,29 @@
 			continue
 		}
 		if peers := f.opts.Peers(ctx); len(peers) > 0 {
-			f.askOne(ctx, peers[rand.IntN(len(peers))])
+			f.tryPeer(ctx, peers[rand.IntN(len(peers))])
 		}
 	}
 }
 
-// askSeveral asks peers, a few at once, until one of them has brought a state. It is
-// done again while the bootstrap file waits: the one that knows may be busy with a
-// herd, and fail the first time.
+// tryPeers asks peers, a few in parallel, until one of them has provided a state. It is
+// repeated until the bootstrap file is read: the peer that has a state may be overloaded by many
+// restarted processes, and fail the first time.
 //
-// After a failure of a whole site most are gone or as empty as this process. With
-// only the first few asked, it would start from an old bootstrap file, and take
-// keys that were taken back, beside a peer that knows better.
-func (f *Follower) askSeveral(ctx context.Context, peers []FetchFunc) {
-	next := make(chan FetchFunc, maxFirstPeers)
-	for _, fetch := range peers[:min(maxFirstPeers, len(peers))] {
+// After a failure of a whole site most peers are gone or have no state either. If only the first
+// few were asked, this process would start from an old bootstrap file and accept revoked keys
+// although a peer has the newer state.
+func (f *Follower) tryPeers(ctx context.Context, peers []FetchFunc) {
+	next := make(chan FetchFunc, maxInitialPeers)
+	for _, fetch := range peers[:min(maxInitialPeers, len(peers))] {
 		next <- fetch
 	}
 	close(next)
 	var asking sync.WaitGroup
-	for range firstPeers {
+	for range parallelPeers {
 		asking.Go(func() {
 			for fetch := range next {
-				f.askOne(ctx, fetch)
+				f.tryPeer(ctx, fetch)
 				if f.State() != nil || ctx.Err() != nil {
 					return
 				}
@@ -110,28 +110,28 @@
 	asking.Wait()
 }
 
-// awaitPeers waits until a peer has brought a state, all asked at first have failed,
-// or headStart is over. With both read at once each of a herd of restarted processes
-// read most of the log too, seven times the bytes of a peer's state.
+// awaitPeers waits until a peer has provided a state, all peers of the first round have failed,
+// or peersHeadStart is over. If the log were read at the same time, each of many restarted
+// processes would also read most of the log, seven times the bytes of a peer's state.
 func (f *Follower) awaitPeers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, headStart)
+	ctx, cancel := context.WithTimeout(ctx, peersHeadStart)
 	defer cancel()
 	select {
 	case <-f.ready:
-	case <-f.asked:
+	case <-f.peersTried:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Follower) askOne(ctx context.Context, fetch FetchFunc) {
-	if err := f.ask(ctx, fetch); err != nil && ctx.Err() == nil {
-		f.opts.Logger.Debug("peer gave no configuration", "error", err)
+func (f *Follower) tryPeer(ctx context.Context, fetch FetchFunc) {
+	if err := f.fetchFrom(ctx, fetch); err != nil && ctx.Err() == nil {
+		f.opts.Logger.Debug("could not fetch the configuration from a peer", "error", err)
 	}
 }
 
-// bootstrapLate reads the bootstrap file when neither the log nor a peer has
-// brought a state in time.
-func (f *Follower) bootstrapLate(ctx context.Context) {
+// loadBootstrapFile reads the bootstrap file if neither the log nor a peer has provided a state
+// in time.
+func (f *Follower) loadBootstrapFile(ctx context.Context) {
 	if f.opts.Bootstrap == "" {
 		return
 	}
@@ -144,7 +144,7 @@
 		err = f.Merge(data, SourceBootstrap)
 	}
 	if err != nil {
-		f.opts.Logger.Error("bootstrap file can't be used", "file", f.opts.Bootstrap, "error", err)
+		f.opts.Logger.Error("could not load the bootstrap file", "file", f.opts.Bootstrap, "error", err)
 	}
 }
 
@@ -160,17 +160,18 @@
 	})
 }
 
-// PeersNearestFirst returns a Peers function over fixed addresses and the instance list,
-// those of the same failure domain first, others in random order so that a herd
-// of restarted processes doesn't ask the same few.
+// PeersNearestFirst returns a Peers function over fixed addresses and the instance list: the
+// fixed peers and those of the same failure domain first, each group in random order so that many
+// restarted processes don't ask the same few.
 func PeersNearestFirst(pool *wire.Pool, fixed []string, list func(context.Context) ([]platform.Instance, error), domain, self string) func(context.Context) []FetchFunc {
 	return func(ctx context.Context) []FetchFunc {
 		near, far := append([]string(nil), fixed...), []string(nil)
-		listCtx, cancel := context.WithTimeout(ctx, listPatience)
+		listCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		instances, err := list(listCtx)
 		cancel()
 		if err != nil {
-			instances = nil // the fixed ones are left
+			// The fixed peers remain.
+			instances = nil
 		}
 		for _, i := range instances {
 			switch {
--- a/internal/follow/snapshot.go
+++ b/internal/follow/snapshot.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// SnapshotStream is the log's stream of snapshots. Only a start that finds the
-	// configuration's first records gone reads it; on the stream that everyone
-	// follows each snapshot went to every process of the fleet.
+	// SnapshotStream is the log stream of snapshots. It is read only at a start that finds the
+	// first records of the configuration gone; on the stream that everyone follows, each snapshot
+	// would go to every process of the fleet.
 	SnapshotStream = "config.snapshots"
-	// snapshotBatch is how many parts of a snapshot go into one append.
+	// snapshotBatch is how many parts of a snapshot are appended at once.
 	snapshotBatch = 4
-	// snapshotPage is how many parts are read at once. A page of as many records
-	// as the configuration's could be longer than an answer may be.
+	// snapshotPage is how many parts are read at once. A page with as many records as one of the
+	// configuration stream could exceed the maximum size of an answer.
 	snapshotPage = 32
 )
 
 var errNoSnapshot = errors.New("follow: the log's oldest records are gone and it has no snapshot")
 
-// snapshots is the schedule of a Follower's snapshots, safe for concurrent use:
-// the tail goes by it, peers add to it and are told of it.
+// snapshots is the schedule of a Follower's snapshots, safe for concurrent use: the tail follows
+// it, and it is exchanged with peers.
 type snapshots struct {
 	mu       sync.Mutex
 	schedule *config.SnapshotSchedule
@@ -50,7 +50,7 @@
 	return left
 }
 
-func (s *snapshots) told(left, now time.Duration) {
+func (s *snapshots) peerReported(left, now time.Duration) {
 	s.with(func(c *config.SnapshotSchedule) { c.Told(left, now) })
 }
 
@@ -58,43 +58,43 @@
 	s.with(func(c *config.SnapshotSchedule) { c.CaughtUp(offset, at) })
 }
 
-func (s *snapshots) saw(asOf uint64) {
+func (s *snapshots) observed(asOf uint64) {
 	s.with(func(c *config.SnapshotSchedule) { c.Saw(asOf) })
 }
 
-func (s *snapshots) wrote(at time.Duration) {
+func (s *snapshots) written(at time.Duration) {
 	s.with(func(c *config.SnapshotSchedule) { c.Wrote(at) })
 }
 
-// seeSnapshot notes a snapshot that the log tells of: by its mark, or by its parts
-// if an older build wrote it.
-func (t *tail) seeSnapshot(v config.Verdict) {
+// observeSnapshot records a snapshot that is mentioned on the configuration stream: by its mark,
+// or by its parts if an older build wrote it.
+func (t *tail) observeSnapshot(v config.Verdict) {
 	if v.Reason != config.ReasonSnapshot {
 		return
 	}
 	if mark, ok := v.Record.SnapshotMark(); ok {
-		t.f.snapshots.saw(mark.AsOf)
+		t.f.snapshots.observed(mark.AsOf)
 		return
 	}
 	snapshot, err := t.assembler.Add(v.Record)
 	if err != nil {
-		t.f.opts.Logger.Warn("bad snapshot on the log", "error", err)
+		t.f.opts.Logger.Warn("malformed snapshot on the configuration log", "error", err)
 		return
 	}
 	if snapshot != nil {
-		t.f.snapshots.saw(snapshot.AsOf)
+		t.f.snapshots.observed(snapshot.AsOf)
 	}
 }
 
-// restore starts again where retention has taken records that weren't read yet:
-// from the newest snapshot that the log still continues.
+// restore continues after records that retention removed before they were read: from the newest
+// snapshot that the log continues without a gap.
 func (t *tail) restore(ctx context.Context, oldest uint64) error {
-	records, snapshot, err := readContinued(ctx, t.f.opts.Log, oldest)
+	records, snapshot, err := readLogAndSnapshot(ctx, t.f.opts.Log, oldest)
 	if err != nil {
 		return err
 	}
 	if snapshot == nil {
-		return fmt.Errorf("%w: oldest is %d, needed is %d", errNoSnapshot, oldest, t.state.Offset+1)
+		return fmt.Errorf("%w: oldest offset is %d, next offset needed is %d", errNoSnapshot, oldest, t.state.Offset+1)
 	}
 	restored, err := t.state.Merge(snapshot.Data)
 	if err != nil {
@@ -108,22 +108,22 @@
 	return nil
 }
 
-// readContinued reads the configuration's log from oldest to its end, and the
-// newest snapshot that this continues; nil if there is none.
-func readContinued(ctx context.Context, log Log, oldest uint64) ([]platform.Record, *config.Snapshot, error) {
+// readLogAndSnapshot reads the configuration's log from oldest to its end, and the newest snapshot
+// that these records continue, nil if there is none.
+func readLogAndSnapshot(ctx context.Context, log Log, oldest uint64) ([]platform.Record, *config.Snapshot, error) {
 	records, err := readAll(ctx, log, Stream, oldest, platform.MaxPage)
 	if err != nil {
 		return nil, nil, err
 	}
-	parts, err := readKept(ctx, log, SnapshotStream, snapshotPage)
+	parts, err := readRetained(ctx, log, SnapshotStream, snapshotPage)
 	if err != nil {
 		return nil, nil, err
 	}
 	return records, newestSnapshot(slices.Concat(records, parts), oldest), nil
 }
 
-// readKept reads all that a stream keeps.
-func readKept(ctx context.Context, log Log, stream string, page int) ([]platform.Record, error) {
+// readRetained reads all records that a stream retains.
+func readRetained(ctx context.Context, log Log, stream string, page int) ([]platform.Record, error) {
 	records, err := readAll(ctx, log, stream, 1, page)
 	var retained *platform.RetainedError
 	if errors.As(err, &retained) {
@@ -132,8 +132,8 @@
 	return records, err
 }
 
-// newestSnapshot returns the newest whole snapshot which the log, from oldest on,
-// continues without a gap; nil if there is none.
+// newestSnapshot returns the newest complete snapshot that the log, from oldest on, continues
+// without a gap, nil if there is none.
 func newestSnapshot(records []platform.Record, oldest uint64) *config.Snapshot {
 	var assembler config.Assembler
 	var newest *config.Snapshot
@@ -156,21 +156,21 @@
 	return newest
 }
 
-// writeSnapshot appends one if it is due. A lost answer is no matter: if its mark
-// isn't met on the log, the next try writes it again.
+// writeSnapshot appends a snapshot if one is due. A lost answer does no harm: if the snapshot's
+// mark doesn't show up on the log, the next attempt writes it again.
 func (t *tail) writeSnapshot(ctx context.Context) {
 	now := t.f.now()
 	if !t.caughtUp || t.state.Offset == 0 || now < t.f.snapshots.due() {
 		return
 	}
-	t.f.snapshots.wrote(now)
+	t.f.snapshots.written(now)
 	id := fmt.Sprintf("%s-%016x", t.f.opts.ProcessName, rand.Uint64())
 	err := appendSnapshot(ctx, t.f.opts.Log, t.state, id)
 	t.f.opts.Logger.Info("snapshot written", "as_of", t.state.Offset, "id", id, "error", err)
 }
 
-// appendSnapshot appends all parts, and then the mark. A mark that came first would
-// keep all others from writing though the writer may die on the way.
+// appendSnapshot appends all parts, and then the mark. If the mark came first, it would keep all
+// others from writing a snapshot although the writer may die before it is complete.
 func appendSnapshot(ctx context.Context, log Log, s *config.State, id string) error {
 	records, err := config.SnapshotRecords(s, id)
 	if err != nil {
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -9,11 +9,11 @@
 	"skylarklead/internal/platform"
 )
 
-// tail reads the log. It belongs to one goroutine.
+// tail reads the log. It is used by one goroutine only.
 type tail struct {
 	f     *Follower
 	state *config.State
-	// assembler takes snapshots of older builds, which are on the log itself.
+	// assembler collects snapshots of older builds, which are on the configuration stream itself.
 	assembler config.Assembler
 	caughtUp  bool
 	pacer     platform.Pacer
@@ -44,9 +44,9 @@
 	}
 }
 
-// step reads one page, or starts again from a snapshot.
+// step reads one page, or continues from a snapshot.
 func (t *tail) step(ctx context.Context, wait time.Duration) (platform.Page, error) {
-	t.takeNewer()
+	t.takePeerState()
 	from := t.state.Offset + 1
 	page, err := t.f.opts.Log.Read(ctx, Stream, from, platform.MaxPage, wait)
 	var retained *platform.RetainedError
@@ -60,8 +60,8 @@
 	if len(page.Records) > 0 && !t.caughtUp {
 		return page, nil
 	}
-	// At the start nothing is handed out before the end of the log is seen: a
-	// state from halfway would be served as if it were in force.
+	// At the start no state is provided before the end of the log is reached: an intermediate
+	// state would be served as if it were in force.
 	t.caughtUp = true
 	t.f.adopt(t.state, SourceLog)
 	if len(page.Records) == 0 {
@@ -70,19 +70,19 @@
 	return page, nil
 }
 
-// wait is how long a read waits: not at all until the log's end was seen.
+// wait is the long-poll wait of the next read: 0 until the end of the log was reached.
 func (t *tail) wait() time.Duration {
 	if !t.caughtUp {
 		return 0
 	}
 	if t.state.Offset == 0 {
-		return logWait // nothing to write a snapshot of
+		return logWait // there is nothing to snapshot yet
 	}
-	return min(logWait, max(t.f.snapshots.due()-t.f.now(), minPause))
+	return min(logWait, max(t.f.snapshots.due()-t.f.now(), minInterval))
 }
 
-// takeNewer goes on from a state that peers have brought meanwhile.
-func (t *tail) takeNewer() {
+// takePeerState continues from a newer state that peers have provided meanwhile.
+func (t *tail) takePeerState() {
 	if s := t.f.State(); s != nil && s.Offset > t.state.Offset {
 		t.state = s
 	}
@@ -100,7 +100,7 @@
 	t.state = next
 	for i, v := range verdicts {
 		t.logVerdict(entries[i].Offset, v)
-		t.seeSnapshot(v)
+		t.observeSnapshot(v)
 	}
 }
 
