--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -6,54 +6,53 @@
 	"time"
 )
 
-// Kind is what may be repeated of a route's requests.
+// Kind says whether a route's requests may run more than once.
 type Kind uint8
 
-// The kinds.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
 	// Mutating requests run at most once for each attempt of a caller.
 	Mutating
-	// Streaming requests are mutating ones, answered by a series of events, unless
-	// their route is resumable.
+	// Streaming requests are mutating requests that are answered by a series of events. If
+	// their route is resumable they may run again.
 	Streaming
 )
 
 var kindNames = [...]string{"idempotent", "mutating", "streaming"}
 
-// String names the kind as logs have it.
+// String returns the name of the kind in logs.
 func (k Kind) String() string { return kindNames[k] }
 
-// Target is a service that a route sends a share of its requests to.
+// Target is a service that a route sends part of its requests to, in proportion to Weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of a host and path go and how they are treated.
+// Route says where requests for a host and path prefix are sent and how they are treated.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout bounds a request from its arrival to its final answer.
+	// Timeout bounds a request from its arrival to the end of its answer.
 	Timeout time.Duration
-	// LatencyTarget is the time to the answer, or to a stream's first event, that the
-	// operator aims at.
+	// LatencyTarget is the operator's target for the time to the answer, or to the first event
+	// of a stream.
 	LatencyTarget time.Duration
-	// MaxEventGap is the longest pause between a stream's events that is on time.
+	// MaxEventGap is the operator's target for the longest time between a stream's events.
 	MaxEventGap time.Duration
-	// Priority is the rank among routes, 0 first.
+	// Priority is the rank among routes; 0 is the highest.
 	Priority int
 	Targets  []Target
-	// MaxAttempts is the most replicas on which one request may run.
+	// MaxAttempts is the number of replicas on which one request may run at most.
 	MaxAttempts int
-	// Public routes ask for no key.
+	// Public routes don't require a key.
 	Public bool
-	// HasPrompts routes carry prompts that share parts.
+	// HasPrompts is set for routes whose requests have prompts with shared parts.
 	HasPrompts bool
-	// Resumable streams may go on at another replica after a given event.
+	// Resumable streams may be continued at another replica after a given event.
 	Resumable bool
 }
 
@@ -62,11 +61,11 @@
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Engine is what a service's replicas are if they run a language model.
+// Engine describes a service's replicas if they run a language model.
 type Engine struct {
-	// Slots is how many requests a replica works on at once.
+	// Slots is the number of requests that a replica runs concurrently.
 	Slots int
-	// MemoryTokens is the KV memory of a replica, shared by running requests and
+	// MemoryTokens is the KV memory of a replica in tokens, shared by running requests and
 	// cached parts.
 	MemoryTokens int
 	Models       []string
@@ -76,33 +75,35 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what a replica accepts from all callers together.
+	// MaxConnections is the number of connections that a replica accepts from all callers
+	// together.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
-	// KVStoreAddress is the address of a store of kept KV cache, "" for services
-	// with replicas.
+	// KVStoreAddress is the address of a store of saved KV cache, "" for services with
+	// replicas.
 	KVStoreAddress string
 }
 
-// Organisation is who holds a key.
+// Organisation is the holder of keys.
 type Organisation struct {
 	Name string
-	// Priority ranks its requests before the route's own, 0 first; nil leaves it to
-	// the route.
+	// Priority ranks its requests before the route's priority, 0 first; nil leaves it to the
+	// route.
 	Priority *int
-	// Isolated organisations share no cached part with others.
+	// Isolated organisations share no cached parts with others.
 	Isolated bool
-	// Quota bounds what it may have run, over all entries together.
+	// Quota limits its requests over all entries together.
 	Quota Quota
 }
 
-// Quota is a limit of an organisation.
+// Quota is the rate limit of an organisation.
 type Quota struct {
-	// Rate is in units a second, 0 for no limit; Burst units may come at once beside.
+	// Rate is in units per second, 0 for no limit. Burst is how many units may come at once
+	// in addition.
 	Rate, Burst float64
-	// Tokens says that a unit is a token, of the prompt or of the longest output; else
-	// it is a request. Uncounted is what a request counts that doesn't say.
+	// Tokens is set if a unit is a token, of the prompt or of the longest output; otherwise a
+	// unit is a request. DefaultUnits is charged for a request without token counts.
 	Tokens       bool
 	DefaultUnits float64
 }
@@ -110,7 +111,7 @@
 // Limited reports whether there is a limit.
 func (q *Quota) Limited() bool { return q.Rate > 0 }
 
-// Units is what a request counts.
+// Units returns the units that a request is charged.
 func (q *Quota) Units(r *Request) float64 {
 	switch {
 	case !q.Tokens:
@@ -121,7 +122,7 @@
 	return q.DefaultUnits
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of a caller's request and how long it may take to send it.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -129,39 +130,39 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of what the operator published.
+// Configuration is one version of the operator's configuration.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]*Service
-	// KeyRequired is set when requests need a key. Keys names the organisation of each.
+	// KeyRequired is set if requests need a key. Keys maps each key to its organisation.
 	KeyRequired   bool
 	Keys          map[string]*Organisation
 	Organisations []*Organisation
 	Limits        Limits
 
-	byHost     map[string][]*Route
-	keptCaches []string
+	byHost   map[string][]*Route
+	kvStores []string
 }
 
-// Index prepares a configuration for Match and KeptCaches. It is called once, by its maker.
+// Index prepares a configuration for Match and KVStores. It is called once, before the
+// configuration is shared.
 func (c *Configuration) Index() {
 	c.byHost = make(map[string][]*Route)
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		c.byHost[r.Host] = append(c.byHost[r.Host], r)
 	}
-	c.keptCaches = nil
+	c.kvStores = nil
 	for _, s := range c.Services {
 		if s.KVStoreAddress != "" {
-			c.keptCaches = append(c.keptCaches, s.KVStoreAddress)
+			c.kvStores = append(c.kvStores, s.KVStoreAddress)
 		}
 	}
-	slices.Sort(c.keptCaches)
+	slices.Sort(c.kvStores)
 }
 
-// Match returns the route of the host whose prefix is the longest that begins the
-// path, nil if there is none.
+// Match returns the route of the host with the longest prefix of the path, nil if there is none.
 func (c *Configuration) Match(host, path string) *Route {
 	var best *Route
 	for _, r := range c.byHost[host] {
@@ -175,8 +176,8 @@
 	return best
 }
 
-// KVStores lists the addresses of the stores of kept KV cache, in order.
-func (c *Configuration) KVStores() []string { return c.keptCaches }
+// KVStores lists the addresses of the stores of saved KV cache, sorted.
+func (c *Configuration) KVStores() []string { return c.kvStores }
 
 // Models lists the models of all engines, each once.
 func (c *Configuration) Models() []string {
--- a/internal/fleet/notice.go
+++ b/internal/fleet/notice.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Notice is what a replica says of itself in the head of an answer, whatever it answers.
+// Notice is what a replica reports about itself in the headers of an answer, whatever the
+// answer.
 type Notice struct {
-	// Leaving is set once it is leaving.
+	// Leaving is set once the replica is leaving.
 	Leaving bool
-	// HasRateLimit says that it takes no more than Rate requests a second from all entries
-	// together, for as long as its answers say so. Rate is 0 or more.
+	// HasRateLimit is set if the replica accepts no more than RateLimit requests per second
+	// from all entries together, for as long as its answers say so. RateLimit is 0 or more.
 	HasRateLimit bool
 	RateLimit    float64
-	// Backoff is for how long it wants nothing from the entry that it has turned away, 0 if it
+	// Backoff is how long the entry that was refused is asked to send nothing, 0 if the replica
 	// doesn't say.
 	Backoff time.Duration
-	// Malformed says that the head has something of this kind that can't be read.
+	// Malformed is set if one of these headers can't be parsed.
 	Malformed bool
 }
--- a/internal/fleet/order.go
+++ b/internal/fleet/order.go
@@ -1,13 +1,12 @@
 package fleet
 
-// Mode is what becomes of a replica's running requests when it loads weights.
+// Mode says what happens to a replica's running requests when it loads weights.
 type Mode uint8
 
-// The modes.
 const (
-	// ModeQueue lets what runs finish first.
+	// ModeQueue lets running requests finish first.
 	ModeQueue Mode = iota
-	// ModeRetain goes on with what runs, on the new weights.
+	// ModeRetain continues running requests on the new weights.
 	ModeRetain
 )
 
@@ -17,29 +16,29 @@
 	Model   string
 	Version uint64
 	Mode    Mode
-	// Holder and Fence are the lease under which it is given.
+	// Holder and Fence are the lease holder that sends it and its fencing number.
 	Holder string
 	Fence  uint64
-	// ExpectedOrders is the number of orders that the replica has accepted before.
+	// ExpectedOrders is the number of orders that the replica must have accepted before. It
+	// refuses the order as a conflict if the number differs.
 	ExpectedOrders uint64
 }
 
-// Reply is a replica's word on an order.
+// Reply is a replica's answer to an order.
 type Reply uint8
 
-// The replies.
 const (
-	// ReplyUnknown: no answer; it may have been accepted, or may be yet.
+	// ReplyUnknown: no answer; the order may have been accepted, or may be accepted later.
 	ReplyUnknown Reply = iota
-	// ReplyAccepted: it is being carried out.
+	// ReplyAccepted: the order is being executed.
 	ReplyAccepted
-	// ReplyInForce: it was in force already.
+	// ReplyInForce: the version was loaded already.
 	ReplyInForce
-	// ReplyConflict: another order is under way, or Expected is wrong.
+	// ReplyConflict: another order is in progress, or ExpectedOrders is wrong.
 	ReplyConflict
-	// ReplyFenced: a holder with a higher fence has given orders.
+	// ReplyFenced: a holder with a higher fence has sent orders.
 	ReplyFenced
-	// ReplyInvalid: the order was refused for what it says.
+	// ReplyInvalid: the order was refused for its content.
 	ReplyInvalid
 	// ReplyMisdirected: another incarnation answered.
 	ReplyMisdirected
@@ -49,7 +48,7 @@
 
 var replyNames = [...]string{"unknown", "accepted", "holds", "conflict", "fenced", "invalid", "misdirected", "not_sent"}
 
-// String names the reply as logs have it.
+// String returns the name of the reply in logs.
 func (r Reply) String() string { return replyNames[r] }
 
 // DesiredVersion is the version of a model's weights that the operator wants in use.
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -7,51 +7,50 @@
 
 // Replica is one incarnation of an endpoint, as it registered itself.
 type Replica struct {
-	// ID is Incarnation(Name, Born): what is known of a replica is known of this ID, and
+	// ID is IncarnationID(Name, StartedAtMs). All state about a replica is kept under this ID and
 	// ends with it.
 	ID string
-	// Name is what it registered under and is addressed by. It may start again under
-	// the same name.
+	// Name is the name that it registered under and is addressed by. It may restart under the
+	// same name.
 	Name string
-	// StartedAtMs is when it started, in Unix milliseconds by its own clock, 0 if it doesn't
-	// say. It tells apart the incarnations of a name and orders them.
+	// StartedAtMs is when it started, in Unix milliseconds by its own clock, 0 if unknown. It
+	// distinguishes and orders the incarnations of a name.
 	StartedAtMs   int64
 	Service       string
 	Address       string
 	FailureDomain string
 	Slots         int
-	// Draining replicas take no new work.
+	// Draining replicas get no new work.
 	Draining bool
-	// HeartbeatSeq numbers what this incarnation has written of itself.
+	// HeartbeatSeq numbers the registrations that this incarnation has written.
 	HeartbeatSeq uint64
-	// Weights has the version of each model that is loaded.
+	// Weights maps each loaded model to its version.
 	Weights map[string]uint64
 }
 
-// IncarnationID is the ID of the replica that started under a name at a time, 0 if it
-// doesn't say when.
-func IncarnationID(name string, born int64) string {
-	if born == 0 {
+// IncarnationID is the ID of the replica that started under a name at a time, 0 if unknown.
+func IncarnationID(name string, startedAtMs int64) string {
+	if startedAtMs == 0 {
 		return name
 	}
-	return name + "@" + strconv.FormatInt(born, 10)
+	return name + "@" + strconv.FormatInt(startedAtMs, 10)
 }
 
-// Matches reports whether a replica that says that it started at a time, 0 if it doesn't
-// say, can be this one. One whose record doesn't say when it started can't be told from
-// a later one by its reports.
+// Matches reports whether a replica that reports to have started at a time, 0 if unknown, can be
+// this one. If the registration has no start time, a later incarnation can't be told from this
+// one by its reports.
 func (r *Replica) Matches(at int64) bool { return at == 0 || r.StartedAtMs == 0 || at == r.StartedAtMs }
 
-// Restarted is the incarnation of the same name and address that started at a time.
-// What it serves isn't known yet.
-func (r *Replica) Restarted(name string, born int64) *Replica {
+// Restarted returns the incarnation of the same address that started under a name at a time.
+// The weights that it serves are not known yet.
+func (r *Replica) Restarted(name string, startedAtMs int64) *Replica {
 	fresh := *r
-	fresh.Name, fresh.StartedAtMs, fresh.ID = name, born, IncarnationID(name, born)
+	fresh.Name, fresh.StartedAtMs, fresh.ID = name, startedAtMs, IncarnationID(name, startedAtMs)
 	fresh.Draining = false
 	return &fresh
 }
 
-// Equal reports whether two records say the same.
+// Equal reports whether two registrations say the same, apart from HeartbeatSeq.
 func (r *Replica) Equal(o *Replica) bool {
 	return r.ID == o.ID && r.Service == o.Service && r.Address == o.Address &&
 		r.FailureDomain == o.FailureDomain && r.Slots == o.Slots &&
@@ -60,27 +59,25 @@
 
 // MisdirectedError says that another incarnation answered at a replica's address.
 type MisdirectedError struct {
-	// Instance is the name of the one that answered, "" if it didn't say.
+	// Instance is the name of the replica that answered, "" if it didn't say.
 	Instance string
 }
 
-// Error implements error.
 func (e *MisdirectedError) Error() string {
 	return "another incarnation answered: " + strconv.Quote(e.Instance)
 }
 
-// Report is what a replica answers when asked for its state. It is some hundred
-// milliseconds old.
+// Report is a replica's answer to a query for its state. It is a few hundred milliseconds old.
 type Report struct {
-	// StartedAtMs is when the replica that answered started, as Replica.StartedAtMs.
+	// StartedAtMs is when the replica that answered started, as in Replica.
 	StartedAtMs int64
 	Weights     map[string]uint64
 	// Draining is set once it is leaving.
 	Draining bool
-	// Busy is set while an order is carried out.
+	// Busy is set while an order is executed.
 	Busy bool
-	// AcceptedOrders is how many orders it has accepted since its start; an order names it
-	// so that one carried out late finds itself overtaken.
+	// AcceptedOrders is how many orders it has accepted since its start. An order has this
+	// number as ExpectedOrders, so that one that arrives late is refused.
 	AcceptedOrders uint64
 	Queued         int
 	Running        int
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// PromptPart is one piece of a prompt that requests may share.
+// PromptPart is one section of a prompt that requests may share.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what a caller's headers say of its request.
+// Request is what the headers of a caller's request say.
 type Request struct {
-	// ID names one attempt of a caller; a caller's retry has another.
+	// ID identifies one attempt of a caller; a caller's retry has another ID.
 	ID string
-	// Key is the caller's key, "" if it sent none.
+	// Key is the caller's API key, "" if it sent none.
 	Key string
 	// Deadline is how long the caller waits, 0 if it doesn't say.
 	Deadline time.Duration
-	// Model is the model asked for, "" for a plain request.
+	// Model is the requested model, "" for a plain request.
 	Model string
-	// PromptTokens and OutputTokens are the prompt's length and the longest
+	// PromptTokens and OutputTokens are the lengths of the prompt and of the longest
 	// output.
 	PromptTokens int
 	OutputTokens int
-	// HasTokenCounts says that the caller gave these two numbers.
+	// HasTokenCounts is set if the caller gave these two numbers.
 	HasTokenCounts bool
-	// ExpectedOutput is the caller's guess of the output's length, 0 if none.
+	// ExpectedOutput is the caller's estimate of the output's length, 0 if none.
 	ExpectedOutput int
-	// Parts make up the prompt, the shared ones first. The last belongs to the
-	// request or its session.
+	// Parts make up the prompt, the shared ones first. The last one is specific to the request
+	// or its session.
 	Parts []PromptPart
-	// LastEvent is the id of the last event that the caller has of a stream, ""
-	// at a fresh start.
+	// LastEvent is the id of the last event that the caller has of a stream, "" at a fresh
+	// start.
 	LastEvent string
 }
 
@@ -42,7 +42,7 @@
 	return r.Parts[:len(r.Parts)-1]
 }
 
-// SharedTokens is the length of the shared parts.
+// SharedTokens is the length of the shared parts in tokens.
 func (r *Request) SharedTokens() int {
 	total := 0
 	for _, p := range r.SharedParts() {
@@ -51,44 +51,44 @@
 	return total
 }
 
-// DispatchHeaders is what goes to a replica with a request, beside what the caller sent.
+// DispatchHeaders is what an entry adds to the caller's request when it dispatches it to a
+// replica.
 type DispatchHeaders struct {
-	// Replica is the name of the one that is to run it; a replica of another name
+	// Replica is the name of the replica that is to run it; a replica of another name
 	// refuses.
 	Replica string
 	// Deadline is the time left.
 	Deadline time.Duration
-	// Organisation is the key's holder, "" where no key is asked for.
+	// Organisation is the key's holder, "" where no key is required.
 	Organisation string
-	// Version is the version of the weights to run on, 0 to leave it open.
+	// Version is the version of the weights to run on, 0 for any.
 	Version uint64
 	// Salt separates cached parts that must not be shared; "" for plain services.
 	Salt string
-	// Priority is the rank at the engine, 0 first to 9.
+	// Priority is the rank at the engine, from 0, the highest, to 9.
 	Priority int
-	// FetchFrom is the address of a replica that is believed to hold shared parts
-	// under the same salt, "" for none.
+	// FetchFrom is the address of a replica that is believed to hold shared parts under the
+	// same salt, "" for none.
 	FetchFrom string
-	// SaveTo is the address of the store that what is read goes to, "" for none.
+	// SaveTo is the address of the KV store that the prefilled parts are saved to, "" for none.
 	SaveTo string
 	// LastEvent resumes a stream after this event, "" from its start.
 	LastEvent string
 }
 
-// Answer is what the head of a replica's answer says.
+// Answer is what the headers of a replica's answer say.
 type Answer struct {
 	// RequestID is the request that it answers, "" if it doesn't say.
 	RequestID string
-	// NotRun is set when the replica says that it didn't run the request.
+	// NotRun is set if the replica says that it didn't run the request.
 	NotRun bool
-	// Misdirected is set when another incarnation, or one with other weights, has
-	// answered.
+	// Misdirected is set if another incarnation, or one with other weights, has answered.
 	Misdirected bool
 	// Instance is the name of the replica that answered, "" if it doesn't say.
 	Instance string
-	// Sealed is set when the replica vouches for the answer.
+	// Sealed is set if the answer has the replica's seal.
 	Sealed bool
-	// Version is the weights' version that the answer was begun on, 0 if unknown.
+	// Version is the version of the weights that the answer was begun on, 0 if unknown.
 	Version uint64
 	Notice  Notice
 }
