--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -8,7 +8,7 @@
 	"skylarklead/internal/prefix"
 )
 
-// Headers of the engine's and the services' HTTP interface.
+// Headers of the HTTP interfaces of engines and plain services.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIncarnation    = "X-Engine-Incarnation"
@@ -33,7 +33,7 @@
 	Messages      []prefix.Message `json:"messages"`
 	Stream        bool             `json:"stream"`
 	StreamOptions StreamOptions    `json:"stream_options"`
-	// MaxTokens counts new tokens: those of a partial answer aren't among them.
+	// MaxTokens counts new tokens, not those of a partial answer in Messages.
 	MaxTokens            int    `json:"max_tokens"`
 	Priority             int    `json:"priority,omitempty"`
 	CacheSalt            string `json:"cache_salt"`
@@ -74,23 +74,23 @@
 	PromptTokensDetails PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails tells how much of a prompt came from the prefix cache.
+// PromptDetails says how much of a prompt was read from the prefix cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// EventType is what a cache event says of its blocks.
+// EventType is the type of a cache event.
 type EventType string
 
-// The types of cache events. Cleared empties the cache; it has no hashes.
+// The types of cache events. CacheCleared empties the cache; it has no hashes.
 const (
 	BlocksStored  EventType = "stored"
 	BlocksRemoved EventType = "removed"
 	CacheCleared  EventType = "cleared"
 )
 
-// CacheEvent is one change of the engine's prefix cache. Seq grows by one from
-// 1 within an incarnation; a missing number is a lost event.
+// CacheEvent is one change of the engine's prefix cache. Seq increases by one from 1 within an
+// incarnation; a missing number is a lost event.
 type CacheEvent struct {
 	Seq         uint64    `json:"seq"`
 	Incarnation string    `json:"incarnation"`
@@ -99,7 +99,7 @@
 	Hashes      Hashes    `json:"hashes"`
 }
 
-// Load is the engine's load report; it is AgeMs old.
+// Load is the engine's load report, AgeMs old.
 type Load struct {
 	Incarnation   string `json:"incarnation"`
 	Weights       string `json:"weights_version"`
@@ -113,10 +113,9 @@
 	AgeMs         int64  `json:"age_ms"`
 }
 
-// Op is what an order asks for.
+// Op is the operation of an order.
 type Op string
 
-// The orders.
 const (
 	OpLoadModel   Op = "load_model"
 	OpLoadAdapter Op = "load_adapter"
@@ -124,8 +123,8 @@
 	OpSetRole     Op = "set_role"
 )
 
-// Order tells the engine to change what it serves. Fence is the fencing
-// number: engines that check refuse one below the highest that they have seen.
+// Order tells the engine to change what it serves. Fence is the fencing number: engines that
+// check it refuse one below the highest that they have seen.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Op      Op     `json:"op"`
@@ -135,7 +134,7 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// State is what the engine serves, after the last order.
+// State is what the engine serves. Fence is that of the last order.
 type State struct {
 	Fence       uint64   `json:"fence"`
 	Model       string   `json:"model"`
@@ -146,8 +145,8 @@
 	Incarnation string   `json:"incarnation"`
 }
 
-// KV is exported cache content. Hashes are the blocks that Blob holds; they may
-// be fewer than were asked for. CacheSalt is only set for an import.
+// KV is exported cache content. Hashes are the blocks that Blob has; they may be fewer than
+// requested. CacheSalt is set only for an import.
 type KV struct {
 	Incarnation string `json:"incarnation"`
 	Weights     string `json:"weights_version"`
@@ -156,17 +155,17 @@
 	CacheSalt   string `json:"cache_salt,omitempty"`
 }
 
-// Imported answers an import: how many of its blocks the engine now has.
+// Imported is the answer to an import: how many of its blocks the engine now has.
 type Imported struct {
 	Blocks int `json:"blocks"`
 }
 
-// KVQuery names the blocks to export.
+// KVQuery is the request for an export: the blocks to export.
 type KVQuery struct {
 	Hashes Hashes `json:"hashes"`
 }
 
-// ErrorBody is the shape of the engine's refusals.
+// ErrorBody is the body of the engine's refusals.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -177,7 +176,7 @@
 	Message string `json:"message"`
 }
 
-// StaleFence is the body of a 409 to an order: Fence is the highest number seen.
+// StaleFence is the body of a 409 answer to an order. Fence is the highest number seen.
 type StaleFence struct {
 	Fence uint64 `json:"fence"`
 }
@@ -185,7 +184,7 @@
 // Hashes are block hashes, in JSON 16 hex digits each.
 type Hashes []prefix.Hash
 
-// MarshalJSON writes each hash as 16 hex digits.
+// MarshalJSON encodes each hash as 16 hex digits.
 func (h Hashes) MarshalJSON() ([]byte, error) {
 	out := make([]string, len(h))
 	for i, hash := range h {
@@ -194,7 +193,7 @@
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads hashes of up to 16 hex digits.
+// UnmarshalJSON decodes hashes of up to 16 hex digits.
 func (h *Hashes) UnmarshalJSON(data []byte) error {
 	var in []string
 	if err := json.Unmarshal(data, &in); err != nil {
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -9,8 +9,8 @@
 	"skylarklead/internal/prefix"
 )
 
-// benchmarkCacheEvents reads an event stream and applies it to a picture, as an
-// endpoint process does, without the socket.
+// benchmarkCacheEvents decodes an event stream and applies it to a cache view, as an endpoint
+// process does, without the socket.
 func benchmarkCacheEvents(b *testing.B, hashesEach int) {
 	const events = 1000
 	var body strings.Builder
@@ -26,14 +26,14 @@
 	text := body.String()
 	b.ReportAllocs()
 	for b.Loop() {
-		picture := cachemap.New(cachemap.Params{})
-		picture.Connected(1)
+		view := cachemap.New(cachemap.Params{})
+		view.Connected(1)
 		n := 0
 		_ = readCacheEvents(strings.NewReader(text), func(e CacheEvent) error {
 			n++
 			hashes := make([]prefix.Hash, len(e.Hashes))
 			copy(hashes, e.Hashes)
-			picture.Apply(0, cachemap.Event{Seq: e.Seq, Incarnation: e.Incarnation, Weights: e.Weights, Kind: cachemap.Kind(e.Type), Hashes: hashes})
+			view.Apply(0, cachemap.Event{Seq: e.Seq, Incarnation: e.Incarnation, Weights: e.Weights, Kind: cachemap.Kind(e.Type), Hashes: hashes})
 			return nil
 		})
 		if n != events {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -9,12 +9,12 @@
 	"net/http"
 )
 
-// call makes one control call. Orders and imports go over a fresh connection,
-// since the caller has to know whether they were sent; reads share connections.
+// call makes one control call. Orders and imports use a new connection, since the caller has to
+// know whether they were sent; reads share connections.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
-	client := c.shared
+	client := c.keepAlive
 	if method == http.MethodPost {
-		client = c.once
+		client = c.singleUse
 	}
 	req, err := newCall(method, c.base+path, in)
 	if err != nil {
@@ -35,7 +35,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(out); err != nil {
-		return fmt.Errorf("%w: %s %s: %w", ErrOutcomeUnknown, method, path, unexpected(err))
+		return fmt.Errorf("%w: %s %s: %w", ErrOutcomeUnknown, method, path, noEOF(err))
 	}
 	return nil
 }
@@ -46,9 +46,9 @@
 	}
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, fmt.Errorf("%w: encode: %w", ErrNotRun, err)
+		return nil, fmt.Errorf("%w: encode request: %w", ErrNotRun, err)
 	}
-	req, err := newRequest(method, url, oneShot{bytes.NewReader(body)})
+	req, err := newRequest(method, url, unreplayableBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 	return req, nil
 }
 
-// conflict reads a 409, which means stale for an order and other weights for an
+// conflict converts a 409 answer into an error: a stale fence for an order, other weights for an
 // import.
 func conflict(path string, resp *http.Response) error {
 	if path != "/v1/orders" {
@@ -73,7 +73,7 @@
 	}
 	var stale StaleFence
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&stale); err != nil {
-		return fmt.Errorf("%w: 409 to an order: %w", ErrMalformed, err)
+		return fmt.Errorf("%w: 409 answer to an order: %w", ErrMalformed, err)
 	}
 	return &StaleFenceError{Fence: stale.Fence}
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,9 +1,9 @@
-// Package engine has the clients of an endpoint's back ends: model engines with
-// the OpenAI-compatible interface of docs/INTERFACE.md section 2, and plain
-// services. Each back end stands beside the process that uses the client.
+// Package engine has the clients of an endpoint's back ends: model engines with the
+// OpenAI-compatible interface of docs/INTERFACE.md section 2, and plain services. Each back end
+// is co-located with the process that uses the client.
 //
-// Errors say whether a request ran: ErrNotSent when it surely did not, ErrLost
-// when that is unknown.
+// Errors say whether a request ran: ErrNotRun if it surely did not, ErrOutcomeUnknown if that is
+// unknown.
 package engine
 
 import (
@@ -21,59 +21,59 @@
 	"skylarklead/internal/prefix"
 )
 
-// maxControlBody bounds an answer other than a stream in bytes; an export of KV
-// cache is the largest.
+// maxControlBody bounds an answer other than a stream, in bytes. The largest is an export of KV
+// cache.
 const maxControlBody = 64 << 20
 
 // Request is a completion to run.
 type Request struct {
-	// ID names the stream at the engine.
+	// ID identifies the stream at the engine.
 	ID       string
 	Model    string
 	Messages []prefix.Message
-	// Partial is what is already there of the answer; the engine goes on after
+	// Partial is the part of the answer that was generated before; the engine continues after
 	// it. MaxTokens counts only tokens after it.
 	Partial   string
 	MaxTokens int
-	// Priority is 0 by default; lower runs sooner.
+	// Priority is 0 by default; lower values run sooner.
 	Priority int
-	// CacheSalt isolates cached prefixes: the organisation's ID.
+	// CacheSalt isolates cached prefixes. It is the organisation's ID.
 	CacheSalt string
-	// Parameters are a caller's further fields, as package parameters picks them.
+	// Parameters are further fields of the caller's body, as returned by parameters.Pick.
 	Parameters []byte
 }
 
-// Client talks to one engine. It may be used by many goroutines.
+// Client calls one engine. It is safe for concurrent use.
 type Client struct {
-	base   string
-	once   *http.Client
-	shared *http.Client
+	base      string
+	singleUse *http.Client
+	keepAlive *http.Client
 }
 
 // NewClient returns a client of the engine at a base URL, "http://ip:port".
 func NewClient(base string) *Client {
-	return &Client{base: base, once: onceClient(), shared: sharedClient()}
+	return &Client{base: base, singleUse: singleUseClient(), keepAlive: keepAliveClient()}
 }
 
-// Close drops idle connections.
-func (c *Client) Close() { c.shared.CloseIdleConnections() }
+// Close closes idle connections.
+func (c *Client) Close() { c.keepAlive.CloseIdleConnections() }
 
-// Complete hands a request to the engine and returns when its answer's header
-// is there. Errors: ErrNotSent (a *RefusedError if the engine said so, which
-// may be ErrLoading), ErrLost. The stream's connection ends with ctx.
+// Complete sends a request to the engine and returns when the headers of the answer are there.
+// Errors: ErrNotRun (a *RefusedError if the engine refused it, which may be ErrLoading),
+// ErrOutcomeUnknown. The stream's connection ends with ctx.
 func (c *Client) Complete(ctx context.Context, r Request) (*Stream, error) {
 	body, err := r.body()
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequest(http.MethodPost, c.base+"/v1/chat/completions", oneShot{bytes.NewReader(body)})
+	req, err := http.NewRequest(http.MethodPost, c.base+"/v1/chat/completions", unreplayableBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderRequestID, r.ID)
-	resp, err := sendOnce(ctx, c.once, req)
+	resp, err := sendOnce(ctx, c.singleUse, req)
 	if err != nil {
 		return nil, err
 	}
@@ -84,14 +84,14 @@
 	return newStream(resp, 0), nil
 }
 
-// body is what is sent. Parameters that can't be read are the request's fault,
-// not the engine's: no other endpoint would do better with them.
+// body returns the body to send. Malformed Parameters are reported as a refusal of the request,
+// not as a failure of the engine: no other endpoint could run it either.
 func (r Request) body() ([]byte, error) {
-	ours, err := json.Marshal(r.completion())
+	base, err := json.Marshal(r.completion())
 	if err != nil {
-		return nil, fmt.Errorf("%w: encode: %w", ErrNotRun, err)
+		return nil, fmt.Errorf("%w: encode request: %w", ErrNotRun, err)
 	}
-	body, err := parameters.Merge(ours, r.Parameters)
+	body, err := parameters.Merge(base, r.Parameters)
 	if err != nil {
 		return nil, &RefusedError{Status: http.StatusBadRequest, Code: CodeBadRequest, Message: err.Error()}
 	}
@@ -116,15 +116,15 @@
 	return body
 }
 
-// Resume returns a stream from event number from on. Errors: ErrGone when the
-// engine no longer has it, ErrNotSent, ErrLost; it may be tried again freely.
+// Resume returns a stream from an event number on. Errors: ErrStreamGone if the engine no longer
+// has it, ErrNotRun, ErrOutcomeUnknown. It is safe to repeat.
 func (c *Client) Resume(ctx context.Context, id string, from uint64) (*Stream, error) {
 	path := streamPath(id) + "?from=" + strconv.FormatUint(from, 10)
 	req, err := http.NewRequest(http.MethodGet, c.base+path, nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
-	resp, err := sendOnce(ctx, c.shared, req)
+	resp, err := sendOnce(ctx, c.keepAlive, req)
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 	return nil, refusal(resp)
 }
 
-// Cancel ends a stream. It is idempotent: a stream that isn't there is no error.
+// Cancel ends a stream. It is idempotent: an unknown stream is no error.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	err := c.call(ctx, http.MethodDelete, streamPath(id), nil, nil)
 	var refused *RefusedError
@@ -155,8 +155,8 @@
 	return load, err
 }
 
-// SendOrder gives an order and returns the state after it. Errors: ErrStaleFence
-// (a *StaleFenceError), ErrNotSent, ErrLost.
+// SendOrder sends an order and returns the state after it. Errors: ErrStaleFence (a
+// *StaleFenceError), ErrNotRun, ErrOutcomeUnknown.
 func (c *Client) SendOrder(ctx context.Context, o Order) (State, error) {
 	var state State
 	err := c.call(ctx, http.MethodPost, "/v1/orders", o, &state)
@@ -170,30 +170,30 @@
 	return state, err
 }
 
-// ExportKV returns what the engine holds of some blocks.
+// ExportKV exports those of the given blocks that the engine has.
 func (c *Client) ExportKV(ctx context.Context, hashes []prefix.Hash) (KV, error) {
 	var kv KV
 	err := c.call(ctx, http.MethodPost, "/v1/kv/export", KVQuery{Hashes: hashes}, &kv)
 	return kv, err
 }
 
-// ImportKV gives the engine exported blocks, and returns how many of them it now
-// has. It is an ErrConflict when the engine has other weights.
+// ImportKV imports exported blocks and returns how many of them the engine now has. The error is
+// ErrWeightsMismatch if the engine has other weights.
 func (c *Client) ImportKV(ctx context.Context, kv KV) (int, error) {
 	var imported Imported
 	err := c.call(ctx, http.MethodPost, "/v1/kv/import", kv, &imported)
 	return imported.Blocks, err
 }
 
-// Events calls fn for each cache event from number from on, until ctx or the
-// connection ends or fn returns an error. It never returns nil.
+// Events calls fn for each cache event from a number on, until ctx or the connection ends or fn
+// returns an error. It never returns nil.
 func (c *Client) Events(ctx context.Context, from uint64, fn func(CacheEvent) error) error {
 	path := "/v1/cache/events?from=" + strconv.FormatUint(from, 10)
 	req, err := http.NewRequest(http.MethodGet, c.base+path, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
-	resp, err := sendOnce(ctx, c.once, req)
+	resp, err := sendOnce(ctx, c.singleUse, req)
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 	for {
 		raw, err := events.next()
 		if err != nil {
-			return fmt.Errorf("%w: cache events: %w", ErrOutcomeUnknown, unexpected(err))
+			return fmt.Errorf("%w: cache events: %w", ErrOutcomeUnknown, noEOF(err))
 		}
 		var event CacheEvent
 		if err := json.Unmarshal(raw.data, &event); err != nil {
--- a/internal/engine/sse.go
+++ b/internal/engine/sse.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// maxSSELine bounds one line of an event stream in bytes: a cache event of a
-// whole evicted prompt of 100,000 tokens stays below it.
+// maxSSELine bounds one line of an event stream in bytes. A cache event for a whole evicted prompt
+// of 100,000 tokens is smaller.
 const maxSSELine = 1 << 20
 
 // sseEvent is one server-sent event.
@@ -19,7 +19,7 @@
 	data  []byte
 }
 
-// sseReader reads server-sent events of one data line each.
+// sseReader parses server-sent events of one data line each.
 type sseReader struct{ lines *bufio.Scanner }
 
 func newSSEReader(r io.Reader) *sseReader {
@@ -28,8 +28,8 @@
 	return &sseReader{lines: lines}
 }
 
-// next returns the next whole event. A stream that ends before an event's empty
-// line gives io.ErrUnexpectedEOF, and io.EOF between events.
+// next returns the next complete event. It returns io.ErrUnexpectedEOF if the stream ends before
+// an event's empty line, and io.EOF if it ends between events.
 func (r *sseReader) next() (sseEvent, error) {
 	var event sseEvent
 	started := false
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -10,8 +10,8 @@
 
 const sseDone = "[DONE]"
 
-// Event is one piece of an answer. Seq counts from 0 within a stream. The last
-// event before the end has Usage and no text.
+// Event is one part of an answer. Seq counts from 0 within a stream. The last event before the end
+// has Usage and no text.
 type Event struct {
 	Seq          uint64
 	Text         string
@@ -19,13 +19,13 @@
 	Usage        *Usage
 }
 
-// Stream is the answer to a completion as it is generated. It has one reader.
+// Stream is the answer to a completion while it is generated. Only one goroutine may read it.
 type Stream struct {
-	// Incarnation and Weights are the engine's when the request began to run.
+	// Incarnation and Weights are those of the engine when the request began to run.
 	Incarnation string
 	Weights     string
-	// Salt is the cache salt that the request began with, empty if the engine
-	// doesn't tell.
+	// Salt is the cache salt that the request began with, empty if the engine doesn't
+	// report it.
 	Salt string
 
 	body   io.ReadCloser
@@ -44,22 +44,22 @@
 	}
 }
 
-// Next returns the next event, io.EOF after the engine's explicit end, an
-// ErrLost when the connection ends before it, and an ErrMalformed when an event
-// is missing, doubled or unreadable.
+// Next returns the next event. Errors: io.EOF after the engine's explicit end, ErrOutcomeUnknown
+// if the connection ends before it, ErrMalformed if an event is missing, duplicated or can't be
+// parsed.
 func (s *Stream) Next() (Event, error) {
 	raw, err := s.events.next()
 	if errors.Is(err, ErrMalformed) {
 		return Event{}, err
 	}
 	if err != nil {
-		return Event{}, fmt.Errorf("%w: stream: %w", ErrOutcomeUnknown, unexpected(err))
+		return Event{}, fmt.Errorf("%w: stream: %w", ErrOutcomeUnknown, noEOF(err))
 	}
 	if string(raw.data) == sseDone {
 		return Event{}, io.EOF
 	}
 	if !raw.hasID || raw.id != s.next {
-		return Event{}, fmt.Errorf("%w: event %d where %d was due", ErrMalformed, raw.id, s.next)
+		return Event{}, fmt.Errorf("%w: got event %d, expected %d", ErrMalformed, raw.id, s.next)
 	}
 	var chunk CompletionChunk
 	if err := json.Unmarshal(raw.data, &chunk); err != nil {
@@ -69,11 +69,11 @@
 	return chunk.event(raw.id), nil
 }
 
-// NextSeq is the number of the event that Next returns next: where to resume.
+// NextSeq is the number of the event that Next returns next, from which to resume.
 func (s *Stream) NextSeq() uint64 { return s.next }
 
-// Close ends the connection. The engine goes on with the stream for its resume
-// time; Client.Cancel ends it at once.
+// Close closes the connection. The engine continues the stream for its resume time; Client.Cancel
+// ends it at once.
 func (s *Stream) Close() error { return s.body.Close() }
 
 func (c CompletionChunk) event(seq uint64) Event {
@@ -88,8 +88,8 @@
 	return event
 }
 
-// unexpected keeps io.EOF out of an error chain where it doesn't mean the end.
-func unexpected(err error) error {
+// noEOF replaces io.EOF by io.ErrUnexpectedEOF where it doesn't mean the end of the stream.
+func noEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// serve returns the base URL of a server.
+// serve starts a server and returns its base URL.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -24,7 +24,7 @@
 	end    = "data: [DONE]\n\n"
 )
 
-// A stream is whole, or its reader is told that it isn't.
+// A stream is complete, or its reader gets an error.
 func TestStreamIsWholeOrAnError(t *testing.T) {
 	cases := []struct {
 		name string
@@ -34,16 +34,16 @@
 	}{
 		{"whole", first + second + usage + end, "a b ", io.EOF},
 		{"comments and other fields", ": hello\nevent: x\n\n" + first + second + usage + end, "a b ", io.EOF},
-		{"cut between events", first + second, "a b ", ErrOutcomeUnknown},
-		{"cut inside an event", first + strings.TrimSuffix(second, "\n"), "a ", ErrOutcomeUnknown},
-		{"cut inside the end", first + "data: [DONE]", "a ", ErrOutcomeUnknown},
+		{"truncated between events", first + second, "a b ", ErrOutcomeUnknown},
+		{"truncated in an event", first + strings.TrimSuffix(second, "\n"), "a ", ErrOutcomeUnknown},
+		{"truncated in the end marker", first + "data: [DONE]", "a ", ErrOutcomeUnknown},
 		{"empty", "", "", ErrOutcomeUnknown},
-		{"one missing", first + usage + end, "a ", ErrMalformed},
-		{"one doubled", first + first, "a ", ErrMalformed},
-		{"no number", "data: {}\n\n", "", ErrMalformed},
-		{"bad number", "id: x\ndata: {}\n\n", "", ErrMalformed},
+		{"missing event", first + usage + end, "a ", ErrMalformed},
+		{"duplicate event", first + first, "a ", ErrMalformed},
+		{"no event id", "data: {}\n\n", "", ErrMalformed},
+		{"malformed event id", "id: x\ndata: {}\n\n", "", ErrMalformed},
 		{"not JSON", "id: 0\ndata: {\n\n", "", ErrMalformed},
-		{"endless line", "id: 0\ndata: " + strings.Repeat("x", maxSSELine+1) + "\n\n", "", ErrOutcomeUnknown},
+		{"line too long", "id: 0\ndata: " + strings.Repeat("x", maxSSELine+1) + "\n\n", "", ErrOutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// A service's answer that is cut short is an error, not a short answer.
+// A truncated answer of a service is an error, not a short answer.
 func TestServiceAnswerCutShort(t *testing.T) {
 	base := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
@@ -79,6 +79,6 @@
 		_, err = io.ReadAll(answer.Body)
 	}
 	if !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("cut answer: %v", err)
+		t.Errorf("truncated answer: got error %v, want ErrOutcomeUnknown", err)
 	}
 }
--- a/internal/engine/transport_test.go
+++ b/internal/engine/transport_test.go
@@ -17,18 +17,18 @@
 
 const testDeadline = 10 * time.Second
 
-// lossyServer answers the path /warm and drops the connection of any other
-// request once it has read it whole. It counts those.
-type lossyServer struct {
-	base string
-	lost atomic.Int64
+// disconnectingServer answers the path /warm and closes the connection of any other request once it
+// has read it completely. It counts those.
+type disconnectingServer struct {
+	base    string
+	dropped atomic.Int64
 }
 
-func newLossyServer(t *testing.T) *lossyServer {
+func newDisconnectingServer(t *testing.T) *disconnectingServer {
 	t.Helper()
 	listener := kit.Must(net.Listen("tcp", "127.0.0.1:0"))(t)
 	t.Cleanup(func() { listener.Close() })
-	s := &lossyServer{base: "http://" + listener.Addr().String()}
+	s := &disconnectingServer{base: "http://" + listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -41,7 +41,7 @@
 	return s
 }
 
-func (s *lossyServer) serve(conn net.Conn) {
+func (s *disconnectingServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -53,7 +53,7 @@
 			return
 		}
 		if req.URL.Path != "/warm" {
-			s.lost.Add(1)
+			s.dropped.Add(1)
 			return
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -66,14 +66,12 @@
 	return ctx
 }
 
-// Symptom: a payment runs twice under one key.
-// Sequence: a connection is kept from an earlier call; the service reads the
-// payment and dies before it answers.
-// Cause: net/http sends a request with an Idempotency-Key again by itself when
-// a kept connection is lost.
+// Guards against a payment that runs twice under one key: a connection is kept from an earlier call,
+// and the service reads the payment and crashes before it answers. net/http would resend a request
+// with an Idempotency-Key when a kept connection is lost.
 func TestLostCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
-		server := newLossyServer(t)
+		server := newDisconnectingServer(t)
 		client := NewService(server.base)
 		warm, err := client.Call(testContext(t), ServiceRequest{Method: http.MethodGet, Path: "/warm"})
 		if err != nil {
@@ -85,37 +83,35 @@
 			ID: "r", Key: "k", Method: method, Path: "/pay", Body: []byte(`{"amount":1}`),
 		})
 		if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotRun) {
-			t.Errorf("%s: %v", method, err)
+			t.Errorf("%s: got error %v, want only ErrOutcomeUnknown", method, err)
 		}
-		if n := server.lost.Load(); n != 1 {
-			t.Errorf("%s: sent %d times", method, n)
+		if n := server.dropped.Load(); n != 1 {
+			t.Errorf("%s: sent %d times, want 1", method, n)
 		}
 	}
 }
 
-// Symptom: a prompt runs twice; a refusal claims that it didn't run.
-// Sequence: the engine reads the prompt and dies before it answers.
-// Cause: the outcome of a request that was sent is unknown.
+// Guards against a prompt that runs twice, or is reported as not run, because the engine reads it and
+// crashes before it answers. The outcome of a request that was sent is unknown.
 func TestLostCompletionIsUnknown(t *testing.T) {
-	server := newLossyServer(t)
+	server := newDisconnectingServer(t)
 	client := NewClient(server.base)
 	defer client.Close()
 	_, err := client.Complete(testContext(t), Request{ID: "r", Messages: []prefix.Message{{Role: "user", Content: "q"}}})
 	if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotRun) {
-		t.Errorf("completion: %v", err)
+		t.Errorf("completion: got error %v, want only ErrOutcomeUnknown", err)
 	}
 	_, err = client.SendOrder(testContext(t), Order{Fence: 1, Op: OpSetRole})
 	if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotRun) {
-		t.Errorf("order: %v", err)
+		t.Errorf("order: got error %v, want only ErrOutcomeUnknown", err)
 	}
-	if n := server.lost.Load(); n != 2 {
-		t.Errorf("sent %d times in all", n)
+	if n := server.dropped.Load(); n != 2 {
+		t.Errorf("sent %d times, want 2", n)
 	}
 }
 
-// Symptom: a request is told to be of unknown outcome though it can't have run.
-// Sequence: nothing listens any more, or the caller has already hung up.
-// Cause: without a connection nothing was sent.
+// Guards against an unknown outcome for a request that can't have run: nobody listens at the address,
+// or the caller has already disconnected. Without a connection nothing was sent.
 func TestNothingSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,17 +121,17 @@
 	listener.Close()
 	_, err = NewService(base).Call(testContext(t), ServiceRequest{Method: http.MethodPost, Path: "/"})
 	if !errors.Is(err, ErrNotRun) || errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("refused dial: %v", err)
+		t.Errorf("refused dial: got error %v, want only ErrNotRun", err)
 	}
-	server := newLossyServer(t)
+	server := newDisconnectingServer(t)
 	ctx, cancel := context.WithCancel(testContext(t))
 	cancel()
 	_, err = NewService(server.base).Call(ctx, ServiceRequest{Method: http.MethodPost, Path: "/pay"})
 	if !errors.Is(err, ErrNotRun) || !errors.Is(err, context.Canceled) {
-		t.Errorf("cancelled: %v", err)
+		t.Errorf("cancelled: got error %v, want ErrNotRun and context.Canceled", err)
 	}
-	if n := server.lost.Load(); n != 0 {
-		t.Errorf("sent %d times", n)
+	if n := server.dropped.Load(); n != 0 {
+		t.Errorf("sent %d times, want 0", n)
 	}
 }
 
@@ -173,7 +169,7 @@
 		}
 		var refused *RefusedError
 		if errors.As(err, &refused) && refused.RetryAfter != 3*time.Second {
-			t.Errorf("%d: Retry-After %v", c.status, refused.RetryAfter)
+			t.Errorf("%d: Retry-After %v, want 3s", c.status, refused.RetryAfter)
 		}
 	}
 }
