--- a/internal/parameters/parameters_test.go
+++ b/internal/parameters/parameters_test.go
@@ -15,13 +15,13 @@
 
 func TestPick(t *testing.T) {
 	for _, tt := range []struct{ name, body, want string }{
-		{"ours alone", `{"model":"m","messages":[],"stream":true,"stream_options":{},"max_tokens":1,"max_completion_tokens":1,"priority":0,"n":1}`, ``},
+		{"reserved fields only", `{"model":"m","messages":[],"stream":true,"stream_options":{},"max_tokens":1,"max_completion_tokens":1,"priority":0,"n":1}`, ``},
 		{"sampling", `{"model":"m","top_p":0.10,"temperature":1e0,"seed":18446744073709551615}`, `{"seed":18446744073709551615,"temperature":1e0,"top_p":0.10}`},
-		{"text as it is", `{"stop":["<|a|>","\u00e9&"]}`, `{"stop":["<|a|>","\u00e9&"]}`},
+		{"text unchanged", `{"stop":["<|a|>","\u00e9&"]}`, `{"stop":["<|a|>","\u00e9&"]}`},
 		{"layout", "{ \"logit_bias\" : { \"7\" : -1 } }", `{"logit_bias":{"7":-1}}`},
-		{"the last of two", `{"seed":1,"seed":2}`, `{"seed":2}`},
-		{"folded letters", `{"me\u017fsages":[],"cache_\u017falt":null,"STREAM":false}`, ``},
-		{"asks for nothing", `{"tools":[ ],"tool_choice":"auto","logprobs":false,"top_logprobs":null,"best_of":1,"modalities":[ "text" ],"kv_transfer_params":{},"seed":3}`, `{"seed":3}`},
+		{"duplicate field", `{"seed":1,"seed":2}`, `{"seed":2}`},
+		{"Unicode case folding", `{"me\u017fsages":[],"cache_\u017falt":null,"STREAM":false}`, ``},
+		{"values without effect", `{"tools":[ ],"tool_choice":"auto","logprobs":false,"top_logprobs":null,"best_of":1,"modalities":[ "text" ],"kv_transfer_params":{},"seed":3}`, `{"seed":3}`},
 		{"not UTF-8", "{\"stop\":\"a\xffb\"}", "{\"stop\":\"a\ufffdb\"}"},
 		{"null", `null`, ``},
 	} {
@@ -34,10 +34,9 @@
 	}
 }
 
-// Symptom: a caller that gave tools gets an answer made without them, and takes
-// it for the model's choice to use none; one that asked for logprobs finds none.
-// Sequence: its body has a field that is neither ours nor may go to the engine.
-// Cause: such fields were dropped in silence.
+// Guards against silently dropped fields that are neither read here nor passed to the engine: a caller
+// that sent tools would take an answer generated without them for the model's decision to use none, and
+// one that asked for logprobs would find none.
 func TestPickRefusesWhatIsNotSupported(t *testing.T) {
 	for name, body := range map[string]string{
 		"cache_salt":             `{"cache_salt":"other"}`,
@@ -71,9 +70,9 @@
 		want       error
 	}{
 		{"large", fmt.Sprintf(`{"stop":%q}`, strings.Repeat("x", MaxBytes)), ErrTooLarge},
-		{"large but ours", fmt.Sprintf(`{"messages":%q}`, strings.Repeat("x", MaxBytes)), nil},
+		{"large but reserved", fmt.Sprintf(`{"messages":%q}`, strings.Repeat("x", MaxBytes)), nil},
 		{"deep", `{"x":` + nested(maxNesting) + `}`, ErrTooDeep},
-		{"as deep as may be", `{"x":` + nested(maxNesting-1) + `}`, nil},
+		{"deepest allowed", `{"x":` + nested(maxNesting-1) + `}`, nil},
 		{"brackets in text", `{"x":"\"` + strings.Repeat("[", 2*maxNesting) + `"}`, nil},
 	} {
 		if _, err := Pick([]byte(tt.body)); !errors.Is(err, tt.want) {
@@ -82,19 +81,17 @@
 	}
 }
 
-// Symptom: a caller is served another organisation's cached prefix, or an answer
-// that isn't a stream.
-// Sequence: its body has the endpoint's own fields, in any case or written with
-// escapes, and so has the Run of a process with a fault.
-// Cause: fields merged without looking at whose they are.
+// Guards against a caller that is served another organisation's cached prefix, or an answer that isn't a
+// stream, because its body has fields that the endpoint sets, in any case or escaped. A faulty process
+// may send such fields too.
 func TestMergeOverridesNothing(t *testing.T) {
-	const ours = `{"model":"m","cache_salt":"org","stream":true}`
-	names := rapid.OneOf(rapid.SampledFrom(held), rapid.Map(rapid.SampledFrom(held), strings.ToUpper), rapid.StringMatching(`[a-z_]{1,8}`))
+	const base = `{"model":"m","cache_salt":"org","stream":true}`
+	names := rapid.OneOf(rapid.SampledFrom(reservedFields), rapid.Map(rapid.SampledFrom(reservedFields), strings.ToUpper), rapid.StringMatching(`[a-z_]{1,8}`))
 	rapid.Check(t, func(t *rapid.T) {
 		passed := kit.Must(json.Marshal(rapid.MapOf(names, rapid.Int()).Draw(t, "passed")))(t)
-		merged := kit.Must(Merge([]byte(ours), passed))(t)
+		merged := kit.Must(Merge([]byte(base), passed))(t)
 		var want, got map[string]any
-		if json.Unmarshal([]byte(ours), &want) != nil || json.Unmarshal(passed, &got) != nil {
+		if json.Unmarshal([]byte(base), &want) != nil || json.Unmarshal(passed, &got) != nil {
 			t.Fatal("not JSON")
 		}
 		for name, value := range got {
@@ -106,9 +103,9 @@
 		if err := json.Unmarshal(merged, &got); err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("got %s, %v; want %v", merged, err, want)
 		}
-		for i := range held {
-			if n := strings.Count(strings.ToLower(string(merged)), `"`+held[i]+`":`); n > 1 {
-				t.Fatalf("%q is there %d times: %s", held[i], n, merged)
+		for i := range reservedFields {
+			if n := strings.Count(strings.ToLower(string(merged)), `"`+reservedFields[i]+`":`); n > 1 {
+				t.Fatalf("%q occurs %d times: %s", reservedFields[i], n, merged)
 			}
 		}
 	})
@@ -117,7 +114,7 @@
 func TestMergeRefusesWhatIsNoObject(t *testing.T) {
 	for _, passed := range []string{`[1]`, `{"a":1}}`, `x`} {
 		if merged, err := Merge([]byte(`{}`), []byte(passed)); err == nil {
-			t.Errorf("%s merged to %s", passed, merged)
+			t.Errorf("%s was merged to %s, want an error", passed, merged)
 		}
 	}
 }
