--- a/internal/repository/imports_test.go
+++ b/internal/repository/imports_test.go
@@ -10,17 +10,17 @@
 	"testing"
 )
 
-// decisions are the packages whose logic is pure: events in, actions out.
-var decisions = []string{"admit", "attempt", "cachemap", "config", "lease", "member", "prefix", "rollout", "route", "fleet", "protocol", "spread", "quota", "rendezvous"}
+// purePackages are the packages whose logic is pure: events in, actions out.
+var purePackages = []string{"admit", "attempt", "cachemap", "config", "lease", "member", "prefix", "rollout", "route", "fleet", "protocol", "spread", "quota", "rendezvous"}
 
-// barred are what a decision must not be able to reach: the session protocol, the
-// network, the file system, other processes, a goroutine's timers.
-var barred = []string{"skylarklead/internal/wire", "skylarklead/platform", "skylarklead/internal/direct", "net", "net/http", "os", "os/exec", "syscall"}
+// forbiddenImports are packages that pure packages must not use: the session protocol, the network, the
+// file system, other processes and system calls.
+var forbiddenImports = []string{"skylarklead/internal/wire", "skylarklead/platform", "skylarklead/internal/direct", "net", "net/http", "os", "os/exec", "syscall"}
 
-// Symptom: a decision can't be made where the inner protocol isn't spoken, or its test
-// needs a network. Cause: an import that crept in.
+// Guards against an import by which a decision depends on the inner protocol, or its test needs a
+// network.
 func TestDecisionsImportNoIO(t *testing.T) {
-	for _, name := range decisions {
+	for _, name := range purePackages {
 		paths, err := filepath.Glob(filepath.Join("..", name, "*.go"))
 		if err != nil || len(paths) == 0 {
 			t.Fatalf("%s: %v, %d files", name, err, len(paths))
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, b := range barred {
+		for _, b := range forbiddenImports {
 			if imported == b {
 				t.Errorf("%s imports %s", path, b)
 			}
--- a/internal/repository/links_test.go
+++ b/internal/repository/links_test.go
@@ -1,4 +1,5 @@
-// Package repository has tests of the repository's own pages.
+// Package repository has tests of the repository itself: the links between its pages, and the imports
+// of its pure packages.
 package repository
 
 import (
@@ -14,7 +15,7 @@
 
 var link = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
 
-// TestLinksLeadSomewhere follows every relative link of every page.
+// TestLinksLeadSomewhere checks that the target of every relative link of every page exists.
 func TestLinksLeadSomewhere(t *testing.T) {
 	pages := 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
