--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -8,7 +8,8 @@
 
 // Record is one record of a topic of the store.
 type Record struct {
-	Offset uint64 // a position
+	// Offset is a position.
+	Offset uint64
 	// Key is what a record of a keyed topic is about, "" in other topics.
 	Key string
 	// Value is nil if the record says that its key was deleted.
--- a/internal/lease/leases.go
+++ b/internal/lease/leases.go
@@ -357,8 +357,8 @@
 
 // backoff returns the jittered exponential backoff after a number of failed attempts,
 // at most longest.
-func (l *Leases) backoff(tries int, longest time.Duration) time.Duration {
-	d := min(l.params.RetryMin<<min(tries-1, 16), longest)
+func (l *Leases) backoff(attempts int, longest time.Duration) time.Duration {
+	d := min(l.params.RetryMin<<min(attempts-1, 16), longest)
 	return d/2 + time.Duration(l.rng.Int64N(int64(d/2)+1))
 }
 
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -41,8 +41,8 @@
 	SlotDelay time.Duration
 }
 
-// DefaultParams suit loads that initially take about a second. Weights stores serve 2 of 9, 2 of
-// 12, 3 of 18, 7 of 38, 9 of 46 and 11 of 56 replicas at full speed where that is known.
+// DefaultParams assume loads of about a second until loads were observed. Weights stores serve 2 of 9,
+// 2 of 12, 3 of 18, 7 of 38, 9 of 46 and 11 of 56 replicas at full speed where that is known.
 var DefaultParams = Params{
 	LoadShare: 0.18, ReportLag: 300 * time.Millisecond, LoadTime: 1200 * time.Millisecond,
 	MaxLoadTime: 4 * time.Second, LearningRate: 0.3, SlotDelay: 1200 * time.Millisecond, PublishLead: 20 * time.Millisecond, PublishTimeout: 400 * time.Millisecond,
