--- a/internal/rollout/versionhistory.go
+++ b/internal/rollout/versionhistory.go
@@ -35,8 +35,8 @@
 	return true
 }
 
-// MarkReadLate records that a version may have been announced before it was read, at the
-// earliest at a given time, until when the reader had lost contact with the operator's records.
+// MarkReadLate records that a version may have been announced before it was read, but no earlier
+// than a given time, because the reader had no contact with the operator's records in between.
 func (h *VersionHistory) MarkReadLate(version uint64, earliest time.Duration) {
 	for i := range h.announced {
 		if v := &h.announced[i]; v.version == version {
@@ -59,8 +59,9 @@
 	}
 }
 
-// AddPrevious adds the version that was desired before the oldest one known, and the latest time
-// at which it can have been announced. Replicas may serve versions older than both.
+// AddPrevious adds the version that was desired before the oldest one known, with the time of
+// announcement assumed for it, at most that of the next version. Replicas may serve versions older
+// than both.
 func (h *VersionHistory) AddPrevious(version, before uint64, at time.Duration) {
 	if before == 0 || before >= version || len(h.announced) == 0 || h.announced[0].version != version {
 		return
