--- a/internal/entry/actions.go
+++ b/internal/entry/actions.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// tryTimeout bounds one try to reach an executor again; between failure domains
-	// an opening takes some 5 ms.
-	tryTimeout = 500 * time.Millisecond
-	// maxPlacings bounds how many executors in a row may turn out to be unreachable.
-	maxPlacings = 4
-	// reasonRedirected is the reason's suffix when an executor passed a request on.
+	// executorTimeout bounds one call to an executor: opening a session, or
+	// Resolve. Opening a session takes about 5 ms between failure domains.
+	executorTimeout = 500 * time.Millisecond
+	// maxUnreachable bounds how many executors in a row may turn out to be
+	// unreachable before asking for a decision counts as failed.
+	maxUnreachable = 4
+	// reasonRedirected is appended to the reason when an executor redirected the
+	// request.
 	reasonRedirected = "+redirect"
 )
 
-func (d *drive) ask(a attempt.Ask) []attempt.Action {
-	d.life.sleep(a.After)
+func (d *planDriver) ask(a attempt.Ask) []attempt.Action {
+	d.ctx.sleep(a.After)
 	d.job.exclude, d.job.crashed = slices.Clone(a.Exclude), a.Crashed
 	decision := d.placeReachable()
-	if d.life.Err() != nil {
-		return d.over()
+	if d.ctx.Err() != nil {
+		return d.onContextDone()
 	}
 	if decision == nil {
 		return d.step(attempt.AskFailed{})
@@ -34,21 +36,22 @@
 	return d.step(attempt.DecisionReceived{Decision: decision})
 }
 
-// placeReachable asks until it is told an executor that this entry can reach. An
-// owner learns of a dead endpoint later than an entry that dials it; if each such
-// decision cost the request an attempt, a rolling restart would use up the retry
-// budget, seen as "not_run" refusals beside endpoints with room.
-func (d *drive) placeReachable() *protocol.Decision {
-	for range maxPlacings {
-		d.unchoose()
-		decision := d.place(d.life, d.job)
-		if decision == nil || decision.Refusal != nil || d.life.Err() != nil {
+// placeReachable asks for decisions until one names an executor that this entry can
+// reach. Owners detect a dead endpoint later than an entry that dials it. If every
+// decision for an unreachable executor cost the request an attempt, a rolling
+// restart would exhaust the retry budget, and requests would be refused as
+// "not_run" while other endpoints had capacity.
+func (d *planDriver) placeReachable() *protocol.Decision {
+	for range maxUnreachable {
+		d.notifyChooser()
+		decision := d.place(d.ctx, d.job)
+		if decision == nil || decision.Refusal != nil || d.ctx.Err() != nil {
 			return decision
 		}
 		if d.e.chooser != nil && d.job.call == nil {
 			d.chosen = decision.Executor.Endpoint
 		}
-		if d.reach(decision.Executor) {
+		if d.connect(decision.Executor) {
 			return decision
 		}
 		d.job.exclude = append(d.job.exclude, decision.Executor.Endpoint)
@@ -56,43 +59,43 @@
 	return nil
 }
 
-// reach opens the session that a Run to target will take.
-func (d *drive) reach(target protocol.Target) bool {
-	ctx, cancel := context.WithTimeout(d.life, tryTimeout)
+// connect opens the session that the Run to target will use.
+func (d *planDriver) connect(target protocol.Target) bool {
+	ctx, cancel := context.WithTimeout(d.ctx, executorTimeout)
 	defer cancel()
 	_, err := d.e.sessionTo(ctx, target)
-	if err == nil || d.life.Err() != nil {
+	if err == nil || d.ctx.Err() != nil {
 		return err == nil
 	}
-	d.e.directory.failed(target.Endpoint)
+	d.e.directory.connectionFailed(target.Endpoint)
 	d.e.tel.Log.Warn("executor can't be reached", "request", d.job.id, "executor", target.Endpoint, "error", err)
 	return false
 }
 
-func (d *drive) run(a attempt.Run) []attempt.Action {
+func (d *planDriver) run(a attempt.Run) []attempt.Action {
 	d.release()
 	if a.FirstSeq > 0 && d.job.structured {
-		d.beginAgain(a.FirstSeq)
+		d.restartAnswer(a.FirstSeq)
 	}
-	d.noteTarget(a)
-	if d.job.full() {
+	d.recordTarget(a)
+	if d.job.maxTokensReached() {
 		d.conclude(&protocol.End{Outcome: protocol.Done, FinishReason: finishLength})
-		d.left = true
+		d.done = true
 		return nil
 	}
-	session, err := d.e.sessionTo(d.life, a.Target)
+	session, err := d.e.sessionTo(d.ctx, a.Target)
 	if err != nil {
 		return d.step(attempt.NotSent{Attempt: a.Attempt})
 	}
-	d.live = d.e.openLink(a.Attempt, session)
+	d.conn = d.e.openAttempt(a.Attempt, session)
 	d.job.receiver.Begin(a.Attempt)
 	actions := d.step(attempt.Sent{Attempt: a.Attempt, Epoch: session.Peer().Epoch})
-	// A failed write closes the session, which await sees.
-	_ = session.Send(d.job.run(a))
+	// A failed write closes the session; await handles that.
+	_ = session.Send(d.job.newRun(a))
 	return actions
 }
 
-func (d *drive) noteTarget(a attempt.Run) {
+func (d *planDriver) recordTarget(a attempt.Run) {
 	d.job.attempts++
 	if d.job.attempts > 1 {
 		d.e.tel.Metrics.Retries.Inc(1)
@@ -101,52 +104,52 @@
 		d.job.decision.Reason += reasonRedirected
 	}
 	d.job.decision.Executor = a.Target
-	d.job.before = a.FirstSeq - d.job.discarded
+	d.job.priorChunks = a.FirstSeq - d.job.discardedChunks
 }
 
-// beginAgain makes the answer start anew at piece next. Only an answer that is
-// given whole can: of a stream, the caller has the first half already, and the
-// plan doesn't run it again.
-func (d *drive) beginAgain(next uint64) {
-	d.job.beganAgain(next)
+// restartAnswer discards the answer so far and starts it again at chunk next. This
+// is possible only for an answer that is buffered: the caller of a stream already
+// has the first part, and the plan doesn't restart streams.
+func (d *planDriver) restartAnswer(next uint64) {
+	d.job.discardAnswer(next)
 	if out, ok := d.out.(discarder); ok {
 		out.discard()
 	}
 }
 
-func (d *drive) resume(a attempt.Resume) []attempt.Action {
-	d.life.sleep(a.After)
-	session, err := d.e.sameEpoch(d.life, a.Target)
+func (d *planDriver) resume(a attempt.Resume) []attempt.Action {
+	d.ctx.sleep(a.After)
+	session, err := d.e.sessionToEpoch(d.ctx, a.Target)
 	if err != nil {
 		return d.step(attempt.ResumeFailed{Attempt: a.Attempt, EpochGone: errors.Is(err, errEpochGone)})
 	}
-	d.live.move(session)
+	d.conn.switchSession(session)
 	actions := d.step(attempt.ResumeOpened{Attempt: a.Attempt})
-	// A failed write closes the session, which await sees.
-	_ = session.Send(d.job.resume(a.Attempt, a.Target.Epoch))
+	// A failed write closes the session; await handles that.
+	_ = session.Send(d.job.newResume(a.Attempt, a.Target.Epoch))
 	d.e.tel.Log.Info("stream resumed", "request", d.job.id, "executor", a.Target.Endpoint, "seq", a.Seq)
 	return actions
 }
 
-func (d *drive) resolve(a attempt.Resolve) []attempt.Action {
-	d.life.sleep(a.After)
-	answer, epoch, err := d.e.resolveAt(d.life, a)
+func (d *planDriver) resolve(a attempt.Resolve) []attempt.Action {
+	d.ctx.sleep(a.After)
+	answer, epoch, err := d.e.resolveAt(d.ctx, a)
 	if err != nil {
 		return d.step(attempt.ResumeFailed{Attempt: a.Attempt, EpochGone: errors.Is(err, errEpochGone)})
 	}
 	return d.step(attempt.Resolved{Epoch: epoch, Answer: answer})
 }
 
-// cancel tells the executor in the background: it may be behind a cut link, and
-// the caller's final answer doesn't wait for it.
-func (d *drive) cancel(a attempt.Cancel) {
+// cancel notifies the executor in the background: the network to it may be
+// partitioned, and the caller's final answer must not wait for that.
+func (d *planDriver) cancel(a attempt.Cancel) {
 	e := d.e
 	e.background.Go(func() {
-		ctx, done := context.WithTimeout(context.Background(), tryTimeout)
+		ctx, done := context.WithTimeout(context.Background(), executorTimeout)
 		defer done()
-		session, err := e.sameEpoch(ctx, a.Target)
+		session, err := e.sessionToEpoch(ctx, a.Target)
 		if err == nil {
-			_ = session.Send(&protocol.Cancel{Attempt: a.Attempt}) // the executor's own grace ends it
+			_ = session.Send(&protocol.Cancel{Attempt: a.Attempt}) // otherwise the executor ends it after its own grace period
 		}
 	})
 }
--- a/internal/entry/ask.go
+++ b/internal/entry/ask.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// maxOwners is how many endpoints, in rendezvous order, are asked at most.
+	// maxOwners bounds how many endpoints, in rendezvous order, are asked.
 	maxOwners = 3
-	// askTimeout bounds the whole question. Past it the request is run without a
-	// decision: a miss in the cache costs less than the caller's wait.
+	// askTimeout bounds asking all owners. After it the request runs without a
+	// decision: a cache miss costs less than further waiting.
 	askTimeout = 500 * time.Millisecond
-	// reasonNoDecision marks a request that was run where the rendezvous order
-	// pointed since no owner answered in time.
+	// reasonNoDecision marks a request that was sent to the first endpoint in
+	// rendezvous order because no owner answered in time.
 	reasonNoDecision = "no_decision"
-	// noEndpointRetry is when to come back while a group has no endpoint.
-	noEndpointRetry = 2 * time.Second
+	// noEndpointRetryAfter is the retry delay given to callers while a group has no
+	// endpoint.
+	noEndpointRetryAfter = 2 * time.Second
 )
 
-// ask finds an executor for a chat request: by its prefix's owner, or by the
-// baseline policy in force. Nil means that nobody could say.
-func (e *Entry) ask(ctx context.Context, j *job) *protocol.Decision {
+// placeChat finds an executor for a chat request: by asking its prefix's owners, or
+// by the configured baseline policy. It returns nil if there is no decision.
+func (e *Entry) placeChat(ctx context.Context, j *job) *protocol.Decision {
 	live := e.directory.live(j.group)
 	if len(live) == 0 {
 		return noEndpoint(j)
@@ -37,17 +38,17 @@
 		return e.chooser.choose(j, live)
 	}
 	decision := e.askOwners(ctx, j, ownerOrder(j, live))
-	if decision == nil || !j.mayUse(decision.Version) {
+	if decision == nil || !j.mayUseVersion(decision.Version) {
 		return decision
 	}
-	// The group's engines are changing versions, and most have another one. Its
-	// prefixes have other owners.
+	// The group is changing versions and most of its engines have another one.
+	// Prefixes of that version have other owners.
 	j.useVersion(decision.Version)
 	return e.askOwners(ctx, j, ownerOrder(j, live))
 }
 
-// mayUse reports whether the request may be run under another version.
-func (j *job) mayUse(version string) bool {
+// mayUseVersion reports whether the request may run under another version.
+func (j *job) mayUseVersion(version string) bool {
 	return j.anyVersion && version != "" && version != j.version && j.organisation.Allows(j.model, version)
 }
 
@@ -56,12 +57,12 @@
 		Code:         protocol.CodeNoEndpoint,
 		Message:      fmt.Sprintf("no live endpoint in group %q", j.group),
 		Ran:          protocol.NotRun,
-		RetryAfterMs: noEndpointRetry.Milliseconds(),
+		RetryAfterMs: noEndpointRetryAfter.Milliseconds(),
 	}}
 }
 
-// ownerOrder sorts endpoints by rendezvous on the prompt's first level. Those
-// that the request has failed at already come last.
+// ownerOrder sorts endpoints by rendezvous hash of the prompt's first level.
+// Endpoints that this request has already failed at come last.
 func ownerOrder(j *job, live []member.Member) []member.Member {
 	byID := make(map[string]member.Member, len(live))
 	ids := make([]string, len(live))
@@ -80,43 +81,43 @@
 	return append(order, failed...)
 }
 
-// askOwners asks the first of order, and the next ones when it is slow, frozen
-// or gone. An Ask has no effect, so the first decision wins and the others are
-// dropped. Nil means that all refused, each for itself alone.
+// askOwners asks the first endpoint of order, and the next ones when it is slow,
+// hangs or is gone. An Ask has no effect, so the first decision is used and the
+// others are dropped. It returns nil if every owner refused for reasons of its own.
 func (e *Entry) askOwners(ctx context.Context, j *job, order []member.Member) *protocol.Decision {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	q := e.newInquiry(ctx, j, order[:min(maxOwners, len(order))])
+	q := e.newOwnerQuery(ctx, j, order[:min(maxOwners, len(order))])
 	q.askNext(ctx)
 	hedge := time.NewTicker(e.settings.Entry.HedgeAfter.D())
 	defer hedge.Stop()
-	for q.open() {
+	for q.pending() {
 		select {
 		case r := <-q.replies:
-			if q.take(r) {
+			if q.handleReply(r) {
 				return r.decision
 			}
 			q.askNext(ctx)
 		case <-hedge.C:
 			q.hedge(ctx)
 		case <-ctx.Done():
-			return withoutDecision(j, order)
+			return fallbackDecision(j, order)
 		}
 	}
 	if q.refusedByAll() {
 		return nil
 	}
-	return withoutDecision(j, order)
+	return fallbackDecision(j, order)
 }
 
-func (e *Entry) mayHedge(organisation string) bool {
+func (e *Entry) allowHedge(organisation string) bool {
 	e.budgetMu.Lock()
 	defer e.budgetMu.Unlock()
 	return e.budget.Allow(attempt.ExtraHedge, organisation, e.now())
 }
 
-// withoutDecision runs the request at the head of the rendezvous order.
-func withoutDecision(j *job, order []member.Member) *protocol.Decision {
+// fallbackDecision sends the request to the first endpoint of order.
+func fallbackDecision(j *job, order []member.Member) *protocol.Decision {
 	return &protocol.Decision{
 		Request:  j.id,
 		Executor: protocol.Target{Endpoint: order[0].ID, Address: order[0].Address},
--- a/internal/entry/await.go
+++ b/internal/entry/await.go
@@ -8,114 +8,116 @@
 	"skylarklead/internal/protocol"
 )
 
-// await waits for what happens next to the live attempt.
-func (d *drive) await() []attempt.Action {
-	l := d.live
-	// What has come is delivered before a lost session or a hang-up counts.
+// await waits for the next event of the current attempt and handles it.
+func (d *planDriver) await() []attempt.Action {
+	conn := d.conn
+	// Messages already received are delivered before a lost session or a
+	// disconnected caller is handled.
 	select {
-	case a := <-l.mailbox.arrivals:
-		return d.arrived(a)
+	case in := <-conn.mailbox.messages:
+		return d.onMessage(in)
 	default:
 	}
-	gap := time.NewTimer(gapCheck)
-	defer gap.Stop()
+	idle := time.NewTimer(idleCheckInterval)
+	defer idle.Stop()
 	select {
-	case a := <-l.mailbox.arrivals:
-		return d.arrived(a)
-	case <-l.session.Done():
-		return d.step(attempt.SessionLost{Attempt: l.id})
-	case <-gap.C:
-		d.e.look(l)
+	case in := <-conn.mailbox.messages:
+		return d.onMessage(in)
+	case <-conn.session.Done():
+		return d.step(attempt.SessionLost{Attempt: conn.id})
+	case <-idle.C:
+		d.e.checkLiveness(conn)
 		if d.job.receiver.MustResume(d.e.now()) {
-			return d.step(attempt.SessionLost{Attempt: l.id})
+			return d.step(attempt.SessionLost{Attempt: conn.id})
 		}
-	case <-l.mailbox.overflowed:
-		return d.overflowed(l)
-	case <-l.mailbox.superseded:
-		d.superseded()
-	case <-d.life.away:
-		return d.awayFrom(l)
-	case <-d.life.Done():
-		return d.over()
+	case <-conn.mailbox.overflowed:
+		return d.onOverflow(conn)
+	case <-conn.mailbox.superseded:
+		d.onSuperseded()
+	case <-d.ctx.callerGone:
+		return d.awaitReturn(conn)
+	case <-d.ctx.Done():
+		return d.onContextDone()
 	}
 	return nil
 }
 
-// overflowed gives up an attempt whose executor doesn't keep to its window. Its
-// session stays: other streams go over it.
-func (d *drive) overflowed(l *link) []attempt.Action {
-	d.cancel(attempt.Cancel{Attempt: l.id, Target: d.target()})
-	end := &protocol.End{Attempt: l.id, Outcome: protocol.Unknown, Message: errOverflow.Error()}
-	return d.step(attempt.Ended{Epoch: l.peer.Epoch, End: end})
+// onOverflow abandons an attempt whose executor exceeded its window. The session
+// stays open, since it carries other streams.
+func (d *planDriver) onOverflow(conn *attemptConn) []attempt.Action {
+	d.cancel(attempt.Cancel{Attempt: conn.id, Target: d.target()})
+	end := &protocol.End{Attempt: conn.id, Outcome: protocol.Unknown, Message: errOverflow.Error()}
+	return d.step(attempt.Ended{Epoch: conn.peer.Epoch, End: end})
 }
 
-// target is the very process that the live attempt was sent to.
-func (d *drive) target() protocol.Target {
+// target is the process, including its epoch, that the current attempt was sent to.
+func (d *planDriver) target() protocol.Target {
 	target := d.job.decision.Executor
-	target.Epoch = d.live.peer.Epoch
+	target.Epoch = d.conn.peer.Epoch
 	return target
 }
 
-// superseded ends a stream that was taken over. Its first caller is most likely
-// gone; if not, it must not take what it has for the whole.
-func (d *drive) superseded() {
+// onSuperseded fails a stream that was taken over by a resume. The first caller is
+// most likely gone; if it isn't, it must not mistake the part that it has for the
+// whole answer.
+func (d *planDriver) onSuperseded() {
 	d.fail(supersededError())
-	d.left = true
+	d.done = true
 }
 
-// awayFrom waits, without reading on, for a caller who may come back through this
-// entry or another.
-func (d *drive) awayFrom(l *link) []attempt.Action {
+// awaitReturn stops reading and waits for the caller to resume, through this entry
+// or another, until the grace period ends.
+func (d *planDriver) awaitReturn(conn *attemptConn) []attempt.Action {
 	select {
-	case <-l.mailbox.superseded:
-		d.superseded()
+	case <-conn.mailbox.superseded:
+		d.onSuperseded()
 		return nil
-	case <-d.life.Done():
-		return d.over()
+	case <-d.ctx.Done():
+		return d.onContextDone()
 	}
 }
 
-func (d *drive) arrived(a arrival) []attempt.Action {
-	d.live.quiet = 0
-	got, err := d.take(d.live, a)
+func (d *planDriver) onMessage(in receivedMessage) []attempt.Action {
+	d.conn.idleChecks = 0
+	got, err := d.handleMessage(d.conn, in)
 	if err != nil {
-		return d.undeliverable(err)
+		return d.onWriteError(err)
 	}
 	var actions []attempt.Action
 	if got.started {
-		actions = append(actions, d.step(attempt.Started{Attempt: d.live.id})...)
+		actions = append(actions, d.step(attempt.Started{Attempt: d.conn.id})...)
 	}
 	if got.chunks > 0 {
 		actions = append(actions, d.step(attempt.ChunkDelivered{Next: d.job.receiver.Next()})...)
 	}
 	if got.end != nil {
-		d.noteEnd(got.end)
-		actions = append(actions, d.step(attempt.Ended{Epoch: a.epoch, End: got.end})...)
+		d.recordLeaving(got.end)
+		actions = append(actions, d.step(attempt.Ended{Epoch: in.epoch, End: got.end})...)
 	}
 	return actions
 }
 
-// undeliverable handles a caller that can't be written to: one who stopped
-// reading may come back, an answer that is too long never fits.
-func (d *drive) undeliverable(err error) []attempt.Action {
-	if errors.Is(err, errTooLong) {
-		d.cancel(attempt.Cancel{Attempt: d.live.id, Target: d.target()})
+// onWriteError handles a caller that can't be written to. One that stopped reading
+// may resume the stream; a buffered answer that exceeds its limit fails for good.
+func (d *planDriver) onWriteError(err error) []attempt.Action {
+	if errors.Is(err, errAnswerTooLong) {
+		d.cancel(attempt.Cancel{Attempt: d.conn.id, Target: d.target()})
 		d.fail(&Error{Code: protocol.CodeTooLarge, Message: err.Error(), Ran: protocol.Unknown})
-		d.left = true
+		d.done = true
 		return nil
 	}
-	d.e.tel.Log.Info("caller can't be written to", "request", d.job.id, "error", err)
+	d.e.tel.Log.Info("writing to the caller failed", "request", d.job.id, "error", err)
 	if !d.job.streamed {
 		d.step(attempt.CallerGone{})
 		return d.step(attempt.GraceExpired{})
 	}
-	grace := time.AfterFunc(d.life.grace, func() { d.life.cancel(errCaller) })
+	grace := time.AfterFunc(d.ctx.grace, func() { d.ctx.cancel(errCaller) })
 	defer grace.Stop()
-	return d.awayFrom(d.live)
+	return d.awaitReturn(d.conn)
 }
 
-func (d *drive) noteEnd(end *protocol.End) {
+func (d *planDriver) recordLeaving(end *protocol.End) {
 	if end.Outcome == protocol.NotRun && end.Code == protocol.CodeDraining {
-		d.e.directory.left(d.live.peer.ID, d.live.peer.Epoch)
+		d.e.directory.leavingAnnounced(d.conn.peer.ID, d.conn.peer.Epoch)
 	}
 }
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -14,32 +14,31 @@
 )
 
 const (
-	// maxMessages bounds the messages of one chat request.
 	maxMessages = 4096
-	// maxPriority bounds the priority either way.
+	// maxPriority bounds the absolute value of the priority.
 	maxPriority = 1000
 )
 
-// roles are the message roles that engines know. Anything else could write the
-// prompt's own markers into the flattened text, and so match another prompt's
-// cached blocks.
-var roles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true, "tool": true}
+// knownRoles are the message roles that engines know. Any other text could inject
+// the prompt format's own markers into the flattened prompt, and so match the
+// cached blocks of another prompt.
+var knownRoles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true, "tool": true}
 
-// chatBody is a parsed chat-completions body.
+// chatBody is a parsed and validated chat-completions body.
 type chatBody struct {
 	// Model and Version are split from "model" or "model@version".
 	Model, Version string
 	Messages       []prefix.Message
 	Stream         bool
 	IncludeUsage   bool
-	// MaxTokens is 0 if the caller states none.
+	// MaxTokens is 0 if the caller sets no limit.
 	MaxTokens int
 	Priority  int
-	// Parameters are the fields for the engine, as package parameters picks them.
+	// Parameters are the fields for the engine, as selected by package parameters.
 	Parameters []byte
 }
 
-// chatJSON is what the system reads of the body on the wire.
+// chatJSON is the part of the JSON body that the entry reads.
 type chatJSON struct {
 	Model               string        `json:"model"`
 	Messages            []messageJSON `json:"messages"`
@@ -56,15 +55,16 @@
 type messageJSON struct {
 	Role    string      `json:"role"`
 	Content contentJSON `json:"content"`
-	// These are refused: without the tools that they belong to, the prompt would
-	// not be what the caller means.
+	// These are rejected: tools are not supported, and without them the prompt
+	// would not be what the caller means.
 	ToolCalls    []json.RawMessage `json:"tool_calls"`
 	FunctionCall any               `json:"function_call"`
 	ToolCallID   string            `json:"tool_call_id"`
 }
 
-// unsupported names a message's field that can't be served, "" if there is none.
-func (m *messageJSON) unsupported() string {
+// unsupportedField names the first field of the message that is not supported, or
+// "".
+func (m *messageJSON) unsupportedField() string {
 	switch {
 	case len(m.ToolCalls) > 0:
 		return "tool_calls"
@@ -76,7 +76,7 @@
 	return ""
 }
 
-// contentJSON is a string, or a list of text parts that are put together.
+// contentJSON is a string, or a list of text parts that are concatenated.
 type contentJSON string
 
 var errContent = errors.New(`content must be a string or a list of {"type":"text","text":…}`)
@@ -109,18 +109,18 @@
 	return nil
 }
 
-// parseChat reads a chat-completions body. Its errors are made for the caller:
-// they name the field, or the byte where the JSON is wrong.
+// parseChat parses and validates a chat-completions body. Its errors are shown to
+// the caller: they name the field, or the byte where the JSON is invalid.
 func parseChat(data []byte) (*chatBody, error) {
 	var raw chatJSON
 	dec := json.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(&raw); err != nil {
-		return nil, explainJSON(err, len(data))
+		return nil, describeJSONError(err, len(data))
 	}
 	if _, err := dec.Token(); err != io.EOF {
 		return nil, fmt.Errorf("more than one JSON value, the second after byte %d", dec.InputOffset())
 	}
-	body, err := raw.check()
+	body, err := raw.validate()
 	if err != nil {
 		return nil, err
 	}
@@ -128,14 +128,14 @@
 	return body, err
 }
 
-func explainJSON(err error, size int) error {
+func describeJSONError(err error, size int) error {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		return fmt.Errorf("bad JSON at byte %d: %w", syntax.Offset, err)
 	case errors.As(err, &kind):
-		return fmt.Errorf("%s at byte %d must be %s, not %s", fieldName(kind.Field), kind.Offset, jsonKind(kind.Type), kind.Value)
+		return fmt.Errorf("%s at byte %d must be %s, not %s", fieldName(kind.Field), kind.Offset, jsonTypeName(kind.Type), kind.Value)
 	case errors.Is(err, io.EOF):
 		return errors.New("empty body")
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -151,11 +151,11 @@
 	return fmt.Sprintf("field %q", field)
 }
 
-// jsonKind names what JSON has to have for a Go type.
-func jsonKind(t reflect.Type) string {
+// jsonTypeName names the JSON type that decodes into a Go type.
+func jsonTypeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return jsonKind(t.Elem())
+		return jsonTypeName(t.Elem())
 	case reflect.Struct, reflect.Map:
 		return "an object"
 	case reflect.Slice, reflect.Array:
@@ -168,7 +168,7 @@
 	return "a " + t.Kind().String()
 }
 
-func (c *chatJSON) check() (*chatBody, error) {
+func (c *chatJSON) validate() (*chatBody, error) {
 	body := &chatBody{Stream: c.Stream, Priority: c.Priority}
 	body.IncludeUsage = c.StreamOptions != nil && c.StreamOptions.IncludeUsage
 	body.Model, body.Version, _ = strings.Cut(c.Model, "@")
@@ -191,12 +191,12 @@
 		}
 		body.MaxTokens = *limit
 	}
-	messages, err := checkMessages(c.Messages)
+	messages, err := validateMessages(c.Messages)
 	body.Messages = messages
 	return body, err
 }
 
-func checkMessages(raw []messageJSON) ([]prefix.Message, error) {
+func validateMessages(raw []messageJSON) ([]prefix.Message, error) {
 	if len(raw) == 0 {
 		return nil, errors.New(`field "messages" is missing or empty`)
 	}
@@ -205,10 +205,10 @@
 	}
 	messages := make([]prefix.Message, len(raw))
 	for i, m := range raw {
-		if !roles[m.Role] {
+		if !knownRoles[m.Role] {
 			return nil, fmt.Errorf("messages[%d]: unknown role %q", i, m.Role)
 		}
-		if field := m.unsupported(); field != "" {
+		if field := m.unsupportedField(); field != "" {
 			return nil, fmt.Errorf("messages[%d]: %q is not supported", i, field)
 		}
 		messages[i] = prefix.Message{Role: m.Role, Content: string(m.Content)}
--- a/internal/entry/body_test.go
+++ b/internal/entry/body_test.go
@@ -68,7 +68,7 @@
 		body, err := parseChat(data)
 		if err != nil {
 			if body != nil && len(body.Messages) > 0 {
-				t.Fatalf("messages beside the error %v", err)
+				t.Fatalf("got messages although parsing failed: %v", err)
 			}
 			return
 		}
@@ -76,7 +76,7 @@
 			t.Fatalf("accepted %+v", body)
 		}
 		for _, m := range body.Messages {
-			if !roles[m.Role] {
+			if !knownRoles[m.Role] {
 				t.Fatalf("accepted role %q", m.Role)
 			}
 		}
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -22,26 +22,26 @@
 	}
 	body, err := parseChat(data)
 	if err != nil {
-		return refuse(protocol.CodeBadRequest, "%v", err)
+		return refusef(protocol.CodeBadRequest, "%v", err)
 	}
-	j, refusal := chatJob(req, body)
+	j, refusal := newChatJob(req, body)
 	if refusal != nil {
 		return refusal
 	}
-	e.drive(r.Context(), j, e.ask, newAnswerSink(e.newWriter(w), req, body))
+	e.execute(r.Context(), j, e.placeChat, newAnswerSink(e.newWriter(w), req, body))
 	return nil
 }
 
 func newAnswerSink(w writer, req *request, body *chatBody) sink {
-	shape := newChatShape(req.id, body.Model)
+	meta := newChatMeta(req.id, body.Model)
 	if body.Stream {
-		return newSSESink(w, shape, req.id, body.IncludeUsage)
+		return newSSESink(w, meta, req.id, body.IncludeUsage)
 	}
-	return newChatSink(w, shape, req.id)
+	return newChatSink(w, meta, req.id)
 }
 
-// chatJob checks a chat request against the configuration.
-func chatJob(req *request, body *chatBody) (*job, *Error) {
+// newChatJob checks a chat request against the configuration and makes a job of it.
+func newChatJob(req *request, body *chatBody) (*job, *Error) {
 	model, version, refusal := allowedModel(req, body)
 	if refusal != nil {
 		return nil, refusal
@@ -54,55 +54,55 @@
 		anyVersion: body.Version == "",
 		messages:   body.Messages,
 		priority:   body.Priority,
-		maxTokens:  boundTokens(body.MaxTokens, model.MaxTokens),
+		maxTokens:  capTokens(body.MaxTokens, model.MaxTokens),
 		repeatable: req.key == nil,
 		streamed:   body.Stream,
 		receiver:   attempt.NewReceiver(window),
 		parameters: body.Parameters,
 		structured: parameters.Structured(body.Parameters),
 	}
-	j.promptTokens = prefix.EstimateTokens(wholePrompt(req.organisation, body.Messages))
+	j.promptTokens = prefix.EstimateTokens(promptWithInstructions(req.organisation, body.Messages))
 	j.fingerprint = chatFingerprint(j)
 	j.useVersion(version)
 	return j, nil
 }
 
-// useVersion sets the version to ask for; its weights salt the prompt's levels.
+// useVersion sets the version to request. The prompt's levels are salted with it.
 func (j *job) useVersion(version string) {
 	j.version = version
 	salt := prefix.Salt{Organisation: j.organisation.ID, Model: j.model, Weights: version}
-	j.levels = prefix.Levels(salt.Root(), wholePrompt(j.organisation, j.messages))
+	j.levels = prefix.Levels(salt.Root(), promptWithInstructions(j.organisation, j.messages))
 }
 
 func allowedModel(req *request, body *chatBody) (*config.Model, string, *Error) {
 	model := req.state.Models[body.Model]
 	if model == nil {
-		return nil, "", refuse(protocol.CodeUnknownModel, "unknown model %q", body.Model)
+		return nil, "", refusef(protocol.CodeUnknownModel, "unknown model %q", body.Model)
 	}
 	version := body.Version
 	if version == "" {
 		version = model.Version
 	}
 	if !slices.Contains(model.Versions, version) && version != model.Version {
-		return nil, "", refuse(protocol.CodeUnknownModel, "model %q has no version %q", body.Model, version)
+		return nil, "", refusef(protocol.CodeUnknownModel, "model %q has no version %q", body.Model, version)
 	}
 	if !req.organisation.Allows(model.ID, version) {
-		return nil, "", refuse(protocol.CodeForbiddenModel, "organisation may not use %s@%s", model.ID, version)
+		return nil, "", refusef(protocol.CodeForbiddenModel, "organisation may not use %s@%s", model.ID, version)
 	}
 	return model, version, nil
 }
 
-// boundTokens keeps an answer within the model's bound; 0 is no bound.
-func boundTokens(asked, bound int) int {
+// capTokens limits the requested tokens to the model's limit; 0 means unlimited.
+func capTokens(asked, bound int) int {
 	if asked == 0 || bound > 0 && asked > bound {
 		return bound
 	}
 	return asked
 }
 
-// wholePrompt puts the organisation's standing instructions before the caller's
-// messages, as the executor does, so that both hash the same bytes.
-func wholePrompt(o *config.Organisation, messages []prefix.Message) []prefix.Message {
+// promptWithInstructions prepends the organisation's standing instructions to the
+// caller's messages. The executor does the same, so that both hash the same bytes.
+func promptWithInstructions(o *config.Organisation, messages []prefix.Message) []prefix.Message {
 	prompt := make([]prefix.Message, 0, len(o.Instructions)+len(messages))
 	for _, text := range o.Instructions {
 		prompt = append(prompt, prefix.Message{Role: "system", Content: text})
@@ -110,9 +110,9 @@
 	return append(prompt, messages...)
 }
 
-// chatFingerprint is the same when the same request is sent again. It covers all
-// of the body that the answer depends on; the messages come last, since nothing
-// before them can have a zero byte in it.
+// chatFingerprint hashes everything in the body that the answer depends on, so that
+// a repeated request has the same fingerprint. The messages come last: the fields
+// before them contain no zero bytes, so the separators are unambiguous.
 func chatFingerprint(j *job) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(j.organisation.ID + "\x00" + j.model + "\x00" + j.version + "\x00")
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -10,17 +10,17 @@
 
 // configuration is the part of follow.Follower that an entry uses.
 type configuration interface {
-	// State is the newest accepted state, nil before the first.
+	// State returns the newest accepted state, nil before the first.
 	State() *config.State
-	// Ready is closed when there is a first state.
+	// Ready is closed once there is a state.
 	Ready() <-chan struct{}
-	// Source says where the state came from, LogReachable whether the log answers.
+	// Source says where the state came from; LogReachable whether the log answers.
 	Source() string
 	LogReachable() bool
-	// Heard notes the offset of a peer that can be asked by fetch.
+	// Heard records the configuration offset of a peer, which fetch can retrieve.
 	Heard(offset uint64, fetch follow.Fetch)
 	// Fetch answers a peer's ConfigFetch.
 	Fetch(m *protocol.ConfigFetch) (*protocol.ConfigState, error)
-	// Run follows until ctx ends.
+	// Run follows the configuration until ctx ends.
 	Run(ctx context.Context) error
 }
--- a/internal/entry/directory.go
+++ b/internal/entry/directory.go
@@ -12,13 +12,12 @@
 	"skylarklead/internal/protocol"
 )
 
-// directory is the entry's view of the endpoint processes, shared by its
-// requests.
+// directory is the entry's view of the endpoint processes, shared by all requests.
 type directory struct {
 	now func() time.Duration
 
-	// known is closed when there is a first endpoint.
-	known chan struct{}
+	// hasEndpoint is closed once an endpoint has been listed.
+	hasEndpoint chan struct{}
 
 	mu   sync.Mutex
 	view *member.View
@@ -26,11 +25,11 @@
 
 func newDirectory(self string, now func() time.Duration) *directory {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &directory{now: now, known: make(chan struct{}), view: member.NewView(self, member.DefaultParams, rng)}
+	return &directory{now: now, hasEndpoint: make(chan struct{}), view: member.NewView(self, member.DefaultParams, rng)}
 }
 
-// listed takes the platform's list.
-func (d *directory) listed(list []platform.Instance) {
+// setInstances applies the platform's instance list.
+func (d *directory) setInstances(list []platform.Instance) {
 	var endpoints []member.Instance
 	for _, in := range list {
 		if in.Role != platform.RoleEndpoint {
@@ -48,25 +47,25 @@
 	defer d.mu.Unlock()
 	d.view.InstancesListed(endpoints, d.now())
 	select {
-	case <-d.known:
+	case <-d.hasEndpoint:
 	default:
 		if len(endpoints) > 0 {
-			close(d.known)
+			close(d.hasEndpoint)
 		}
 	}
 }
 
-// empty reports whether no endpoint is known.
-func (d *directory) empty() bool {
+// isEmpty reports whether no endpoint is known.
+func (d *directory) isEmpty() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// A bootstrap peer that was only dialled has no group yet.
+	// A bootstrap peer that was dialled but not listed has no group yet.
 	return !slices.ContainsFunc(d.view.Members(d.now()), func(m member.Member) bool { return m.Group != "" })
 }
 
-// live returns a group's endpoints that may get work, in order of ID. If none
-// seems reachable, all that aren't leaving are tried: an entry whose own link was
-// cut for a moment would otherwise refuse callers after it is back.
+// live returns a group's endpoints that may get work, sorted by ID. If none seems
+// reachable, it returns all that aren't leaving: an entry whose own network was
+// briefly cut would otherwise keep refusing requests after it is restored.
 func (d *directory) live(group string) []member.Member {
 	now := d.now()
 	d.mu.Lock()
@@ -81,20 +80,20 @@
 	return usable
 }
 
-// shunned returns a group's endpoints that can't be reached from here or have said
-// that they leave: an owner, which may not know yet, is not to choose them. With
-// nothing else left in the group none are.
-func (d *directory) shunned(group string) []string {
+// unavailable returns a group's endpoints that this entry can't reach or that
+// announced that they are leaving. Owners, which may not know yet, are asked not to
+// choose them. It returns nil if the group has no other endpoints.
+func (d *directory) unavailable(group string) []string {
 	now := d.now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var shunned []string
+	var unavailable []string
 	others := 0
 	for _, m := range d.view.Members(now) {
 		switch {
 		case m.Group != group:
 		case m.State == member.Dead || m.State == member.Leaving:
-			shunned = append(shunned, m.ID)
+			unavailable = append(unavailable, m.ID)
 		default:
 			others++
 		}
@@ -102,25 +101,25 @@
 	if others == 0 {
 		return nil
 	}
-	return shunned
+	return unavailable
 }
 
-// lookup finds an endpoint by its ID.
 func (d *directory) lookup(id string) (member.Member, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.view.Get(id, d.now())
 }
 
-// failed takes a failed connection or an answer that didn't come.
-func (d *directory) failed(id string) {
+// connectionFailed records that an endpoint could not be connected to or did not
+// answer.
+func (d *directory) connectionFailed(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view.ConnectionFailed(id, d.now())
 }
 
-// seen takes what a session's opening showed.
-func (d *directory) seen(peer protocol.Identity) {
+// epochObserved records the peer's epoch as shown when a session opened.
+func (d *directory) epochObserved(peer protocol.Identity) {
 	if peer.Role != protocol.RoleEndpoint {
 		return
 	}
@@ -129,15 +128,15 @@
 	d.view.EpochObserved(peer.ID, peer.Epoch, d.now())
 }
 
-// left takes an endpoint's own word that it is leaving.
-func (d *directory) left(id string, epoch protocol.Epoch) {
+// leavingAnnounced records that an endpoint itself announced that it is leaving.
+func (d *directory) leavingAnnounced(id string, epoch protocol.Epoch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.view.LeavingAnnounced(id, epoch, d.now())
 }
 
-// reported takes an owner's word on endpoints of its group.
-func (d *directory) reported(ids []string) {
+// unavailableReported records the endpoints that an owner reports as unavailable.
+func (d *directory) unavailableReported(ids []string) {
 	if len(ids) == 0 {
 		return
 	}
@@ -146,7 +145,7 @@
 	d.view.UnavailableReported(ids, d.now())
 }
 
-// status lists what is thought of each endpoint.
+// status lists the state of each endpoint as this entry sees it.
 func (d *directory) status() []protocol.MemberStatus {
 	now := d.now()
 	d.mu.Lock()
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -10,41 +10,46 @@
 )
 
 const (
-	// maxInFlight bounds the memory that callers' bodies and streams can take: a
-	// hundred times what an entry has at the target load.
+	// maxInFlight bounds the memory for request bodies and streams. It is a hundred
+	// times the requests in flight at the target load.
 	maxInFlight = 4096
-	// drainRetry is when a caller turned away here may come back: soon, since the
-	// balancer will pick another entry.
-	drainRetry = time.Second
+	// drainRetryAfter is the retry delay for a caller that is refused while this
+	// entry drains or is full. It is short because the load balancer will pick
+	// another entry.
+	drainRetryAfter = time.Second
 )
 
-// drain counts the requests in flight and turns new ones away once the process
-// is to end.
+// drain counts the requests in flight and refuses new ones once the process shuts
+// down.
 type drain struct {
 	mu       sync.Mutex
 	inFlight int
+	// refusing is set once new requests are refused; leaving, before that, once
+	// readiness checks fail.
 	refusing bool
 	leaving  bool
-	idle     chan struct{}
+	// idle is closed when refusing is set and no request is in flight.
+	idle chan struct{}
 }
 
 func newDrain() *drain { return &drain{idle: make(chan struct{})} }
 
-// enter admits a request, which must leave, or tells why not.
-func (d *drain) enter() *Error {
+// requestStarted admits a request, or returns the refusal. An admitted request must
+// call requestEnded.
+func (d *drain) requestStarted() *Error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.refusing {
-		return refuse(protocol.CodeDraining, "this entry is shutting down").after(drainRetry)
+		return refusef(protocol.CodeDraining, "this entry is shutting down").withRetryAfter(drainRetryAfter)
 	}
 	if d.inFlight >= maxInFlight {
-		return refuse(protocol.CodeOverloaded, "this entry has %d requests in flight", d.inFlight).after(drainRetry)
+		return refusef(protocol.CodeOverloaded, "this entry has %d requests in flight", d.inFlight).withRetryAfter(drainRetryAfter)
 	}
 	d.inFlight++
 	return nil
 }
 
-func (d *drain) leave() {
+func (d *drain) requestEnded() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.inFlight--
@@ -53,15 +58,17 @@
 	}
 }
 
-// announce makes the balancer turn away; requests are still served.
-func (d *drain) announce() {
+// announceLeaving makes readiness checks fail so that the load balancer stops
+// sending requests; requests are still served.
+func (d *drain) announceLeaving() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = true
 }
 
-// refuse turns new requests away. Idle is closed when the last one has left.
-func (d *drain) refuse() {
+// refuseNew refuses new requests. Idle is closed when the last one in flight has
+// ended.
+func (d *drain) refuseNew() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.refusing {
@@ -85,21 +92,22 @@
 	return d.inFlight
 }
 
-// shutDown ends a server without cutting a request: it says that it is not
-// ready, waits for the balancer to turn away, refuses what still comes, and
-// returns when the last answer is out.
+// shutDown stops a server without aborting requests: it reports not ready, waits
+// for the load balancer to react, refuses requests that still arrive, and returns
+// when the last answer is complete.
 func (e *Entry) shutDown(server *http.Server) {
-	e.drain.announce()
+	e.drain.announceLeaving()
 	server.SetKeepAlivesEnabled(false)
 	e.tel.Log.Info("draining", "in_flight", e.drain.count())
 	time.Sleep(e.settings.Entry.DrainDelay.D())
-	e.drain.refuse()
-	// Streams whose callers are gone are left to their executors' grace.
+	e.drain.refuseNew()
+	// Streams whose callers are gone are left to their executors, which end them
+	// after the grace period.
 	close(e.stopping)
-	// Closes the listener, and waits for answers however long they take: to cut
-	// one would be worse than to exit late.
+	// This closes the listener and waits for answers however long they take:
+	// aborting one would be worse than exiting late.
 	if err := server.Shutdown(context.Background()); err != nil {
-		e.tel.Log.Warn("callers' listener", "error", err)
+		e.tel.Log.Warn("closing the callers' listener failed", "error", err)
 	}
 	<-e.drain.idle
 	e.tel.Log.Info("drained")
--- a/internal/entry/drive.go
+++ b/internal/entry/drive.go
@@ -9,33 +9,34 @@
 	"skylarklead/internal/protocol"
 )
 
-// placer finds a job's next executor. Nil means that nobody could say.
+// placer finds the next executor for a job. It returns nil if there is no decision.
 type placer func(ctx context.Context, j *job) *protocol.Decision
 
-// drive is one request's way from its plan's actions to their effects. One
-// goroutine runs it.
-type drive struct {
-	*answer
-	life  *life
+// planDriver carries out the actions of one request's plan and reports their
+// results to it. It is owned by one goroutine.
+type planDriver struct {
+	*answerWriter
+	ctx   *requestContext
 	plan  *attempt.Plan
 	place placer
-	// live is the attempt whose messages are awaited, nil before the first.
-	live *link
-	// chosen is where a baseline policy placed the request, empty without one.
+	// conn is the current attempt, nil before the first.
+	conn *attemptConn
+	// chosen is the endpoint that a baseline policy chose, empty without such a
+	// policy.
 	chosen string
-	// left is set when nobody is to be answered any more.
-	left bool
+	// done is set once the caller needs no further answer.
+	done bool
 }
 
-// drive runs a job until its caller has the whole answer or an explicit error.
-func (e *Entry) drive(caller context.Context, j *job, place placer, out sink) {
-	d := &drive{answer: &answer{e: e, job: j, out: out}, place: place}
+// execute runs a job until its caller has the complete answer or an explicit error.
+func (e *Entry) execute(caller context.Context, j *job, place placer, out sink) {
+	d := &planDriver{answerWriter: &answerWriter{e: e, job: j, out: out}, place: place}
 	grace := time.Duration(0)
 	if j.streamed {
 		grace = e.settings.Entry.ResumeGrace.D()
 	}
-	d.life = e.newLife(caller, j.deadline, grace)
-	defer d.life.cancel(nil)
+	d.ctx = e.newRequestContext(caller, j.deadline, grace)
+	defer d.ctx.cancel(nil)
 	e.tel.Metrics.Requests.Mark(1)
 	spec := attempt.PlanSpec{
 		Organisation: j.organisation.ID,
@@ -45,41 +46,41 @@
 	}
 	d.plan = attempt.NewPlan(spec, attempt.DefaultPlanParams, e.budget, newAttemptSource())
 	defer d.release()
-	defer d.unchoose()
+	defer d.notifyChooser()
 	d.perform(d.begin())
-	for !d.plan.Final() && !d.left {
+	for !d.plan.Final() && !d.done {
 		d.perform(d.await())
 	}
 }
 
-// begin and step guard the retry budget, which all requests share.
-func (d *drive) begin() []attempt.Action {
+// begin and step hold the lock of the retry budget, which all requests share.
+func (d *planDriver) begin() []attempt.Action {
 	d.e.budgetMu.Lock()
 	defer d.e.budgetMu.Unlock()
 	return d.plan.Begin(d.e.now())
 }
 
-func (d *drive) step(ev attempt.Event) []attempt.Action {
+func (d *planDriver) step(ev attempt.Event) []attempt.Action {
 	d.e.budgetMu.Lock()
 	defer d.e.budgetMu.Unlock()
 	return d.plan.Step(ev, d.e.now())
 }
 
-// perform carries out actions, and those that follow from them, in order.
-func (d *drive) perform(actions []attempt.Action) {
-	for len(actions) > 0 && !d.left {
+// perform carries out actions and those that result from them, in order.
+func (d *planDriver) perform(actions []attempt.Action) {
+	for len(actions) > 0 && !d.done {
 		next := actions[0]
 		actions = append(actions[1:], d.do(next)...)
 	}
 }
 
-func (d *drive) do(action attempt.Action) []attempt.Action {
-	if _, finish := action.(attempt.Finish); !finish && d.life.Err() != nil {
+func (d *planDriver) do(action attempt.Action) []attempt.Action {
+	if _, finish := action.(attempt.Finish); !finish && d.ctx.Err() != nil {
 		if cancel, ok := action.(attempt.Cancel); ok {
 			d.cancel(cancel)
 			return nil
 		}
-		return d.over()
+		return d.onContextDone()
 	}
 	switch a := action.(type) {
 	case attempt.Ask:
@@ -98,39 +99,41 @@
 	return nil
 }
 
-// over tells the plan why the request's life has ended.
-func (d *drive) over() []attempt.Action {
-	switch cause := context.Cause(d.life); {
+// onContextDone reports to the plan why the request's context ended.
+func (d *planDriver) onContextDone() []attempt.Action {
+	switch cause := context.Cause(d.ctx); {
 	case errors.Is(cause, errDeadline):
 		return d.step(attempt.DeadlinePassed{})
 	case errors.Is(cause, errStopping):
-		// The sessions end with this process; the executor counts the grace.
-		d.left = true
+		// The sessions end with this process; the executor applies the grace
+		// period.
+		d.done = true
 		return nil
 	}
 	d.step(attempt.CallerGone{})
 	return d.step(attempt.GraceExpired{})
 }
 
-func (d *drive) finish(f attempt.Finish) {
+func (d *planDriver) finish(f attempt.Finish) {
 	if f.Refusal != nil {
-		d.fail(fromRefusal(f.Refusal))
+		d.fail(errorFromRefusal(f.Refusal))
 		return
 	}
 	d.conclude(f.End)
 }
 
-// release forgets the live attempt.
-func (d *drive) release() {
-	if d.live == nil {
+// release detaches from the current attempt.
+func (d *planDriver) release() {
+	if d.conn == nil {
 		return
 	}
-	d.e.closeLink(d.live)
-	d.live = nil
+	d.e.closeAttempt(d.conn)
+	d.conn = nil
 }
 
-// unchoose tells a baseline policy that the request it placed is over there.
-func (d *drive) unchoose() {
+// notifyChooser tells the baseline policy that the request has ended at the
+// endpoint that it chose.
+func (d *planDriver) notifyChooser() {
 	if d.chosen != "" {
 		d.e.chooser.finished(d.job, d.chosen)
 		d.chosen = ""
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the role of the thin processes behind the platform's
-// balancer: callers' HTTP on one side, the endpoint processes on the other. An
-// entry keeps nothing that it cannot lose. It wires the decision packages to
-// sockets; what to do is decided by them.
+// Package entry implements the role entry: the processes behind the platform's load
+// balancer that accept callers' HTTP requests and send them to endpoint processes.
+// An entry holds no state that it could not lose. The decisions are made by other
+// packages (attempt, member, route); this one connects them to sockets.
 package entry
 
 import (
@@ -21,24 +21,25 @@
 	"skylarklead/internal/wire"
 )
 
-// awaitEndpoints is how long the callers' listener waits for the first endpoint.
-const awaitEndpoints = 5 * time.Second
+// initialEndpointTimeout bounds how long callers' listening is delayed until the
+// first endpoint is known.
+const initialEndpointTimeout = 5 * time.Second
 
 // Entry is one entry process.
 type Entry struct {
 	settings  *settings.Settings
 	tel       *telemetry.Telemetry
-	began     time.Time
+	startedAt time.Time
 	config    configuration
 	directory *directory
-	hub       *hub
-	inFlight  *inFlight
+	demux     *messageDemux
+	inFlight  *inFlightCounter
 	drain     *drain
 	chooser   *chooser
 	options   wire.Options
 	pool      *wire.Pool
 	timeouts  timeouts
-	// stopping is closed when new requests begin to be refused.
+	// stopping is closed when this entry begins to refuse new requests.
 	stopping   chan struct{}
 	background sync.WaitGroup
 
@@ -47,7 +48,7 @@
 	budget   *attempt.Budget
 }
 
-// Run serves callers and peers until ctx ends and the last answer is out.
+// Run serves callers and peers until ctx ends and the last answer is complete.
 func Run(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error {
 	e, err := newEntry(s, tel)
 	if err != nil {
@@ -58,17 +59,17 @@
 
 func newEntry(s *settings.Settings, tel *telemetry.Telemetry) (*Entry, error) {
 	if s.Entry == nil {
-		return nil, errors.New("entry: settings have no entry part")
+		return nil, errors.New("entry: settings have no section entry")
 	}
 	e := &Entry{
-		settings: s,
-		tel:      tel,
-		began:    time.Now(),
-		hub:      newHub(tel),
-		inFlight: newInFlight(),
-		drain:    newDrain(),
-		timeouts: defaultTimeouts,
-		stopping: make(chan struct{}),
+		settings:  s,
+		tel:       tel,
+		startedAt: time.Now(),
+		demux:     newDemux(tel),
+		inFlight:  newInFlight(),
+		drain:     newDrain(),
+		timeouts:  defaultTimeouts,
+		stopping:  make(chan struct{}),
 	}
 	var err error
 	if e.chooser, err = newChooser(s.Entry.Policy, e.now); err != nil {
@@ -85,21 +86,21 @@
 	return e, nil
 }
 
-// now is the monotonic time since this process began.
-func (e *Entry) now() time.Duration { return time.Since(e.began) }
+// now is the monotonic time since this process started.
+func (e *Entry) now() time.Duration { return time.Since(e.startedAt) }
 
 func (e *Entry) run(ctx context.Context) error {
-	// What serves the requests in flight goes on until they have ended.
+	// Requests in flight need these services until the requests have ended.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	peers, err := wire.Listen(e.settings.Listen)
 	if err != nil {
-		return fmt.Errorf("entry: peers: %w", err)
+		return fmt.Errorf("entry: listen for peers: %w", err)
 	}
-	peerServer := e.peerServer()
+	peerServer := e.newPeerServer()
 	defer peerServer.Close()
 	go e.serve(peerServer, peers)
-	e.background.Go(func() { e.follow(serving) })
+	e.background.Go(func() { e.followConfig(serving) })
 	e.background.Go(func() { e.sweep(serving) })
 	e.background.Go(func() { e.pollInstances(serving) })
 	defer e.background.Wait()
@@ -108,7 +109,7 @@
 	if !e.awaitReady(ctx) {
 		return nil
 	}
-	server, err := e.callerServer()
+	server, err := e.newCallerServer()
 	if err != nil {
 		return err
 	}
@@ -126,7 +127,7 @@
 func (e *Entry) listenCallers() (net.Listener, error) {
 	listener, err := net.Listen("tcp", e.settings.Entry.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("entry: callers: %w", err)
+		return nil, fmt.Errorf("entry: listen for callers: %w", err)
 	}
 	return listener, nil
 }
@@ -143,28 +144,29 @@
 	}
 }
 
-// follow keeps the configuration up to date.
-func (e *Entry) follow(ctx context.Context) {
+// followConfig keeps the configuration up to date.
+func (e *Entry) followConfig(ctx context.Context) {
 	if err := e.config.Run(ctx); err != nil && ctx.Err() == nil {
-		e.tel.Log.Error("configuration isn't followed any more", "error", err)
+		e.tel.Log.Error("following the configuration failed", "error", err)
 	}
 }
 
-// awaitReady waits until there is a configuration and an endpoint is known, so
-// that the first caller after listening is served. A fleet without endpoints is
-// waited for only so long: its callers get errors that say so.
+// awaitReady waits until there is a configuration and a known endpoint, so that the
+// first caller after listening starts can be served. It stops waiting for an
+// endpoint after initialEndpointTimeout: callers of a fleet without endpoints then
+// get errors that say so. It returns false if ctx ended.
 func (e *Entry) awaitReady(ctx context.Context) bool {
 	select {
 	case <-e.config.Ready():
 	case <-ctx.Done():
 		return false
 	}
-	patience := time.NewTimer(awaitEndpoints)
-	defer patience.Stop()
+	timeout := time.NewTimer(initialEndpointTimeout)
+	defer timeout.Stop()
 	select {
-	case <-e.directory.known:
-	case <-patience.C:
-		e.tel.Log.Warn("no endpoint is known yet")
+	case <-e.directory.hasEndpoint:
+	case <-timeout.C:
+		e.tel.Log.Warn("no endpoint known yet; serving callers without one")
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -17,19 +17,18 @@
 	"skylarklead/test/kit"
 )
 
-// Symptom: a rolling restart cuts answers.
-// Sequence: SIGTERM comes while a stream is in flight; a new request comes on a
-// connection that is still open; the stream then goes on to its end.
-// Cause: the server may stop only when the last answer is out.
+// A rolling restart must not abort answers. SIGTERM arrives while a stream is in
+// flight and a new request comes on an open connection: the new one is refused, the
+// stream completes, and only then shutDown returns.
 func TestDrainCutsNothing(t *testing.T) {
-	goOn := make(chan struct{})
-	x := newExecutor(t, "ep-1", runs(func(_ *executor, s *wire.Session, m *protocol.Run) {
-		words(s, m.Attempt, 0, 5, totalWords)
-		<-goOn
-		words(s, m.Attempt, 5, totalWords, totalWords)
+	proceed := make(chan struct{})
+	x := newExecutor(t, "ep-1", onRun(func(_ *executor, s *wire.Session, m *protocol.Run) {
+		sendWords(s, m.Attempt, 0, 5, totalWords)
+		<-proceed
+		sendWords(s, m.Attempt, 5, totalWords, totalWords)
 	}))
 	e, c := newTestEntry(t, "llm", x)
-	lines, _ := c.open()
+	lines, _ := c.openStream()
 	first := readEvents(t, lines, 5)
 
 	drained := make(chan struct{})
@@ -44,27 +43,27 @@
 	})
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
-	e.callers().ServeHTTP(w, r)
+	e.callerHandler().ServeHTTP(w, r)
 	if got := readError(t, w.Result()); got.Code != protocol.CodeDraining || got.Ran != protocol.NotRun || w.Header().Get("Retry-After") == "" {
 		t.Errorf("a new request got %d %+v", w.Code, got)
 	}
 	w = httptest.NewRecorder()
 	if e.readyz(w, r); w.Code != http.StatusServiceUnavailable {
-		t.Errorf("readyz says %d", w.Code)
+		t.Errorf("readyz answers %d", w.Code)
 	}
 	select {
 	case <-drained:
-		t.Error("drained with a stream in flight")
+		t.Error("shut down with a stream in flight")
 	default:
 	}
-	close(goOn)
-	wantWhole(t, first, readEvents(t, lines, 0))
+	close(proceed)
+	wantComplete(t, first, readEvents(t, lines, 0))
 	<-drained
 }
 
-// Symptom: the balancer sends callers to an entry that can serve none of them.
-// Sequence: an entry with a wrong key reads its configuration from the log.
-// Cause: readiness looked at what the process knows, not at who lets it in.
+// An entry that can serve no caller must not report that it is ready. With a wrong
+// key it still reads its configuration from the log, so readiness must depend on
+// whether peers accept its key, too.
 func TestReadiness(t *testing.T) {
 	x := newExecutor(t, "ep-1", script{})
 	for _, tt := range []struct {
@@ -81,7 +80,7 @@
 			e.pool = wire.NewPool(e.options)
 			e.pool.Prove(context.Background(), []string{x.address})
 		}},
-		{"draining", "draining", []*executor{x}, func(e *Entry) { e.drain.announce() }},
+		{"draining", "draining", []*executor{x}, func(e *Entry) { e.drain.announceLeaving() }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			e, _ := newTestEntry(t, "llm", tt.executors...)
@@ -89,33 +88,31 @@
 			w := httptest.NewRecorder()
 			e.readyz(w, nil)
 			if got := strings.TrimSpace(w.Body.String()); got != tt.want || (w.Code == http.StatusOK) != (got == "ready") {
-				t.Errorf("%d %q", w.Code, got)
+				t.Errorf("status %d, body %q", w.Code, got)
 			}
 			if reason := e.status().NotReady; reason != strings.TrimPrefix(tt.want, "ready") {
-				t.Errorf("the status says %q", reason)
+				t.Errorf("status reports %q", reason)
 			}
 		})
 	}
 }
 
-// Symptom: an entry that restarts while the platform is down refuses every caller
-// until the platform is back.
-// Sequence: the instance list can't be read; the settings name an endpoint process
-// and another entry.
-// Cause: peers know the endpoints as well as the list does.
+// An entry that restarts while the platform is down must find endpoints through its
+// bootstrap peers. The instance list can't be read, and the settings name an
+// endpoint process and another entry.
 func TestEndpointsFromPeers(t *testing.T) {
 	x := newExecutor(t, "ep-1", script{other: func(_ *executor, s *wire.Session, ref uint32, m protocol.Message) {
 		if _, ok := m.(*protocol.StatusRequest); ok {
 			_ = s.Reply(ref, &protocol.Status{Members: []protocol.MemberStatus{
 				{ID: "ep-2", Address: "127.0.0.1:2", Group: "llm"},
-				{ID: "ep-3"}, // an older peer tells no address
+				{ID: "ep-3"}, // peers of older versions send no address
 			}})
 		}
 	}})
 	e, _ := newTestEntry(t, "llm")
 	e.settings.Bootstrap.Peers = []string{x.address, "127.0.0.1:1"}
 	found := map[string]string{}
-	for _, in := range e.askPeers(context.Background()) {
+	for _, in := range e.instancesFromPeers(context.Background()) {
 		found[in.ID] = in.Address
 	}
 	if len(found) != 2 || found["ep-1"] != x.address || found["ep-2"] != "127.0.0.1:2" {
@@ -133,7 +130,7 @@
 	pool.AppendCertsFromPEM(certificate)
 	e.settings.Entry.TLS = files
 	e.settings.Entry.Listen = "127.0.0.1:0"
-	server := kit.Must(e.callerServer())(t)
+	server := kit.Must(e.newCallerServer())(t)
 	listener := kit.Must(e.listenCallers())(t)
 	go e.serve(server, listener)
 	t.Cleanup(func() { server.Close() })
@@ -150,11 +147,11 @@
 	if plain, err := http.Get("http://" + listener.Addr().String() + "/healthz"); err == nil {
 		plain.Body.Close()
 		if plain.StatusCode == http.StatusOK {
-			t.Error("served without TLS as well")
+			t.Error("also served without TLS")
 		}
 	}
 	files.Key = files.Certificate
-	if _, err := e.callerServer(); err == nil {
+	if _, err := e.newCallerServer(); err == nil {
 		t.Error("a certificate without its key was accepted")
 	}
 }
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -10,12 +10,12 @@
 	"skylarklead/internal/protocol"
 )
 
-// statusClientClosed is the customary status, never seen by the caller, of a
-// request whose caller hung up.
+// statusClientClosed is the status, common among proxies, of a request whose caller
+// disconnected. The caller never sees it.
 const statusClientClosed = 499
 
-// Error is what a caller is told when a request gets no answer, or only part of
-// one. Ran says whether the request may have run.
+// Error is the error given to a caller whose request gets no answer, or only part
+// of one. Ran says whether the request may have run.
 type Error struct {
 	Code       protocol.Code
 	Message    string
@@ -28,19 +28,20 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code, e.Ran, e.Message)
 }
 
-// refuse returns an Error for a request that this entry never sent on.
-func refuse(code protocol.Code, format string, args ...any) *Error {
+// refusef returns an Error for a request that this entry did not send to any
+// executor.
+func refusef(code protocol.Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: protocol.NotRun}
 }
 
-// after sets when the caller may come back.
-func (e *Error) after(d time.Duration) *Error {
+// withRetryAfter sets the retry delay.
+func (e *Error) withRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// fromRefusal turns a peer's refusal into a caller's error.
-func fromRefusal(r *protocol.Refusal) *Error {
+// errorFromRefusal converts a peer's refusal to a caller's error.
+func errorFromRefusal(r *protocol.Refusal) *Error {
 	return &Error{
 		Code:       r.Code,
 		Message:    r.Message,
@@ -49,9 +50,9 @@
 	}
 }
 
-// fromEnd turns an attempt's end without success into a caller's error. An
-// outcome without a code gets the code of that outcome.
-func fromEnd(end *protocol.End) *Error {
+// errorFromEnd converts the unsuccessful end of an attempt to a caller's error. If
+// the end has no code, the code follows from its outcome.
+func errorFromEnd(end *protocol.End) *Error {
 	e := &Error{
 		Code:       end.Code,
 		Message:    end.Message,
@@ -59,7 +60,7 @@
 		RetryAfter: time.Duration(end.RetryAfterMs) * time.Millisecond,
 	}
 	if e.Message == "" {
-		e.Message = "its endpoint gave no reason"
+		e.Message = "the endpoint gave no reason"
 	}
 	if e.Code != protocol.CodeNone {
 		return e
@@ -75,7 +76,7 @@
 	return e
 }
 
-var statusOf = map[protocol.Code]int{
+var statusByCode = map[protocol.Code]int{
 	protocol.CodeBadRequest:     http.StatusBadRequest,
 	protocol.CodeTooLarge:       http.StatusRequestEntityTooLarge,
 	protocol.CodeUnauthorized:   http.StatusUnauthorized,
@@ -96,13 +97,13 @@
 }
 
 func (e *Error) status() int {
-	if status, ok := statusOf[e.Code]; ok {
+	if status, ok := statusByCode[e.Code]; ok {
 		return status
 	}
 	return http.StatusInternalServerError
 }
 
-// errorBody is the one JSON shape of errors (docs/INTERFACE.md, section 1).
+// errorBody is the JSON form of errors (docs/INTERFACE.md, section 1).
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -125,17 +126,17 @@
 	}}
 }
 
-// write answers with the error; nothing may have been written before.
+// write answers with the error. Nothing may have been written before.
 func (e *Error) write(w http.ResponseWriter, requestID string) { e.writeAs(w, e.status(), requestID) }
 
 func (e *Error) writeAs(w http.ResponseWriter, status int, requestID string) {
 	if e.RetryAfter > 0 {
-		// The header counts whole seconds: rounded up, so that nobody is asked
-		// back too early.
+		// The header has whole seconds; rounded up, so that no caller retries too
+		// early.
 		seconds := (e.RetryAfter + time.Second - 1) / time.Second
 		w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(e.body(requestID)) // the caller has gone
+	_ = json.NewEncoder(w).Encode(e.body(requestID)) // fails only if the caller has disconnected
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -33,20 +33,20 @@
 
 var fleetKey = strings.Repeat("ab", 32)
 
-// static is a configuration that doesn't change.
-type static struct{ state *config.State }
+// staticConfig is a configuration that doesn't change.
+type staticConfig struct{ state *config.State }
 
-func (s static) State() *config.State { return s.state }
-func (s static) Ready() <-chan struct{} {
+func (s staticConfig) State() *config.State { return s.state }
+func (s staticConfig) Ready() <-chan struct{} {
 	ready := make(chan struct{})
 	close(ready)
 	return ready
 }
-func (static) Source() string             { return "test" }
-func (static) LogReachable() bool         { return true }
-func (static) Run(context.Context) error  { return nil }
-func (static) Heard(uint64, follow.Fetch) {}
-func (static) Fetch(*protocol.ConfigFetch) (*protocol.ConfigState, error) {
+func (staticConfig) Source() string             { return "test" }
+func (staticConfig) LogReachable() bool         { return true }
+func (staticConfig) Run(context.Context) error  { return nil }
+func (staticConfig) Heard(uint64, follow.Fetch) {}
+func (staticConfig) Fetch(*protocol.ConfigFetch) (*protocol.ConfigState, error) {
 	return &protocol.ConfigState{}, nil
 }
 
@@ -84,21 +84,21 @@
 	script  script
 
 	mu       sync.Mutex
-	got      []protocol.Message
+	received []protocol.Message
 	sessions []*wire.Session
 }
 
 func (x *executor) Handle(s *wire.Session, ref uint32, m protocol.Message) {
 	x.mu.Lock()
-	x.got = append(x.got, m)
+	x.received = append(x.received, m)
 	x.sessions = append(x.sessions, s)
 	x.mu.Unlock()
-	go x.play(s, ref, m)
+	go x.respond(s, ref, m)
 }
 
-// script is what an executor does; each message is played on a goroutine of its
-// own. An executor without ask decides for itself; any other message that its
-// script lacks is taken and not answered.
+// script is what an executor does with messages. Each message is handled in a
+// goroutine of its own. Without ask, the executor chooses itself. If set, other gets
+// all messages but Ask. Messages without a function are recorded but not answered.
 type script struct {
 	ask    func(x *executor, s *wire.Session, ref uint32, m *protocol.Ask)
 	run    func(x *executor, s *wire.Session, m *protocol.Run)
@@ -106,7 +106,7 @@
 	other  func(x *executor, s *wire.Session, ref uint32, m protocol.Message)
 }
 
-func (x *executor) play(s *wire.Session, ref uint32, m protocol.Message) {
+func (x *executor) respond(s *wire.Session, ref uint32, m protocol.Message) {
 	switch m := m.(type) {
 	case *protocol.Ask:
 		if x.script.ask == nil {
@@ -129,26 +129,27 @@
 	}
 }
 
-// runs scripts an executor that decides for itself and answers each Run by run.
-func runs(run func(x *executor, s *wire.Session, m *protocol.Run)) script { return script{run: run} }
+// onRun returns the script of an executor that chooses itself and handles each
+// Run with run.
+func onRun(run func(x *executor, s *wire.Session, m *protocol.Run)) script { return script{run: run} }
 
-// answers is the script of an executor that answers all words at once.
-var answers = runs(func(_ *executor, s *wire.Session, m *protocol.Run) {
-	words(s, m.Attempt, m.FirstSeq, totalWords, totalWords)
+// answersAll is the script of an executor that sends all words at once.
+var answersAll = onRun(func(_ *executor, s *wire.Session, m *protocol.Run) {
+	sendWords(s, m.Attempt, m.FirstSeq, totalWords, totalWords)
 })
 
-// begins returns the run of an executor that answers the first words only.
-func begins(n uint64) func(*executor, *wire.Session, *protocol.Run) {
-	return func(_ *executor, s *wire.Session, m *protocol.Run) { words(s, m.Attempt, 0, n, totalWords) }
+// sendsFirst returns a run function that sends only the first n words.
+func sendsFirst(n uint64) func(*executor, *wire.Session, *protocol.Run) {
+	return func(_ *executor, s *wire.Session, m *protocol.Run) { sendWords(s, m.Attempt, 0, n, totalWords) }
 }
 
-// goesOn is the resume of an executor that has the rest of the words.
-func goesOn(_ *executor, s *wire.Session, m *protocol.Resume) {
-	words(s, m.Attempt, m.Seq, totalWords, totalWords)
+// sendsRest is a resume function that sends the remaining words.
+func sendsRest(_ *executor, s *wire.Session, m *protocol.Resume) {
+	sendWords(s, m.Attempt, m.Seq, totalWords, totalWords)
 }
 
-// newPair starts two executors. Both choose the first until it is excluded; it
-// runs as given, and the second answers all words.
+// newPair starts two executors. As owners, both choose the first one until it is
+// excluded. The first handles a Run with run; the second sends all words.
 func newPair(t *testing.T, run func(x *executor, s *wire.Session, m *protocol.Run)) []*executor {
 	t.Helper()
 	var pair []*executor
@@ -165,7 +166,7 @@
 				run(x, s, m)
 				return
 			}
-			answers.run(x, s, m)
+			answersAll.run(x, s, m)
 		},
 	}
 	pair = append(pair, newExecutor(t, "ep-a", both), newExecutor(t, "ep-b", both))
@@ -174,8 +175,8 @@
 
 func (x *executor) Closed(*wire.Session, error) {}
 
-// cut ends every session that a message came over.
-func (x *executor) cut() {
+// closeSessions closes every session that a message came from.
+func (x *executor) closeSessions() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range x.sessions {
@@ -183,12 +184,12 @@
 	}
 }
 
-// count counts the messages of one type.
-func count[M protocol.Message](x *executor) int {
+// countMessages counts the received messages of one type.
+func countMessages[M protocol.Message](x *executor) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := 0
-	for _, m := range x.got {
+	for _, m := range x.received {
 		if _, ok := m.(M); ok {
 			n++
 		}
@@ -196,11 +197,11 @@
 	return n
 }
 
-// last returns the last message of one type.
-func last[M protocol.Message](x *executor) (found M) {
+// lastMessage returns the last received message of one type.
+func lastMessage[M protocol.Message](x *executor) (found M) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, m := range x.got {
+	for _, m := range x.received {
 		if m, ok := m.(M); ok {
 			found = m
 		}
@@ -208,10 +209,10 @@
 	return found
 }
 
-// restart ends the process and starts it again at once under the next epoch.
+// restart stops the process and starts it again at once with the next epoch.
 func (x *executor) restart(t *testing.T) {
 	x.server.Close()
-	x.cut()
+	x.closeSessions()
 	x.epoch++
 	x.listen(t)
 }
@@ -239,7 +240,7 @@
 	t.Cleanup(func() { x.server.Close() })
 }
 
-// newExecutor starts an executor of the group "llm" or "portal".
+// newExecutor starts an executor. Its group is set by newTestEntry.
 func newExecutor(t *testing.T, id string, script script) *executor {
 	t.Helper()
 	x := &executor{id: id, epoch: 7, script: script}
@@ -247,7 +248,7 @@
 	return x
 }
 
-// decide answers an Ask with x itself.
+// decide answers an Ask with the decision that x is the executor.
 func (x *executor) decide(s *wire.Session, ref uint32, m *protocol.Ask) {
 	_ = s.Reply(ref, &protocol.Decision{
 		Request: m.Request, Owner: x.id, Reason: "test",
@@ -255,8 +256,9 @@
 	})
 }
 
-// words answers a Run or Resume with the numbered words from first on.
-func words(s *wire.Session, id protocol.AttemptID, first, until, total uint64) {
+// sendWords answers a Run or Resume with the numbered words from first to before
+// until, and with the End if until is total.
+func sendWords(s *wire.Session, id protocol.AttemptID, first, until, total uint64) {
 	_ = s.Send(&protocol.Start{Attempt: id, Status: http.StatusOK})
 	for seq := first; seq < until; seq++ {
 		_ = s.Send(&protocol.Chunk{Attempt: id, Seq: seq, Data: fmt.Appendf(nil, "w%d ", seq)})
@@ -266,14 +268,14 @@
 	}
 }
 
-// flood sends large chunks from one number to before another.
+// flood sends large chunks, numbered from from to before to.
 func flood(s *wire.Session, id protocol.AttemptID, from, to uint64, bytes int) {
 	for seq := from; seq < to; seq++ {
 		_ = s.Send(&protocol.Chunk{Attempt: id, Seq: seq, Data: []byte(strings.Repeat("x", bytes))})
 	}
 }
 
-func wantWords(total int) string {
+func allWords(total int) string {
 	var b strings.Builder
 	for i := range total {
 		fmt.Fprintf(&b, "w%d ", i)
@@ -287,7 +289,8 @@
 	*httptest.Server
 }
 
-// newTestEntry returns an entry before executors, and a caller of it.
+// newTestEntry returns an entry whose instance list holds executors, and a caller
+// of it.
 func newTestEntry(t *testing.T, group string, executors ...*executor) (*Entry, *caller) {
 	t.Helper()
 	s := &settings.Settings{
@@ -300,13 +303,13 @@
 	}
 	tel := kit.Must(telemetry.New(s, io.Discard))(t)
 	e := kit.Must(newEntry(s, tel))(t)
-	e.config = static{testState(t)}
+	e.config = staticConfig{testState(t)}
 	list := make([]platform.Instance, len(executors))
 	for i, x := range executors {
 		list[i] = platform.Instance{ID: x.id, Role: platform.RoleEndpoint, Address: x.address, Group: group, State: platform.StateLive}
 	}
-	e.directory.listed(list)
-	server := httptest.NewServer(e.callers())
+	e.directory.setInstances(list)
+	server := httptest.NewServer(e.callerHandler())
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
@@ -315,19 +318,19 @@
 	return e, &caller{t, server}
 }
 
-// Paths of the callers' interface.
+// Paths of the callers' API.
 const (
 	chatPath     = "/v1/chat/completions"
 	paymentsPath = "/v1/services/portal/payments/7"
 )
 
-// chat sends a chat completion.
+// chat sends a chat completion request.
 func (c *caller) chat(body string, headers ...string) *http.Response {
 	c.Helper()
 	return c.post(context.Background(), chatPath, body, headers...)
 }
 
-// post sends a request; headers are names and values in turn.
+// post sends a request; headers are alternating names and values.
 func (c *caller) post(ctx context.Context, path, body string, headers ...string) *http.Response {
 	c.Helper()
 	return c.send(ctx, http.MethodPost, path, body, headers...)
@@ -345,40 +348,41 @@
 	return resp
 }
 
-// open begins a stream, which the caller hangs up on by calling hangUp.
-func (c *caller) open() (lines *bufio.Scanner, hangUp func()) {
+// openStream starts a stream; hangUp disconnects its caller.
+func (c *caller) openStream() (lines *bufio.Scanner, hangUp func()) {
 	c.Helper()
 	ctx, hangUp := context.WithCancel(context.Background())
 	c.Cleanup(hangUp)
 	return bufio.NewScanner(c.post(ctx, chatPath, streamBody).Body), hangUp
 }
 
-// resume comes back to a stream.
+// resume resumes a stream.
 func (c *caller) resume(lastID string) *http.Response {
 	c.Helper()
 	return c.send(context.Background(), http.MethodGet, "/v1/streams", "", "Last-Event-ID", lastID)
 }
 
-// stream reads the whole answer to a chat completion that is to be streamed.
-func (c *caller) stream(body string) sse {
+// stream reads the complete answer to a streamed chat completion.
+func (c *caller) stream(body string) sseAnswer {
 	c.Helper()
 	return readSSE(c.T, c.chat(body))
 }
 
-// wantWhole fails unless the parts of a stream are all words up to its end.
-func wantWhole(t *testing.T, parts ...sse) {
+// wantComplete fails unless the parts of a stream together are all words and its
+// end.
+func wantComplete(t *testing.T, parts ...sseAnswer) {
 	t.Helper()
 	text := ""
 	for _, part := range parts {
 		text += part.text
 	}
-	if end := parts[len(parts)-1]; !end.done || text != wantWords(totalWords) {
+	if end := parts[len(parts)-1]; !end.done || text != allWords(totalWords) {
 		t.Errorf("got %q in %d parts, done %v, failure %+v", text, len(parts), end.done, end.failure)
 	}
 }
 
-// upload opens a connection and sends the head of a request with 1000 bytes of
-// body, of which it sends some.
+// upload opens a connection and sends a request's header, which announces a body of
+// 1000 bytes, with only the given part of the body.
 func (c *caller) upload(body string) *net.TCPConn {
 	c.Helper()
 	conn := kit.Must(net.Dial("tcp", c.Listener.Addr().String()))(c)
@@ -390,24 +394,24 @@
 
 const (
 	streamBody = `{"model":"ledger-llm","stream":true,"messages":[{"role":"user","content":"hi"}]}`
-	wholeBody  = `{"model":"ledger-llm","messages":[{"role":"user","content":"hi"}]}`
+	plainBody  = `{"model":"ledger-llm","messages":[{"role":"user","content":"hi"}]}`
 )
 
-// sse is what a caller got of a stream.
-type sse struct {
+// sseAnswer is what a caller received of a stream.
+type sseAnswer struct {
 	text, lastID string
 	done         bool
 	failure      *errorFields
 }
 
 // readSSE reads all events of a stream.
-func readSSE(t *testing.T, resp *http.Response) sse {
+func readSSE(t *testing.T, resp *http.Response) sseAnswer {
 	t.Helper()
 	return readEvents(t, bufio.NewScanner(resp.Body), 0)
 }
 
-// readEvents reads at most limit events, all of them if limit is 0.
-func readEvents(t *testing.T, lines *bufio.Scanner, limit int) (got sse) {
+// readEvents reads at most limit events, or all of them if limit is 0.
+func readEvents(t *testing.T, lines *bufio.Scanner, limit int) (got sseAnswer) {
 	t.Helper()
 	failing := false
 	for lines.Scan() {
@@ -437,7 +441,7 @@
 	return got
 }
 
-// readError reads the error shape of an answer that is refused as a whole.
+// readError reads the error of a request that was refused.
 func readError(t *testing.T, resp *http.Response) errorFields {
 	t.Helper()
 	var e errorBody
--- a/internal/entry/hub.go
+++ b/internal/entry/hub.go
@@ -10,79 +10,79 @@
 const (
 	// window is how many chunks an executor may send ahead of the caller.
 	window = 64
-	// mailboxSize holds the chunks of a window from the session before a resume
-	// and those of one after it, the Start and the End.
+	// mailboxSize fits a window of chunks from the session before a resume, another
+	// from the session after it, the Start and the End.
 	mailboxSize = 2*window + 8
 )
 
-// arrival is a message and the epoch of the process that sent it.
-type arrival struct {
+// receivedMessage is a message with the epoch of the process that sent it.
+type receivedMessage struct {
 	message protocol.Message
 	epoch   protocol.Epoch
 }
 
-// mailbox takes what arrives for one attempt, whichever session brings it. It is
-// bounded by the attempt's window, so that a caller who doesn't read holds up
-// neither the session nor its other streams.
+// mailbox queues the messages of one attempt, from whichever session they come. Its
+// size follows from the attempt's window, so that a caller that doesn't read blocks
+// neither the session nor the session's other streams.
 type mailbox struct {
-	arrivals chan arrival
-	// superseded is closed when a resume through this entry took the attempt over.
+	messages chan receivedMessage
+	// superseded is closed when a resume through this entry takes the attempt over.
 	superseded chan struct{}
-	// overflowed has a value once the executor has sent more than the window.
+	// overflowed receives a value once the executor has exceeded its window.
 	overflowed chan struct{}
 }
 
-// hub hands arriving messages to the attempts they belong to, by attempt ID
-// alone. A message of no live attempt is late or crossed; it is dropped and
-// counted, so it can never reach another caller.
-type hub struct {
+// messageDemux delivers received messages to the attempts that they belong to, by
+// attempt ID alone. A message of an attempt that isn't live is late or misdirected.
+// It is dropped and counted, so that it can't reach another caller.
+type messageDemux struct {
 	tel *telemetry.Telemetry
 
 	mu        sync.Mutex
 	mailboxes map[protocol.AttemptID]*mailbox
 }
 
-func newHub(tel *telemetry.Telemetry) *hub {
-	return &hub{tel: tel, mailboxes: make(map[protocol.AttemptID]*mailbox)}
+func newDemux(tel *telemetry.Telemetry) *messageDemux {
+	return &messageDemux{tel: tel, mailboxes: make(map[protocol.AttemptID]*mailbox)}
 }
 
-// open makes the attempt's mailbox and supersedes an earlier one.
-func (h *hub) open(id protocol.AttemptID) *mailbox {
+// open creates the attempt's mailbox and supersedes an existing one.
+func (d *messageDemux) open(id protocol.AttemptID) *mailbox {
 	mb := &mailbox{
-		arrivals:   make(chan arrival, mailboxSize),
+		messages:   make(chan receivedMessage, mailboxSize),
 		superseded: make(chan struct{}),
 		overflowed: make(chan struct{}, 1),
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if old := h.mailboxes[id]; old != nil {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if old := d.mailboxes[id]; old != nil {
 		close(old.superseded)
 	}
-	h.mailboxes[id] = mb
+	d.mailboxes[id] = mb
 	return mb
 }
 
-// close forgets the attempt unless another mailbox has superseded mb.
-func (h *hub) close(id protocol.AttemptID, mb *mailbox) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.mailboxes[id] == mb {
-		delete(h.mailboxes, id)
+// close removes the attempt unless another mailbox has superseded mb.
+func (d *messageDemux) close(id protocol.AttemptID, mb *mailbox) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.mailboxes[id] == mb {
+		delete(d.mailboxes, id)
 	}
 }
 
-// deliver never blocks.
-func (h *hub) deliver(id protocol.AttemptID, a arrival) {
-	h.mu.Lock()
-	mb := h.mailboxes[id]
-	h.mu.Unlock()
+// deliver never blocks: a full mailbox is marked as overflowed.
+func (d *messageDemux) deliver(id protocol.AttemptID, m receivedMessage) {
+	d.mu.Lock()
+	mb := d.mailboxes[id]
+	d.mu.Unlock()
 	if mb == nil {
-		h.tel.Metrics.Dropped.Inc(1)
-		h.tel.Log.Debug("message of no live attempt dropped", "attempt", id.String())
+		d.tel.Metrics.Dropped.Inc(1)
+		d.tel.Log.Debug("message of an unknown attempt dropped", "attempt", id.String())
 		return
 	}
 	select {
-	case mb.arrivals <- a:
+	case mb.messages <- m:
 		return
 	default:
 	}
--- a/internal/entry/inflight.go
+++ b/internal/entry/inflight.go
@@ -2,31 +2,31 @@
 
 import "sync"
 
-// inFlight counts this entry's own attempts at each endpoint.
-type inFlight struct {
-	mu    sync.Mutex
-	count map[string]int
+// inFlightCounter counts this entry's own attempts at each endpoint.
+type inFlightCounter struct {
+	mu         sync.Mutex
+	byEndpoint map[string]int
 }
 
-func newInFlight() *inFlight { return &inFlight{count: map[string]int{}} }
+func newInFlight() *inFlightCounter { return &inFlightCounter{byEndpoint: map[string]int{}} }
 
-func (f *inFlight) begin(endpoint string) {
+func (f *inFlightCounter) begin(endpoint string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.count[endpoint]++
+	f.byEndpoint[endpoint]++
 }
 
-func (f *inFlight) finish(endpoint string) {
+func (f *inFlightCounter) finish(endpoint string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.count[endpoint]--
-	if f.count[endpoint] == 0 {
-		delete(f.count, endpoint)
+	f.byEndpoint[endpoint]--
+	if f.byEndpoint[endpoint] == 0 {
+		delete(f.byEndpoint, endpoint)
 	}
 }
 
-func (f *inFlight) at(endpoint string) int {
+func (f *inFlightCounter) count(endpoint string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.count[endpoint]
+	return f.byEndpoint[endpoint]
 }
--- a/internal/entry/inquiry.go
+++ b/internal/entry/inquiry.go
@@ -11,80 +11,83 @@
 	"skylarklead/internal/protocol"
 )
 
-// inquiry is one question to a request's owners, in order. One goroutine owns it.
-type inquiry struct {
-	e        *Entry
-	question *protocol.Ask
-	owners   []member.Member
-	replies  chan reply
-	// asked counts the owners that were asked, answered and failed those of them
-	// whose reply settled nothing, and of these the ones that gave none.
-	asked, answered, failed int
+// ownerQuery asks a request's owners for a decision, in order. It is owned by one
+// goroutine.
+type ownerQuery struct {
+	e       *Entry
+	ask     *protocol.Ask
+	owners  []member.Member
+	replies chan ownerReply
+	// asked counts the owners asked, inconclusive those whose reply decided
+	// nothing, and failed those of the latter that did not reply.
+	asked, inconclusive, failed int
 }
 
-// reply is one owner's answer to an Ask.
-type reply struct {
+// ownerReply is the result of asking one owner.
+type ownerReply struct {
 	from     member.Member
 	decision *protocol.Decision
 	err      error
 }
 
-func (e *Entry) newInquiry(ctx context.Context, j *job, owners []member.Member) *inquiry {
-	question := j.ask(e.settings.FailureDomain)
-	// Only a debug line shows them here; `skylarkctl explain` asks the owner too.
-	question.Explain = e.tel.Log.Enabled(ctx, slog.LevelDebug)
-	question.Exclude = append(e.directory.shunned(j.group), question.Exclude...)
-	return &inquiry{e: e, question: question, owners: owners, replies: make(chan reply, len(owners))}
+func (e *Entry) newOwnerQuery(ctx context.Context, j *job, owners []member.Member) *ownerQuery {
+	ask := j.newAsk(e.settings.FailureDomain)
+	// The candidates are only logged here at debug level; `skylarkctl explain`
+	// reads them from the owner as well.
+	ask.Explain = e.tel.Log.Enabled(ctx, slog.LevelDebug)
+	ask.Exclude = append(e.directory.unavailable(j.group), ask.Exclude...)
+	return &ownerQuery{e: e, ask: ask, owners: owners, replies: make(chan ownerReply, len(owners))}
 }
 
-// open reports whether a reply may still settle the question.
-func (q *inquiry) open() bool { return q.answered < len(q.owners) }
+// pending reports whether another reply may still decide.
+func (q *ownerQuery) pending() bool { return q.inconclusive < len(q.owners) }
 
-func (q *inquiry) refusedByAll() bool { return !q.open() && q.failed == 0 }
+func (q *ownerQuery) refusedByAll() bool { return !q.pending() && q.failed == 0 }
 
-func (q *inquiry) askNext(ctx context.Context) {
+func (q *ownerQuery) askNext(ctx context.Context) {
 	if q.asked == len(q.owners) {
 		return
 	}
-	go q.e.askOne(ctx, q.owners[q.asked], q.question, q.replies)
+	go q.e.queryOwner(ctx, q.owners[q.asked], q.ask, q.replies)
 	q.asked++
 }
 
-// hedge asks one more owner beside those that are slow, if the budget allows it.
-func (q *inquiry) hedge(ctx context.Context) {
-	if q.asked < len(q.owners) && q.e.mayHedge(q.question.Organisation) {
+// hedge asks one more owner in addition to those that are slow, if the budget
+// allows it.
+func (q *ownerQuery) hedge(ctx context.Context) {
+	if q.asked < len(q.owners) && q.e.allowHedge(q.ask.Organisation) {
 		q.e.tel.Metrics.Hedges.Inc(1)
 		q.askNext(ctx)
 	}
 }
 
-// take reports whether a reply settles the question.
-func (q *inquiry) take(r reply) bool {
-	if q.e.settles(r) {
+// handleReply reports whether the reply decides the query.
+func (q *ownerQuery) handleReply(r ownerReply) bool {
+	if q.e.acceptReply(r) {
 		return true
 	}
-	q.answered++
+	q.inconclusive++
 	if r.err != nil {
 		q.failed++
 	}
 	return false
 }
 
-func (e *Entry) askOne(ctx context.Context, to member.Member, question *protocol.Ask, replies chan<- reply) {
-	decision, err := e.askAt(ctx, to, question)
+func (e *Entry) queryOwner(ctx context.Context, to member.Member, ask *protocol.Ask, replies chan<- ownerReply) {
+	decision, err := e.sendAsk(ctx, to, ask)
 	if err != nil && !errors.Is(ctx.Err(), context.Canceled) {
-		e.directory.failed(to.ID)
-		e.tel.Log.Warn("owner didn't answer", "request", question.Request, "owner", to.ID, "error", err)
+		e.directory.connectionFailed(to.ID)
+		e.tel.Log.Warn("owner did not answer", "request", ask.Request, "owner", to.ID, "error", err)
 	}
-	replies <- reply{from: to, decision: decision, err: err}
+	replies <- ownerReply{from: to, decision: decision, err: err}
 }
 
-func (e *Entry) askAt(ctx context.Context, to member.Member, question *protocol.Ask) (*protocol.Decision, error) {
+func (e *Entry) sendAsk(ctx context.Context, to member.Member, ask *protocol.Ask) (*protocol.Decision, error) {
 	session, err := e.session(ctx, to.Address)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := session.Call(ctx, question)
+	answer, err := session.Call(ctx, ask)
 	if err != nil {
 		return nil, err
 	}
@@ -93,26 +96,26 @@
 		e.config.Heard(m.ConfigOffset, follow.SessionFetch(session))
 		return m, nil
 	case *protocol.Failure:
-		return &protocol.Decision{Request: question.Request, Refusal: &m.Refusal}, nil
+		return &protocol.Decision{Request: ask.Request, Refusal: &m.Refusal}, nil
 	}
-	return nil, fmt.Errorf("entry: %T in answer to an Ask", answer)
+	return nil, fmt.Errorf("entry: unexpected reply %T to Ask", answer)
 }
 
-// settles reports whether a reply decides where the request runs, or that it
-// doesn't. A refusal that speaks only for its sender, such as that it is leaving,
-// settles nothing.
-func (e *Entry) settles(r reply) bool {
+// acceptReply reports whether a reply decides where the request runs, or that it
+// doesn't run. A refusal that holds for its sender only, such as that it is
+// leaving, decides nothing.
+func (e *Entry) acceptReply(r ownerReply) bool {
 	if r.err != nil {
 		return false
 	}
 	d := r.decision
 	if d.Refusal != nil {
 		if d.Refusal.Code == protocol.CodeDraining {
-			e.directory.left(r.from.ID, r.from.Epoch)
+			e.directory.leavingAnnounced(r.from.ID, r.from.Epoch)
 		}
-		return !ownRefusal(d.Refusal.Code)
+		return !isLocalRefusal(d.Refusal.Code)
 	}
-	e.directory.reported(d.Unavailable)
+	e.directory.unavailableReported(d.Unavailable)
 	if d.Executor.Address == "" {
 		known, ok := e.directory.lookup(d.Executor.Endpoint)
 		d.Executor.Address = known.Address
@@ -121,8 +124,9 @@
 	return true
 }
 
-// ownRefusal reports whether a refusal says nothing of other owners.
-func ownRefusal(code protocol.Code) bool {
+// isLocalRefusal reports whether a refusal holds for its sender only, not for other
+// owners.
+func isLocalRefusal(code protocol.Code) bool {
 	switch code {
 	case protocol.CodeDraining, protocol.CodeNotRun, protocol.CodeInternal, protocol.CodeBadRequest:
 		return true
--- a/internal/entry/instances.go
+++ b/internal/entry/instances.go
@@ -10,47 +10,48 @@
 )
 
 const (
-	// pollEvery is how often the platform's list is fetched.
-	pollEvery = 2 * time.Second
-	// peerTimeout bounds asking a bootstrap peer.
+	// pollInterval is how often the platform's instance list is fetched.
+	pollInterval = 2 * time.Second
+	// peerTimeout bounds the query of one bootstrap peer.
 	peerTimeout = time.Second
 )
 
-// pollInstances keeps the directory up to date. While the list can't be read the
-// last one stays; what became of its endpoints is learnt by talking to them. With
-// no list yet, the bootstrap peers are asked, so that an entry that restarts in an
-// outage of the platform serves at once.
+// pollInstances keeps the directory up to date. While the list can't be read, the
+// last one stays in use, and the state of its endpoints is learnt by connecting to
+// them. If no list has been read yet, the bootstrap peers are asked, so that an
+// entry that restarts during an outage of the platform can serve at once.
 func (e *Entry) pollInstances(ctx context.Context) {
 	client := platform.NewInstances(e.settings.Platform.Instances)
 	defer client.Close()
-	client.Poll(ctx, pollEvery, func(list []platform.Instance, err error) {
-		e.onList(ctx, list, err)
+	client.Poll(ctx, pollInterval, func(list []platform.Instance, err error) {
+		e.onInstanceList(ctx, list, err)
 		e.tel.NoteKey(e.options.Openings)
 	})
 }
 
-func (e *Entry) onList(ctx context.Context, list []platform.Instance, err error) {
+func (e *Entry) onInstanceList(ctx context.Context, list []platform.Instance, err error) {
 	if err == nil {
-		// Before the first endpoint is known the callers' port is closed: an entry
-		// with a wrong key never says that it is ready.
+		// Sessions are tried before the first endpoint is known, and thus before the
+		// callers' listener opens, so that an entry with a wrong key never reports
+		// that it is ready.
 		e.pool.Prove(ctx, platform.Others(list, e.settings.ID))
-		e.directory.listed(list)
+		e.directory.setInstances(list)
 		return
 	}
 	e.tel.Log.Warn("instance list can't be read", "error", err)
-	if e.directory.empty() {
-		e.directory.listed(e.askPeers(ctx))
+	if e.directory.isEmpty() {
+		e.directory.setInstances(e.instancesFromPeers(ctx))
 	}
 }
 
-// askPeers puts together what the bootstrap peers know of the endpoints.
-func (e *Entry) askPeers(ctx context.Context) []platform.Instance {
+// instancesFromPeers merges the endpoints that the bootstrap peers know.
+func (e *Entry) instancesFromPeers(ctx context.Context) []platform.Instance {
 	var mu sync.Mutex
 	known := map[string]platform.Instance{}
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, address := range e.settings.Bootstrap.Peers {
-		asking.Go(func() {
-			found := e.askPeer(ctx, address)
+		queries.Go(func() {
+			found := e.instancesFromPeer(ctx, address)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, in := range found {
@@ -58,7 +59,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	list := make([]platform.Instance, 0, len(known))
 	for _, in := range known {
 		list = append(list, in)
@@ -66,7 +67,7 @@
 	return list
 }
 
-func (e *Entry) askPeer(ctx context.Context, address string) []platform.Instance {
+func (e *Entry) instancesFromPeer(ctx context.Context, address string) []platform.Instance {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	session, err := e.session(ctx, address)
--- a/internal/entry/job.go
+++ b/internal/entry/job.go
@@ -8,7 +8,7 @@
 	"skylarklead/internal/protocol"
 )
 
-// job is one request on its way to an answer. One goroutine owns it.
+// job is one request and the state of its answer. It is owned by one goroutine.
 type job struct {
 	*request
 	group string
@@ -23,39 +23,41 @@
 	maxTokens    int
 	priority     int
 	fingerprint  uint64
-	// parameters are the caller's fields for the engine.
+	// parameters are the caller's fields for the engine, as package parameters
+	// selects them.
 	parameters []byte
-	// repeatable requests may be run again after an unknown outcome.
+	// repeatable requests may run again after an unknown outcome.
 	repeatable bool
-	// structured answers have a form from their first character on; they can't be
-	// gone on with from the half.
+	// structured answers follow a grammar from their first character on, so an
+	// engine can't continue a partial one.
 	structured bool
-	// streamed ones are given to the caller piece by piece. They can be resumed,
-	// and so go on for a grace after their caller has hung up.
+	// streamed answers are sent to the caller in chunks. They can be resumed, so
+	// they continue for a grace period after their caller has disconnected.
 	streamed bool
-	// resumed ones were begun by an earlier request.
+	// resumed jobs continue a stream that an earlier request started.
 	resumed bool
 
 	// receiver puts the answer's chunks in order across attempts; answer is the
-	// text that the caller has already.
+	// text that was delivered to the caller.
 	receiver *attempt.Receiver
 	answer   []byte
-	// exclude are endpoints that this request failed at, crashed those of them
-	// whose engine crashed meanwhile.
+	// exclude lists endpoints that this request failed at, crashed those of them
+	// whose engine crashed while running it.
 	exclude, crashed []string
 	attempts         int
-	// before is how many pieces of the answer came from attempts before the last
-	// one, discarded how many earlier ones aren't part of the answer any more.
-	before, discarded uint64
+	// priorChunks is how many chunks of the answer come from attempts before the
+	// current one. discardedChunks is how many earlier chunks are no longer part of
+	// the answer.
+	priorChunks, discardedChunks uint64
 	// decision is where the request was last sent, and why.
 	decision   protocol.Decision
 	firstToken time.Duration
 }
 
-// remaining is how long the caller will still wait.
+// remaining is the time until the caller's deadline.
 func (j *job) remaining() time.Duration { return time.Until(j.deadline) }
 
-func (j *job) ask(failureDomain string) *protocol.Ask {
+func (j *job) newAsk(failureDomain string) *protocol.Ask {
 	return &protocol.Ask{
 		Request:       j.id,
 		Organisation:  j.organisation.ID,
@@ -75,35 +77,36 @@
 	}
 }
 
-// continuable reports whether the answer can be gone on with after its first
-// pieces, or begun again because its caller has none of them.
+// continuable reports whether another attempt can complete the answer after some
+// chunks have come: by continuing it, or by restarting it because the caller has
+// none of it.
 func (j *job) continuable() bool {
 	return j.call == nil && (!j.structured || !j.streamed)
 }
 
-// beganAgain throws the pieces before next away: the answer starts anew there.
-func (j *job) beganAgain(next uint64) {
+// discardAnswer drops the chunks before next, where the answer starts again.
+func (j *job) discardAnswer(next uint64) {
 	j.answer = nil
-	j.discarded = next
+	j.discardedChunks = next
 }
 
-// tokensLeft is how many tokens an answer may still have after the attempts so
-// far, each piece of which is a token or more; 0 is no bound.
-func (j *job) tokensLeft() int {
+// remainingTokens is how many tokens another attempt may generate. Each chunk so
+// far counts as one token, although it may hold more; 0 means unlimited.
+func (j *job) remainingTokens() int {
 	if j.maxTokens == 0 {
 		return 0
 	}
-	return max(j.maxTokens-int(j.before), 1)
+	return max(j.maxTokens-int(j.priorChunks), 1)
 }
 
-// full reports whether the caller has all the tokens that were asked for: only
-// the end is missing, and another attempt would add a token too many.
-func (j *job) full() bool {
-	return j.call == nil && j.maxTokens > 0 && j.before >= uint64(j.maxTokens)
+// maxTokensReached reports whether the caller has all requested tokens. Then only
+// the end of the answer is missing, and another attempt would add a token too many.
+func (j *job) maxTokensReached() bool {
+	return j.call == nil && j.maxTokens > 0 && j.priorChunks >= uint64(j.maxTokens)
 }
 
-// run is the message of a new attempt.
-func (j *job) run(a attempt.Run) *protocol.Run {
+// newRun returns the message that starts an attempt.
+func (j *job) newRun(a attempt.Run) *protocol.Run {
 	run := &protocol.Run{
 		Attempt:      a.Attempt,
 		Request:      j.id,
@@ -115,7 +118,7 @@
 		Call:         j.call,
 		Levels:       j.levels,
 		PromptTokens: j.promptTokens,
-		MaxTokens:    j.tokensLeft(),
+		MaxTokens:    j.remainingTokens(),
 		Priority:     j.priority,
 		Fingerprint:  j.fingerprint,
 		DeadlineMs:   max(j.remaining().Milliseconds(), 1),
@@ -138,10 +141,10 @@
 	run.Partial = string(j.answer)
 	switch {
 	case a.FirstSeq > 0:
-		// The answer goes on under the instructions that it was begun under. An
-		// operator may have replaced them since; the executor, which only has the
-		// newest, would end by one charter what was begun by another.
-		run.Messages = wholePrompt(j.organisation, j.messages)
+		// The answer continues under the instructions that it was started with. An
+		// operator may have replaced them since, and the executor has only the
+		// newest: the answer would end under other instructions than it began with.
+		run.Messages = promptWithInstructions(j.organisation, j.messages)
 	case len(j.organisation.Instructions) > 0:
 		run.Instructions = j.organisation.Offset
 	}
--- a/internal/entry/life.go
+++ b/internal/entry/life.go
@@ -8,55 +8,58 @@
 
 var (
 	errDeadline = errors.New("deadline passed")
-	errCaller   = errors.New("caller has gone")
+	errCaller   = errors.New("caller disconnected")
 	errStopping = errors.New("entry is stopping")
 )
 
-// life bounds the work for one request. It ends at the deadline, or when the
-// caller has been gone for the grace; its cause is one of the errors above.
-type life struct {
+// requestContext bounds the work for one request. It ends at the deadline, or when
+// the caller has been gone for the grace period. Its cause is one of the errors
+// above.
+type requestContext struct {
 	context.Context
 	cancel context.CancelCauseFunc
-	// away is closed when the caller is gone.
-	away  chan struct{}
+	// callerGone is closed when the caller disconnects.
+	callerGone chan struct{}
+	// grace is how long the work continues after the caller has disconnected.
 	grace time.Duration
 }
 
-// newLife follows a caller's connection.
-func (e *Entry) newLife(caller context.Context, deadline time.Time, grace time.Duration) *life {
+// newRequestContext returns a context that outlives caller, the context of the
+// caller's connection, by at most grace.
+func (e *Entry) newRequestContext(caller context.Context, deadline time.Time, grace time.Duration) *requestContext {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(caller))
-	l := &life{Context: ctx, cancel: cancel, away: make(chan struct{}), grace: grace}
-	go l.watch(caller, time.Until(deadline)+deadlineGrace, e.stopping)
-	return l
+	c := &requestContext{Context: ctx, cancel: cancel, callerGone: make(chan struct{}), grace: grace}
+	go c.watch(caller, time.Until(deadline)+deadlineGrace, e.stopping)
+	return c
 }
 
-func (l *life) watch(caller context.Context, left time.Duration, stopping <-chan struct{}) {
-	deadline := time.NewTimer(left)
+func (c *requestContext) watch(caller context.Context, timeout time.Duration, stopping <-chan struct{}) {
+	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	select {
-	case <-l.Done():
+	case <-c.Done():
 		return
 	case <-deadline.C:
-		l.cancel(errDeadline)
+		c.cancel(errDeadline)
 		return
 	case <-caller.Done():
 	}
-	close(l.away)
-	grace := time.NewTimer(l.grace)
+	close(c.callerGone)
+	grace := time.NewTimer(c.grace)
 	defer grace.Stop()
 	select {
-	case <-l.Done():
+	case <-c.Done():
 	case <-deadline.C:
-		l.cancel(errDeadline)
+		c.cancel(errDeadline)
 	case <-grace.C:
-		l.cancel(errCaller)
+		c.cancel(errCaller)
 	case <-stopping:
-		l.cancel(errStopping)
+		c.cancel(errStopping)
 	}
 }
 
-// sleep waits unless the life ends before.
-func (l *life) sleep(d time.Duration) {
+// sleep waits for d, or until the context ends.
+func (c *requestContext) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -64,6 +67,6 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.Done():
+	case <-c.Done():
 	}
 }
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -14,91 +14,92 @@
 )
 
 var (
-	errEpochGone = errors.New("executor restarted")
-	errOverflow  = errors.New("executor sent more than its window")
-	errMoved     = errors.New("address belongs to another instance now")
-	errSilent    = errors.New("executor gives no sign of life")
+	errEpochGone     = errors.New("executor restarted")
+	errOverflow      = errors.New("executor sent more than its window")
+	errWrongInstance = errors.New("address belongs to another instance now")
+	errUnresponsive  = errors.New("executor process did not answer in time")
 )
 
 const (
-	// gapCheck is how often a quiet stream is looked at.
-	gapCheck = 250 * time.Millisecond
-	// quietChecks is how many looks in a row find nothing new before the executor
-	// is asked for a sign of life, within signTimeout.
-	quietChecks = 4
-	signTimeout = 500 * time.Millisecond
+	// idleCheckInterval is how often a stream is checked while no message comes.
+	idleCheckInterval = 250 * time.Millisecond
+	// After maxIdleChecks checks without a message the executor's process is asked
+	// whether it is alive; it must answer within livenessTimeout.
+	maxIdleChecks   = 4
+	livenessTimeout = 500 * time.Millisecond
 )
 
-// link is an attempt's way to its executor.
-type link struct {
+// attemptConn connects an attempt to its executor, over one session at a time.
+type attemptConn struct {
 	id      protocol.AttemptID
 	session *wire.Session
 	peer    protocol.Identity
 	mailbox *mailbox
-	// release ends the hold on the session, which makes it notice a peer that is
-	// half-open.
+	// release ends the hold on the session. While a session is held, it detects a
+	// peer whose connection is half-open.
 	release func()
-	// quiet counts the looks since something came.
-	quiet int
+	// idleChecks counts the checks since the last message.
+	idleChecks int
 }
 
-func (e *Entry) openLink(id protocol.AttemptID, session *wire.Session) *link {
-	l := &link{id: id, peer: session.Peer(), mailbox: e.hub.open(id), release: func() {}}
-	l.move(session)
-	e.inFlight.begin(l.peer.ID)
-	return l
+func (e *Entry) openAttempt(id protocol.AttemptID, session *wire.Session) *attemptConn {
+	conn := &attemptConn{id: id, peer: session.Peer(), mailbox: e.demux.open(id), release: func() {}}
+	conn.switchSession(session)
+	e.inFlight.begin(conn.peer.ID)
+	return conn
 }
 
-// move goes on over another session.
-func (l *link) move(session *wire.Session) {
-	l.release()
-	l.session = session
-	l.release = session.Hold()
+// switchSession continues the attempt over another session.
+func (conn *attemptConn) switchSession(session *wire.Session) {
+	conn.release()
+	conn.session = session
+	conn.release = session.Hold()
 }
 
-// look is called each gapCheck in which nothing came. A process that is stopped
-// keeps its connections open: its streams would stall until the session's pings
-// find out, seconds that count against the caller's first token. One that merely
-// computes answers the question at once.
-func (e *Entry) look(l *link) {
-	l.quiet++
-	session := l.session
-	if l.quiet < quietChecks || time.Since(session.Heard()) < quietChecks*gapCheck {
-		return // it may be that another of its streams heard from it
+// checkLiveness is called after each idleCheckInterval without a message. A process
+// that is suspended keeps its connections open, and its streams would stall for
+// seconds until the session's pings fail; that time would count against the
+// caller's first token. A process that is merely computing answers at once.
+func (e *Entry) checkLiveness(conn *attemptConn) {
+	conn.idleChecks++
+	session := conn.session
+	if conn.idleChecks < maxIdleChecks || time.Since(session.Heard()) < maxIdleChecks*idleCheckInterval {
+		return // the process was active on another stream of the session
 	}
-	l.quiet = 0
+	conn.idleChecks = 0
 	e.background.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), signTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), livenessTimeout)
 		defer cancel()
 		if _, err := session.Call(ctx, &protocol.StatusRequest{}); err != nil {
-			session.Close(errSilent)
-			e.directory.failed(session.Peer().ID) // others needn't find out for themselves
+			session.Close(errUnresponsive)
+			e.directory.connectionFailed(session.Peer().ID) // so that other requests avoid it
 		}
 	})
 }
 
-func (e *Entry) closeLink(l *link) {
-	l.release()
-	e.hub.close(l.id, l.mailbox)
-	e.inFlight.finish(l.peer.ID)
+func (e *Entry) closeAttempt(conn *attemptConn) {
+	conn.release()
+	e.demux.close(conn.id, conn.mailbox)
+	e.inFlight.finish(conn.peer.ID)
 }
 
-// sessionTo opens a session to a target and checks that the address is still its.
+// sessionTo opens a session to the target and verifies that the target still has
+// that address.
 func (e *Entry) sessionTo(ctx context.Context, target protocol.Target) (*wire.Session, error) {
 	session, err := e.session(ctx, target.Address)
 	if err != nil {
 		return nil, err
 	}
 	if session.Peer().ID != target.Endpoint {
-		return nil, fmt.Errorf("%w: %s is %s", errMoved, target.Address, session.Peer().ID)
+		return nil, fmt.Errorf("%w: %s is %s", errWrongInstance, target.Address, session.Peer().ID)
 	}
 	return session, nil
 }
 
-// sameEpoch opens a session to the very process that a target names; no other
-// one can know its attempts.
-func (e *Entry) sameEpoch(ctx context.Context, target protocol.Target) (*wire.Session, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+// sessionToEpoch opens a session to the target and verifies that it is still the
+// same process; no other one knows its attempts.
+func (e *Entry) sessionToEpoch(ctx context.Context, target protocol.Target) (*wire.Session, error) {
+	ctx, cancel := context.WithTimeout(ctx, executorTimeout)
 	defer cancel()
 	session, err := e.sessionTo(ctx, target)
 	if err != nil {
@@ -110,13 +111,13 @@
 	return session, nil
 }
 
-// resolveAt asks an executor what became of an attempt.
+// resolveAt asks an executor for the outcome of an attempt.
 func (e *Entry) resolveAt(ctx context.Context, a attempt.Resolve) (*protocol.Resolved, protocol.Epoch, error) {
-	session, err := e.sameEpoch(ctx, a.Target)
+	session, err := e.sessionToEpoch(ctx, a.Target)
 	if err != nil {
 		return nil, 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+	ctx, cancel := context.WithTimeout(ctx, executorTimeout)
 	defer cancel()
 	answer, err := session.Call(ctx, &protocol.Resolve{Attempt: a.Attempt, Epoch: a.Target.Epoch})
 	if err != nil {
@@ -124,14 +125,15 @@
 	}
 	resolved, ok := answer.(*protocol.Resolved)
 	if !ok {
-		return nil, 0, fmt.Errorf("entry: %T in answer to Resolve", answer)
+		return nil, 0, fmt.Errorf("entry: unexpected reply %T to Resolve", answer)
 	}
 	return resolved, session.Peer().Epoch, nil
 }
 
-// resume makes the message that asks for the attempt's chunks again from the next
-// one on. What the caller has not taken yet counts against the new window.
-func (j *job) resume(id protocol.AttemptID, epoch protocol.Epoch) *protocol.Resume {
+// newResume returns the message that requests the attempt's chunks from the next
+// expected one on. Chunks that are received but not yet delivered to the caller
+// count against the new window.
+func (j *job) newResume(id protocol.AttemptID, epoch protocol.Epoch) *protocol.Resume {
 	return &protocol.Resume{
 		Attempt:      id,
 		Epoch:        epoch,
@@ -141,8 +143,8 @@
 	}
 }
 
-// newAttemptSource returns the generator of one request's attempt IDs, seeded so
-// that no other request in the fleet has the same ones.
+// newAttemptSource returns the generator of one request's attempt IDs. Its random
+// seed makes them unique in the fleet.
 func newAttemptSource() *mathrand.Rand {
 	var seed [32]byte
 	rand.Read(seed[:])
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -8,9 +8,9 @@
 	"skylarklead/internal/protocol"
 )
 
-// Symptom: an entry's memory grows with each cut of its sessions.
-// Sequence: a caller doesn't read; its stream is resumed again and again.
-// Cause: a whole new window at each resume, on top of the pieces that wait.
+// An entry's memory must not grow when a stream whose caller doesn't read is
+// resumed again and again: chunks that wait for the caller count against the window
+// of each Resume.
 func TestResumeCountsWhatWaits(t *testing.T) {
 	id := protocol.AttemptID{1}
 	j := &job{request: &request{organisation: &config.Organisation{ID: "foodbank"}}, receiver: attempt.NewReceiver(window)}
@@ -22,13 +22,13 @@
 				t.Fatalf("chunk %d dropped: %v", m.Seq, dropped)
 			}
 		}
-		m := j.resume(id, 7)
+		m := j.newResume(id, 7)
 		if m.Window != want || m.Seq != uint64(10*(round+1)) || m.Organisation != "foodbank" {
-			t.Errorf("resume %d asks by %+v, want a window of %d", round, m, want)
+			t.Errorf("resume %d is %+v, want a window of %d", round, m, want)
 		}
 	}
 	j.receiver.Consumed(30)
-	if m := j.resume(id, 7); m.Window != window {
-		t.Errorf("a caller that has read all is given a window of %d", m.Window)
+	if m := j.newResume(id, 7); m.Window != window {
+		t.Errorf("window is %d after the caller has read everything", m.Window)
 	}
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -14,10 +14,10 @@
 	"skylarklead/internal/wire"
 )
 
-// sweepEvery is how often idle sessions are looked for.
-const sweepEvery = 5 * time.Second
+// sweepInterval is how often idle sessions are closed.
+const sweepInterval = 5 * time.Second
 
-// self is what this process says of itself to peers.
+// self returns this process's identity, as shown to peers.
 func (e *Entry) self() protocol.Identity {
 	id := protocol.Identity{
 		ID:            e.settings.ID,
@@ -35,8 +35,8 @@
 	return id
 }
 
-// session returns an open session to address. A dial that others share isn't
-// given up with the caller who happened to begin it.
+// session returns an open session to address. A dial may be shared with other
+// requests, so it continues if the caller that started it gives up.
 func (e *Entry) session(ctx context.Context, address string) (*wire.Session, error) {
 	type result struct {
 		session *wire.Session
@@ -46,7 +46,7 @@
 	go func() {
 		session, err := e.pool.Get(context.WithoutCancel(ctx), address)
 		if err == nil {
-			e.noteSession(session)
+			e.recordPeer(session)
 		}
 		got <- result{session, err}
 	}()
@@ -58,9 +58,10 @@
 	}
 }
 
-// noteSession takes what a session's opening showed of the peer.
-func (e *Entry) noteSession(s *wire.Session) {
-	e.directory.seen(s.Peer())
+// recordPeer records the peer's epoch and configuration offset from the session's
+// opening.
+func (e *Entry) recordPeer(s *wire.Session) {
+	e.directory.epochObserved(s.Peer())
 	e.config.Heard(s.Peer().ConfigOffset, follow.SessionFetch(s))
 }
 
@@ -68,30 +69,32 @@
 func (e *Entry) Handle(s *wire.Session, ref uint32, m protocol.Message) {
 	switch m := m.(type) {
 	case *protocol.Start:
-		e.hub.deliver(m.Attempt, arrival{m, s.Peer().Epoch})
+		e.demux.deliver(m.Attempt, receivedMessage{m, s.Peer().Epoch})
 	case *protocol.Chunk:
-		e.hub.deliver(m.Attempt, arrival{m, s.Peer().Epoch})
+		e.demux.deliver(m.Attempt, receivedMessage{m, s.Peer().Epoch})
 	case *protocol.End:
-		e.hub.deliver(m.Attempt, arrival{m, s.Peer().Epoch})
+		e.demux.deliver(m.Attempt, receivedMessage{m, s.Peer().Epoch})
 	default:
-		// A reply may wait for the peer to read; the session's other messages don't.
-		go e.answer(s, ref, m)
+		// A reply may block until the peer reads; the session's other messages must
+		// not.
+		go e.answerPeer(s, ref, m)
 	}
 }
 
-// Closed implements wire.Handler. Attempts watch their session's end themselves.
+// Closed implements wire.Handler. Attempts detect the end of their session
+// themselves.
 func (e *Entry) Closed(s *wire.Session, err error) {
 	e.tel.Log.Debug("session ended", "peer", s.Peer().ID, "error", err)
 }
 
-// answer replies to what peers and the tool ask of an entry.
-func (e *Entry) answer(s *wire.Session, ref uint32, m protocol.Message) {
-	e.noteSession(s)
+// answerPeer replies to requests of peers and of the tool.
+func (e *Entry) answerPeer(s *wire.Session, ref uint32, m protocol.Message) {
+	e.recordPeer(s)
 	if ref == 0 {
 		e.tel.Log.Warn("unexpected message", "peer", s.Peer().ID, "type", fmt.Sprintf("%T", m))
 		return
 	}
-	// A failed reply closes the session; the peer sees that.
+	// A failed reply closes the session, which the peer sees.
 	_ = s.Reply(ref, e.replyTo(m))
 }
 
@@ -104,14 +107,14 @@
 	case *protocol.ConfigFetch:
 		state, err := e.config.Fetch(m)
 		if err != nil {
-			return failure(protocol.CodeInternal, err.Error())
+			return newFailure(protocol.CodeInternal, err.Error())
 		}
 		return state
 	}
-	return failure(protocol.CodeBadRequest, "an entry doesn't serve "+fmt.Sprintf("%T", m))
+	return newFailure(protocol.CodeBadRequest, "an entry does not serve "+fmt.Sprintf("%T", m))
 }
 
-func failure(code protocol.Code, message string) *protocol.Failure {
+func newFailure(code protocol.Code, message string) *protocol.Failure {
 	return &protocol.Failure{Refusal: protocol.Refusal{Code: code, Message: message, Ran: protocol.NotRun}}
 }
 
@@ -130,24 +133,25 @@
 		UptimeMs:      e.now().Milliseconds(),
 		LogReachable:  e.config.LogReachable(),
 		UnknownSchema: unknownSchema,
-		NotReady:      e.notReady(),
+		NotReady:      e.notReadyReason(),
 	}
 }
 
-// peerServer serves the inner protocol.
-func (e *Entry) peerServer() *http.Server {
+// newPeerServer returns the server for the protocol between processes.
+func (e *Entry) newPeerServer() *http.Server {
 	r := mux.NewRouter()
 	r.HandleFunc(wire.Path, func(w http.ResponseWriter, r *http.Request) {
 		err := wire.Accept(w, r, e.options)
 		if errors.Is(err, wire.ErrUnauthenticated) || errors.Is(err, wire.ErrMalformed) {
-			e.tel.Log.Warn("peer cut off", "remote", r.RemoteAddr, "error", err)
+			e.tel.Log.Warn("peer rejected", "remote", r.RemoteAddr, "error", err)
 		}
 	})
 	r.HandleFunc("/healthz", e.healthz).Methods(http.MethodGet, http.MethodHead)
 	return &http.Server{
 		Handler:           r,
 		ReadHeaderTimeout: readHeaderTimeout,
-		// wire.Listen has the kernel not probe for a caller that is gone.
+		// wire.Listen disables the kernel's keep-alive probes, so idle connections
+		// are closed here.
 		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
 	}
@@ -155,7 +159,7 @@
 
 // sweep closes idle sessions until ctx ends.
 func (e *Entry) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/entry/place_test.go
+++ b/internal/entry/place_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestPolicies(t *testing.T) {
-	a, b := newExecutor(t, "ep-a", answers), newExecutor(t, "ep-b", answers)
+	a, b := newExecutor(t, "ep-a", answersAll), newExecutor(t, "ep-b", answersAll)
 	for _, policy := range []route.Policy{
 		route.PolicyOwner, route.PolicyRandom, route.PolicyRoundRobin, route.PolicyLeastLoaded,
 		route.PolicyWholePrompt, route.PolicyBoundedLoad, route.PolicyPrefixTables,
@@ -25,12 +25,12 @@
 		if e.chooser, err = newChooser(string(policy), e.now); err != nil {
 			t.Fatal(err)
 		}
-		asks := count[*protocol.Ask](a) + count[*protocol.Ask](b)
-		resp := c.chat(wholeBody)
+		asks := countMessages[*protocol.Ask](a) + countMessages[*protocol.Ask](b)
+		resp := c.chat(plainBody)
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: status %d", policy, resp.StatusCode)
 		}
-		asked := count[*protocol.Ask](a)+count[*protocol.Ask](b) > asks
+		asked := countMessages[*protocol.Ask](a)+countMessages[*protocol.Ask](b) > asks
 		if want := policy == route.PolicyOwner; asked != want {
 			t.Errorf("%s: an owner was asked: %v", policy, asked)
 		}
@@ -40,12 +40,11 @@
 	}
 }
 
-// Symptom: a request travels to and fro between endpoints that disagree.
-// Sequence: each of two executors redirects to the other.
-// Cause: only one redirect may be followed.
+// Each of two executors redirects to the other. Only one redirect may be followed,
+// or the request would travel back and forth between endpoints that disagree.
 func TestRedirectIsFollowedOnce(t *testing.T) {
 	var executors []*executor
-	script := runs(func(x *executor, s *wire.Session, run *protocol.Run) {
+	script := onRun(func(x *executor, s *wire.Session, run *protocol.Run) {
 		other := executors[0]
 		if x == other {
 			other = executors[1]
@@ -59,10 +58,10 @@
 	if got.Ran != protocol.NotRun {
 		t.Errorf("got %+v", got)
 	}
-	runs := count[*protocol.Run](executors[0]) + count[*protocol.Run](executors[1])
+	runs := countMessages[*protocol.Run](executors[0]) + countMessages[*protocol.Run](executors[1])
 	redirected := 0
 	for _, x := range executors {
-		if run := last[*protocol.Run](x); run != nil && run.Redirected {
+		if run := lastMessage[*protocol.Run](x); run != nil && run.Redirected {
 			redirected++
 		}
 	}
@@ -71,13 +70,11 @@
 	}
 }
 
-// Symptom: the same payment, sent through two entries at once, is claimed twice
-// and one of its callers waits for the log.
-// Sequence: one idempotency key through two entries.
-// Cause: calls with one key have to go to one endpoint, whichever entry they come
-// through.
+// Calls with one idempotency key must go to one endpoint, whichever entry receives
+// them. Otherwise a payment sent through two entries at once is claimed twice, and
+// one of its callers waits for the log.
 func TestOneKeyOneEndpoint(t *testing.T) {
-	x, y := newExecutor(t, "portal-1", answers), newExecutor(t, "portal-2", answers)
+	x, y := newExecutor(t, "portal-1", answersAll), newExecutor(t, "portal-2", answersAll)
 	_, one := newTestEntry(t, "portal", x, y)
 	_, two := newTestEntry(t, "portal", y, x)
 	for _, key := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -89,14 +86,14 @@
 	}
 }
 
-// Symptom: "not_run" refusals beside endpoints with room, in a rolling restart.
-// Sequence: an owner goes on choosing an endpoint that has just exited; the retry
-// budget is spent.
-// Cause: only the entry that dials an endpoint knows at once that it is gone; its
-// owner has to be told, and that must not take from the budget.
+// In a rolling restart, an owner keeps choosing an endpoint that has just exited,
+// while the retry budget is exhausted. Only the entry that dials the endpoint knows
+// at once that it is gone. It must exclude it when asking again without using the
+// budget; otherwise requests are refused as "not_run" although other endpoints have
+// capacity.
 func TestDeadExecutorCostsNoBudget(t *testing.T) {
 	var dead *executor
-	script := script{run: answers.run, ask: func(x *executor, s *wire.Session, ref uint32, m *protocol.Ask) {
+	script := script{run: answersAll.run, ask: func(x *executor, s *wire.Session, ref uint32, m *protocol.Ask) {
 		if !slices.Contains(m.Exclude, dead.id) {
 			x = dead
 		}
@@ -105,24 +102,24 @@
 	dead = newExecutor(t, "ep-dead", script)
 	live := newExecutor(t, "ep-live", script)
 	e, c := newTestEntry(t, "llm", live)
-	e.directory.listed([]platform.Instance{
+	e.directory.setInstances([]platform.Instance{
 		endpointInstance(live.id, live.address, "llm", ""),
 		endpointInstance(dead.id, dead.address, "llm", ""),
 	})
-	// The directory's clock stands still, so that no backoff lapses meanwhile.
+	// The directory's clock is stopped, so that no backoff expires during the test.
 	now := e.now()
 	e.directory.now = func() time.Duration { return now }
 	dead.server.Close()
 	for e.budget.Allow(attempt.ExtraRetry, "", e.now()) {
 	}
 	for range 3 {
-		resp := c.chat(wholeBody)
+		resp := c.chat(plainBody)
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("got %d %+v", resp.StatusCode, readError(t, resp))
 		}
 	}
-	// Later requests tell the owner at once.
-	if n := count[*protocol.Ask](live); n > 5 {
-		t.Errorf("%d questions for three requests", n)
+	// Later requests exclude the endpoint in their first Ask.
+	if n := countMessages[*protocol.Ask](live); n > 5 {
+		t.Errorf("%d Asks for three requests", n)
 	}
 }
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -12,8 +12,8 @@
 	"skylarklead/internal/route"
 )
 
-// chooser places chat requests at the entry itself, by a baseline policy. It is
-// there to measure against.
+// chooser chooses endpoints for chat requests in the entry itself, by a baseline
+// policy that serves as the reference in benchmarks.
 type chooser struct {
 	now func() time.Duration
 
@@ -22,7 +22,7 @@
 	rng    *rand.Rand
 }
 
-// newChooser returns nil for the policy that asks a prefix's owner.
+// newChooser returns nil for the policy that asks the prefix's owner.
 func newChooser(policy string, now func() time.Duration) (*chooser, error) {
 	if policy == "" || route.Policy(policy) == route.PolicyOwner {
 		return nil, nil
@@ -40,23 +40,23 @@
 		endpoints[i] = route.Endpoint{ID: m.ID, FailureDomain: m.FailureDomain, Alive: true}
 	}
 	c.mu.Lock()
-	choice := c.policy.Choose(c.now(), c.rng, &route.Query{Ask: *j.ask("")}, endpoints)
+	choice := c.policy.Choose(c.now(), c.rng, &route.Query{Ask: *j.newAsk("")}, endpoints)
 	c.mu.Unlock()
-	at := slices.IndexFunc(live, func(m member.Member) bool { return m.ID == choice.Executor })
-	if at < 0 {
+	index := slices.IndexFunc(live, func(m member.Member) bool { return m.ID == choice.Executor })
+	if index < 0 {
 		return noEndpoint(j)
 	}
 	return &protocol.Decision{
 		Request:         j.id,
-		Executor:        protocol.Target{Endpoint: live[at].ID, Address: live[at].Address},
+		Executor:        protocol.Target{Endpoint: live[index].ID, Address: live[index].Address},
 		Reason:          choice.Reason,
 		PredictedCached: choice.PredictedCached,
 	}
 }
 
-// finished tells the policy that a request it placed is over.
+// finished tells the policy that a request has ended at the endpoint that it chose.
 func (c *chooser) finished(j *job, endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.policy.Finished(c.now(), endpoint, &route.Query{Ask: *j.ask("")})
+	c.policy.Finished(c.now(), endpoint, &route.Query{Ask: *j.newAsk("")})
 }
--- a/internal/entry/refuse_test.go
+++ b/internal/entry/refuse_test.go
@@ -14,10 +14,9 @@
 	"skylarklead/test/kit"
 )
 
-// Symptom: bad callers cost engine time, or get an error that tells nothing.
-// Sequence: each kind of bad request, against an executor that counts what
-// reaches it.
-// Cause: everything that can be checked is checked before an Ask is sent.
+// Each kind of invalid request must be refused with a clear error before an Ask is
+// sent, so that it uses no engine time. The executor counts the messages that reach
+// it.
 func TestRefusals(t *testing.T) {
 	x := newExecutor(t, "ep-1", script{})
 	_, c := newTestEntry(t, "llm", x)
@@ -27,15 +26,15 @@
 		status           int
 		code             protocol.Code
 	}{
-		{"no key", chatPath, wholeBody, []string{"Authorization", ""}, 401, protocol.CodeUnauthorized},
-		{"wrong key", chatPath, wholeBody, []string{"Authorization", "Bearer nope"}, 401, protocol.CodeUnauthorized},
+		{"no key", chatPath, plainBody, []string{"Authorization", ""}, 401, protocol.CodeUnauthorized},
+		{"wrong key", chatPath, plainBody, []string{"Authorization", "Bearer nope"}, 401, protocol.CodeUnauthorized},
 		{"bad JSON", chatPath, `{"model":`, nil, 400, protocol.CodeBadRequest},
 		{"too large", chatPath, strings.Repeat(" ", 65<<10), nil, 413, protocol.CodeTooLarge},
-		{"unknown model", chatPath, strings.ReplaceAll(wholeBody, "ledger-llm", "none"), nil, 404, protocol.CodeUnknownModel},
-		{"unknown version", chatPath, strings.ReplaceAll(wholeBody, "ledger-llm", "ledger-llm@v9"), nil, 404, protocol.CodeUnknownModel},
-		{"forbidden version", chatPath, strings.ReplaceAll(wholeBody, "ledger-llm", "ledger-llm@v2"), nil, 403, protocol.CodeForbiddenModel},
-		{"another's model", chatPath, strings.ReplaceAll(wholeBody, "ledger-llm", "other-llm"), nil, 403, protocol.CodeForbiddenModel},
-		{"bad deadline", chatPath, wholeBody, []string{"X-Deadline-Ms", "soon"}, 400, protocol.CodeBadRequest},
+		{"unknown model", chatPath, strings.ReplaceAll(plainBody, "ledger-llm", "none"), nil, 404, protocol.CodeUnknownModel},
+		{"unknown version", chatPath, strings.ReplaceAll(plainBody, "ledger-llm", "ledger-llm@v9"), nil, 404, protocol.CodeUnknownModel},
+		{"forbidden version", chatPath, strings.ReplaceAll(plainBody, "ledger-llm", "ledger-llm@v2"), nil, 403, protocol.CodeForbiddenModel},
+		{"another's model", chatPath, strings.ReplaceAll(plainBody, "ledger-llm", "other-llm"), nil, 403, protocol.CodeForbiddenModel},
+		{"bad deadline", chatPath, plainBody, []string{"X-Deadline-Ms", "soon"}, 400, protocol.CodeBadRequest},
 		{"another's service", "/v1/services/foreign/a", "", nil, 404, protocol.CodeUnknownService},
 		{"no idempotency key", "/v1/services/portal/payments/7", "", nil, 400, protocol.CodeBadRequest},
 		{"dotted path", "/v1/services/portal/balance/%2e%2e/payments", "", nil, 400, protocol.CodeBadRequest},
@@ -49,73 +48,71 @@
 				t.Errorf("got %d %+v", resp.StatusCode, got)
 			}
 			if got.RequestID == "" || got.RequestID != resp.Header.Get("X-Request-Id") {
-				t.Errorf("request ID %q beside %q", got.RequestID, resp.Header.Get("X-Request-Id"))
+				t.Errorf("request ID %q in the body, %q in the header", got.RequestID, resp.Header.Get("X-Request-Id"))
 			}
 			if got.RetryAfterMs > 0 && resp.Header.Get("Retry-After") == "" {
 				t.Error("no Retry-After")
 			}
 		})
 	}
-	if n := count[protocol.Message](x); n != 0 {
+	if n := countMessages[protocol.Message](x); n != 0 {
 		t.Errorf("%d messages reached the executor", n)
 	}
 }
 
-// Symptom: an entry runs out of memory under a flood of slow callers.
-// Sequence: as many requests as the bound are in flight; one more comes.
-// Cause: each holds its body; without a bound the callers decide how much.
+// With maxInFlight requests in flight, one more must be refused. Each holds its
+// body, so many slow callers could otherwise exhaust the entry's memory.
 func TestInFlightIsBounded(t *testing.T) {
 	e, c := newTestEntry(t, "llm")
 	for range maxInFlight {
-		if refusal := e.drain.enter(); refusal != nil {
+		if refusal := e.drain.requestStarted(); refusal != nil {
 			t.Fatal(refusal)
 		}
 	}
-	resp := c.chat(wholeBody)
+	resp := c.chat(plainBody)
 	if got := readError(t, resp); got.Code != protocol.CodeOverloaded || got.Ran != protocol.NotRun {
 		t.Errorf("got %+v", got)
 	}
-	e.drain.leave()
-	resp = c.chat(wholeBody)
+	e.drain.requestEnded()
+	resp = c.chat(plainBody)
 	if got := readError(t, resp); got.Code != protocol.CodeNoEndpoint {
-		t.Errorf("with room again: %+v", got)
+		t.Errorf("after a request ended: %+v", got)
 	}
 }
 
-// Symptom: a request of an upload that broke off runs, or holds its connection.
-// Sequence: a caller announces 1000 bytes, sends some of them and closes its side.
-// Cause: the body is read whole before anything else is done with it.
+// A caller announces 1000 bytes, sends some of them and closes its side. The
+// truncated request must be refused, not run, because the body is read completely
+// first.
 func TestTruncatedUpload(t *testing.T) {
 	x := newExecutor(t, "ep-1", script{})
 	_, c := newTestEntry(t, "llm", x)
-	conn := c.upload(wholeBody)
+	conn := c.upload(plainBody)
 	conn.CloseWrite()
 	answer := make([]byte, 4096)
 	n, _ := conn.Read(answer)
 	if !strings.Contains(string(answer[:n]), "cut off") {
 		t.Errorf("answer %q", answer[:n])
 	}
-	if n := count[protocol.Message](x); n != 0 {
+	if n := countMessages[protocol.Message](x); n != 0 {
 		t.Errorf("%d messages reached the executor", n)
 	}
 }
 
-// Symptom: an entry has no connections left for honest callers.
-// Sequence: a caller sends its header and part of its body, and nothing more.
-// Cause: without a bound on the upload's time it keeps its connection for ever.
+// A caller sends its header and part of its body, then nothing more. Without a
+// limit on the upload's time it would hold its connection indefinitely.
 func TestSlowUploadIsCutOff(t *testing.T) {
 	e, c := newTestEntry(t, "llm")
 	e.timeouts.body = 20 * time.Millisecond
 	conn := c.upload("{")
-	answer, err := io.ReadAll(conn) // to the end of the connection
+	answer, err := io.ReadAll(conn) // until the connection is closed
 	if err != nil || !strings.Contains(string(answer), "cut off after 1 bytes") {
 		t.Errorf("answer %q, %v", answer, err)
 	}
 }
 
-// Symptom: an engine's place is taken for ever by a caller that reads nothing.
-// Sequence: a long answer fills the caller's socket; the caller stays connected.
-// Cause: nothing fails until a write has a bound.
+// A long answer fills the socket of a caller that stays connected but doesn't read.
+// Only the write timeout ends this; otherwise the caller would hold a slot of the
+// engine indefinitely.
 func TestStalledCallerIsCutOff(t *testing.T) {
 	x := newExecutor(t, "ep-1", script{
 		run: func(_ *executor, s *wire.Session, m *protocol.Run) { flood(s, m.Attempt, 0, window, 64<<10) },
@@ -128,19 +125,17 @@
 	e, c := newTestEntry(t, "llm", x)
 	e.timeouts.stall = 50 * time.Millisecond
 	resp := c.chat(streamBody)
-	kit.Until(t, "canceled", func() bool { return count[*protocol.Cancel](x) > 0 })
+	kit.Until(t, "canceled", func() bool { return countMessages[*protocol.Cancel](x) > 0 })
 	if _, err := io.Copy(io.Discard, resp.Body); err == nil {
-		t.Error("the cut answer looks whole")
+		t.Error("the truncated answer looks complete")
 	}
 }
 
-// Symptom: a payment runs twice, or is reported as not run although it did.
-// Sequence: the executor takes the call and is killed before it answers; its next
-// epoch can't know.
-// Cause: a call that may not be repeated is sent once, and what only a dead
-// process knew is "unknown".
+// The executor takes a call and is killed before it answers; its next epoch can't
+// know the outcome. A call that may not be repeated must be sent only once, and its
+// outcome must be reported as unknown, not as "not_run".
 func TestCallRunsOnce(t *testing.T) {
-	script := runs(func(x *executor, _ *wire.Session, _ *protocol.Run) { x.restart(t) })
+	script := onRun(func(x *executor, _ *wire.Session, _ *protocol.Run) { x.restart(t) })
 	x, y := newExecutor(t, "portal-1", script), newExecutor(t, "portal-2", script)
 	_, c := newTestEntry(t, "portal", x, y)
 	resp := c.post(context.Background(), "/v1/services/portal/pledges/7", "pay")
@@ -148,29 +143,28 @@
 	if got.Ran != protocol.Unknown || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("got %d %+v", resp.StatusCode, got)
 	}
-	if n := count[*protocol.Run](x) + count[*protocol.Run](y); n != 1 {
+	if n := countMessages[*protocol.Run](x) + countMessages[*protocol.Run](y); n != 1 {
 		t.Errorf("%d runs", n)
 	}
 }
 
-// Symptom: one stopped process adds seconds to every request that it owns.
-// Sequence: the first owner takes the Ask and never answers.
-// Cause: without the hedge the entry would wait for the whole of askTimeout.
+// The first owner takes the Ask and never answers. Without the hedge the entry
+// would wait for the whole askTimeout on every request of that owner.
 func TestFrozenOwnerIsHedged(t *testing.T) {
-	var frozen atomic.Value
-	frozen.Store("")
-	script := script{run: answers.run, ask: func(x *executor, s *wire.Session, ref uint32, m *protocol.Ask) {
-		if x.id != frozen.Load() {
+	var unresponsive atomic.Value
+	unresponsive.Store("")
+	script := script{run: answersAll.run, ask: func(x *executor, s *wire.Session, ref uint32, m *protocol.Ask) {
+		if x.id != unresponsive.Load() {
 			x.decide(s, ref, m)
 		}
 	}}
 	a, b := newExecutor(t, "ep-a", script), newExecutor(t, "ep-b", script)
 	e, c := newTestEntry(t, "llm", a, b)
 	for _, id := range []string{"ep-a", "ep-b"} {
-		frozen.Store(id)
-		resp := c.chat(wholeBody)
+		unresponsive.Store(id)
+		resp := c.chat(plainBody)
 		if resp.StatusCode != http.StatusOK || resp.Header.Get("X-Executor") == id {
-			t.Errorf("%s frozen: status %d by %s", id, resp.StatusCode, resp.Header.Get("X-Executor"))
+			t.Errorf("%s not answering: status %d from %s", id, resp.StatusCode, resp.Header.Get("X-Executor"))
 		}
 	}
 	if n := e.tel.Metrics.Hedges.Count(); n != 1 {
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	maxRequestID = 64
-	maxKey       = 255
-	maxDeadline  = 24 * time.Hour
-	bearer       = "Bearer "
+	maxRequestIDLength = 64
+	maxKeyLength       = 255
+	maxDeadline        = 24 * time.Hour
+	bearerPrefix       = "Bearer "
 )
 
-// request is what is common to all callers' requests.
+// request holds what all kinds of callers' requests have in common.
 type request struct {
 	id           string
 	state        *config.State
@@ -29,13 +29,13 @@
 	received     time.Time
 	// deadline is when the caller stops waiting.
 	deadline time.Time
-	// key is the digest of organisation and idempotency key, nil if none; keyAge
-	// is how old the key is, 0 if it doesn't say.
+	// key is the digest of organisation and idempotency key, nil without a key.
+	// keyAge is the key's age, 0 if unknown.
 	key    []byte
 	keyAge time.Duration
 }
 
-// requestID returns the caller's request ID if it is safe to log and pass on,
+// requestID returns the caller's request ID if it is safe to log and to forward,
 // otherwise a new one.
 func requestID(r *http.Request) string {
 	id := r.Header.Get("X-Request-Id")
@@ -52,7 +52,7 @@
 }
 
 func validRequestID(id string) bool {
-	if id == "" || len(id) > maxRequestID {
+	if id == "" || len(id) > maxRequestIDLength {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -64,60 +64,60 @@
 	return true
 }
 
-// authenticate finds the organisation of the request's API key. Records hold
-// only the key's digest.
+// authenticate finds the organisation of the request's API key. The configuration
+// holds only digests of keys.
 func authenticate(state *config.State, r *http.Request) (*config.Organisation, *Error) {
 	header := r.Header.Get("Authorization")
-	if len(header) <= len(bearer) || !strings.EqualFold(header[:len(bearer)], bearer) {
-		return nil, refuse(protocol.CodeUnauthorized, "header Authorization must be %q and an API key", bearer)
+	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
+		return nil, refusef(protocol.CodeUnauthorized, "header Authorization must be %q and an API key", bearerPrefix)
 	}
-	digest := sha256.Sum256([]byte(strings.TrimSpace(header[len(bearer):])))
+	digest := sha256.Sum256([]byte(strings.TrimSpace(header[len(bearerPrefix):])))
 	organisation := state.OrganisationByKey(hex.EncodeToString(digest[:]))
 	if organisation == nil {
-		return nil, refuse(protocol.CodeUnauthorized, "unknown API key")
+		return nil, refusef(protocol.CodeUnauthorized, "unknown API key")
 	}
 	return organisation, nil
 }
 
-// deadlineOf returns how long the caller will wait.
-func deadlineOf(r *http.Request, byDefault time.Duration) (time.Duration, *Error) {
+// callerTimeout returns how long the caller will wait.
+func callerTimeout(r *http.Request, defaultTimeout time.Duration) (time.Duration, *Error) {
 	text := r.Header.Get("X-Deadline-Ms")
 	if text == "" {
-		return byDefault, nil
+		return defaultTimeout, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-		return 0, refuse(protocol.CodeBadRequest, "header X-Deadline-Ms must be from 1 to %d", maxDeadline.Milliseconds())
+		return 0, refusef(protocol.CodeBadRequest, "header X-Deadline-Ms must be from 1 to %d", maxDeadline.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// idempotencyKey returns the digest of the organisation and the caller's key, so
-// that two organisations never share one, and the key's age.
+// idempotencyKey returns a digest of the organisation and the caller's key, so that
+// no two organisations share one, and the key's age.
 func idempotencyKey(r *http.Request, organisation string) ([]byte, time.Duration, *Error) {
 	values := r.Header.Values("Idempotency-Key")
 	if len(values) == 0 {
 		return nil, 0, nil
 	}
 	key := values[0]
-	if len(values) > 1 || key == "" || len(key) > maxKey {
-		return nil, 0, refuse(protocol.CodeBadRequest, "header Idempotency-Key must be given once, with 1 to %d characters", maxKey)
+	if len(values) > 1 || key == "" || len(key) > maxKeyLength {
+		return nil, 0, refusef(protocol.CodeBadRequest, "header Idempotency-Key must be given once, with 1 to %d characters", maxKeyLength)
 	}
 	for _, c := range []byte(key) {
 		if c < 0x20 || c > 0x7e {
-			return nil, 0, refuse(protocol.CodeBadRequest, "header Idempotency-Key must be printable ASCII")
+			return nil, 0, refusef(protocol.CodeBadRequest, "header Idempotency-Key must be printable ASCII")
 		}
 	}
 	digest := sha256.Sum256([]byte(organisation + "\x00" + key))
 	return digest[:], keyAge(key, time.Now()), nil
 }
 
-// uuidV7 matches the UUIDs that begin with their time of birth, in milliseconds
-// since 1970 (RFC 9562, section 5.7).
+// uuidV7 matches UUIDs that begin with their creation time in milliseconds since
+// 1970 (RFC 9562, section 5.7).
 var uuidV7 = regexp.MustCompile(`^([0-9a-fA-F]{8})-([0-9a-fA-F]{4})-7[0-9a-fA-F]{3}-[89abAB][0-9a-fA-F]{3}-[0-9a-fA-F]{12}$`)
 
-// keyAge returns the age of a key that tells its birth, else 0. What is kept of
-// keys is kept for hours, so the caller's clock may well be minutes off.
+// keyAge returns the age of a key that contains its creation time, else 0. Keys are
+// remembered for hours, so the caller's clock may be wrong by minutes.
 func keyAge(key string, now time.Time) time.Duration {
 	match := uuidV7.FindStringSubmatch(key)
 	if match == nil {
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			r := &http.Request{Header: http.Header{tt.header: {tt.value}}}
-			_, badDeadline := deadlineOf(r, 1)
+			_, badDeadline := callerTimeout(r, 1)
 			_, _, badKey := idempotencyKey(r, "foodbank")
 			if ok := badDeadline == nil && badKey == nil; ok != tt.ok {
 				t.Errorf("accepted: %v", ok)
@@ -65,8 +65,8 @@
 	now := time.UnixMilli(0x0192_0000_0000 + 5000)
 	for key, want := range map[string]time.Duration{
 		"01920000-0000-7abc-8def-0123456789ab": 5 * time.Second,
-		"01920000-ffff-7abc-8def-0123456789ab": 0, // a clock ahead of ours
-		"01920000-0000-4abc-8def-0123456789ab": 0, // version 4 tells no time
+		"01920000-ffff-7abc-8def-0123456789ab": 0, // created in the future
+		"01920000-0000-4abc-8def-0123456789ab": 0, // version 4 contains no time
 		"pay-7":                                0,
 	} {
 		if got := keyAge(key, now); got != want {
@@ -85,7 +85,7 @@
 		copy(id.attempt[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "attempt"))
 		got, err := parseEventID(id.String())
 		if err != nil || got != id {
-			t.Fatalf("%v came back as %v, %v", id, got, err)
+			t.Fatalf("%v was parsed as %v, %v", id, got, err)
 		}
 	})
 }
@@ -117,8 +117,8 @@
 	for path, want := range map[string]bool{
 		"/balance": true, "/balance/7": true, "/balances": false, "/reports/a": true, "/payments": false,
 	} {
-		if got := underAny(prefixes, path); got != want {
-			t.Errorf("underAny(%q) = %v", path, got)
+		if got := underAnyPrefix(prefixes, path); got != want {
+			t.Errorf("underAnyPrefix(%q) = %v", path, got)
 		}
 	}
 }
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -13,24 +13,24 @@
 
 const (
 	reasonResume = "resume"
-	// resumeTries bounds how often in a row a resumed stream's executor may be out
-	// of reach; with doubled pauses they last some seconds.
-	resumeTries = 6
+	// maxResumeTries bounds the consecutive failures to reach a resumed stream's
+	// executor. With a doubling backoff they take a few seconds.
+	maxResumeTries = 6
 )
 
-// resume serves GET /v1/streams: it takes over the stream that Last-Event-ID
-// names, whichever entry it began at. The stream itself is at its executor; this
-// entry knows nothing of it but the caller's word.
+// resume serves GET /v1/streams: it takes over the stream that Last-Event-ID names,
+// whichever entry it started at. The state of the stream is at its executor; this
+// entry knows only what Last-Event-ID says.
 func (e *Entry) resume(w http.ResponseWriter, r *http.Request, req *request) *Error {
-	at, err := parseEventID(r.Header.Get("Last-Event-ID"))
+	lastEvent, err := parseEventID(r.Header.Get("Last-Event-ID"))
 	if err != nil {
-		return refuse(protocol.CodeBadRequest, "header Last-Event-ID: %v", err)
+		return refusef(protocol.CodeBadRequest, "header Last-Event-ID: %v", err)
 	}
-	executor, ok := e.directory.lookup(at.executor)
+	executor, ok := e.directory.lookup(lastEvent.executor)
 	if !ok {
-		return lostStream("its executor is not known any more")
+		return streamLostError("its executor is no longer known")
 	}
-	target := protocol.Target{Endpoint: executor.ID, Address: executor.Address, Epoch: at.epoch}
+	target := protocol.Target{Endpoint: executor.ID, Address: executor.Address, Epoch: lastEvent.epoch}
 	j := &job{
 		request:  req,
 		group:    executor.Group,
@@ -39,148 +39,153 @@
 		attempts: 1,
 		decision: protocol.Decision{Executor: target, Reason: reasonResume},
 	}
-	j.receiver.BeginAt(at.attempt, at.seq+1)
-	life := e.newLife(r.Context(), req.deadline, e.settings.Entry.ResumeGrace.D())
-	defer life.cancel(nil)
+	j.receiver.BeginAt(lastEvent.attempt, lastEvent.seq+1)
+	ctx := e.newRequestContext(r.Context(), req.deadline, e.settings.Entry.ResumeGrace.D())
+	defer ctx.cancel(nil)
 	e.tel.Metrics.Requests.Mark(1)
-	out := newSSESink(e.newWriter(w), newChatShape(req.id, ""), req.id, false)
-	s := &resumption{answer: &answer{e: e, job: j, out: out}, life: life, target: target}
-	s.run(at.attempt)
+	out := newSSESink(e.newWriter(w), newChatMeta(req.id, ""), req.id, false)
+	s := &resumedStream{answerWriter: &answerWriter{e: e, job: j, out: out}, ctx: ctx, target: target}
+	s.run(lastEvent.attempt)
 	return nil
 }
 
-func lostStream(message string) *Error {
-	return &Error{Code: protocol.CodeUnknownOutcome, Message: "the stream can't be gone on with: " + message, Ran: protocol.Unknown}
+func streamLostError(message string) *Error {
+	return &Error{Code: protocol.CodeUnknownOutcome, Message: "the stream can't be resumed: " + message, Ran: protocol.Unknown}
 }
 
-// supersededError ends a stream whose rest goes to a later resume.
+// supersededError is the error of a stream whose remainder goes to a later resume.
 func supersededError() *Error {
 	return &Error{Code: protocol.CodeCanceled, Message: "the stream was taken over by a resume", Ran: protocol.Unknown}
 }
 
-// resumption is a stream that was resumed by its caller. Without the request's
-// body it can't be run elsewhere. When its executor was restarted, the new process
-// is asked all the same: its engine may still go on with the stream.
-type resumption struct {
-	*answer
-	life   *life
+// resumedStream is a stream that its caller resumed. Without the request's body it
+// can't run elsewhere. If its executor has restarted, the new process is asked
+// nevertheless: its engine may have continued the stream.
+type resumedStream struct {
+	*answerWriter
+	ctx    *requestContext
 	target protocol.Target
 }
 
-// run takes the stream over, again while sessions break and chunks still come.
-func (s *resumption) run(id protocol.AttemptID) {
-	pause := attempt.DefaultPlanParams.Backoff
-	for tries := 0; tries < resumeTries && s.life.Err() == nil; tries++ {
-		session, err := s.reach()
+// run receives the stream, and attaches again as long as sessions break and chunks
+// still come.
+func (s *resumedStream) run(id protocol.AttemptID) {
+	backoff := attempt.DefaultPlanParams.Backoff
+	for tries := 0; tries < maxResumeTries && s.ctx.Err() == nil; tries++ {
+		session, err := s.connect()
 		before := s.job.receiver.Next()
-		if err == nil && s.takeOver(id, session) {
+		if err == nil && s.attach(id, session) {
 			return
 		}
 		if s.job.receiver.Next() > before {
-			tries, pause = 0, attempt.DefaultPlanParams.Backoff
+			tries, backoff = 0, attempt.DefaultPlanParams.Backoff
 			continue
 		}
-		// Also after a session that opened: one that the peer closes at once would
-		// otherwise use up the tries within a millisecond.
-		s.life.sleep(pause)
-		pause *= 2
+		// Back off even if the session opened: a peer that closes sessions at once
+		// would otherwise exhaust the tries within a millisecond.
+		s.ctx.sleep(backoff)
+		backoff *= 2
 	}
-	if s.life.Err() != nil {
-		s.expire()
+	if s.ctx.Err() != nil {
+		s.failExpired()
 		return
 	}
-	s.fail(lostStream("its executor can't be reached"))
+	s.fail(streamLostError("its executor can't be reached"))
 }
 
-// reach opens a session to the executor, whichever its epoch is now.
-func (s *resumption) reach() (*wire.Session, error) {
-	ctx, cancel := context.WithTimeout(s.life, tryTimeout)
+// connect opens a session to the executor, whatever its epoch is now.
+func (s *resumedStream) connect() (*wire.Session, error) {
+	ctx, cancel := context.WithTimeout(s.ctx, executorTimeout)
 	defer cancel()
 	return s.e.sessionTo(ctx, s.target)
 }
 
-// takeOver delivers the stream over one session; it returns false if it has to be
-// taken over once more.
-func (s *resumption) takeOver(id protocol.AttemptID, session *wire.Session) bool {
-	l := s.e.openLink(id, session)
-	defer s.e.closeLink(l)
-	// A failed write closes the session, which follow sees.
-	_ = session.Send(s.job.resume(id, s.target.Epoch))
-	return s.follow(l)
+// attach receives the stream over one session. It returns false if the stream must
+// be attached again over another session.
+func (s *resumedStream) attach(id protocol.AttemptID, session *wire.Session) bool {
+	conn := s.e.openAttempt(id, session)
+	defer s.e.closeAttempt(conn)
+	// A failed write closes the session; receive handles that.
+	_ = session.Send(s.job.newResume(id, s.target.Epoch))
+	return s.receive(conn)
 }
 
-// follow is takeOver's waiting.
-func (s *resumption) follow(l *link) bool {
+// receive delivers the stream's messages until the stream or its session ends. It
+// returns what attach returns.
+func (s *resumedStream) receive(conn *attemptConn) bool {
 	for {
-		gap := time.NewTimer(gapCheck)
+		idle := time.NewTimer(idleCheckInterval)
 		select {
-		case a := <-l.mailbox.arrivals:
-			l.quiet = 0
-			got, err := s.take(l, a)
+		case in := <-conn.mailbox.messages:
+			conn.idleChecks = 0
+			got, err := s.handleMessage(conn, in)
 			if err != nil {
-				return s.wait(l)
+				return s.awaitReturn(conn)
 			}
 			if got.end != nil {
-				s.ended(l, got.end)
+				s.onEnd(conn, got.end)
 				return true
 			}
-		case <-gap.C:
-			s.e.look(l)
+		case <-idle.C:
+			s.e.checkLiveness(conn)
 			if s.job.receiver.MustResume(s.e.now()) {
 				return false
 			}
-		case <-l.session.Done():
+		case <-conn.session.Done():
 			return false
-		case <-l.mailbox.overflowed:
+		case <-conn.mailbox.overflowed:
 			return false
-		case <-l.mailbox.superseded:
+		case <-conn.mailbox.superseded:
 			s.fail(supersededError())
 			return true
-		case <-s.life.away:
-			return s.wait(l)
-		case <-s.life.Done():
-			return s.abandon(l)
+		case <-s.ctx.callerGone:
+			return s.awaitReturn(conn)
+		case <-s.ctx.Done():
+			return s.abandon(conn)
 		}
-		gap.Stop()
+		idle.Stop()
 	}
 }
 
-func (s *resumption) ended(l *link, end *protocol.End) {
-	if end.Outcome == protocol.Unknown && end.Message == "" && l.peer.Epoch != s.target.Epoch {
-		s.fail(lostStream("its executor was restarted"))
+func (s *resumedStream) onEnd(conn *attemptConn, end *protocol.End) {
+	if end.Outcome == protocol.Unknown && end.Message == "" && conn.peer.Epoch != s.target.Epoch {
+		s.fail(streamLostError("its executor was restarted"))
 		return
 	}
 	s.conclude(end)
 }
 
-// wait keeps the stream for a caller who may come back once more.
-func (s *resumption) wait(l *link) bool {
-	grace := time.NewTimer(s.life.grace)
+// awaitReturn stops reading and waits for the caller to resume once more, until the
+// grace period ends.
+func (s *resumedStream) awaitReturn(conn *attemptConn) bool {
+	grace := time.NewTimer(s.ctx.grace)
 	defer grace.Stop()
 	select {
-	case <-l.mailbox.superseded:
+	case <-conn.mailbox.superseded:
 		s.fail(supersededError())
 		return true
 	case <-grace.C:
-	case <-s.life.Done():
+	case <-s.ctx.Done():
 	}
-	return s.abandon(l)
+	return s.abandon(conn)
 }
 
-// abandon cancels a stream that nobody has waited for in time.
-func (s *resumption) abandon(l *link) bool {
-	if !errors.Is(context.Cause(s.life), errStopping) { // the executor counts the grace then
-		_ = l.session.Send(&protocol.Cancel{Attempt: l.id}) // a lost session ends it as well
+// abandon cancels a stream that no caller has resumed in time.
+func (s *resumedStream) abandon(conn *attemptConn) bool {
+	// When this entry is stopping, and when the session is lost, the executor ends the
+	// stream itself after the grace period.
+	if !errors.Is(context.Cause(s.ctx), errStopping) {
+		_ = conn.session.Send(&protocol.Cancel{Attempt: conn.id})
 	}
-	s.expire()
+	s.failExpired()
 	return true
 }
 
-// expire tells the caller, if it is still there, why the stream ends.
-func (s *resumption) expire() {
-	if errors.Is(context.Cause(s.life), errDeadline) {
+// failExpired ends the stream with the reason why its context ended.
+func (s *resumedStream) failExpired() {
+	if errors.Is(context.Cause(s.ctx), errDeadline) {
 		s.fail(&Error{Code: protocol.CodeDeadline, Message: "the deadline has passed", Ran: protocol.Unknown})
 		return
 	}
-	s.fail(&Error{Code: protocol.CodeCanceled, Message: "the caller has gone", Ran: protocol.Unknown})
+	s.fail(&Error{Code: protocol.CodeCanceled, Message: "the caller disconnected", Ran: protocol.Unknown})
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -33,42 +33,42 @@
 	if refusal != nil {
 		return refusal
 	}
-	if req.key == nil && underAny(service.KeyRequired, path) {
-		return refuse(protocol.CodeBadRequest, "%s needs the header Idempotency-Key", path)
+	if req.key == nil && underAnyPrefix(service.KeyRequired, path) {
+		return refusef(protocol.CodeBadRequest, "%s requires the header Idempotency-Key", path)
 	}
 	body, refusal := e.readBody(w, r)
 	if refusal != nil {
 		return refusal
 	}
-	j := serviceJob(req, service, r, path, body)
-	e.drive(r.Context(), j, e.placeService, newServiceSink(e.newWriter(w), req.id))
+	j := newServiceJob(req, service, r, path, body)
+	e.execute(r.Context(), j, e.placeService, newServiceSink(e.newWriter(w), req.id))
 	return nil
 }
 
 func allowedService(req *request, name string) (*config.Service, *Error) {
 	service := req.state.Services[name]
 	if service == nil || !slices.Contains(req.organisation.Services, name) {
-		return nil, refuse(protocol.CodeUnknownService, "unknown service %q", name)
+		return nil, refusef(protocol.CodeUnknownService, "unknown service %q", name)
 	}
 	return service, nil
 }
 
-// servicePath returns the decoded path of a call, with its leading slash. Paths
-// that a back end may read as another one ("." and "..", empty segments, encoded
-// slashes, control bytes) are refused: "/balance/../payment" would otherwise pass
-// as a call that may be repeated.
+// servicePath returns the decoded path of a call, with a leading slash. Paths that
+// a back end may interpret as another one (".", "..", empty segments, encoded
+// slashes, control bytes) are refused: "/balance/../payment" would otherwise match
+// a path whose calls may be repeated.
 func servicePath(encoded string) (string, *Error) {
 	path, err := url.PathUnescape(encoded)
 	if err != nil {
-		return "", refuse(protocol.CodeBadRequest, "path: %v", err)
+		return "", refusef(protocol.CodeBadRequest, "path: %v", err)
 	}
 	if strings.Count(path, "/") != strings.Count(encoded, "/") || strings.ContainsFunc(path, unsafePathRune) {
-		return "", refuse(protocol.CodeBadRequest, "path has an encoded separator or a control byte")
+		return "", refusef(protocol.CodeBadRequest, "path has an encoded separator, or a control or reserved character")
 	}
 	for i, segment := range strings.Split(path, "/") {
 		last := i == strings.Count(path, "/")
 		if segment == "." || segment == ".." || segment == "" && !last {
-			return "", refuse(protocol.CodeBadRequest, "path has an empty or dotted segment")
+			return "", refusef(protocol.CodeBadRequest, `path has an empty, "." or ".." segment`)
 		}
 	}
 	return "/" + path, nil
@@ -78,15 +78,15 @@
 	return c < 0x20 || c == 0x7f || c == '\\' || c == '?' || c == '#' || c == '%'
 }
 
-// underAny reports whether path is one of prefixes or below one.
-func underAny(prefixes []string, path string) bool {
+// underAnyPrefix reports whether path equals one of prefixes or is below one.
+func underAnyPrefix(prefixes []string, path string) bool {
 	return slices.ContainsFunc(prefixes, func(p string) bool {
 		p = "/" + strings.Trim(p, "/")
 		return p == "/" || path == p || strings.HasPrefix(path, p+"/")
 	})
 }
 
-func serviceJob(req *request, service *config.Service, r *http.Request, path string, body []byte) *job {
+func newServiceJob(req *request, service *config.Service, r *http.Request, path string, body []byte) *job {
 	target := (&url.URL{Path: path}).EscapedPath()
 	if r.URL.RawQuery != "" {
 		target += "?" + r.URL.RawQuery
@@ -101,14 +101,14 @@
 			ContentType: r.Header.Get("Content-Type"),
 			Body:        body,
 		},
-		repeatable: req.key == nil && underAny(service.Repeatable, path),
+		repeatable: req.key == nil && underAnyPrefix(service.Repeatable, path),
 		receiver:   attempt.NewReceiver(window),
 	}
 	j.fingerprint = callFingerprint(j)
 	return j
 }
 
-// callFingerprint is the same when the same call is sent again.
+// callFingerprint returns the same hash when the same call is sent again.
 func callFingerprint(j *job) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(j.organisation.ID + "\x00" + j.call.Service + "\x00" + j.call.Method + "\x00" + j.call.Path + "\x00")
@@ -116,9 +116,10 @@
 	return d.Sum64()
 }
 
-// placeService picks an executor for a call. Calls with one idempotency key go to
-// one endpoint, whichever entry they come through, so that a doubled call usually
-// meets the first one there; others go where this entry has the fewest in flight.
+// placeService chooses an executor for a call. Calls with the same idempotency key
+// go to the same endpoint, whichever entry receives them, so that a duplicate
+// usually finds the first one there. Other calls go to the endpoint with the fewest
+// calls in flight from this entry.
 func (e *Entry) placeService(_ context.Context, j *job) *protocol.Decision {
 	live := e.directory.live(j.group)
 	live = slices.DeleteFunc(live, func(m member.Member) bool { return slices.Contains(j.exclude, m.ID) })
@@ -127,7 +128,7 @@
 	}
 	chosen, reason := e.leastBusy(live), reasonLeastBusy
 	if j.key != nil {
-		chosen, reason = byKey(j.key, live), reasonIdempotencyKey
+		chosen, reason = endpointForKey(j.key, live), reasonIdempotencyKey
 	}
 	return &protocol.Decision{
 		Request:  j.id,
@@ -136,7 +137,7 @@
 	}
 }
 
-func byKey(key []byte, live []member.Member) member.Member {
+func endpointForKey(key []byte, live []member.Member) member.Member {
 	ids := make([]string, len(live))
 	for i, m := range live {
 		ids[i] = m.ID
@@ -145,13 +146,14 @@
 	return live[slices.Index(ids, first)]
 }
 
-// leastBusy starts at random, so that entries don't all favour one endpoint.
+// leastBusy starts at a random endpoint, so that entries don't all prefer the same
+// one.
 func (e *Entry) leastBusy(live []member.Member) member.Member {
 	offset := rand.IntN(len(live))
 	best := live[offset]
 	for i := range live {
 		m := live[(offset+i)%len(live)]
-		if e.inFlight.at(m.ID) < e.inFlight.at(best.ID) {
+		if e.inFlight.count(m.ID) < e.inFlight.count(best.ID) {
 			best = m
 		}
 	}
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -12,22 +12,22 @@
 	"skylarklead/internal/telemetry"
 )
 
-// sink is a caller's side of an answer. Its methods are called by one goroutine,
-// and end or fail is called once, last.
+// sink writes an answer to the caller. Its methods are called by one goroutine. The
+// last call is end or fail, once.
 type sink interface {
-	// start announces an attempt's executor and, for a service, its answer's
-	// status and content type.
+	// start announces an attempt's executor and, for a service, the answer's status
+	// and content type.
 	start(executor string, s *protocol.Start) error
-	// chunk delivers the next piece of the answer.
-	chunk(at eventID, data []byte) error
+	// chunk delivers the next chunk of the answer.
+	chunk(id eventID, data []byte) error
 	// end completes the answer.
 	end(e *protocol.End) error
 	// fail ends the answer with an explicit error.
 	fail(e *Error)
 }
 
-// eventID is the id of one SSE event: it names who can resume the stream, and
-// from where.
+// eventID is the ID of an SSE event. It says where the stream can be resumed, and
+// from which chunk on.
 type eventID struct {
 	executor string
 	epoch    protocol.Epoch
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s/%s/%s/%d", id.executor, telemetry.FormatEpoch(id.epoch), id.attempt, id.seq)
 }
 
-// parseEventID reads what String wrote.
+// parseEventID parses the result of String.
 func parseEventID(text string) (id eventID, err error) {
 	parts := strings.Split(text, "/")
 	if len(parts) != 4 || parts[0] == "" {
@@ -61,7 +61,7 @@
 	return id, nil
 }
 
-// writer writes to a caller with a bound on each write.
+// writer writes to a caller and bounds the time of each write.
 type writer struct {
 	w     http.ResponseWriter
 	rc    *http.ResponseController
@@ -72,7 +72,7 @@
 	return writer{w: w, rc: http.NewResponseController(w), stall: e.timeouts.stall}
 }
 
-// flush writes data through to the caller.
+// flush writes data and flushes it to the caller.
 func (w writer) flush(data []byte) error {
 	if err := w.rc.SetWriteDeadline(time.Now().Add(w.stall)); err != nil {
 		return fmt.Errorf("%w: %v", errCaller, err)
--- a/internal/entry/sse.go
+++ b/internal/entry/sse.go
@@ -12,15 +12,15 @@
 // finishLength is the finish reason of an answer that reached max_tokens.
 const finishLength = "length"
 
-// chatShape is what every part of a chat answer repeats.
-type chatShape struct {
+// chatMeta holds the fields that every object of a chat answer repeats.
+type chatMeta struct {
 	id      string
 	model   string
 	created int64
 }
 
-func newChatShape(requestID, model string) chatShape {
-	return chatShape{id: "chatcmpl-" + requestID, model: model, created: time.Now().Unix()}
+func newChatMeta(requestID, model string) chatMeta {
+	return chatMeta{id: "chatcmpl-" + requestID, model: model, created: time.Now().Unix()}
 }
 
 // usageJSON is OpenAI's usage object.
@@ -64,7 +64,7 @@
 	Usage   *usageJSON        `json:"usage,omitempty"`
 }
 
-func (c chatShape) event(choices ...chunkChoiceJSON) chunkJSON {
+func (c chatMeta) newChunk(choices ...chunkChoiceJSON) chunkJSON {
 	if choices == nil {
 		choices = []chunkChoiceJSON{}
 	}
@@ -74,21 +74,21 @@
 // sseSink streams a chat answer as server-sent events.
 type sseSink struct {
 	writer
-	chatShape
-	requestID string
-	usage     bool
-	begun     bool
+	chatMeta
+	requestID    string
+	includeUsage bool
+	headersSent  bool
 }
 
-func newSSESink(w writer, shape chatShape, requestID string, usage bool) *sseSink {
-	return &sseSink{writer: w, chatShape: shape, requestID: requestID, usage: usage}
+func newSSESink(w writer, meta chatMeta, requestID string, usage bool) *sseSink {
+	return &sseSink{writer: w, chatMeta: meta, requestID: requestID, includeUsage: usage}
 }
 
 func (s *sseSink) start(executor string, _ *protocol.Start) error {
-	if s.begun {
+	if s.headersSent {
 		return nil
 	}
-	s.begun = true
+	s.headersSent = true
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -97,15 +97,15 @@
 	return s.flush(nil)
 }
 
-func (s *sseSink) chunk(at eventID, data []byte) error {
-	if err := s.start(at.executor, nil); err != nil {
+func (s *sseSink) chunk(id eventID, data []byte) error {
+	if err := s.start(id.executor, nil); err != nil {
 		return err
 	}
 	delta := deltaJSON{Content: string(data)}
-	if at.seq == 0 {
+	if id.seq == 0 {
 		delta.Role = "assistant"
 	}
-	return s.send(at.String(), s.chatShape.event(chunkChoiceJSON{Delta: delta}))
+	return s.sendEvent(id.String(), s.chatMeta.newChunk(chunkChoiceJSON{Delta: delta}))
 }
 
 func (s *sseSink) end(e *protocol.End) error {
@@ -113,13 +113,13 @@
 		return err
 	}
 	reason := finishReason(e)
-	if err := s.send("", s.chatShape.event(chunkChoiceJSON{FinishReason: &reason})); err != nil {
+	if err := s.sendEvent("", s.chatMeta.newChunk(chunkChoiceJSON{FinishReason: &reason})); err != nil {
 		return err
 	}
-	if s.usage {
-		last := s.chatShape.event()
+	if s.includeUsage {
+		last := s.chatMeta.newChunk()
 		last.Usage = usageOf(e)
-		if err := s.send("", last); err != nil {
+		if err := s.sendEvent("", last); err != nil {
 			return err
 		}
 	}
@@ -127,18 +127,18 @@
 }
 
 func (s *sseSink) fail(e *Error) {
-	if !s.begun {
+	if !s.headersSent {
 		e.write(s.w, s.requestID)
 		return
 	}
 	var b bytes.Buffer
 	b.WriteString("event: error\n")
 	writeData(&b, e.body(s.requestID))
-	_ = s.flush(b.Bytes()) // the caller has gone
+	_ = s.flush(b.Bytes()) // fails only if the caller has disconnected
 }
 
-// event writes one event, its ID first if it has one.
-func (s *sseSink) send(id string, v any) error {
+// sendEvent writes one event, with its ID if id isn't empty.
+func (s *sseSink) sendEvent(id string, v any) error {
 	var b bytes.Buffer
 	if id != "" {
 		b.WriteString("id: " + id + "\n")
@@ -147,10 +147,11 @@
 	return s.flush(b.Bytes())
 }
 
-// writeData appends the data line of an event; JSON has no line break in it.
+// writeData appends the data line of an event. JSON as encoded here has no line
+// breaks.
 func writeData(b *bytes.Buffer, v any) {
 	b.WriteString("data: ")
-	_ = json.NewEncoder(b).Encode(v) // plain structs always encode
+	_ = json.NewEncoder(b).Encode(v) // these structs always encode
 	b.WriteString("\n")
 }
 
--- a/internal/entry/whole.go
+++ b/internal/entry/whole.go
@@ -9,46 +9,48 @@
 	"skylarklead/internal/protocol"
 )
 
-// maxAnswer bounds an answer that is put together before it is sent on.
-const maxAnswer = 16 << 20
+// maxBufferedAnswer bounds an answer that is buffered before it is sent to the
+// caller.
+const maxBufferedAnswer = 16 << 20
 
-// errTooLong ends an attempt whose answer can't be kept whole.
-var errTooLong = errors.New("answer is too long to be kept whole")
+// errAnswerTooLong ends an attempt whose answer exceeds maxBufferedAnswer.
+var errAnswerTooLong = errors.New("answer is too long to be buffered")
 
-// wholeSink collects an answer, so that its caller gets all of it or an error.
-type wholeSink struct {
+// bufferedSink buffers an answer, so that its caller gets either all of it or an
+// error.
+type bufferedSink struct {
 	writer
-	requestID string
-	executor  string
-	started   protocol.Start
-	body      []byte
+	requestID    string
+	executor     string
+	startMessage protocol.Start
+	body         []byte
 }
 
-func (s *wholeSink) start(executor string, start *protocol.Start) error {
+func (s *bufferedSink) start(executor string, start *protocol.Start) error {
 	s.executor = executor
 	if start != nil {
-		s.started = *start
+		s.startMessage = *start
 	}
 	return nil
 }
 
-func (s *wholeSink) chunk(at eventID, data []byte) error {
-	s.executor = at.executor
-	if len(s.body)+len(data) > maxAnswer {
-		return fmt.Errorf("%w: over %d bytes", errTooLong, maxAnswer)
+func (s *bufferedSink) chunk(id eventID, data []byte) error {
+	s.executor = id.executor
+	if len(s.body)+len(data) > maxBufferedAnswer {
+		return fmt.Errorf("%w: over %d bytes", errAnswerTooLong, maxBufferedAnswer)
 	}
 	s.body = append(s.body, data...)
 	return nil
 }
 
-// discarder is a sink whose caller has nothing of the answer yet.
+// discarder is a sink that has sent nothing of the answer to its caller yet.
 type discarder interface{ discard() }
 
-func (s *wholeSink) discard() { s.body = nil }
+func (s *bufferedSink) discard() { s.body = nil }
 
-func (s *wholeSink) fail(e *Error) { e.write(s.w, s.requestID) }
+func (s *bufferedSink) fail(e *Error) { e.write(s.w, s.requestID) }
 
-func (s *wholeSink) send(status int, contentType string, body []byte) error {
+func (s *bufferedSink) respond(status int, contentType string, body []byte) error {
 	h := s.w.Header()
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
@@ -60,34 +62,34 @@
 
 // chatSink answers a chat request that isn't streamed.
 type chatSink struct {
-	wholeSink
-	chatShape
+	bufferedSink
+	chatMeta
 }
 
-func newChatSink(w writer, shape chatShape, requestID string) *chatSink {
-	return &chatSink{wholeSink: wholeSink{writer: w, requestID: requestID}, chatShape: shape}
+func newChatSink(w writer, meta chatMeta, requestID string) *chatSink {
+	return &chatSink{bufferedSink: bufferedSink{writer: w, requestID: requestID}, chatMeta: meta}
 }
 
-type answerChoiceJSON struct {
+type completionChoiceJSON struct {
 	Index        int       `json:"index"`
 	Message      deltaJSON `json:"message"`
 	FinishReason string    `json:"finish_reason"`
 }
 
-// answerJSON is OpenAI's chat.completion.
-type answerJSON struct {
-	ID      string             `json:"id"`
-	Object  string             `json:"object"`
-	Created int64              `json:"created"`
-	Model   string             `json:"model"`
-	Choices []answerChoiceJSON `json:"choices"`
-	Usage   *usageJSON         `json:"usage"`
+// completionJSON is OpenAI's chat.completion.
+type completionJSON struct {
+	ID      string                 `json:"id"`
+	Object  string                 `json:"object"`
+	Created int64                  `json:"created"`
+	Model   string                 `json:"model"`
+	Choices []completionChoiceJSON `json:"choices"`
+	Usage   *usageJSON             `json:"usage"`
 }
 
 func (s *chatSink) end(e *protocol.End) error {
-	answer := answerJSON{
+	answer := completionJSON{
 		ID: s.id, Object: "chat.completion", Created: s.created, Model: s.model,
-		Choices: []answerChoiceJSON{{
+		Choices: []completionChoiceJSON{{
 			Message:      deltaJSON{Role: "assistant", Content: string(s.body)},
 			FinishReason: finishReason(e),
 		}},
@@ -97,20 +99,20 @@
 	if err != nil {
 		return fmt.Errorf("entry: encode answer: %w", err)
 	}
-	return s.send(http.StatusOK, "application/json", body)
+	return s.respond(http.StatusOK, "application/json", body)
 }
 
-// serviceSink answers a call to a plain service with what the service said.
-type serviceSink struct{ wholeSink }
+// serviceSink answers a call to a plain service with the service's status and body.
+type serviceSink struct{ bufferedSink }
 
 func newServiceSink(w writer, requestID string) *serviceSink {
-	return &serviceSink{wholeSink{writer: w, requestID: requestID}}
+	return &serviceSink{bufferedSink{writer: w, requestID: requestID}}
 }
 
 func (s *serviceSink) end(*protocol.End) error {
-	status := s.started.Status
+	status := s.startMessage.Status
 	if status < http.StatusOK || status > 599 {
 		status = http.StatusOK
 	}
-	return s.send(status, s.started.ContentType, s.body)
+	return s.respond(status, s.startMessage.ContentType, s.body)
 }
