--- a/internal/protocol/configuration.go
+++ b/internal/protocol/configuration.go
@@ -1,25 +1,25 @@
 package protocol
 
-// ConfigFetch asks for accepted configuration newer than After.
+// ConfigFetch requests accepted configuration that is newer than After.
 type ConfigFetch struct {
 	After uint64 `cbor:"1,keyasint"`
-	// Part asks for a further part of the answer whose first one had the state's
-	// Offset.
+	// Part requests a further part of an answer. Offset is that of the answer's
+	// first part.
 	Part   int    `cbor:"2,keyasint,omitempty"`
 	Offset uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// ConfigState answers ConfigFetch: what the sender's accepted state has after
-// that offset, encoded and compressed by package config, or empty if it has
-// nothing newer.
+// ConfigState answers ConfigFetch with the part of the sender's accepted state that
+// is newer than After, encoded and compressed by package config. State is empty if
+// there is nothing newer.
 type ConfigState struct {
 	Offset uint64 `cbor:"1,keyasint"`
 	State  []byte `cbor:"2,keyasint,omitempty"`
-	// Parts is how many parts State is split into, if more than one. A long frame
-	// would hold up the streams of its session.
+	// Parts is the number of parts that State is split into, if more than one. A
+	// long frame would delay the streams of its session.
 	Parts int `cbor:"3,keyasint,omitempty"`
-	// SnapshotTTLMs is for how many milliseconds the newest snapshot on the log is
-	// young enough, as far as the sender knows; 0 if it isn't. It is told with the
-	// first part, also when there is nothing newer.
+	// SnapshotTTLMs is for how many more milliseconds the newest snapshot on the
+	// log is recent enough, as far as the sender knows; 0 if it isn't. It is sent
+	// with the first part, even if there is nothing newer.
 	SnapshotTTLMs int64 `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -2,7 +2,7 @@
 
 import "skylarklead/internal/prefix"
 
-// Load is a load summary of an endpoint, in tokens of work.
+// Load summarises an endpoint's load, in tokens of work.
 type Load struct {
 	Running        int    `cbor:"1,keyasint" json:"running"`
 	Queued         int    `cbor:"2,keyasint" json:"queued"`
@@ -17,38 +17,40 @@
 	Version        string `cbor:"11,keyasint,omitempty" json:"version"`
 	CacheViewAgeMs int64  `cbor:"12,keyasint,omitempty" json:"picture_age_ms"`
 	CacheViewStale bool   `cbor:"13,keyasint,omitempty" json:"picture_doubtful"`
-	// Organisations is how many organisations have requests waiting.
+	// Organisations is the number of organisations with waiting requests.
 	Organisations int `cbor:"14,keyasint,omitempty" json:"organisations"`
-	// Heavy are those of them that have more than their share or a backlog of
-	// their own here, by route.OrganisationHash: their requests wait for the whole
-	// queue.
+	// Heavy lists those of them that exceed their share or have a backlog of their
+	// own at this endpoint, by route.OrganisationHash. Their requests wait for the
+	// whole queue.
 	Heavy []uint64 `cbor:"15,keyasint,omitempty" json:"heavy,omitempty"`
-	// OutputShare is the mean of output tokens over the most allowed.
+	// OutputShare is the mean ratio of generated output tokens to the allowed
+	// maximum.
 	OutputShare float64 `cbor:"16,keyasint,omitempty" json:"output_share"`
 }
 
-// Resident says that an endpoint's engine holds a level's blocks, Tokens of it
-// in a row from the start; 0 withdraws it.
+// Resident reports that an endpoint's engine holds blocks of a level: the first
+// Tokens tokens of it without a gap. 0 withdraws an earlier report.
 type Resident struct {
 	Hash   prefix.Hash `cbor:"1,keyasint"`
 	Tokens int         `cbor:"2,keyasint"`
 }
 
-// CrashCount counts the engines that crashed while running a request, by its
-// fingerprint. GivenUp makes it final for the whole group.
+// CrashCount is the number of engines that crashed while running a request, which
+// is identified by its fingerprint. GivenUp means that the whole group no longer
+// runs it.
 type CrashCount struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	Count       int    `cbor:"2,keyasint"`
 	GivenUp     bool   `cbor:"3,keyasint,omitempty"`
-	// Generation counts how often a completion cleared the strikes; a higher one
-	// outdoes any Count of a lower one.
+	// Generation counts how often a completion of the request reset Count. A higher
+	// generation overrides any Count of a lower one.
 	Generation uint32 `cbor:"4,keyasint,omitempty"`
-	// AgeMs is how long ago the last engine crashed, so that strikes passed to
-	// and fro still expire.
+	// AgeMs is the time since the last of the crashes, so that counts expire even
+	// while peers keep exchanging them.
 	AgeMs int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Heartbeat goes from each endpoint process to the others of its group.
+// Heartbeat is sent by each endpoint process to the others of its group.
 type Heartbeat struct {
 	ID           string       `cbor:"1,keyasint"`
 	Epoch        Epoch        `cbor:"2,keyasint"`
@@ -58,12 +60,13 @@
 	Load         Load         `cbor:"6,keyasint"`
 	Residents    []Resident   `cbor:"7,keyasint,omitempty"`
 	CrashCounts  []CrashCount `cbor:"8,keyasint,omitempty"`
-	// Full marks that Residents is all there is for the receiver, not a change.
+	// Full marks that Residents is the complete list for the receiver, not a
+	// change.
 	Full bool `cbor:"9,keyasint,omitempty"`
-	// Unresponsive names members that gave the sender no sign of life when asked; the
-	// receiver asks them itself.
+	// Unresponsive names members that did not answer the sender's probe. The
+	// receiver probes them itself.
 	Unresponsive []string `cbor:"10,keyasint,omitempty"`
-	// PeriodMs is within how many milliseconds the sender's next heartbeat goes to
-	// the receiver; 0 from builds that don't tell and send one a second.
+	// PeriodMs is the time in milliseconds within which the sender's next heartbeat
+	// follows. It is 0 from versions without this field, which send one a second.
 	PeriodMs int64 `cbor:"11,keyasint,omitempty"`
 }
--- a/internal/protocol/kinds.go
+++ b/internal/protocol/kinds.go
@@ -1,10 +1,9 @@
 package protocol
 
-// Kind is the number that stands for a message type on the wire. Numbers are
-// never reused for another type.
+// Kind is the number of a message type on the wire. Numbers are never reused for
+// another type.
 type Kind uint8
 
-// The kinds.
 const (
 	KindChallenge Kind = iota + 1
 	KindHello
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -3,19 +3,18 @@
 // Outcome says whether a request ran.
 type Outcome string
 
-// The outcomes. NotRun is said only by the process that would have run the
-// request and knows that it never handed it on, or by one that never sent it.
+// NotRun is reported only by the process that would have run the request and knows
+// that it did not forward it, or by a process that never sent it.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "not_run"
 	Unknown Outcome = "unknown"
 )
 
-// Code is the reason of a refusal or failure, as callers see it
-// (docs/INTERFACE.md, section 1).
+// Code is the reason of a refusal or failure, as callers see it (docs/INTERFACE.md,
+// section 1).
 type Code string
 
-// The codes.
 const (
 	CodeNone           Code = ""
 	CodeBadRequest     Code = "bad_request"
@@ -38,10 +37,10 @@
 	CodeInternal       Code = "internal"
 )
 
-// Message is one of the message types of this package.
+// Message is implemented by the message types of this package.
 type Message interface{ Kind() Kind }
 
-// Refusal tells why a request is not run, or not known to have run.
+// Refusal says why a request is not run, or is not known to have run.
 type Refusal struct {
 	Code         Code    `cbor:"1,keyasint"`
 	Message      string  `cbor:"2,keyasint,omitempty"`
--- a/internal/protocol/opening.go
+++ b/internal/protocol/opening.go
@@ -1,20 +1,20 @@
 package protocol
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role string
 
-// The roles of a process.
 const (
 	RoleEntry    Role = "entry"
 	RoleEndpoint Role = "endpoint"
 	RoleTool     Role = "tool"
 )
 
-// Epoch is drawn at random when a process starts. Whatever was learnt from one
-// epoch (load, cache picture, attempts) is void in another.
+// Epoch identifies one run of a process. It is drawn at random when the process
+// starts. What is known of one epoch (load, cache view, attempts) is invalid for
+// another.
 type Epoch uint64
 
-// Identity is what a process says of itself when a session opens.
+// Identity describes a process to its peer when a session opens.
 type Identity struct {
 	ID            string `cbor:"1,keyasint"`
 	Role          Role   `cbor:"2,keyasint"`
@@ -25,20 +25,21 @@
 	ConfigOffset  uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Challenge opens a session: the accepting side's nonce and identity.
+// Challenge opens a session with the accepting side's nonce and identity.
 type Challenge struct {
 	Nonce    []byte   `cbor:"1,keyasint"`
 	Identity Identity `cbor:"2,keyasint"`
 }
 
-// Hello answers a Challenge. MAC is HMAC-SHA256 by the fleet key over the nonce
-// and the identity.
+// Hello answers a Challenge. MAC is the HMAC-SHA256 with the fleet key over the
+// nonce and the identity.
 type Hello struct {
 	Identity Identity `cbor:"1,keyasint"`
 	MAC      []byte   `cbor:"2,keyasint"`
 }
 
-// Welcome ends the opening; MAC proves that the accepting side has the key too.
+// Welcome completes the opening. MAC proves that the accepting side has the fleet
+// key, too.
 type Welcome struct {
 	MAC []byte `cbor:"1,keyasint"`
 }
--- a/internal/protocol/running.go
+++ b/internal/protocol/running.go
@@ -7,17 +7,17 @@
 	"skylarklead/internal/prefix"
 )
 
-// AttemptID names one attempt to run one request. It is never reused.
+// AttemptID identifies one attempt to run a request. It is never reused.
 type AttemptID [16]byte
 
 // String returns the ID in hex.
 func (a AttemptID) String() string { return hex.EncodeToString(a[:]) }
 
-// ParseAttemptID reads what String wrote.
+// ParseAttemptID parses the result of String.
 func ParseAttemptID(text string) (a AttemptID, err error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(a) {
-		return a, fmt.Errorf("wire: attempt ID %q is not %d hex digits", text, 2*len(a))
+		return a, fmt.Errorf("protocol: attempt ID %q is not %d hex digits", text, 2*len(a))
 	}
 	return AttemptID(raw), nil
 }
@@ -31,7 +31,7 @@
 	Body        []byte `cbor:"5,keyasint,omitempty"`
 }
 
-// Run hands a request to its executor. Exactly one of Messages and Call is set.
+// Run sends a request to its executor. Exactly one of Messages and Call is set.
 type Run struct {
 	Attempt      AttemptID        `cbor:"1,keyasint"`
 	Request      string           `cbor:"2,keyasint"`
@@ -41,23 +41,23 @@
 	Version      string           `cbor:"6,keyasint,omitempty"`
 	Messages     []prefix.Message `cbor:"7,keyasint,omitempty"`
 	Call         *Call            `cbor:"8,keyasint,omitempty"`
-	// Instructions is the log offset of the organisation's record whose
-	// standing instructions go before Messages. The executor has the text, or
-	// fetches it from the sender.
+	// Instructions is the log offset of the organisation's record whose standing
+	// instructions precede Messages. The executor has their text, or fetches it
+	// from the sender.
 	Instructions uint64         `cbor:"9,keyasint,omitempty"`
 	Levels       []prefix.Level `cbor:"10,keyasint,omitempty"`
 	PromptTokens int            `cbor:"11,keyasint,omitempty"`
-	// MaxTokens counts new tokens, without those of Partial.
+	// MaxTokens limits new tokens, excluding those of Partial.
 	MaxTokens   int    `cbor:"12,keyasint,omitempty"`
 	Priority    int    `cbor:"13,keyasint,omitempty"`
 	Fingerprint uint64 `cbor:"14,keyasint,omitempty"`
 	DeadlineMs  int64  `cbor:"15,keyasint,omitempty"`
-	// Partial is what the caller already has of a cut answer; the engine goes on
-	// from there. Chunks are numbered from FirstSeq.
+	// Partial is the text that was already received of an interrupted answer; the
+	// engine continues it. Chunks are numbered from FirstSeq.
 	Partial  string `cbor:"16,keyasint,omitempty"`
 	FirstSeq uint64 `cbor:"17,keyasint,omitempty"`
-	// Key is the digest of organisation and idempotency key, empty if none;
-	// KeyAgeMs is its age where the key tells its birth, else 0.
+	// Key is the digest of organisation and idempotency key, empty without a key.
+	// KeyAgeMs is the key's age if the key contains its creation time, else 0.
 	Key      []byte `cbor:"18,keyasint,omitempty"`
 	KeyAgeMs int64  `cbor:"19,keyasint,omitempty"`
 	// Window is how many chunks may be sent ahead of the receiver's Credit.
@@ -65,34 +65,36 @@
 	Owner        string `cbor:"21,keyasint,omitempty"`
 	Suspect      bool   `cbor:"22,keyasint,omitempty"`
 	ConfigOffset uint64 `cbor:"23,keyasint"`
-	// Redirected is set when an executor has already passed this request on;
-	// it is then not passed on again.
+	// Redirected is set when an executor has already redirected this request; it
+	// must not be redirected again.
 	Redirected bool `cbor:"24,keyasint,omitempty"`
-	// Parameters are the caller's fields for the engine, as package parameters
-	// picks them: a JSON object of at most parameters.MaxBytes, empty if none.
+	// Parameters are the caller's fields for the engine, as selected by package
+	// parameters: a JSON object of at most parameters.MaxBytes, empty without such
+	// fields.
 	Parameters []byte `cbor:"25,keyasint,omitempty"`
-	// Donor is the Decision's.
+	// Donor is copied from the Decision.
 	Donor *Donor `cbor:"26,keyasint,omitempty"`
 }
 
-// Cancel ends an attempt that nobody waits for. The entry sends it when a caller
-// of a whole answer hangs up, and for a stream when nobody has resumed it within
-// the grace. The executor ignores it on any session but the one that the attempt
-// was last run or resumed on: through another entry the caller may be back. For
-// an attempt whose session is lost, the executor waits the grace out itself.
+// Cancel ends an attempt that no caller waits for. The entry sends it when the
+// caller of an answer that isn't streamed disconnects, and for a stream when the
+// caller has not resumed it within the grace period. The executor accepts it only
+// on the session that the attempt was last run or resumed on, because the caller
+// may have returned through another entry. If that session is lost, the executor
+// applies the grace period itself.
 type Cancel struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 }
 
-// Resolve asks what became of an attempt whose session was lost. An attempt that
-// the executor has not seen is fenced: it answers not_run and refuses the attempt
-// should its Run still arrive.
+// Resolve asks for the outcome of an attempt whose session was lost. An attempt
+// that the executor has not seen is fenced: the executor answers not_run and
+// refuses the attempt should its Run still arrive.
 type Resolve struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Epoch   Epoch     `cbor:"2,keyasint"`
 }
 
-// Resolved answers Resolve. Running is set while the attempt goes on.
+// Resolved answers Resolve. Running is set while the attempt continues.
 type Resolved struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Outcome Outcome   `cbor:"2,keyasint"`
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -1,6 +1,6 @@
 package protocol
 
-// StatusRequest asks a process for its Status.
+// StatusRequest requests a process's Status.
 type StatusRequest struct{}
 
 // Status is what `skylarkctl status` shows of one process.
@@ -15,7 +15,7 @@
 	UptimeMs      int64          `cbor:"8,keyasint" json:"uptime_ms"`
 	LogReachable  bool           `cbor:"9,keyasint" json:"log_reachable"`
 	UnknownSchema int            `cbor:"10,keyasint,omitempty" json:"unknown_schema"`
-	// NotReady is why /readyz answers 503, empty if it doesn't.
+	// NotReady is the reason why /readyz answers 503, empty if it doesn't.
 	NotReady string `cbor:"11,keyasint,omitempty" json:"not_ready,omitempty"`
 }
 
@@ -24,14 +24,14 @@
 	ID    string `cbor:"1,keyasint" json:"id"`
 	State string `cbor:"2,keyasint" json:"state"`
 	AgeMs int64  `cbor:"3,keyasint" json:"age_ms"`
-	// Address, Group and FailureDomain let a process that can't read the
-	// platform's list learn of the endpoints from a peer.
+	// Address, Group and FailureDomain let a process that can't read the platform's
+	// instance list learn the endpoints from a peer.
 	Address       string `cbor:"4,keyasint,omitempty" json:"address,omitempty"`
 	Group         string `cbor:"5,keyasint,omitempty" json:"group,omitempty"`
 	FailureDomain string `cbor:"6,keyasint,omitempty" json:"failure_domain,omitempty"`
 }
 
-// ExplainRequest asks for the decisions that a process remembers of a request.
+// ExplainRequest requests the decision records that a process keeps of a request.
 type ExplainRequest struct {
 	Request string `cbor:"1,keyasint"`
 }
@@ -55,11 +55,11 @@
 	Candidates      []Candidate `cbor:"10,keyasint,omitempty" json:"candidates,omitempty"`
 	Outcome         Outcome     `cbor:"11,keyasint,omitempty" json:"outcome,omitempty"`
 	AgeMs           int64       `cbor:"12,keyasint" json:"age_ms"`
-	// Donor is the endpoint that a prefix is, or was, to be imported from.
+	// Donor is the endpoint that a prefix should be, or was, imported from.
 	Donor string `cbor:"13,keyasint,omitempty" json:"donor,omitempty"`
 }
 
-// Drain orders an endpoint process to take no new work, for good.
+// Drain orders an endpoint process to stop taking new work permanently.
 type Drain struct {
 	Endpoint string `cbor:"1,keyasint"`
 }
--- a/internal/protocol/stream.go
+++ b/internal/protocol/stream.go
@@ -1,17 +1,17 @@
 package protocol
 
-// Start says that the request was handed to the engine or service and that its
-// answer begins.
+// Start reports that the request was forwarded to the engine or service and that
+// the answer begins.
 type Start struct {
 	Attempt     AttemptID `cbor:"1,keyasint"`
 	Status      int       `cbor:"2,keyasint,omitempty"`
 	ContentType string    `cbor:"3,keyasint,omitempty"`
 }
 
-// Chunk is one piece of an answer. Seq numbers the pieces of one request's
-// answer from 0, without gaps, across attempts. Of a chat answer, Data is the
-// UTF-8 text of one delta (the entry makes the caller's events of it; finish
-// reason and usage come with End); of a service call, bytes of the body.
+// Chunk is one part of an answer. Seq numbers the chunks of a request's answer from
+// 0, without gaps, across attempts. For a chat answer, Data is the UTF-8 text of
+// one delta; the entry builds the caller's events from it, and the finish reason
+// and usage come with End. For a service call, Data is bytes of the body.
 type Chunk struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Seq     uint64    `cbor:"2,keyasint"`
@@ -19,7 +19,7 @@
 }
 
 // End is the explicit end of an attempt. Seq is the number that the next chunk
-// would have had, so that a receiver knows that it has all of them.
+// would have had, so that the receiver knows whether it has all chunks.
 type End struct {
 	Attempt          AttemptID `cbor:"1,keyasint"`
 	Seq              uint64    `cbor:"2,keyasint"`
@@ -32,25 +32,26 @@
 	CachedTokens     int       `cbor:"9,keyasint,omitempty"`
 	CompletionTokens int       `cbor:"10,keyasint,omitempty"`
 	FinishReason     string    `cbor:"11,keyasint,omitempty"`
-	// EngineCrashed is set when the engine was lost while it ran this attempt.
+	// EngineCrashed is set when the engine was lost while running this attempt.
 	EngineCrashed bool `cbor:"12,keyasint,omitempty"`
 }
 
-// Credit lets the sender of an attempt's chunks go on up to, not including, Seq.
+// Credit allows the sender of an attempt's chunks to continue up to, but excluding,
+// Seq.
 type Credit struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Seq     uint64    `cbor:"2,keyasint"`
 }
 
-// Resume asks the executor to send an attempt's chunks again from Seq, on this
-// session. It is answered by chunks and End, or by End with Unknown when this
-// epoch doesn't know the attempt.
+// Resume asks the executor to send an attempt's chunks again from Seq on, over this
+// session. The answer is chunks and End, or End with Unknown if this epoch doesn't
+// know the attempt.
 type Resume struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Epoch   Epoch     `cbor:"2,keyasint"`
 	Seq     uint64    `cbor:"3,keyasint"`
 	Window  uint32    `cbor:"4,keyasint"`
-	// Organisation is who asks for the stream; the executor answers Unknown if
-	// the attempt is another organisation's.
+	// Organisation is the one that requests the stream. The executor answers
+	// Unknown if the attempt belongs to another organisation.
 	Organisation string `cbor:"5,keyasint,omitempty"`
 }
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -3,9 +3,9 @@
 import "skylarklead/internal/prefix"
 
 // Donor names an endpoint whose engine holds a prefix that the executor of a
-// Decision lacks. All but the address is checked by the donor and again by the
-// executor: blocks of another process, engine incarnation or weights version are
-// not those that the owner decided on.
+// Decision lacks. The donor checks all fields but the address, and the executor
+// checks them again: blocks of another process, engine incarnation or weights
+// version are not those that the owner's decision was based on.
 type Donor struct {
 	Target      Target       `cbor:"1,keyasint"`
 	Incarnation string       `cbor:"2,keyasint"`
@@ -13,9 +13,9 @@
 	Level       prefix.Level `cbor:"4,keyasint"`
 }
 
-// Export asks a donor's process for cache blocks. Hashes go from the first block
-// that the asker lacks to the last of the donor's level, in the order of the
-// prompt.
+// Export requests cache blocks from a donor's process. Hashes range from the first
+// block that the requester lacks to the last of the donor's level, in the order of
+// the prompt.
 type Export struct {
 	Epoch       Epoch         `cbor:"1,keyasint"`
 	Incarnation string        `cbor:"2,keyasint"`
@@ -23,10 +23,9 @@
 	Hashes      []prefix.Hash `cbor:"4,keyasint"`
 }
 
-// ExportRefusal is why an Export brought no blocks, empty if it did.
+// ExportRefusal is why an Export was answered without blocks, empty if it wasn't.
 type ExportRefusal string
 
-// The refusals of an Export.
 const (
 	ExportBusy             ExportRefusal = "busy"
 	ExportTooLarge         ExportRefusal = "too_large"
@@ -37,8 +36,8 @@
 	ExportFailed           ExportRefusal = "export_failed"
 )
 
-// Exported answers an Export. Blob is the engine's own form of the blocks named,
-// MaxExportBytes at most.
+// Exported answers an Export. Blob holds the blocks of Hashes in the engine's own
+// format, at most MaxExportBytes.
 type Exported struct {
 	Refusal     ExportRefusal `cbor:"1,keyasint,omitempty"`
 	Epoch       Epoch         `cbor:"2,keyasint"`
@@ -48,5 +47,6 @@
 	Blob        []byte        `cbor:"6,keyasint,omitempty"`
 }
 
-// MaxExportBytes bounds a Blob, well within MaxFrame.
+// MaxExportBytes bounds Blob. It is well below the maximum size of a frame,
+// wire.MaxFrame.
 const MaxExportBytes = 4 << 20
