--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,32 +14,34 @@
 )
 
 const (
-	// readBuffer holds a typical answer's head and first events.
+	// readBuffer fits a typical answer's header and first events.
 	readBuffer = 4 << 10
-	// DialTimeout is many round trips inside a region. A replica that is dark, or
-	// whose queue of connections is full, is left for another one after it: the
-	// kernel's own next try comes after a second.
+	// DialTimeout is many round trips within a region. A replica that doesn't
+	// answer, or whose accept queue is full, is then given up for another one: the
+	// kernel would retransmit its SYN only after a second.
 	DialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes nobody acknowledges: three or so
-	// retransmissions, so that single lost packets don't.
+	// unackedTimeout closes a connection whose data stays unacknowledged. It allows
+	// for about three retransmissions, so that the loss of single packets doesn't
+	// close it.
 	unackedTimeout = 1500 * time.Millisecond
-	// keepAlive finds a peer that has gone without a word, at the kernel's finest
-	// grain: it is noticed in three seconds.
+	// The keep-alive probes detect a peer that vanished without closing the
+	// connection. With the kernel's smallest intervals, this takes three seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// defaultIdle is how long a connection is kept where the replica doesn't say.
-	// idleMargin is kept off what it says, which is in whole seconds: a request that
-	// crosses the replica's close has an unknown outcome.
-	defaultIdle = 2 * time.Second
-	idleMargin  = 700 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept if the replica does not
+	// say. idleMargin is subtracted from what the replica says, which is in whole
+	// seconds: a request that is sent while the replica closes the connection has
+	// an unknown outcome.
+	defaultIdleTimeout = 2 * time.Second
+	idleMargin         = 700 * time.Millisecond
 )
 
-// Dialer opens connections that notice a silent peer.
+// Dialer returns a dialer whose connections detect a peer that stopped answering.
 //
-// Without it a machine that loses power, or a link that is cut, leaves requests
-// hanging until their deadlines: it is seen as a burst of timeouts at one replica
-// although its neighbours are free.
+// Otherwise, after a machine loses power or a network link is cut, requests hang
+// until their deadlines. This shows as a burst of timeouts at one replica although
+// others have capacity.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: DialTimeout,
@@ -51,25 +53,26 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
 // conn is one connection to a replica.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idle is how long it may be kept unused.
-	idle time.Duration
-	// freeSince is when its last exchange ended.
-	freeSince time.Time
-	used      bool
+	// idleTimeout is how long the connection may be kept unused.
+	idleTimeout time.Duration
+	// idleSince is when the last exchange on the connection ended.
+	idleSince time.Time
+	// used is set when the connection was reused for another request.
+	used bool
 }
 
 func dial(ctx context.Context, address string) (*conn, error) {
@@ -77,18 +80,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), idle: defaultIdle}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), idleTimeout: defaultIdleTimeout}, nil
 }
 
-// fresh reports whether an idle connection can carry another request: not near
-// the end of its time, still open, and with nothing to read. Bytes that nobody
-// asked for belong to no request, and whatever follows them can't be trusted.
-func (c *conn) fresh(now time.Time) bool {
-	return now.Sub(c.freeSince) < c.idle && c.reader.Buffered() == 0 && c.silent()
+// usable reports whether an idle connection can carry another request: it isn't
+// near its idle timeout, is still open, and has nothing to read. Unsolicited bytes
+// belong to no request, and nothing that follows them can be trusted.
+func (c *conn) usable(now time.Time) bool {
+	return now.Sub(c.idleSince) < c.idleTimeout && c.reader.Buffered() == 0 && c.hasNoInput()
 }
 
-// silent looks at the socket without taking anything from it.
-func (c *conn) silent() bool {
+// hasNoInput peeks at the socket without consuming data. It returns false if there
+// is data to read or if the peer has closed the connection.
+func (c *conn) hasNoInput() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -97,18 +101,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, errno := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errno == unix.EAGAIN
+		empty = errno == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// learnIdle takes the time that the replica keeps idle connections.
-func (c *conn) learnIdle(h http.Header) {
+// applyKeepAlive sets the idle timeout from the replica's Keep-Alive header.
+func (c *conn) applyKeepAlive(h http.Header) {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
@@ -118,6 +122,6 @@
 		if err != nil || seconds < 0 {
 			continue
 		}
-		c.idle = max(0, time.Duration(seconds)*time.Second-idleMargin)
+		c.idleTimeout = max(0, time.Duration(seconds)*time.Second-idleMargin)
 	}
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,8 +1,9 @@
-// Package upstream sends HTTP/1.1 requests to replicas and tells exactly how far
+// Package upstream sends HTTP/1.1 requests to replicas and reports exactly how far
 // each one got.
 //
-// The standard transport sends some requests again by itself and hides whether a
-// failed one had reached the wire. A router must know: a payment that was written
-// to a socket may have run. So connections are kept here, each carries one request
-// at a time, nothing is sent twice, and one that did anything doubtful is closed.
+// The transport of net/http retries some requests by itself, and does not tell
+// whether a failed one had been written. A router must know this: a payment that
+// was written to a socket may have run. So this package keeps its own connections.
+// Each carries one request at a time, nothing is sent twice, and a connection in an
+// uncertain state is closed.
 package upstream
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -10,22 +10,22 @@
 	"strconv"
 )
 
-// Request is what goes to a replica. Its body is whole, so that its length is
-// known and nothing of it is missing once it is written.
+// Request is a request to a replica. Its body is complete, so that its length is
+// known and a fully written request is not missing anything.
 type Request struct {
 	Method string
-	// Target is the request line's target, as the caller wrote it.
+	// Target is the target of the request line, as the caller wrote it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// SendError tells how far a failed request got.
+// SendError says how far a failed request got.
 type SendError struct {
-	// Sent is set once a byte may have left: the request may have run.
+	// Sent is set once a byte may have been sent: the request may have run.
 	Sent bool
-	// Reused is set when it failed on a connection that had carried others.
+	// Reused is set when the connection had carried other requests before.
 	Reused bool
 	Err    error
 }
@@ -41,48 +41,54 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// inlineBody is the longest body written before the answer is read. A longer one
-// may fill the link's window while the replica, which has refused it already,
-// waits for its answer to be taken.
-const inlineBody = 4 << 10
+// maxInlineBody is the longest body that is written before the answer is read. A
+// longer one may fill the TCP window while the replica, which has already refused
+// the request, waits for its answer to be read.
+const maxInlineBody = 4 << 10
 
-// maxStrays bounds the answers to earlier requests that are skipped on one
+// maxStrayResponses bounds the answers to earlier requests that are skipped on one
 // connection.
-const maxStrays = 2
+const maxStrayResponses = 2
 
-// ErrStrayResponse says that only answers to other requests came.
+// ErrStrayResponse means that only answers to other requests were received.
 var ErrStrayResponse = errors.New("upstream: answers belong to other requests")
 
-// Exchange is one request with the answer that came for it. Close must be called.
+// Exchange is one request and its answer. It must be closed.
 type Exchange struct {
 	Status int
 	Header http.Header
 	// Body ends with io.EOF only if it is complete.
 	Body io.Reader
-	// StrayResponses is how many answers to other requests were skipped.
+	// StrayResponses is the number of answers to other requests that were skipped.
 	StrayResponses int
 
 	pool    *Pool
 	replica Replica
 	conn    *conn
 	resp    *http.Response
+	// written receives the result of writing a request that is longer than
+	// maxInlineBody. It is nil for a shorter one, which is written first.
 	written chan error
-	stop    func() bool
-	ended   bool
+	// stop ends the watch of the request's context.
+	stop func() bool
+	// ended is set once the body was read completely.
+	ended bool
 }
 
-// Do sends a request and returns as soon as the head of its answer is there.
-// belongs tells whether an answer is to this request: a replica may send a second
-// answer to an earlier one. Errors are a *SendError. Ending ctx breaks the
-// exchange off and closes its connection, which cancels the request at the replica.
-func (p *Pool) Do(ctx context.Context, r Replica, limit int, req *Request, belongs func(http.Header) bool) (*Exchange, error) {
-	c, err := p.take(ctx, r, limit)
+// Do sends a request and returns once the header of its answer has been read. At
+// most limit connections to the replica are open at a time; 0 means no limit. The
+// function matches reports whether an answer is for this request: a replica may
+// send a second answer to an earlier one. Errors are of type *SendError. When ctx
+// ends, the exchange is aborted and its connection closed, which cancels the
+// request at the replica.
+func (p *Pool) Do(ctx context.Context, r Replica, limit int, req *Request, matches func(http.Header) bool) (*Exchange, error) {
+	c, err := p.acquire(ctx, r, limit)
 	if err != nil {
 		return nil, &SendError{Err: err}
 	}
 	e := &Exchange{pool: p, replica: r, conn: c}
 	e.stop = context.AfterFunc(ctx, func() { c.Close() })
-	if err := e.start(req, belongs); err != nil {
+	if err := e.start(req, matches); err != nil {
 		e.Close()
 		if ctx.Err() != nil {
 			err = ctx.Err()
@@ -92,27 +98,27 @@
 	return e, nil
 }
 
-func (e *Exchange) start(req *Request, belongs func(http.Header) bool) error {
+func (e *Exchange) start(req *Request, matches func(http.Header) bool) error {
 	head := req.head()
-	if len(req.Body) <= inlineBody {
+	if len(req.Body) <= maxInlineBody {
 		if _, err := e.conn.Write(append(head, req.Body...)); err != nil {
 			return err
 		}
-		return e.readHead(req, belongs)
+		return e.readHead(req, matches)
 	}
 	e.written = make(chan error, 1)
 	go func() {
 		_, err := e.conn.Write(append(head, req.Body...))
 		e.written <- err
 	}()
-	return e.readHead(req, belongs)
+	return e.readHead(req, matches)
 }
 
-// head renders the request line and headers.
+// head returns the encoded request line and headers.
 func (r *Request) head() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
-	// A buffer takes all that is written to it.
+	// Writes to a buffer don't fail.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -121,8 +127,8 @@
 	return b.Bytes()
 }
 
-// readHead reads answers until one belongs to the request.
-func (e *Exchange) readHead(req *Request, belongs func(http.Header) bool) error {
+// readHead reads answers until one matches the request.
+func (e *Exchange) readHead(req *Request, matches func(http.Header) bool) error {
 	for {
 		resp, err := http.ReadResponse(e.conn.reader, &http.Request{Method: req.Method})
 		if err != nil {
@@ -130,15 +136,15 @@
 		}
 		if resp.StatusCode < http.StatusOK {
 			if resp.StatusCode == http.StatusSwitchingProtocols {
-				return fmt.Errorf("upstream: unasked-for status %d", resp.StatusCode)
+				return fmt.Errorf("upstream: unexpected status %d", resp.StatusCode)
 			}
 			continue
 		}
-		if belongs(resp.Header) {
-			e.take(resp)
+		if matches(resp.Header) {
+			e.setResponse(resp)
 			return nil
 		}
-		if e.StrayResponses++; e.StrayResponses > maxStrays || resp.Close {
+		if e.StrayResponses++; e.StrayResponses > maxStrayResponses || resp.Close {
 			return ErrStrayResponse
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -147,27 +153,28 @@
 	}
 }
 
-func (e *Exchange) take(resp *http.Response) {
+func (e *Exchange) setResponse(resp *http.Response) {
 	e.resp = resp
 	e.Status = resp.StatusCode
 	e.Header = resp.Header
-	e.Body = &body{exchange: e}
-	e.conn.learnIdle(resp.Header)
+	e.Body = &bodyReader{exchange: e}
+	e.conn.applyKeepAlive(resp.Header)
 }
 
-// ContentLength is the body's length, -1 if the head doesn't say.
+// ContentLength is the body's length, -1 if the header doesn't give it.
 func (e *Exchange) ContentLength() int64 { return e.resp.ContentLength }
 
-// CloseDelimited reports that the body ends only with its connection.
+// CloseDelimited reports whether the end of the body is marked only by the end of
+// the connection.
 func (e *Exchange) CloseDelimited() bool {
 	return e.resp.ContentLength < 0 && len(e.resp.TransferEncoding) == 0
 }
 
-// body notes when all of it was read.
-type body struct{ exchange *Exchange }
+// bodyReader records whether all of the body was read.
+type bodyReader struct{ exchange *Exchange }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.exchange.resp.Body.Read(p)
 	if err == io.EOF {
 		b.exchange.ended = true
@@ -175,9 +182,10 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the answer came whole,
-// nothing follows it, the request was written whole before, and the replica
-// means to go on; anything else closes it, which cancels what still runs.
+// Close ends the exchange. The connection is kept only if the answer was read
+// completely, nothing follows it, the request had been written completely, and the
+// replica keeps the connection open. Otherwise it is closed, which cancels a
+// request that is still running.
 func (e *Exchange) Close() {
 	interrupted := !e.stop()
 	if interrupted || !e.reusable() {
@@ -185,19 +193,19 @@
 		e.pool.release(e.replica)
 		return
 	}
-	e.pool.put(e.replica, e.conn)
+	e.pool.putIdle(e.replica, e.conn)
 }
 
 func (e *Exchange) reusable() bool {
 	if e.resp == nil || !e.ended || e.resp.Close || e.StrayResponses > 0 {
 		return false
 	}
-	return e.wroteAll() && e.conn.reader.Buffered() == 0
+	return e.requestWritten() && e.conn.reader.Buffered() == 0
 }
 
-// wroteAll reports whether the request had left whole. An answer may come before
-// it has; the rest would be taken for the next request.
-func (e *Exchange) wroteAll() bool {
+// requestWritten reports whether the request was written completely. An answer may
+// come before that, and the replica would read the remainder as the next request.
+func (e *Exchange) requestWritten() bool {
 	if e.written == nil {
 		return true
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,36 +7,39 @@
 	"time"
 )
 
-// ErrConnectionLimit says that a replica's share of connections is in use.
+// ErrConnectionLimit means that as many connections to a replica are open as are
+// allowed.
 var ErrConnectionLimit = errors.New("upstream: all connections to the replica are in use")
 
-// Replica is where a connection leads: an address may be taken over by another
-// replica, so connections belong to an incarnation.
+// Replica identifies the destination of a connection. Another replica may take over
+// an address, so connections belong to one incarnation, which ID names.
 type Replica struct {
 	ID      string
 	Address string
 }
 
-// peer has the connections to one replica.
-type peer struct {
+// replicaConns holds the connections to one replica: the idle ones, and the number
+// of all open ones.
+type replicaConns struct {
 	idle []*conn
 	open int
 }
 
 // Pool keeps connections to replicas. It is safe for concurrent use.
 type Pool struct {
-	mu    sync.Mutex
-	peers map[Replica]*peer
-	// opened and reused count where requests found their connections.
+	mu       sync.Mutex
+	replicas map[Replica]*replicaConns
+	// opened and reused count the connections that were opened and reused for
+	// requests.
 	opened, reused uint64
 }
 
 // NewPool returns an empty pool.
-func NewPool() *Pool { return &Pool{peers: make(map[Replica]*peer)} }
+func NewPool() *Pool { return &Pool{replicas: make(map[Replica]*replicaConns)} }
 
-// take returns an idle connection, or opens one if fewer than limit are open.
-func (p *Pool) take(ctx context.Context, r Replica, limit int) (*conn, error) {
-	c, err := p.takeIdle(r, limit)
+// acquire returns an idle connection, or opens one if fewer than limit are open.
+func (p *Pool) acquire(ctx context.Context, r Replica, limit int) (*conn, error) {
+	c, err := p.acquireIdle(r, limit)
 	if c != nil || err != nil {
 		return c, err
 	}
@@ -48,53 +51,54 @@
 	return c, nil
 }
 
-// takeIdle returns a connection that is fit to use, the latest used first so that
-// the others can age out, or nil when the caller may open one.
-func (p *Pool) takeIdle(r Replica, limit int) (*conn, error) {
+// acquireIdle returns a usable connection, or nil if the caller may open one. It
+// takes the most recently used one, so that surplus connections reach their idle
+// timeout.
+func (p *Pool) acquireIdle(r Replica, limit int) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.peers[r]
-	if e == nil {
-		e = &peer{}
-		p.peers[r] = e
+	rc := p.replicas[r]
+	if rc == nil {
+		rc = &replicaConns{}
+		p.replicas[r] = rc
 	}
 	now := time.Now()
-	for len(e.idle) > 0 {
-		c := e.idle[len(e.idle)-1]
-		e.idle = e.idle[:len(e.idle)-1]
-		if c.fresh(now) {
+	for len(rc.idle) > 0 {
+		c := rc.idle[len(rc.idle)-1]
+		rc.idle = rc.idle[:len(rc.idle)-1]
+		if c.usable(now) {
 			p.reused++
 			c.used = true
 			return c, nil
 		}
 		c.Close()
-		e.open--
+		rc.open--
 	}
-	if limit > 0 && e.open >= limit {
+	if limit > 0 && rc.open >= limit {
 		return nil, ErrConnectionLimit
 	}
-	e.open++
+	rc.open++
 	p.opened++
 	return nil, nil
 }
 
-// Probe opens a connection to a replica to see whether it takes one, and keeps it
-// for the next request.
+// Probe opens a connection to a replica to test whether it accepts one, and keeps
+// it for the next request.
 func (p *Pool) Probe(ctx context.Context, r Replica) error {
 	c, err := dial(ctx, r.Address)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	e := p.peers[r]
-	if e == nil {
-		e = &peer{}
-		p.peers[r] = e
+	rc := p.replicas[r]
+	if rc == nil {
+		rc = &replicaConns{}
+		p.replicas[r] = rc
 	}
-	e.open++
+	rc.open++
 	p.opened++
 	p.mu.Unlock()
-	p.put(r, c)
+	p.putIdle(r, c)
 	return nil
 }
 
@@ -102,70 +106,70 @@
 func (p *Pool) release(r Replica) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.peers[r]
-	if e == nil {
+	rc := p.replicas[r]
+	if rc == nil {
 		return
 	}
-	if e.open--; e.open <= 0 && len(e.idle) == 0 {
-		delete(p.peers, r)
+	if rc.open--; rc.open <= 0 && len(rc.idle) == 0 {
+		delete(p.replicas, r)
 	}
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(r Replica, c *conn) {
-	c.freeSince = time.Now()
+// putIdle keeps a connection for the next request.
+func (p *Pool) putIdle(r Replica, c *conn) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.peers[r]
-	if e == nil || c.idle <= 0 {
+	rc := p.replicas[r]
+	if rc == nil || c.idleTimeout <= 0 {
 		c.Close()
-		if e != nil {
-			e.open--
+		if rc != nil {
+			rc.open--
 		}
 		return
 	}
-	e.idle = append(e.idle, c)
+	rc.idle = append(rc.idle, c)
 }
 
-// Sweep closes connections that are no longer fit to use, and those to replicas
-// that keep says are gone. Call it every second or so.
+// Sweep closes connections that are no longer usable, and those to replicas for
+// which keep returns false. Call it about every second.
 func (p *Pool) Sweep(keep func(Replica) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for r, e := range p.peers {
-		stays := keep(r)
-		kept := e.idle[:0]
-		for _, c := range e.idle {
-			if stays && c.fresh(now) {
+	for r, rc := range p.replicas {
+		keepReplica := keep(r)
+		kept := rc.idle[:0]
+		for _, c := range rc.idle {
+			if keepReplica && c.usable(now) {
 				kept = append(kept, c)
 				continue
 			}
 			c.Close()
-			e.open--
+			rc.open--
 		}
-		clear(e.idle[len(kept):])
-		e.idle = kept
-		if e.open <= 0 && len(e.idle) == 0 {
-			delete(p.peers, r)
+		clear(rc.idle[len(kept):])
+		rc.idle = kept
+		if rc.open <= 0 && len(rc.idle) == 0 {
+			delete(p.replicas, r)
 		}
 	}
 }
 
-// Stats are counts since the start and the connections open now.
+// Stats counts connections opened and reused since the start, and open and idle
+// now.
 type Stats struct {
 	Opened, Reused uint64
 	Open, Idle     int
 }
 
-// Stats returns the pool's counts.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := Stats{Opened: p.opened, Reused: p.reused}
-	for _, e := range p.peers {
-		s.Open += e.open
-		s.Idle += len(e.idle)
+	for _, rc := range p.replicas {
+		s.Open += rc.open
+		s.Idle += len(rc.idle)
 	}
 	return s
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 	"skylarklead/internal/upstream"
 )
 
-// replica accepts connections and hands each to serve, with its number.
+// replica accepts connections and passes each, with its number, to serve.
 func replica(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) upstream.Replica {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	return &upstream.Request{Method: "POST", Target: "/x", Host: "h", Header: http.Header{"Id": {id}}, Body: make([]byte, body)}
 }
 
-func belongsTo(id string) func(http.Header) bool {
+func matchesID(id string) func(http.Header) bool {
 	return func(h http.Header) bool { return h.Get("Id") == id }
 }
 
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// readRequest takes one request with its body.
+// readRequest reads one request with its body.
 func readRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -62,7 +62,7 @@
 
 func do(t *testing.T, p *upstream.Pool, r upstream.Replica, id string) (string, error) {
 	t.Helper()
-	x, err := p.Do(context.Background(), r, 0, request(id, 10), belongsTo(id))
+	x, err := p.Do(context.Background(), r, 0, request(id, 10), matchesID(id))
 	if err != nil {
 		return "", err
 	}
@@ -89,9 +89,9 @@
 	}
 }
 
-// Symptom: a caller gets the answer to an earlier request. Sequence: a replica sends a
-// second answer to the request before, right where the next one's is due. Cause: the
-// first bytes that come taken for the answer.
+// A replica sends a second answer to the previous request just before the answer to
+// the next one. The first bytes received must not be taken for the answer: the
+// caller would get the answer to an earlier request.
 func TestStrayAnswerIsSkipped(t *testing.T) {
 	r := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if readRequest(in) {
@@ -105,12 +105,12 @@
 		t.Fatalf("%q, %v", body, err)
 	}
 	if s := p.Stats(); s.Idle != 0 {
-		t.Fatal("a connection with a stray answer is kept")
+		t.Fatal("a connection with a stray answer was kept")
 	}
 }
 
-// Symptom: an answer has bytes of another. Sequence: a replica sends more than it
-// announced; the connection is used again. Cause: a connection kept with bytes on it.
+// A replica sends more than it announced. A connection with unread bytes must not
+// be reused, or the next answer would begin with them.
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	r := replica(t, func(n int, c net.Conn, in *bufio.Reader) {
 		for i := 1; readRequest(in); i++ {
@@ -126,15 +126,15 @@
 	if _, err := do(t, p, r, "1"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(60 * time.Millisecond) // the extra bytes are on their way
+	time.Sleep(60 * time.Millisecond) // until the extra bytes have arrived
 	if body, err := do(t, p, r, "2"); err != nil || body != "whole" {
 		t.Fatalf("%q, %v", body, err)
 	}
 }
 
-// Symptom: a later request gets other bytes where the rest of an earlier body is due.
-// Sequence: a replica answers a long body before it has read it, and keeps the
-// connection. Cause: a connection kept before the request had left.
+// A replica answers a long request before it has read the body, and keeps the
+// connection open. The connection must not be reused before the body is written: a
+// later request would arrive where the rest of the body is expected.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	r := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
@@ -144,7 +144,7 @@
 	})
 	p := upstream.NewPool()
 	defer p.Close()
-	x, err := p.Do(context.Background(), r, 0, request("1", 32<<20), belongsTo("1"))
+	x, err := p.Do(context.Background(), r, 0, request("1", 32<<20), matchesID("1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +153,7 @@
 	}
 	x.Close()
 	if s := p.Stats(); s.Idle != 0 {
-		t.Fatal("kept with most of a body unsent")
+		t.Fatal("connection kept although most of the body was not sent")
 	}
 }
 
@@ -172,21 +172,21 @@
 	}
 	breaks := replica(t, func(_ int, c net.Conn, in *bufio.Reader) { readRequest(in) })
 	if _, err := do(t, p, breaks, "1"); !errors.As(err, &send) || !send.Sent {
-		t.Errorf("broken off after the request: %v", err)
+		t.Errorf("connection closed after the request: %v", err)
 	}
 	hangs := replica(t, func(_ int, c net.Conn, in *bufio.Reader) { readRequest(in); in.ReadByte() })
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := p.Do(ctx, hangs, 0, request("1", 1), belongsTo("1")); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("hanging: %v", err)
+	if _, err := p.Do(ctx, hangs, 0, request("1", 1), matchesID("1")); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("no answer: %v", err)
 	}
 	if s := p.Stats(); s.Open != 0 {
-		t.Errorf("%d connections counted open", s.Open)
+		t.Errorf("%d connections counted as open", s.Open)
 	}
 }
 
-// Symptom: an answer that was cut looks complete. Cause: the end of a connection taken
-// for the end of an answer that has a length, or whose connection was reset.
+// A truncated answer must not look complete. The end of the connection does not end
+// an answer that has a length, nor one whose connection was reset.
 func TestCutAnswerIsAnError(t *testing.T) {
 	r := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		readRequest(in)
@@ -195,7 +195,7 @@
 	p := upstream.NewPool()
 	defer p.Close()
 	if _, err := do(t, p, r, "1"); err == nil {
-		t.Error("with a length: taken for complete")
+		t.Error("with a length: accepted as complete")
 	}
 	reset := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		readRequest(in)
@@ -204,7 +204,7 @@
 		c.(*net.TCPConn).SetLinger(0)
 	})
 	if _, err := do(t, p, reset, "1"); err == nil {
-		t.Error("without a length, reset: taken for complete")
+		t.Error("without a length, reset: accepted as complete")
 	}
 	ends := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		readRequest(in)
@@ -222,13 +222,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for range 2 {
-		go p.Do(ctx, r, 2, request("1", 1), belongsTo("1"))
+		go p.Do(ctx, r, 2, request("1", 1), matchesID("1"))
 	}
 	for limit := time.Now().Add(5 * time.Second); p.Stats().Open < 2 && time.Now().Before(limit); {
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := p.Do(ctx, r, 2, request("1", 1), belongsTo("1")); !errors.Is(err, upstream.ErrConnectionLimit) {
-		t.Fatalf("third of two: %v", err)
+	if _, err := p.Do(ctx, r, 2, request("1", 1), matchesID("1")); !errors.Is(err, upstream.ErrConnectionLimit) {
+		t.Fatalf("third connection with a limit of two: %v", err)
 	}
 }
 
