--- a/internal/direct/answer.go
+++ b/internal/direct/answer.go
@@ -26,8 +26,8 @@
 	body   []byte
 }
 
-// forwardAnswer forwards a replica's answer to the caller. If it can't, loss says why.
-func (req *request) forwardAnswer(p *placement, x *upstream.Exchange) (loss attempt.DispatchFailure, done bool) {
+// forwardAnswer forwards a replica's answer to the caller. If it can't, failure says why.
+func (req *request) forwardAnswer(p *placement, x *upstream.Exchange) (failure attempt.DispatchFailure, done bool) {
 	head := req.entry.platform.Headers.Answer(x.Status, x.Header)
 	req.updateVersion(p, &head)
 	req.handleNotice(p, &head)
@@ -147,8 +147,8 @@
 	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.board.ObserveVersion(p.replica.ID, req.params.Model, head.Version, 0) {
-		s.feed.CacheCleared(p.replica.ID, req.entry.clock.now())
+	if s.versionTracker.ObserveVersion(p.replica.ID, req.params.Model, head.Version, 0) {
+		s.picker.CacheCleared(p.replica.ID, req.entry.clock.now())
 	}
 }
 
@@ -169,7 +169,7 @@
 	case head.Instance != "" && head.Instance != p.replica.Name:
 		e.handleReplaced(p.replica, head.Instance, 0)
 	case req.params.Model != "":
-		s.board.ObserveVersion(p.replica.ID, req.params.Model, p.version+1, 0)
-		s.feed.CacheCleared(p.replica.ID, now)
+		s.versionTracker.ObserveVersion(p.replica.ID, req.params.Model, p.version+1, 0)
+		s.picker.CacheCleared(p.replica.ID, now)
 	}
 }
--- a/internal/direct/bulk.go
+++ b/internal/direct/bulk.go
@@ -151,7 +151,7 @@
 	server := &http.Server{Handler: r, ReadHeaderTimeout: defaultLimits.HeaderTimeout, IdleTimeout: bulkIdle}
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			h.tel.Log.Error("server of records for peers stopped", "error", err)
+			h.tel.Log.Error("server of records for peers failed", "error", err)
 		}
 	}()
 	return server
@@ -161,7 +161,7 @@
 	topicID, err := strconv.Atoi(mux.Vars(r)["number"])
 	next, nextErr := strconv.ParseUint(r.URL.Query().Get("next"), 10, 64)
 	if err != nil || nextErr != nil {
-		http.Error(w, "expected a topic number and an offset", http.StatusBadRequest)
+		http.Error(w, "expected a topic ID and an offset", http.StatusBadRequest)
 		return
 	}
 	f := h.followerOf(topicID)
--- a/internal/direct/charge.go
+++ b/internal/direct/charge.go
@@ -42,7 +42,7 @@
 	took          time.Duration
 	lender        string
 	retryAfter    time.Duration
-	attempts      int
+	reservations  int
 }
 
 // hasQuota reports whether the request counts against a quota.
@@ -57,32 +57,32 @@
 		return true
 	}
 	q := req.entry.quotas
-	if c := req.reservation; c != nil && !c.spent && req.entry.bootClock()-c.reservedAt <= reservationLifetime {
+	if reservation := req.reservation; reservation != nil && !reservation.spent && req.entry.bootClock()-reservation.reservedAt <= reservationLifetime {
 		return true
 	}
 	req.releaseQuota()
 	began := req.entry.bootClock()
-	c := &quotaReservation{units: req.organisation.Quota.Units(&req.params), reservedAt: began}
-	ok := req.withdrawQuota(c)
-	req.quotaStats.units = c.units
-	req.quotaStats.attempts++
+	reservation := &quotaReservation{units: req.organisation.Quota.Units(&req.params), reservedAt: began}
+	ok := req.withdrawQuota(reservation)
+	req.quotaStats.units = reservation.units
+	req.quotaStats.reservations++
 	req.quotaStats.took += req.entry.bootClock() - began
 	if !ok {
-		q.returnUnits(req.organisation.Name, c)
+		q.returnUnits(req.organisation.Name, reservation)
 		return false
 	}
-	req.reservation = c
+	req.reservation = reservation
 	return true
 }
 
 // withdrawQuota takes units from this entry's share, or else from other entries'.
-func (req *request) withdrawQuota(c *quotaReservation) bool {
+func (req *request) withdrawQuota(reservation *quotaReservation) bool {
 	q, name := req.entry.quotas, req.organisation.Name
-	if q.takeOwn(name, c.units) {
-		c.own = c.units
+	if q.takeOwn(name, reservation.units) {
+		reservation.own = reservation.units
 		return true
 	}
-	missing := c.units
+	missing := reservation.units
 	lenders, reached := q.lenders(name, missing)
 	req.quotaStats.unreachable = !reached
 	for _, lender := range lenders {
@@ -94,7 +94,7 @@
 		}
 		if lent > 0 {
 			req.quotaStats.lender = lender
-			c.borrowed = append(c.borrowed, quotaLoan{lender, seq, lent})
+			reservation.borrowed = append(reservation.borrowed, quotaLoan{lender, seq, lent})
 			missing -= lent
 		}
 		if missing <= 0 {
@@ -104,8 +104,8 @@
 			return false
 		}
 	}
-	if len(c.borrowed) > 0 && q.takeOwn(name, missing) {
-		c.own = missing
+	if len(reservation.borrowed) > 0 && q.takeOwn(name, missing) {
+		reservation.own = missing
 		return true
 	}
 	return false
@@ -113,8 +113,8 @@
 
 // releaseQuota returns units that are reserved but not spent.
 func (req *request) releaseQuota() {
-	if c := req.reservation; c != nil && !c.spent {
-		req.entry.quotas.returnUnits(req.organisation.Name, c)
+	if reservation := req.reservation; reservation != nil && !reservation.spent {
+		req.entry.quotas.returnUnits(req.organisation.Name, reservation)
 	}
 	req.reservation = nil
 }
@@ -139,39 +139,39 @@
 	case req.ctx.Err() != nil:
 		req.answerEnded()
 	case req.firstByte > 0:
-		req.abort("organisation's limit")
+		req.abort("organisation's quota exceeded")
 	case req.fallbackAnswer != nil:
 		req.writeAnswer(req.fallbackAnswer)
-	case req.attempts.MayHaveRun():
-		req.fail(http.StatusBadGateway, "organisation's limit", 0)
+	case req.plan.MayHaveRun():
+		req.fail(http.StatusBadGateway, "organisation's quota exceeded", 0)
 	case req.quotaStats.unreachable:
 		req.entry.tel.Metrics.Count("quota_unheard", 1)
-		req.refuse("no entry that has units of the organisation's limit answers", defaultRetryAfter)
+		req.refuse("no entry that may have units of the organisation's quota answers", defaultRetryAfter)
 	default:
 		req.entry.tel.Metrics.Count("quota_refused", 1)
 		req.quotaStats.retryAfter = req.entry.quotas.recordRefusal(req.organisation.Name, req.quotaStats.units)
 		req.outcome = outcomeRefused
-		req.reply(http.StatusTooManyRequests, "organisation's limit", req.quotaStats.retryAfter)
+		req.reply(http.StatusTooManyRequests, "organisation's quota exceeded", req.quotaStats.retryAfter)
 	}
 }
 
 // quotaAttr is the log attribute of the request's quota.
 func (req *request) quotaAttr() slog.Attr {
-	c := &req.quotaStats
-	fields := []any{slog.Float64("units", c.units)}
+	stats := &req.quotaStats
+	fields := []any{slog.Float64("units", stats.units)}
 	if s, ok := req.entry.quotas.state(req.organisation.Name); ok {
 		fields = append(fields, slog.Float64("rate", s.Rate), slog.Float64("burst", s.Burst), slog.Float64("part", s.Share),
 			slog.Float64("left", oneDecimal(s.Level)), slog.Bool("list_too_old", s.Stale))
 	}
-	if c.lendersAsked > 0 {
-		fields = append(fields, slog.Int("asked", c.lendersAsked), slog.Int("silent", c.lendersSilent), slog.String("lender", c.lender),
-			slog.Float64("took_ms", ms(c.took)))
+	if stats.lendersAsked > 0 {
+		fields = append(fields, slog.Int("asked", stats.lendersAsked), slog.Int("silent", stats.lendersSilent), slog.String("lender", stats.lender),
+			slog.Float64("took_ms", ms(stats.took)))
 	}
-	if c.retryAfter > 0 {
-		fields = append(fields, slog.Int64("retry_after_ms", c.retryAfter.Milliseconds()))
+	if stats.retryAfter > 0 {
+		fields = append(fields, slog.Int64("retry_after_ms", stats.retryAfter.Milliseconds()))
 	}
-	if c.attempts > 1 {
-		fields = append(fields, slog.Int("charged", c.attempts))
+	if stats.reservations > 1 {
+		fields = append(fields, slog.Int("charged", stats.reservations))
 	}
 	return slog.Group("quota", fields...)
 }
@@ -194,18 +194,18 @@
 }
 
 // returnUnits returns unspent units of a reservation to where they came from.
-func (q *quotas) returnUnits(organisation string, c *quotaReservation) {
-	if c.own > 0 {
+func (q *quotas) returnUnits(organisation string, reservation *quotaReservation) {
+	if reservation.own > 0 {
 		q.mu.Lock()
-		q.ledger.Refund(organisation, c.own, c.reservedAt, q.entry.bootClock())
+		q.ledger.Refund(organisation, reservation.own, reservation.reservedAt, q.entry.bootClock())
 		q.mu.Unlock()
 	}
-	for _, b := range c.borrowed {
-		if to, ok := q.entry.peers.address(b.lender); ok {
-			q.send(&quotaMessage{Kind: quotaReturn, Seq: b.seq, Organisation: organisation, Units: b.units}, to)
+	for _, loan := range reservation.borrowed {
+		if to, ok := q.entry.peers.address(loan.lender); ok {
+			q.send(&quotaMessage{Kind: quotaReturn, Seq: loan.seq, Organisation: organisation, Units: loan.units}, to)
 		}
 	}
-	c.own, c.borrowed = 0, nil
+	reservation.own, reservation.borrowed = 0, nil
 }
 
 // recordRefusal counts refused units; it returns the time until the quota has room for them.
--- a/internal/direct/crashes.go
+++ b/internal/direct/crashes.go
@@ -11,7 +11,7 @@
 	"skylarklead/internal/rollout"
 )
 
-// minStoredCrashes is the crash count of a request from which on its crashes are also written to the
+// minStoredCrashes is the crash count from which on a request's crashes are also written to the
 // entries' topic, so that entries that start later know them. Every crash gives a count of one to all
 // requests that were running at the replica; peers receive these by datagram only.
 const minStoredCrashes = 2
@@ -49,7 +49,7 @@
 	switch {
 	case req.firstByte > 0:
 		req.abort(reason)
-	case req.attempts.MayHaveRun():
+	case req.plan.MayHaveRun():
 		req.fail(http.StatusBadGateway, reason, wait)
 	default:
 		req.refuse(reason, wait)
@@ -64,12 +64,12 @@
 	s := req.entry.state
 	s.mu.Lock()
 	now := req.entry.clock.now()
-	strikes := s.crashes.RecordBrokenRun(req.fingerprint, p.replica.ID, p.pickedAt, now)
+	crashes := s.crashes.RecordBrokenRun(req.fingerprint, p.replica.ID, p.pickedAt, now)
 	probe := s.replicas.CheckSilent(p.replica.ID, now)
 	s.mu.Unlock()
-	req.entry.publishCrashes(strikes)
+	req.entry.publishCrashes(crashes)
 	if probe {
-		go req.entry.watch.probe(context.WithoutCancel(req.ctx), p.replica)
+		go req.entry.monitor.probe(context.WithoutCancel(req.ctx), p.replica)
 	}
 }
 
@@ -77,25 +77,25 @@
 // unreachable.
 func (e *Entry) recordReplicaLoss(id string) {
 	e.state.mu.Lock()
-	strikes := e.state.crashes.RecordLostReplica(id, e.clock.now())
+	crashes := e.state.crashes.RecordLostReplica(id, e.clock.now())
 	e.state.mu.Unlock()
-	e.publishCrashes(strikes)
+	e.publishCrashes(crashes)
 }
 
 // publishCrashes sends crashes counted here to the other entries.
-func (e *Entry) publishCrashes(strikes []attempt.CrashReport) {
-	if len(strikes) == 0 {
+func (e *Entry) publishCrashes(crashes []attempt.CrashReport) {
+	if len(crashes) == 0 {
 		return
 	}
 	var records [][]byte
-	for i := range strikes {
-		count := e.logCrash(&strikes[i], e.settings.ID)
+	for i := range crashes {
+		count := e.logCrash(&crashes[i], e.settings.ID)
 		if count >= minStoredCrashes {
-			envelope := rollout.Envelope{Crash: &strikes[i]}
+			envelope := rollout.Envelope{Crash: &crashes[i]}
 			records = append(records, envelope.Encode())
 		}
 	}
-	e.peers.sendCrashes(strikes)
+	e.peers.sendCrashes(crashes)
 	if len(records) > 0 {
 		go e.storeCrashes(records)
 	}
@@ -109,32 +109,32 @@
 	}
 }
 
-// receiveCrashes counts crashes that a peer sent directly.
-func (e *Entry) receiveCrashes(strikes []attempt.CrashReport, from string) {
-	for i := range strikes {
-		if strikes[i].Valid() {
-			e.receiveCrash(&strikes[i], from)
+// receiveCrashes counts crashes that a peer sent in a message.
+func (e *Entry) receiveCrashes(crashes []attempt.CrashReport, from string) {
+	for i := range crashes {
+		if crashes[i].Valid() {
+			e.receiveCrash(&crashes[i], from)
 		}
 	}
 }
 
 // receiveCrash counts a crash that another entry has seen.
-func (e *Entry) receiveCrash(strike *attempt.CrashReport, from string) {
+func (e *Entry) receiveCrash(crash *attempt.CrashReport, from string) {
 	e.state.mu.Lock()
-	e.state.crashes.Merge(*strike, e.clock.now())
+	e.state.crashes.Merge(*crash, e.clock.now())
 	e.state.mu.Unlock()
-	e.logCrash(strike, from)
+	e.logCrash(crash, from)
 }
 
 // logCrash logs a crash and returns the request's crash count.
-func (e *Entry) logCrash(strike *attempt.CrashReport, from string) int {
+func (e *Entry) logCrash(crash *attempt.CrashReport, from string) int {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	count := e.state.crashes.CrashCount(strike.Fingerprint, now)
-	_, rejected := e.state.crashes.GivenUp(strike.Fingerprint, now)
+	count := e.state.crashes.CrashCount(crash.Fingerprint, now)
+	_, rejected := e.state.crashes.GivenUp(crash.Fingerprint, now)
 	e.state.mu.Unlock()
 	e.tel.Metrics.Count("requests_struck", 1)
-	e.tel.Log.Info("crash counted against a request", "fingerprint", strike.Fingerprint, "replica", strike.Replica,
+	e.tel.Log.Info("crash counted against a request", "fingerprint", crash.Fingerprint, "replica", crash.Replica,
 		"strikes", count, "given_up", rejected, "from", from)
 	return count
 }
--- a/internal/direct/digest.go
+++ b/internal/direct/digest.go
@@ -54,9 +54,9 @@
 	ackedAt        map[string]time.Duration
 	failedAttempts map[string]int
 	attemptedAt    map[string]time.Duration
-	// Only the goroutine of run uses advertisedTaken and seq.
-	advertisedTaken map[uint64]uint16
-	seq             uint64
+	// Only the goroutine of run uses advertisedTokens and seq.
+	advertisedTokens map[uint64]uint16
+	seq              uint64
 }
 
 func newDigests(p *peers) *digests {
@@ -66,7 +66,7 @@
 	}
 	return &digests{
 		peers: p, seen: seen, ackedAt: make(map[string]time.Duration), failedAttempts: make(map[string]int),
-		attemptedAt: make(map[string]time.Duration), advertisedTaken: make(map[uint64]uint16),
+		attemptedAt: make(map[string]time.Duration), advertisedTokens: make(map[uint64]uint16),
 	}
 }
 
@@ -163,10 +163,10 @@
 // fingerprint identifies a placement.
 func (p *peerPlacement) fingerprint() uint64 {
 	d := xxhash.New()
-	for _, n := range append(slices.Clone(p.Levels), p.Replica, p.Kept) {
+	for _, n := range append(slices.Clone(p.Levels), p.Replica, p.Saved) {
 		_, _ = d.WriteString(strconv.FormatUint(n, 16) + ",") // writing to a hash never fails
 	}
-	_, _ = d.WriteString(strconv.FormatBool(p.Read))
+	_, _ = d.WriteString(strconv.FormatBool(p.Prefilled))
 	return d.Sum64()
 }
 
@@ -185,7 +185,7 @@
 func (d *digests) send(to []netip.AddrPort) {
 	e := d.peers.entry
 	e.state.mu.Lock()
-	loads := e.state.feed.DomainLoads(e.clock.now())
+	loads := e.state.picker.DomainLoads(e.clock.now())
 	e.state.mu.Unlock()
 	partCount := uint64(1) << bits.Len(uint(max(0, len(loads)-1)/replicasPerDigest))
 	parts := make([]map[uint64]route.Load, partCount)
@@ -202,7 +202,7 @@
 			DigestPart: strings.Join([]string{e.settings.FailureDomain, strconv.Itoa(int(partCount)), strconv.Itoa(i)}, digestNameSeparator),
 			Placements: d.dequeue(maxMessagePlacements),
 		}
-		m.Loads = loadsToSend(part, d.advertisedTaken, maxMessageLoads-len(m.Placements)*loadsPerPlacement-digestNameLoads)
+		m.Loads = loadsToSend(part, d.advertisedTokens, maxMessageLoads-len(m.Placements)*loadsPerPlacement-digestNameLoads)
 		d.peers.sendTo(m, to...)
 	}
 }
--- a/internal/direct/digest_test.go
+++ b/internal/direct/digest_test.go
@@ -76,8 +76,8 @@
 		Levels:       route.PrefixLevels("m/", []string{prefix}, []int{3000}),
 		SharedTokens: 3000, PromptTokens: 4000,
 	}
-	choice, _ := e.state.feed.Pick(now, q, []route.PickCandidate{{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}})
-	e.state.feed.Dispatched(now, q, &choice)
+	choice, _ := e.state.picker.Pick(now, q, []route.PickCandidate{{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}})
+	e.state.picker.Dispatched(now, q, &choice)
 }
 
 // estimate returns how many tokens of a prompt the entry expects the replica to prefill, and the
@@ -89,7 +89,7 @@
 		Levels:       route.PrefixLevels("m/", []string{prefix}, []int{3000}),
 		SharedTokens: 3000, PromptTokens: 4000,
 	}
-	choice, _ := e.state.feed.Pick(e.clock.now(), q, []route.PickCandidate{
+	choice, _ := e.state.picker.Pick(e.clock.now(), q, []route.PickCandidate{
 		{ID: replica, Slots: 8, Engine: true, MemoryTokens: 100_000}, {ID: "elsewhere", Slots: 8, Engine: true, MemoryTokens: 100_000, RecentFaults: true},
 	})
 	return choice.MissingTokens, choice.WaitMs
@@ -126,8 +126,8 @@
 	awaitPropagation(t, all)
 	for _, e := range all {
 		e.state.mu.Lock()
-		own := e.state.feed.Loads()[route.ReplicaKey("r1")].Running
-		domain := e.state.feed.DomainLoads(e.clock.now())[route.ReplicaKey("r1")].Running
+		own := e.state.picker.Loads()[route.ReplicaKey("r1")].Running
+		domain := e.state.picker.DomainLoads(e.clock.now())[route.ReplicaKey("r1")].Running
 		e.state.mu.Unlock()
 		want := 0
 		if e.domain == all[0].domain {
@@ -162,7 +162,7 @@
 	const placed = 3 * maxMessagePlacements
 	d := newPeerNodes(t, 36, 3)[0].peers.digests
 	for i := range placed {
-		d.enqueue([]peerPlacement{{Levels: []uint64{uint64(i)}, Replica: 1, Read: true}})
+		d.enqueue([]peerPlacement{{Levels: []uint64{uint64(i)}, Replica: 1, Prefilled: true}})
 	}
 	dequeued := 0
 	for range 3 {
--- a/internal/direct/dispatch.go
+++ b/internal/direct/dispatch.go
@@ -32,13 +32,14 @@
 	// fetchFrom is the address to fetch a missing prefix from, saveTo the store to save the
 	// prefix to; "" for none.
 	fetchFrom, saveTo string
-	watched           *inFlightRequest // under watch for silence while in flight
+	inFlight          *inFlightRequest // watched by the replicaMonitor for silence
 	// window counts work until the answer begins; nil afterwards and for plain services.
 	window *admit.CongestionWindow
 	work   float64
 }
 
-// dispatch places the request and forwards it, again after a loss, until it is answered.
+// dispatch places the request and forwards it, and retries after a failed dispatch, until the
+// request is answered.
 func (req *request) dispatch() {
 	defer req.releaseQuota()
 	for !req.answerIfPoison() {
@@ -51,40 +52,41 @@
 			req.answerUnplaced()
 			return
 		}
-		// awaitPlacement gave the units back if the request had to wait.
+		// awaitPlacement returned the units if the request had to wait.
 		if !req.reserveQuota() {
 			req.cancelPlacement(p)
 			req.answerOverQuota()
 			return
 		}
 		req.spendQuota()
-		loss, done := req.forward(p)
+		failure, done := req.forward(p)
 		if done {
 			return
 		}
-		if loss == attempt.FailureNotRun || loss == attempt.FailureNotSent {
+		if failure == attempt.FailureNotRun || failure == attempt.FailureNotSent {
 			req.unspendQuota()
 		}
 		if req.ctx.Err() != nil {
 			req.answerEnded()
 			return
 		}
-		if !req.handleLoss(p, loss) {
+		if !req.handleFailure(p, failure) {
 			return
 		}
 	}
 }
 
-// handleLoss reports whether to place the request again after a loss; if not, it answers it.
-func (req *request) handleLoss(p *placement, loss attempt.DispatchFailure) bool {
+// handleFailure reports whether to place the request again after a failed dispatch; if not, it
+// answers the request.
+func (req *request) handleFailure(p *placement, failure attempt.DispatchFailure) bool {
 	e := req.entry
 	e.state.mu.Lock()
-	next := req.attempts.RecordFailure(loss, e.clock.now())
-	if loss == attempt.FailureUnknown && e.state.crashes.Suspect(req.fingerprint, e.clock.now()) {
-		next = attempt.RetryDecision{Reason: "not retried: suspected of crashing replicas"}
+	decision := req.plan.RecordFailure(failure, e.clock.now())
+	if failure == attempt.FailureUnknown && e.state.crashes.Suspect(req.fingerprint, e.clock.now()) {
+		decision = attempt.RetryDecision{Reason: "not retried: suspected of crashing replicas"}
 	}
 	e.state.mu.Unlock()
-	if next.Retry {
+	if decision.Retry {
 		e.tel.Metrics.Retries.Inc(1)
 		req.query.Exclude = append(req.query.Exclude, p.replica.ID)
 		return true
@@ -93,13 +95,13 @@
 	case req.firstByte > 0:
 		// The caller has part of the answer. Only an aborted connection tells it that the rest
 		// is missing.
-		req.abort(next.Reason)
-	case next.NotRun:
-		req.refuse(next.Reason, defaultRetryAfter)
+		req.abort(decision.Reason)
+	case decision.NotRun:
+		req.refuse(decision.Reason, defaultRetryAfter)
 	case req.fallbackAnswer != nil:
 		req.writeAnswer(req.fallbackAnswer)
 	default:
-		req.fail(http.StatusBadGateway, next.Reason, 0)
+		req.fail(http.StatusBadGateway, decision.Reason, 0)
 	}
 	return false
 }
@@ -113,7 +115,7 @@
 		req.abort("no replica can resume the stream")
 	case req.fallbackAnswer != nil:
 		req.writeAnswer(req.fallbackAnswer)
-	case req.attempts.MayHaveRun():
+	case req.plan.MayHaveRun():
 		req.fail(http.StatusBadGateway, "no replica available for a retry", 0)
 	case !req.canFinish():
 		req.refuse(reasonShuttingDown, defaultRetryAfter)
@@ -152,25 +154,25 @@
 	var candidates []route.PickCandidate
 	candidates, req.excluded = s.candidates(req.service, req.params.Model, now)
 	req.query.Sample = s.sampleSize(len(candidates))
-	choice, ok := s.feed.Pick(now, &req.query, candidates)
+	choice, ok := s.picker.Pick(now, &req.query, candidates)
 	if !ok {
 		// Replicas that refused the request before may be tried again at the next pick.
 		req.query.Exclude = nil
 		return nil
 	}
-	s.feed.Dispatched(now, &req.query, &choice)
-	limit, _ := s.rateLimits.State(choice.ID, now)
+	s.picker.Dispatched(now, &req.query, &choice)
+	rateLimit, _ := s.rateLimits.State(choice.ID, now)
 	s.rateLimits.Take(choice.ID, now)
 	p := &placement{replica: s.replicas.Get(choice.ID), choice: choice, pickedAt: now}
 	if req.params.Model != "" {
-		p.version = s.board.Version(choice.ID, req.params.Model)
+		p.version = s.versionTracker.Version(choice.ID, req.params.Model)
 	}
 	req.setCacheSource(p)
 	req.dispatches = append(req.dispatches, dispatchRecord{
 		replica: choice.ID, reason: choice.Reason, score: choice.Score, load: choice.WaitMs,
 		missedTokens: choice.MissingTokens, fetchFrom: p.fetchFrom, candidateCount: choice.CandidateCount, version: p.version,
 		listAge: now - time.Duration(s.listReadAt.Load()), listReader: s.replicaListReader(), offListFor: s.replicas.UnlistedFor(choice.ID, now),
-		rateLimit: limit,
+		rateLimit: rateLimit,
 	})
 	return p
 }
@@ -179,32 +181,32 @@
 // saves the prefix. The caller holds the state's lock.
 func (req *request) setCacheSource(p *placement) {
 	s := req.entry.state
-	source := s.feed.PlanCache(req.entry.clock.now(), &req.query, &p.choice, req.cacheSalt(p.version), req.config.KVStores())
-	p.fetchFrom, p.saveTo = source.Store, source.SaveTo
-	if r := s.replicas.Get(source.Donor); r != nil {
+	plan := s.picker.PlanCache(req.entry.clock.now(), &req.query, &p.choice, req.cacheSalt(p.version), req.config.KVStores())
+	p.fetchFrom, p.saveTo = plan.Store, plan.SaveTo
+	if r := s.replicas.Get(plan.Donor); r != nil {
 		p.fetchFrom = r.Address
 	}
 }
 
 // forward sends the request to a replica and forwards its answer. done is false if there is
-// nothing to forward; loss then says why.
-func (req *request) forward(p *placement) (loss attempt.DispatchFailure, done bool) {
+// nothing to forward; failure then says why.
+func (req *request) forward(p *placement) (failure attempt.DispatchFailure, done bool) {
 	e := req.entry
 	record := &req.dispatches[len(req.dispatches)-1]
 	began := e.clock.now()
-	startedFirst := req.firstByte > 0
+	hadFirstByte := req.firstByte > 0
 	defer func() {
 		record.took = e.clock.now() - began
 		e.state.mu.Lock()
-		e.state.feed.Finished(&req.query, &p.choice, !startedFirst && req.firstByte > 0)
+		e.state.picker.Finished(&req.query, &p.choice, !hadFirstByte && req.firstByte > 0)
 		p.endWork()
 		e.state.mu.Unlock()
 	}()
-	req.attempts.RecordDispatch()
+	req.plan.RecordDispatch()
 	ctx, cancel := context.WithCancel(req.ctx)
 	defer cancel()
-	p.watched = e.watch.begin(p.replica, req.route.Repeatable(), cancel)
-	defer e.watch.end(p.watched)
+	p.inFlight = e.monitor.begin(p.replica, req.route.Repeatable(), cancel)
+	defer e.monitor.end(p.inFlight)
 	x, err := e.pool.Do(ctx, upstream.Replica{ID: p.replica.ID, Address: p.replica.Address},
 		req.connectionLimit(), req.upstreamRequest(p), req.matchesRequestID)
 	if err != nil {
@@ -212,12 +214,12 @@
 	}
 	defer x.Close()
 	record.status = x.Status
-	loss, done = req.forwardAnswer(p, x)
-	record.outcome = loss.String()
+	failure, done = req.forwardAnswer(p, x)
+	record.outcome = failure.String()
 	if done {
 		record.outcome = outcomeServed
 	}
-	return loss, done
+	return failure, done
 }
 
 // connectionLimit is this entry's share of a replica's connections.
@@ -262,20 +264,20 @@
 // replica.
 func (req *request) handleSendError(p *placement, record *dispatchRecord, err error) attempt.DispatchFailure {
 	e := req.entry
-	var send *upstream.SendError
-	loss := attempt.FailureUnknown
-	if errors.As(err, &send) && !send.Sent {
-		loss = attempt.FailureNotSent
+	var sendErr *upstream.SendError
+	failure := attempt.FailureUnknown
+	if errors.As(err, &sendErr) && !sendErr.Sent {
+		failure = attempt.FailureNotSent
 	}
-	record.outcome, record.err = loss.String(), err
+	record.outcome, record.err = failure.String(), err
 	if req.ctx.Err() != nil || errors.Is(err, upstream.ErrConnectionLimit) {
-		return loss
+		return failure
 	}
-	if loss == attempt.FailureNotSent {
+	if failure == attempt.FailureNotSent {
 		e.markUnreachable(p.replica, "request "+req.params.ID, err)
-		return loss
+		return failure
 	}
 	req.recordFault(p, member.FaultConnectionLost)
 	req.recordBrokenRun(p)
-	return loss
+	return failure
 }
--- a/internal/direct/drain.go
+++ b/internal/direct/drain.go
@@ -106,7 +106,7 @@
 		return plainRequestTime
 	}
 	q := req.newQuery()
-	return streamStartTime + streamTimeFactor*req.entry.state.feed.ExpectedStreamTime(&q)
+	return streamStartTime + streamTimeFactor*req.entry.state.picker.ExpectedStreamTime(&q)
 }
 
 // refuseLateQueued refuses waiting requests that can't finish before this draining entry exits: their
@@ -118,9 +118,9 @@
 	}
 	remaining := time.Until(ends)
 	for _, q := range e.state.queues {
-		late := q.waiting.RemoveMatching(func(t *admit.QueuedRequest) bool { return remaining <= t.Value.(*request).expectedDuration() })
-		for _, t := range late {
-			t.Value.(*request).placed <- nil
+		late := q.waiting.RemoveMatching(func(queued *admit.QueuedRequest) bool { return remaining <= queued.Value.(*request).expectedDuration() })
+		for _, queued := range late {
+			queued.Value.(*request).placed <- nil
 		}
 	}
 }
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -46,19 +46,19 @@
 // Entry is an entry that dispatches requests to replicas itself.
 type Entry struct {
 	settings *settings.Settings
-	// reloadable holds the settings that may change at run time; source rereads them.
-	reloadable atomic.Pointer[settings.Direct]
-	source     SettingsLoader
-	tel        *telemetry.Telemetry
-	platform   Platform
-	clock      clock
+	// reloadable holds the settings that may change at run time; loadSettings reads them again.
+	reloadable   atomic.Pointer[settings.Direct]
+	loadSettings SettingsLoader
+	tel          *telemetry.Telemetry
+	platform     Platform
+	clock        clock
 	// bootClock is bootTime, which includes time during which the machine was suspended;
 	// tests substitute it.
 	bootClock func() time.Duration
 	state     *state
 	pool      *upstream.Pool
 	rollouts  *rollouts
-	watch     *replicaMonitor
+	monitor   *replicaMonitor
 	peers     *peers
 	quotas    *quotas
 	// hub is nil if every entry reads the store for itself.
@@ -72,10 +72,10 @@
 }
 
 // Run serves callers until ctx ends, then drains and returns.
-// source rereads the settings; nil if they can't change.
-func Run(ctx context.Context, s *settings.Settings, source SettingsLoader, tel *telemetry.Telemetry, p Platform) error {
+// loadSettings reads the settings again; nil if they can't change.
+func Run(ctx context.Context, s *settings.Settings, loadSettings SettingsLoader, tel *telemetry.Telemetry, p Platform) error {
 	e := newEntry(s, tel, p)
-	e.source = source
+	e.loadSettings = loadSettings
 	callers, err := net.Listen("tcp", s.Direct.Listen)
 	if err != nil {
 		return fmt.Errorf("direct: callers: %w", err)
@@ -108,7 +108,7 @@
 		return fmt.Errorf("direct: peers: %w", err)
 	}
 	e.hub = newHub(e)
-	e.hub.send = func(w *peerMessage, to netip.AddrPort) { e.peers.sendTo(w, to) }
+	e.hub.send = func(m *peerMessage, to netip.AddrPort) { e.peers.sendTo(m, to) }
 	bulk, server := newBulk(), e.hub.serveBulk(l)
 	e.hub.fetchTopic = bulk.fetch
 	e.hub.close = func() {
@@ -137,7 +137,7 @@
 	e.reloadable.Store(d)
 	e.state.onNewEngineService = e.exportEngineSpeeds
 	e.rollouts = newRollouts(e)
-	e.watch = newReplicaMonitor(e)
+	e.monitor = newReplicaMonitor(e)
 	e.quotas = newQuotas(e)
 	return e
 }
@@ -145,11 +145,11 @@
 func (e *Entry) run(ctx context.Context, callers, ready net.Listener) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var loops sync.WaitGroup
-	running := []func(context.Context){e.followOperator, e.followReplicas, e.rollouts.follow, e.rollouts.run, e.sweep, e.watch.run, e.peers.run, e.reload}
+	loopFuncs := []func(context.Context){e.followOperator, e.followReplicas, e.rollouts.follow, e.rollouts.run, e.sweep, e.monitor.run, e.peers.run, e.reload}
 	if e.hub != nil {
-		running = append(running, e.hub.run)
+		loopFuncs = append(loopFuncs, e.hub.run)
 	}
-	for _, loop := range running {
+	for _, loop := range loopFuncs {
 		loops.Go(func() { loop(background) })
 	}
 	readiness := e.serveReady(ready)
@@ -240,7 +240,7 @@
 		return func() int64 {
 			e.state.mu.Lock()
 			defer e.state.mu.Unlock()
-			return int64(1000 * of(e.state.feed.EngineSpeeds()[service]))
+			return int64(1000 * of(e.state.picker.EngineSpeeds()[service]))
 		}
 	}
 	m := e.tel.Metrics
@@ -266,7 +266,7 @@
 		for _, id := range removed {
 			e.state.forgetReplica(id)
 		}
-		e.state.feed.ForgetPeers(now - peerExpiry)
+		e.state.picker.ForgetPeers(now - peerExpiry)
 		e.state.outage.ForgetPeers(now - peerExpiry)
 		known := make(map[string]bool)
 		for _, id := range e.state.replicas.IDs() {
--- a/internal/direct/entrylist.go
+++ b/internal/direct/entrylist.go
@@ -62,8 +62,9 @@
 	f.run(ctx)
 }
 
-// applyList passes the number of entries, their IDs and their addresses on. Peers known only from
-// their messages are not all of them, so the number is used only once the list has been read.
+// applyList applies a change of the known entries to retry budgets, quotas, rate limits, the pause
+// between messages and the hub. Peers known only from their messages are not all entries, so numbers
+// and IDs are applied only once the list has been read.
 func (p *peers) applyList() {
 	select {
 	case <-p.listRead:
@@ -75,7 +76,7 @@
 	}
 	pause := p.interval()
 	p.entry.state.mu.Lock()
-	p.entry.state.feed.SetPeerInterval(pause)
+	p.entry.state.picker.SetPeerInterval(pause)
 	p.entry.state.mu.Unlock()
 	if p.entry.hub == nil {
 		return
@@ -129,7 +130,7 @@
 	at, domain, _ := strings.Cut(string(r.Value), " ")
 	address, err := netip.ParseAddrPort(at)
 	if err != nil {
-		p.entry.malformed.report("malformed peer record skipped", r, err)
+		p.entry.malformed.report("peer's record skipped", r, err)
 		return
 	}
 	p.known[r.Key] = peerAddress{address: address, domain: domain}
@@ -172,7 +173,7 @@
 		if err == nil {
 			return
 		}
-		e.tel.Log.Warn("registering this entry's address failed", "error", err)
+		e.tel.Log.Warn("address of this entry not written to the store", "error", err)
 		_ = wait.For(ctx, registerRetryPause) // the loop checks ctx next
 	}
 }
--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -329,8 +329,8 @@
 }
 
 // applyRecords applies consecutive records from an offset on, as far as they are new and leave no
-// gap, and the read that brought them, from a peer or from the store. A read with Made 0 confirms
-// nothing. It reports whether everything below the read's offset is known now.
+// gap, and the read that returned them, from a peer or from the store. A read with CalledAt 0
+// confirms nothing. It reports whether everything below the read's offset is known now.
 func (f *follower) applyRecords(from uint64, records []fleet.Record, r spread.Read, sender netip.AddrPort) bool {
 	fromOwnRead := sender == fromStore
 	f.mu.Lock()
--- a/internal/direct/hub.go
+++ b/internal/direct/hub.go
@@ -13,7 +13,7 @@
 	"skylarklead/internal/telemetry"
 )
 
-// Numbers of the topics in peer messages.
+// IDs of the topics in peer messages.
 const (
 	operatorTopicID = iota
 	replicasTopicID
@@ -36,7 +36,7 @@
 	// entry.
 	maxSubscribers = 512
 	// maxEntriesAge and maxPeersAge bound the staleness of the entries' own topics. Leases are safe
-	// at any staleness, and an entry spends less of the organisations' limits while its list of
+	// at any staleness, and an entry spends less of the organisations' quotas while its list of
 	// entries is older.
 	maxEntriesAge = 10 * time.Second
 	maxPeersAge   = quota.DefaultMaxListAge
@@ -68,8 +68,7 @@
 	followers [topicCount]*follower
 	fetching  [topicCount]bool
 	addresses map[string]netip.AddrPort
-	// pendingPeers is a list of peers that has not been passed to upstreams yet; nil if there is
-	// none.
+	// pendingPeers is a list of peers that upstreams has not received yet; nil if there is none.
 	pendingPeers []spread.Peer
 	// subscribers holds the time of the last query from each address.
 	subscribers map[netip.AddrPort]time.Duration
@@ -155,18 +154,18 @@
 func (h *hub) readDue(f *follower) bool {
 	now := h.boot()
 	f.mu.Lock()
-	agePart := float64(f.watermark.Age(now)) / float64(f.maxAge)
+	ageFraction := float64(f.watermark.Age(now)) / float64(f.maxAge)
 	// The list of peers to query comes from the store.
 	required := !f.watermark.Known && f.topicID == peersTopicID || !f.keyed && f.reload
 	f.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return required || h.upstreams.ReadDue(agePart, now)
+	return required || h.upstreams.ReadDue(ageFraction, now)
 }
 
 // readWait returns how long a read of the store may wait for a record. A read by an entry that
 // others query is short enough to keep their data fresh; a read that this entry makes only once,
-// outside the leading mode, does not wait.
+// in any mode but spread.ReadingStore, does not wait.
 func (h *hub) readWait(f *follower, longest time.Duration) time.Duration {
 	now := h.boot()
 	h.mu.Lock()
@@ -208,7 +207,7 @@
 	}
 }
 
-// applyPendingPeers passes the latest list of peers to upstreams. At a start peers are added one by
+// applyPendingPeers sets the latest list of peers in upstreams. At a start peers are added one by
 // one, and computing their order once for many is cheaper. The caller holds mu.
 func (h *hub) applyPendingPeers() {
 	if h.pendingPeers != nil {
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -35,8 +35,8 @@
 	return records
 }
 
-// A peer may only pass on its history of the leases' topic as complete if no lease that may still
-// hold is missing from it.
+// A peer may only serve its history of the leases' topic as complete if no lease that may still hold
+// is missing from it.
 func TestAPeerGivesTheLeasesTopicOnlyIfNoLeaseCanBeMissing(t *testing.T) {
 	const size = 4 << 10 // large enough that the oldest records are dropped
 	now := time.Second
--- a/internal/direct/hubexchange.go
+++ b/internal/direct/hubexchange.go
@@ -112,14 +112,14 @@
 }
 
 // handleResponse processes a peer's answer, or an update that was not asked for (Seq 0).
-func (h *hub) handleResponse(peer string, a *topicsResponse, from netip.AddrPort) {
+func (h *hub) handleResponse(peer string, response *topicsResponse, from netip.AddrPort) {
 	now := h.boot()
-	if a.Seq == 0 {
-		h.handleUpdate(peer, a, from)
+	if response.Seq == 0 {
+		h.handleUpdate(peer, response, from)
 		return
 	}
 	h.mu.Lock()
-	sent, ok := h.upstreams.QuerySentAt(peer, a.Seq)
+	sent, ok := h.upstreams.QuerySentAt(peer, response.Seq)
 	h.mu.Unlock()
 	if !ok {
 		h.tel.Metrics.Count("records_answers_late", 1)
@@ -127,8 +127,8 @@
 	}
 	reported := [topicCount]bool{}
 	var stale staleResponse
-	for i := range a.Topics {
-		t := &a.Topics[i]
+	for i := range response.Topics {
+		t := &response.Topics[i]
 		f := h.followerOf(int(t.TopicID))
 		if f == nil {
 			continue
@@ -151,7 +151,7 @@
 	if stale.peer != "" {
 		h.loggedStatus.stale = stale
 	}
-	h.upstreams.QueryAnswered(a.Seq, stale.peer == "", now)
+	h.upstreams.QueryAnswered(response.Seq, stale.peer == "", now)
 	h.mu.Unlock()
 	h.step()
 }
@@ -169,10 +169,10 @@
 
 // handleUpdate applies records that a peer has just read. It does not matter which peer sent them:
 // a record is the same whoever forwards it.
-func (h *hub) handleUpdate(peer string, a *topicsResponse, from netip.AddrPort) {
+func (h *hub) handleUpdate(peer string, update *topicsResponse, from netip.AddrPort) {
 	behind := false
-	for i := range a.Topics {
-		t := &a.Topics[i]
+	for i := range update.Topics {
+		t := &update.Topics[i]
 		if f := h.followerOf(int(t.TopicID)); f != nil {
 			behind = !f.applyRecords(t.From, t.records(), spread.Read{Next: t.Next}, from) || behind
 		}
--- a/internal/direct/hubexchange_test.go
+++ b/internal/direct/hubexchange_test.go
@@ -57,8 +57,8 @@
 	return s.Mode(0) == spread.ReadingStore
 }
 
-// ask makes the entry query its peer and returns the query's number.
-func (n *testNode) ask(t *testing.T) uint64 {
+// sendQuery makes the entry query its peer and returns the query's number.
+func (n *testNode) sendQuery(t *testing.T) uint64 {
 	t.Helper()
 	n.step()
 	for _, m := range n.sent {
@@ -72,27 +72,27 @@
 
 // fullResponse returns a response with the state of all topics, at offset 2 and with a given age.
 func fullResponse(seq, ageMs uint64) *topicsResponse {
-	a := &topicsResponse{Seq: seq}
+	response := &topicsResponse{Seq: seq}
 	for topicID := range topicCount {
-		a.Topics = append(a.Topics, topicState{TopicID: uint8(topicID), Next: 2, From: 2, CallAgeMs: ageMs, ResponseAgeMs: ageMs, Reader: "entry-3"})
+		response.Topics = append(response.Topics, topicState{TopicID: uint8(topicID), Next: 2, From: 2, CallAgeMs: ageMs, ResponseAgeMs: ageMs, Reader: "entry-3"})
 	}
-	return a
+	return response
 }
 
 // The ages in a response count from the query. Counted from the response's arrival, each hop would
 // make the data look younger.
 func TestAnAnswersAgeRunsFromItsQuestion(t *testing.T) {
 	const (
-		underWay = 100 * time.Millisecond
-		age      = 700 * time.Millisecond
+		transit = 100 * time.Millisecond
+		age     = 700 * time.Millisecond
 	)
 	n := startTestNode(t)
 	n.now += 5 * time.Second
-	seq := n.ask(t)
-	n.now += underWay
+	seq := n.sendQuery(t)
+	n.now += transit
 	n.handleResponse(n.peer, fullResponse(seq, uint64(age.Milliseconds())), somePeer)
-	if got := n.ageOf(replicasTopicID); got != underWay+age {
-		t.Errorf("the list is %v old; want %v", got, underWay+age)
+	if got := n.ageOf(replicasTopicID); got != transit+age {
+		t.Errorf("the list is %v old; want %v", got, transit+age)
 	}
 	if n.upstreams.Upstream() != n.peer {
 		t.Error("a peer with fresher data is not the upstream")
@@ -105,7 +105,7 @@
 		n := startTestNode(t)
 		n.now += 5 * time.Second
 		before := n.ageOf(replicasTopicID)
-		n.handleResponse(n.peer, fullResponse(n.ask(t), age), somePeer)
+		n.handleResponse(n.peer, fullResponse(n.sendQuery(t), age), somePeer)
 		if got := n.ageOf(replicasTopicID); got != before {
 			t.Errorf("after a reported age of %d ms the list is %v old; want %v", age, got, before)
 		}
@@ -117,8 +117,8 @@
 
 // Whatever message arrives, no topic gets fresher than the time of the query, and nothing panics.
 func FuzzHubMessage(f *testing.F) {
-	for _, a := range []*topicsResponse{fullResponse(1, 0), fullResponse(1, math.MaxUint64), {Seq: 0, Topics: []topicState{{TopicID: 255, From: math.MaxUint64, Next: 1}}}} {
-		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Response: a})
+	for _, response := range []*topicsResponse{fullResponse(1, 0), fullResponse(1, math.MaxUint64), {Seq: 0, Topics: []topicState{{TopicID: 255, From: math.MaxUint64, Next: 1}}}} {
+		data, err := cbor.Marshal(&peerMessage{From: "entry-1", Response: response})
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 		}
 		n := startTestNode(t)
 		n.now += 5 * time.Second
-		n.ask(t)
+		n.sendQuery(t)
 		n.handle(&m, somePeer)
 		for topicID := range topicCount {
 			if age := n.ageOf(topicID); age < 0 {
--- a/internal/direct/malformed.go
+++ b/internal/direct/malformed.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxMalformedKeys bounds the keys whose last problem is remembered: several times the replicas
-	// of the largest deployment that entries route to directly.
+	// maxMalformedKeys bounds the keys whose last problem is kept: several times the replicas of the
+	// largest deployment that entries route to directly.
 	maxMalformedKeys = 1024
 	// malformedLogInterval is the least time between two log lines about the same problem of one
 	// key. A writer that repeats the record with each heartbeat would otherwise flood the log.
--- a/internal/direct/naming.go
+++ b/internal/direct/naming.go
@@ -28,15 +28,15 @@
 
 // recordAnnouncement records when a version was announced, unless another entry does so first.
 // relayed says that a peer read the version.
-func (e *Entry) recordAnnouncement(n rollout.Announcement, relayed bool) {
+func (e *Entry) recordAnnouncement(a rollout.Announcement, relayed bool) {
 	pause := rand.N(announcementSpread)
 	if relayed {
 		pause = relayedAnnouncementDelay + rand.N(announcementSpreadPerEntry*time.Duration(e.state.entryCount()))
 	}
-	if wait.For(context.Background(), pause) != nil || e.announcementKnown(&n) {
+	if wait.For(context.Background(), pause) != nil || e.announcementKnown(&a) {
 		return
 	}
-	e.writeAnnouncement(&n)
+	e.writeAnnouncement(&a)
 }
 
 // rewriteAnnouncements records the announcement times of the newest versions again after the store
@@ -45,59 +45,59 @@
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
 	clear(e.state.announcementsRead)
-	for model, d := range e.state.demands {
-		if n := e.state.announcements[modelVersion{model, d.Newest()}]; n != nil {
-			go e.rewriteAnnouncement(*n)
+	for model, history := range e.state.versionHistories {
+		if a := e.state.announcements[modelVersion{model, history.Newest()}]; a != nil {
+			go e.rewriteAnnouncement(*a)
 		}
 	}
 }
 
-func (e *Entry) rewriteAnnouncement(n rollout.Announcement) {
+func (e *Entry) rewriteAnnouncement(a rollout.Announcement) {
 	pause := relayedAnnouncementDelay + rand.N(announcementSpreadPerEntry*time.Duration(e.state.entryCount()))
 	if wait.For(context.Background(), pause) != nil {
 		return
 	}
 	e.state.mu.Lock()
-	read := e.state.announcementsRead[modelVersion{n.Model, n.Version}]
+	read := e.state.announcementsRead[modelVersion{a.Model, a.Version}]
 	e.state.mu.Unlock()
 	if !read {
-		e.writeAnnouncement(&n)
+		e.writeAnnouncement(&a)
 	}
 }
 
-func (e *Entry) writeAnnouncement(n *rollout.Announcement) {
+func (e *Entry) writeAnnouncement(a *rollout.Announcement) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	envelope := rollout.Envelope{Announcement: n}
+	envelope := rollout.Envelope{Announcement: a}
 	if _, err := e.platform.Store.Append(ctx, topicEntries, nil, [][]byte{envelope.Encode()}); err != nil {
-		e.tel.Log.Warn("writing version announcement failed", "model", n.Model, "version", n.Version, "error", err)
+		e.tel.Log.Warn("version announcement not written to the store", "model", a.Model, "version", a.Version, "error", err)
 		return
 	}
 	trySignal(e.rollouts.reread)
 }
 
-func (e *Entry) announcementKnown(n *rollout.Announcement) bool {
+func (e *Entry) announcementKnown(a *rollout.Announcement) bool {
 	e.state.mu.Lock()
 	defer e.state.mu.Unlock()
-	return e.state.announcements[modelVersion{n.Model, n.Version}] != nil
+	return e.state.announcements[modelVersion{a.Model, a.Version}] != nil
 }
 
 // applyAnnouncement applies an entry's record of when a version was announced. Of several records
 // the earliest counts, because each entry read the version a little after its announcement.
-func (e *Entry) applyAnnouncement(n *rollout.Announcement) {
+func (e *Entry) applyAnnouncement(a *rollout.Announcement) {
 	s := e.state
 	s.mu.Lock()
-	key := modelVersion{n.Model, n.Version}
+	key := modelVersion{a.Model, a.Version}
 	s.announcementsRead[key] = true
 	known := s.announcements[key]
-	isNew := known == nil || n.AtMs < known.AtMs
+	isNew := known == nil || a.AtMs < known.AtMs
 	if isNew {
-		s.announcements[key] = n
-		e.applyAnnouncements(n.Model)
+		s.announcements[key] = a
+		e.applyAnnouncements(a.Model)
 	}
 	s.mu.Unlock()
 	if isNew {
-		e.tel.Log.Info("weights version announced", "model", n.Model, "version", n.Version, "at_ms", n.AtMs)
+		e.tel.Log.Info("weights version announced", "model", a.Model, "version", a.Version, "at_ms", a.AtMs)
 	}
 }
 
@@ -110,29 +110,29 @@
 // to versions that were already there at the start, and to the versions before them. The caller
 // holds the state's lock.
 func (e *Entry) applyAnnouncements(model string) {
-	d := e.state.demands[model]
-	if d == nil {
+	history := e.state.versionHistories[model]
+	if history == nil {
 		return
 	}
 	overdue := e.announcedAt(true)
-	for version := d.Newest(); version != 0; {
-		n := e.state.announcements[modelVersion{model, version}]
-		if n == nil {
+	for version := history.Newest(); version != 0; {
+		a := e.state.announcements[modelVersion{model, version}]
+		if a == nil {
 			return
 		}
-		d.AddPrevious(version, n.Before, overdue)
-		if at, ok := e.announcedSince(n); ok {
-			d.AnnouncedNoEarlier(version, at)
-			d.AnnouncedNoLater(version, at)
+		history.AddPrevious(version, a.Before, overdue)
+		if at, ok := e.announcedSince(a); ok {
+			history.AnnouncedNoEarlier(version, at)
+			history.AnnouncedNoLater(version, at)
 		}
-		version = n.Before
+		version = a.Before
 	}
 }
 
 // announcedSince returns since when a version counts as announced according to a record. Clocks of
 // two instances may differ by up to the configured skew, so the version counts as announced earlier
 // by that much. A time in the future shows that they differ by more, and is ignored.
-func (e *Entry) announcedSince(n *rollout.Announcement) (time.Duration, bool) {
-	age := time.Since(time.UnixMilli(n.AtMs))
+func (e *Entry) announcedSince(a *rollout.Announcement) (time.Duration, bool) {
+	age := time.Since(time.UnixMilli(a.AtMs))
 	return e.clock.now() - age - e.directSettings().ClockSkew.D(), age >= 0
 }
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -43,37 +43,37 @@
 			for _, announcementFirst := range []bool{false, true} {
 				synctest.Test(t, func(t *testing.T) {
 					began := time.Now()
-					named := began.Add(2 * time.Second)
+					announcedAt := began.Add(2 * time.Second)
 					back := began.Add(9*time.Second + phase)
 					e := newEntry(s, tel, Platform{Records: wantedRecords{}, Store: &listStore{
 						topic:  "operator",
-						writes: []listWrite{{at: named, record: fleet.Record{Key: "version", Value: []byte("2")}}},
+						writes: []listWrite{{at: announcedAt, record: fleet.Record{Key: "version", Value: []byte("2")}}},
 						from:   began.Add(time.Second), to: back, hangs: hangs,
 					}})
-					announcement := &rollout.Announcement{Model: wantedModel, Version: 2, Before: 1, AtMs: named.UnixMilli()}
+					announcement := &rollout.Announcement{Model: wantedModel, Version: 2, Before: 1, AtMs: announcedAt.UnixMilli()}
 					ctx, cancel := context.WithCancel(t.Context())
 					done := make(chan struct{})
 					go func() { e.followOperator(ctx); close(done) }()
-					binds := named.Add(wantedWithin)
-					if touch := back.Add(storeBindsWithin); touch.After(binds) {
-						binds = touch
+					deadline := announcedAt.Add(wantedWithin)
+					if bindsAt := back.Add(storeBindsWithin); bindsAt.After(deadline) {
+						deadline = bindsAt
 					}
 					if announcementFirst {
 						time.Sleep(back.Sub(began))
 						e.applyAnnouncement(announcement)
 					}
-					time.Sleep(time.Until(binds.Add(-500 * time.Millisecond)))
+					time.Sleep(time.Until(deadline.Add(-500 * time.Millisecond)))
 					e.applyAnnouncement(announcement)
-					time.Sleep(time.Until(binds))
+					time.Sleep(time.Until(deadline))
 					e.state.mu.Lock()
-					oldest := e.state.demands[wantedModel].OldestAllowed(e.clock.now())
+					oldest := e.state.versionHistories[wantedModel].OldestAllowed(e.clock.now())
 					e.state.mu.Unlock()
 					cancel()
 					<-done
 					time.Sleep(announcementSpread) // a pending goroutine that would record the announcement has read the peers' record by then
 					if oldest != 2 {
 						t.Errorf("hangs=%v phase=%v announcementFirst=%v: requests may begin on weights before %d, %v after the end of the outage",
-							hangs, phase, announcementFirst, oldest, binds.Sub(back))
+							hangs, phase, announcementFirst, oldest, deadline.Sub(back))
 					}
 				})
 			}
--- a/internal/direct/notes.go
+++ b/internal/direct/notes.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	if _, err := r.entry.platform.Store.Append(ctx, topicEntries, nil, encoded); err != nil {
-		r.entry.tel.Log.Warn("writing rollout records failed", "model", model, "notes", len(records), "error", err)
+		r.entry.tel.Log.Warn("rollout records not written to the store", "model", model, "notes", len(records), "error", err)
 		return
 	}
 	r.mu.Lock()
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -70,7 +70,8 @@
 		"among", limit.Sharers, "by", by)
 }
 
-// endRateLimit logs the end of a rate limit and notifies. The caller holds the state's lock.
+// endRateLimit logs the end of a replica's rate limit and signals that the replica may be usable.
+// The caller holds the state's lock.
 func (e *Entry) endRateLimit(replica, by string) {
 	e.tel.Log.Info("replica's rate limit is over", "replica", replica, "by", by)
 	e.state.notifyChanged()
--- a/internal/direct/notices_test.go
+++ b/internal/direct/notices_test.go
@@ -24,18 +24,18 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w peerMessage
-		if messageDecoder.Unmarshal(data, &w) != nil || len(w.Notices) == 0 {
+		var m peerMessage
+		if messageDecoder.Unmarshal(data, &m) != nil || len(m.Notices) == 0 {
 			return
 		}
 		e := newPeerNodes(t, 1, 1)[0]
 		e.state.replicas.Put(&fleet.Replica{ID: known, Name: known}, 1, 0)
-		e.receiveNotices(w.Notices, w.From)
+		e.receiveNotices(m.Notices, m.From)
 		now := e.clock.now()
 		if s, limited := e.state.rateLimits.State(known, now); limited && !(s.Rate >= 0 && s.Rate <= math.MaxFloat64) {
 			t.Errorf("accepted a rate of %v", s.Rate)
 		}
-		for _, n := range w.Notices {
+		for _, n := range m.Notices {
 			if _, limited := e.state.rateLimits.State(n.Replica, now); limited && n.Replica != known {
 				t.Errorf("accepted a rate limit of the unknown replica %q", n.Replica)
 			}
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -155,15 +155,15 @@
 
 func (e *Entry) applyWanted(w *fleet.DesiredVersion, offset uint64, when announcementContext) {
 	e.state.mu.Lock()
-	d := e.state.demands[w.Model]
-	if d == nil {
-		d = rollout.NewVersionHistory(e.directSettings().WeightsWithin.D() - weightsMargin)
-		e.state.demands[w.Model] = d
+	history := e.state.versionHistories[w.Model]
+	if history == nil {
+		history = rollout.NewVersionHistory(e.directSettings().WeightsWithin.D() - weightsMargin)
+		e.state.versionHistories[w.Model] = history
 	}
-	before := d.Newest()
-	isNew := d.Add(w.Version, e.announcedAt(when.first))
+	before := history.Newest()
+	isNew := history.Add(w.Version, e.announcedAt(when.first))
 	if isNew && !when.first {
-		d.MarkReadLate(w.Version, e.earliestAnnouncement(when.gap))
+		history.MarkReadLate(w.Version, e.earliestAnnouncement(when.gap))
 	}
 	e.applyAnnouncements(w.Model)
 	e.state.mu.Unlock()
--- a/internal/direct/peers.go
+++ b/internal/direct/peers.go
@@ -89,9 +89,9 @@
 	DigestAck string `cbor:"15,keyasint,omitempty"`
 	// Reports are states that replicas reported while the store was unavailable.
 	Reports []replicaReport `cbor:"12,keyasint,omitempty"`
-	// Quota lends, borrows or returns units of an organisation's limit.
+	// Quota lends, borrows or returns units of an organisation's quota.
 	Quota *quotaMessage `cbor:"16,keyasint,omitempty"`
-	// Notices are what replicas said about themselves in responses.
+	// Notices are what replicas announced about themselves in answers.
 	Notices []noticeMessage `cbor:"17,keyasint,omitempty"`
 }
 
@@ -101,23 +101,24 @@
 	_ struct{} `cbor:",toarray"`
 	// Replica is the hash of the replica's ID.
 	Replica uint64
-	// Reading is the number of prompt tokens that are not prefilled yet, Running the number of
-	// requests in flight.
-	Reading uint32
-	Running uint32
-	// Taken counts the prompt tokens sent to the replica, in coarse units; it wraps around.
-	Taken uint16
+	// PrefillTokens is the number of prompt tokens that are not prefilled yet, Running the number
+	// of requests in flight.
+	PrefillTokens uint32
+	Running       uint32
+	// AddedTokens counts the prompt tokens sent to the replica, in route.AddedTokensUnit; it wraps
+	// around.
+	AddedTokens uint16
 }
 
-// peerPlacement is a placement of a request: the prefix levels that were sent to a replica, or to a
-// store of kept cache (Kept). Read is set once the replica has prefilled them. The fields are
-// encoded as an array, in this order.
+// peerPlacement is a route.Placement: the prefix levels that were sent to a replica, or saved to a
+// store (Saved). Prefilled is set once the replica has prefilled them. The fields are encoded as an
+// array, in this order.
 type peerPlacement struct {
-	_       struct{} `cbor:",toarray"`
-	Levels  []uint64
-	Replica uint64
-	Read    bool
-	Kept    uint64
+	_         struct{} `cbor:",toarray"`
+	Levels    []uint64
+	Replica   uint64
+	Prefilled bool
+	Saved     uint64
 }
 
 var messageDecoder = strictcbor.Decoder(strictcbor.Bounds{MapPairs: 16})
@@ -135,16 +136,18 @@
 	// listedAtStart says that the first read of the list contained this entry.
 	listedAtStart bool
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// known holds the addresses of the other entries, by ID: those in the list and those that sent
+	// messages.
 	known map[string]peerAddress
 	// listed holds the IDs in the list of entries, including this entry's own once it is
 	// registered.
 	listed map[string]bool
 	seq    uint64
-	// advertisedTaken is the last advertised count of accepted prompt tokens at each replica. Only
-	// the goroutine of sendLoads uses it.
-	advertisedTaken map[uint64]uint16
-	digests         *digests
+	// advertisedTokens is the last advertised AddedTokens of each replica. Only the goroutine of
+	// sendLoads uses it.
+	advertisedTokens map[uint64]uint16
+	digests          *digests
 	// receivedAt is the time of each peer's last message, on the entry's clock.
 	receivedAt map[string]time.Duration
 }
@@ -161,8 +164,8 @@
 	p := &peers{
 		entry: e, conn: conn, listRead: make(chan struct{}),
 		known: make(map[string]peerAddress), listed: make(map[string]bool),
-		receivedAt:      make(map[string]time.Duration),
-		advertisedTaken: make(map[uint64]uint16),
+		receivedAt:       make(map[string]time.Duration),
+		advertisedTokens: make(map[uint64]uint16),
 	}
 	p.digests = newDigests(p)
 	return p, nil
@@ -248,38 +251,38 @@
 func (p *peers) loadMessage() *peerMessage {
 	s := p.entry.state
 	s.mu.Lock()
-	loads := s.feed.Loads()
+	loads := s.picker.Loads()
 	now := p.entry.clock.now()
-	placements := s.feed.PlacementsToSend(now-max(minPlacementAge, (placementRepeats+1)*p.interval()), placementRepeats, maxMessagePlacements)
+	placements := s.picker.PlacementsToSend(now-max(minPlacementAge, (placementRepeats+1)*p.interval()), placementRepeats, maxMessagePlacements)
 	served := s.outage.ServedFor(now)
 	s.mu.Unlock()
 	p.seq++
 	m := &peerMessage{From: p.entry.settings.ID, Epoch: uint64(p.entry.tel.Epoch), Seq: p.seq, StoreReachable: encodeStoreReachable(served)}
-	m.Loads = loadsToSend(loads, p.advertisedTaken, maxMessageLoads-len(placements)*loadsPerPlacement)
+	m.Loads = loadsToSend(loads, p.advertisedTokens, maxMessageLoads-len(placements)*loadsPerPlacement)
 	for _, placement := range placements {
 		levels := placement.Levels[max(0, len(placement.Levels)-maxPlacementLevels):]
-		m.Placements = append(m.Placements, peerPlacement{Levels: levels, Replica: placement.Replica, Read: placement.Prefilled, Kept: placement.Saved})
+		m.Placements = append(m.Placements, peerPlacement{Levels: levels, Replica: placement.Replica, Prefilled: placement.Prefilled, Saved: placement.Saved})
 	}
 	return m
 }
 
 // loadsToSend returns at most limit loads to advertise: those of replicas with running requests
-// first, then those whose count of accepted tokens differs from advertisedTaken. Peers assume that
-// a replica without an advertised load is idle, and a message has no room for all loads.
-func loadsToSend(loads map[uint64]route.Load, advertisedTaken map[uint64]uint16, limit int) []peerLoad {
+// first, then those whose AddedTokens differs from advertisedTokens. Peers assume that a replica
+// without an advertised load is idle, and a message has no room for all loads.
+func loadsToSend(loads map[uint64]route.Load, advertisedTokens map[uint64]uint16, limit int) []peerLoad {
 	var out []peerLoad
 	for id, l := range loads {
-		changed := l.Running > 0 || advertisedTaken[id] != l.AddedTokens
+		changed := l.Running > 0 || advertisedTokens[id] != l.AddedTokens
 		if changed {
-			out = append(out, peerLoad{Replica: id, Reading: uint32(l.PrefillTokens), Running: uint32(l.Running), Taken: l.AddedTokens})
+			out = append(out, peerLoad{Replica: id, PrefillTokens: uint32(l.PrefillTokens), Running: uint32(l.Running), AddedTokens: l.AddedTokens})
 		}
 	}
 	slices.SortFunc(out, func(a, b peerLoad) int {
-		return cmp.Or(cmp.Compare(b.Reading, a.Reading), cmp.Compare(b.Running, a.Running), cmp.Compare(a.Replica, b.Replica))
+		return cmp.Or(cmp.Compare(b.PrefillTokens, a.PrefillTokens), cmp.Compare(b.Running, a.Running), cmp.Compare(a.Replica, b.Replica))
 	})
 	out = out[:min(len(out), limit)]
 	for _, l := range out {
-		advertisedTaken[l.Replica] = l.Taken
+		advertisedTokens[l.Replica] = l.AddedTokens
 	}
 	return out
 }
@@ -354,11 +357,11 @@
 	e := p.entry
 	loads := make(map[uint64]route.Load, len(m.Loads))
 	for _, l := range m.Loads {
-		loads[l.Replica] = route.Load{PrefillTokens: float64(l.Reading), Running: int(l.Running), AddedTokens: l.Taken}
+		loads[l.Replica] = route.Load{PrefillTokens: float64(l.PrefillTokens), Running: int(l.Running), AddedTokens: l.AddedTokens}
 	}
 	placements := make([]route.Placement, len(m.Placements))
 	for i, placement := range m.Placements {
-		placements[i] = route.Placement{Levels: placement.Levels, Replica: placement.Replica, Prefilled: placement.Read, Saved: placement.Kept}
+		placements[i] = route.Placement{Levels: placement.Levels, Replica: placement.Replica, Prefilled: placement.Prefilled, Saved: placement.Saved}
 	}
 	if m.DigestPart == "" {
 		p.digests.enqueue(m.Placements)
@@ -368,11 +371,11 @@
 	now := e.clock.now()
 	e.state.mu.Lock()
 	if m.DigestPart == "" {
-		e.state.feed.UpdatePeerLoads(m.From, m.Epoch, m.Seq, loads, now)
+		e.state.picker.UpdatePeerLoads(m.From, m.Epoch, m.Seq, loads, now)
 	} else {
-		e.state.feed.UpdateDomainLoads(m.DigestPart, m.Epoch, m.Seq, loads, now)
+		e.state.picker.UpdateDomainLoads(m.DigestPart, m.Epoch, m.Seq, loads, now)
 	}
-	e.state.feed.ApplyPlacements(placements, now)
+	e.state.picker.ApplyPlacements(placements, now)
 	if m.StoreReachable > 0 {
 		e.state.outage.PeerReported(m.From, time.Duration(m.StoreReachable-1)*time.Millisecond, now)
 	}
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -18,14 +18,14 @@
 func TestTheLongestWordFitsADatagram(t *testing.T) {
 	m := &peerMessage{From: strings.Repeat("x", 24), Epoch: math.MaxUint64, Seq: math.MaxUint32, StoreReachable: math.MaxUint32}
 	for range maxMessageLoads - maxMessagePlacements*loadsPerPlacement {
-		m.Loads = append(m.Loads, peerLoad{Replica: math.MaxUint64, Reading: math.MaxUint32, Running: 200, Taken: math.MaxUint16})
+		m.Loads = append(m.Loads, peerLoad{Replica: math.MaxUint64, PrefillTokens: math.MaxUint32, Running: 200, AddedTokens: math.MaxUint16})
 	}
 	levels := make([]uint64, maxPlacementLevels)
 	for i := range levels {
 		levels[i] = math.MaxUint64
 	}
 	for range maxMessagePlacements {
-		m.Placements = append(m.Placements, peerPlacement{Levels: levels, Replica: math.MaxUint64, Read: true})
+		m.Placements = append(m.Placements, peerPlacement{Levels: levels, Replica: math.MaxUint64, Prefilled: true})
 	}
 	checkLength(t, m)
 	for range maxMessagePlacements * loadsPerPlacement {
@@ -60,34 +60,34 @@
 func TestAWordTellsOfTheReplicasAtWork(t *testing.T) {
 	const (
 		replicas = 160
-		atWork   = 10
+		busy     = 10
 	)
-	advertisedTaken := make(map[uint64]uint16)
+	advertisedTokens := make(map[uint64]uint16)
 	loads := make(map[uint64]route.Load)
 	for id := range uint64(replicas) {
 		loads[id] = route.Load{AddedTokens: uint16(id + 1)}
-		if id < atWork {
+		if id < busy {
 			loads[id] = route.Load{Running: 1, PrefillTokens: 4000, AddedTokens: uint16(id + 1)}
 		}
 	}
 	advertised := map[uint64]bool{}
 	for messages := 0; messages*maxMessageLoads < replicas+2*maxMessageLoads; messages++ {
-		working := 0
-		for _, l := range loadsToSend(loads, advertisedTaken, maxMessageLoads) {
+		busyAdvertised := 0
+		for _, l := range loadsToSend(loads, advertisedTokens, maxMessageLoads) {
 			advertised[l.Replica] = true
 			if l.Running > 0 {
-				working++
+				busyAdvertised++
 			}
 		}
-		if working != atWork {
-			t.Fatalf("message %d has loads of %d replicas with running requests out of %d", messages, working, atWork)
+		if busyAdvertised != busy {
+			t.Fatalf("message %d has loads of %d replicas with running requests out of %d", messages, busyAdvertised, busy)
 		}
 	}
 	if len(advertised) != replicas {
 		t.Errorf("counts of %d of %d replicas were advertised", len(advertised), replicas)
 	}
-	if again := loadsToSend(loads, advertisedTaken, maxMessageLoads); len(again) != atWork {
-		t.Errorf("a message has %d loads though only %d replicas have running requests or changes", len(again), atWork)
+	if again := loadsToSend(loads, advertisedTokens, maxMessageLoads); len(again) != busy {
+		t.Errorf("a message has %d loads though only %d replicas have running requests or changes", len(again), busy)
 	}
 }
 
--- a/internal/direct/ports.go
+++ b/internal/direct/ports.go
@@ -31,7 +31,7 @@
 	Replica(key string, value []byte) (*fleet.Replica, error)
 }
 
-// Replicas calls the replicas of models. The notice is what the replica says about itself in the
+// Replicas calls the replicas of models. The notice is what the replica announces about itself in the
 // headers of its response, and is valid whatever the outcome of the call.
 type Replicas interface {
 	Order(context.Context, *fleet.Order) (fleet.Reply, fleet.Notice, error)
--- a/internal/direct/queue.go
+++ b/internal/direct/queue.go
@@ -46,21 +46,21 @@
 // placeQueued assigns replicas to waiting requests, in the queue's order. The caller holds mu.
 func (s *state) placeQueued(q *serviceQueue, now time.Duration) {
 	for {
-		t := q.waiting.Next(now)
-		if t == nil || q.window != nil && !s.feed.PeerLoadsKnown(now) && !q.window.Fits(t.Work) {
+		queued := q.waiting.Next(now)
+		if queued == nil || q.window != nil && !s.picker.PeerLoadsKnown(now) && !q.window.Fits(queued.Work) {
 			return
 		}
-		req := t.Value.(*request)
-		req.query.MaxWaitMs = t.LoadBound(now, req.maxLoad())
+		req := queued.Value.(*request)
+		req.query.MaxWaitMs = queued.LoadBound(now, req.maxLoad())
 		p := req.pickReplica(now)
 		if p == nil {
 			return
 		}
-		q.waiting.Remove(t)
-		q.waiting.RecordDispatch(t.Organisation, t.Work, now)
+		q.waiting.Remove(queued)
+		q.waiting.RecordDispatch(queued.Organisation, queued.Work, now)
 		if q.window != nil {
-			p.window, p.work = q.window, t.Work
-			q.window.Sent(t.Work)
+			p.window, p.work = q.window, queued.Work
+			q.window.Sent(queued.Work)
 		}
 		req.placed <- p
 	}
@@ -70,11 +70,11 @@
 // holds mu.
 func (s *state) placeAllQueued(now time.Duration) {
 	for _, q := range s.queues {
-		for _, t := range q.waiting.RemoveExpired(now) {
-			t.Value.(*request).placed <- nil
+		for _, queued := range q.waiting.RemoveExpired(now) {
+			queued.Value.(*request).placed <- nil
 		}
 		s.placeQueued(q, now)
-		s.rejectBeyondSupply(q, now)
+		s.rejectBeyondCapacity(q, now)
 	}
 }
 
@@ -85,15 +85,15 @@
 	began := e.clock.now()
 	req.placed = make(chan *placement, 1)
 	s.mu.Lock()
-	ticket := req.newTicket(began)
+	queued := req.newQueuedRequest(began)
 	q := s.queueOf(req.service)
 	if q.waiting.Len() >= maxQueued {
 		s.mu.Unlock()
 		return nil
 	}
-	q.waiting.Add(ticket)
+	q.waiting.Add(queued)
 	s.placeQueued(q, began)
-	s.rejectBeyondSupply(q, began)
+	s.rejectBeyondCapacity(q, began)
 	s.mu.Unlock()
 	defer func() { req.waited += e.clock.now() - began }()
 	select {
@@ -109,7 +109,7 @@
 	case <-req.ctx.Done():
 	}
 	s.mu.Lock()
-	q.waiting.Remove(ticket)
+	q.waiting.Remove(queued)
 	s.mu.Unlock()
 	select {
 	case p := <-req.placed:
@@ -128,7 +128,7 @@
 	s := req.entry.state
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.feed.Finished(&req.query, &p.choice, false)
+	s.picker.Finished(&req.query, &p.choice, false)
 	p.endWork()
 }
 
@@ -140,11 +140,11 @@
 	}
 }
 
-// newTicket is the request's ticket for the queue. The caller holds the state's lock.
-func (req *request) newTicket(now time.Duration) *admit.QueuedRequest {
-	feed := req.entry.state.feed
-	work := feed.PrefillMs(&req.query, req.query.PromptTokens-req.query.SharedTokens)
-	t := &admit.QueuedRequest{
+// newQueuedRequest returns the request's entry in the queue. The caller holds the state's lock.
+func (req *request) newQueuedRequest(now time.Duration) *admit.QueuedRequest {
+	picker := req.entry.state.picker
+	work := picker.PrefillMs(&req.query, req.query.PromptTokens-req.query.SharedTokens)
+	queued := &admit.QueuedRequest{
 		Priority:    req.priority(),
 		Work:        work,
 		Arrived:     req.started,
@@ -153,16 +153,16 @@
 		Value:       req,
 	}
 	if began, _ := req.entry.drain.window(); !began.IsZero() && time.Since(began) > unrestrictedPeriod {
-		t.ExpiresAt = min(t.ExpiresAt, now+drainQueueWait)
+		queued.ExpiresAt = min(queued.ExpiresAt, now+drainQueueWait)
 	}
 	if req.organisation != nil {
-		t.Organisation = req.organisation.Name
+		queued.Organisation = req.organisation.Name
 	}
 	if req.route.LatencyTarget > 0 {
-		t.LatestStart = req.started + req.route.LatencyTarget - time.Duration((work+feed.OverheadMs(&req.query))*float64(time.Millisecond))
+		queued.LatestStart = req.started + req.route.LatencyTarget - time.Duration((work+picker.OverheadMs(&req.query))*float64(time.Millisecond))
 	}
 	if req.firstByte > 0 {
-		t.Priority, t.LatestStart = resumedPriority, req.deadline
+		queued.Priority, queued.LatestStart = resumedPriority, req.deadline
 	}
-	return t
+	return queued
 }
--- a/internal/direct/quotas.go
+++ b/internal/direct/quotas.go
@@ -16,9 +16,9 @@
 	// borrowTimeout bounds the wait for a lender's answer: many times a datagram's transit within
 	// a region plus the time until the lender gets to run.
 	borrowTimeout = 60 * time.Millisecond
-	// unresponsiveFor is how long an entry that did not answer isn't asked again: several times
-	// what a start takes. In a large fleet, nothing else tells that an entry of another failure
-	// domain is back, as only those of the own domain send messages regularly.
+	// unresponsiveFor is how long an entry that did not answer isn't asked again: several times as
+	// long as an entry takes to start. In a large fleet, nothing else shows that an entry of
+	// another failure domain is back, as only those of the own domain send messages regularly.
 	unresponsiveFor = time.Second
 	// maxUnits bounds the units in a message.
 	maxUnits = 1e12
@@ -119,27 +119,27 @@
 }
 
 // receive handles a quota message from a peer.
-func (q *quotas) receive(w *peerMessage, from netip.AddrPort) {
-	m := w.Quota
+func (q *quotas) receive(msg *peerMessage, from netip.AddrPort) {
+	m := msg.Quota
 	if !(m.Units >= 0 && m.Units <= maxUnits && m.Left >= 0 && m.Left <= maxUnits) {
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
 		return
 	}
-	by := quota.LoanID{Entry: w.From, Epoch: w.Epoch, Seq: m.Seq}
+	loan := quota.LoanID{Entry: msg.From, Epoch: msg.Epoch, Seq: m.Seq}
 	switch m.Kind {
 	case quotaBorrow:
 		q.mu.Lock()
-		lent := q.ledger.Lend(m.Organisation, m.Units, by, q.entry.bootClock())
+		lent := q.ledger.Lend(m.Organisation, m.Units, loan, q.entry.bootClock())
 		q.mu.Unlock()
 		if lent.Units > 0 {
 			q.entry.tel.Metrics.Count("quota_lent", 1)
 		}
 		q.send(&quotaMessage{Kind: quotaAnswer, Seq: m.Seq, Organisation: m.Organisation, Units: lent.Units, Left: max(0, lent.Remaining)}, from)
 	case quotaAnswer:
-		q.handleAnswer(m, w.From, from)
+		q.handleAnswer(m, msg.From, from)
 	case quotaReturn:
 		q.mu.Lock()
-		q.ledger.LoanReturned(m.Organisation, m.Units, by, q.entry.bootClock())
+		q.ledger.LoanReturned(m.Organisation, m.Units, loan, q.entry.bootClock())
 		q.mu.Unlock()
 	default:
 		q.entry.tel.Metrics.Count("peer_words_malformed", 1)
@@ -174,17 +174,17 @@
 	if !ok {
 		return 0, 0, false
 	}
-	l := &pendingBorrow{organisation: organisation, lender: lender, granted: make(chan float64, 1)}
+	pending := &pendingBorrow{organisation: organisation, lender: lender, granted: make(chan float64, 1)}
 	q.mu.Lock()
 	q.seq++
 	seq = q.seq
-	q.pending[seq] = l
+	q.pending[seq] = pending
 	q.mu.Unlock()
 	q.send(&quotaMessage{Kind: quotaBorrow, Seq: seq, Organisation: organisation, Units: units}, to)
 	timeout := time.NewTimer(borrowTimeout)
 	defer timeout.Stop()
 	select {
-	case lent = <-l.granted:
+	case lent = <-pending.granted:
 		return seq, lent, true
 	case <-timeout.C:
 	case <-ctx.Done():
@@ -196,7 +196,7 @@
 	}
 	q.mu.Unlock()
 	select {
-	case lent = <-l.granted: // it arrived after the timeout
+	case lent = <-pending.granted: // it arrived after the timeout
 		return seq, lent, true
 	default:
 		return seq, 0, false
--- a/internal/direct/quotas_test.go
+++ b/internal/direct/quotas_test.go
@@ -85,15 +85,15 @@
 	const burst = 1000
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: burst, Burst: burst}}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var w peerMessage
-		if messageDecoder.Unmarshal(data, &w) != nil || w.Quota == nil {
+		var msg peerMessage
+		if messageDecoder.Unmarshal(data, &msg) != nil || msg.Quota == nil {
 			return
 		}
 		e := newPeerNodes(t, 1, 1)[0]
 		e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
 		e.quotas.setEntries([]string{e.settings.ID}, true, true)
 		for range 2 {
-			e.quotas.receive(&w, e.address())
+			e.quotas.receive(&msg, e.address())
 		}
 		if s, ok := e.quotas.state("derwent"); !ok || !(s.Level >= 0 && s.Level <= burst) {
 			t.Errorf("%v units left, of %d at most", s.Level, burst)
--- a/internal/direct/reload.go
+++ b/internal/direct/reload.go
@@ -45,10 +45,10 @@
 // reloadSettings puts changed settings in force. Those of sockets and of the entry's ID stay as
 // they were at the start. A file that is unreadable or invalid leaves all settings unchanged.
 func (e *Entry) reloadSettings(by string) {
-	if e.source == nil {
+	if e.loadSettings == nil {
 		return
 	}
-	s, err := e.source()
+	s, err := e.loadSettings()
 	if err != nil {
 		e.tel.Log.Error("settings not reloaded; current settings stay in force", "by", by, "error", err)
 		return
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -20,7 +20,7 @@
 	storeBindsAfter = 3 * time.Second
 	dispatchTime    = 200 * time.Millisecond
 	// outageNoticedWithin is the time within which the reader notices that the store doesn't
-	// answer: a pause, a read that waits, and the time-out of its answer.
+	// answer: a pause, a read that waits, and its timeout.
 	outageNoticedWithin = maxReplicasPause + replicasReadWait + callTimeout
 	// peerMessageMaxAge bounds the age of a peer's message that counts as evidence: at 25 entries
 	// eight in a row would have to be lost. Over 200 entries messages come less often than that
@@ -48,7 +48,7 @@
 	f.onRestore = func(first uint64) {
 		e.tel.Log.Warn("store is back from an older copy", "stream", topic, "era", fleet.Era(first))
 		e.state.mu.Lock()
-		e.state.listRewound = e.clock.now()
+		e.state.listRestoredAt = e.clock.now()
 		e.state.mu.Unlock()
 	}
 	f.run(ctx)
@@ -61,7 +61,7 @@
 	begins := e.state.outage.CallFailed(made.Sub(e.clock.start), now)
 	e.state.mu.Unlock()
 	if begins {
-		e.watch.markStoreDown(now)
+		e.monitor.markStoreDown(now)
 	}
 }
 
@@ -73,12 +73,12 @@
 	e.state.mu.Unlock()
 	if begins {
 		e.tel.Log.Warn("replica list is stale: no answer from any reader", "list_age_ms", (now - time.Duration(e.state.listReadAt.Load())).Milliseconds())
-		e.watch.markStoreDown(now)
+		e.monitor.markStoreDown(now)
 	}
 }
 
-// listAnswered handles an answer to a call for the replica list, made by this entry or by the one
-// that the reading names. boot is the present time of the reading's clock.
+// listAnswered handles an answer to a call for the replica list, made by this entry or by the read's
+// Reader. boot is the current time of the read's clock.
 func (e *Entry) listAnswered(r spread.Read, boot time.Duration) {
 	if r.CalledAt > 0 {
 		e.state.listReadAt.Store(int64(e.clock.fromBoot(r.CalledAt, boot)))
@@ -88,7 +88,7 @@
 	ends := e.state.outage.CallAnswered(e.clock.fromBoot(r.AnsweredAt, boot))
 	e.state.mu.Unlock()
 	if ends {
-		e.watch.markStoreUp()
+		e.monitor.markStoreUp()
 	}
 }
 
@@ -101,12 +101,12 @@
 	}
 	e.state.mu.Lock()
 	missing := e.state.replicas.Missing(listed)
-	grace := e.state.rewindGraceEnd()
+	restoreGrace := e.state.restoreGraceEnd()
 	e.state.listRead = true
 	e.state.mu.Unlock()
 	for _, name := range missing {
-		// The next record is written at the list's end.
-		e.removeReplica(name, max(page.End, 1)-1, grace)
+		// The list doesn't tell the removal's offset. The next record will be at page.End.
+		e.removeReplica(name, max(page.End, 1)-1, restoreGrace)
 	}
 }
 
@@ -124,11 +124,11 @@
 	now := e.clock.now()
 	e.state.mu.Lock()
 	known := e.state.replicas.Get(replica.ID) != nil
-	listing := e.state.replicas.Put(replica, r.Offset, now)
-	e.applyListing(replica, &listing, known)
+	update := e.state.replicas.Put(replica, r.Offset, now)
+	e.applyReplicaUpdate(replica, &update, known)
 	e.state.mu.Unlock()
-	e.endPredecessor(replica, &listing)
-	e.logListing(replica, &listing, known, r.Offset)
+	e.endPredecessor(replica, &update)
+	e.logReplicaUpdate(replica, &update, known, r.Offset)
 }
 
 // dropRecord handles a record that isn't a replica's own or can't be decoded. It removes the replica
@@ -148,42 +148,42 @@
 	}
 }
 
-// applyListing applies a replica's record; known says that the replica was known before. The caller
-// holds the state's lock.
-func (e *Entry) applyListing(r *fleet.Replica, listing *member.UpdateResult, known bool) {
-	if listing.Outdated || e.state.replicas.Get(r.ID) == nil {
+// applyReplicaUpdate applies a replica's record, whose effect on the list is update; known says that
+// the replica was known before. The caller holds the state's lock.
+func (e *Entry) applyReplicaUpdate(r *fleet.Replica, update *member.UpdateResult, known bool) {
+	if update.Outdated || e.state.replicas.Get(r.ID) == nil {
 		return
 	}
-	if listing.SupersededID != "" {
-		e.state.forgetReplica(listing.SupersededID)
+	if update.SupersededID != "" {
+		e.state.forgetReplica(update.SupersededID)
 	}
 	for model, version := range r.Weights {
-		if e.state.board.ObserveVersion(r.ID, model, version, 0) && known {
-			e.state.feed.CacheCleared(r.ID, e.clock.now())
-			listing.Changed = true
+		if e.state.versionTracker.ObserveVersion(r.ID, model, version, 0) && known {
+			e.state.picker.CacheCleared(r.ID, e.clock.now())
+			update.Changed = true
 		}
 	}
-	if listing.Changed {
+	if update.Changed {
 		e.state.notifyChanged()
 	}
 }
 
-// endPredecessor ends what is under way at the incarnation that a replica replaces.
-func (e *Entry) endPredecessor(r *fleet.Replica, listing *member.UpdateResult) {
-	if listing.SupersededID == "" {
+// endPredecessor ends the requests in flight at the incarnation that a replica supersedes.
+func (e *Entry) endPredecessor(r *fleet.Replica, update *member.UpdateResult) {
+	if update.SupersededID == "" {
 		return
 	}
-	e.recordReplicaLoss(listing.SupersededID)
-	taken := e.watch.cancelRepeatable(listing.SupersededID)
+	e.recordReplicaLoss(update.SupersededID)
+	cancelled := e.monitor.cancelRepeatable(update.SupersededID)
 	e.rollouts.trigger()
-	e.tel.Log.Info("replica restarted", "replica", r.ID, "before", listing.SupersededID, "taken_from_it", taken)
+	e.tel.Log.Info("replica restarted", "replica", r.ID, "before", update.SupersededID, "taken_from_it", cancelled)
 }
 
-func (e *Entry) logListing(r *fleet.Replica, listing *member.UpdateResult, known bool, offset uint64) {
+func (e *Entry) logReplicaUpdate(r *fleet.Replica, update *member.UpdateResult, known bool, offset uint64) {
 	switch {
-	case listing.Outdated:
+	case update.Outdated:
 		e.tel.Log.Info("replica's record outdated", "replica", r.ID, "offset", offset)
-	case listing.Changed:
+	case update.Changed:
 		e.tel.Log.Info("replica listed", "replica", r.ID, "service", r.Service, "address", r.Address,
 			"failure_domain", r.FailureDomain, "draining", r.Draining, "weights", r.Weights,
 			"new", !known, "offset", offset)
@@ -192,13 +192,13 @@
 
 // removeReplica removes a replica whose record is gone: at once or, if the record may have lapsed
 // because of an outage of the store, when the grace period for its return is over, but not before
-// grace.
-func (e *Entry) removeReplica(name string, offset uint64, grace time.Duration) {
+// restoreGrace (see restoreGraceEnd).
+func (e *Entry) removeReplica(name string, offset uint64, restoreGrace time.Duration) {
 	now := e.clock.now()
 	e.state.mu.Lock()
-	outageGrace := e.state.outage.GracePeriod(now)
+	grace := e.state.outage.GracePeriod(now)
 	removed := ""
-	until := max(outageGrace.Until, grace)
+	until := max(grace.Until, restoreGrace)
 	lapsed := until > now
 	if lapsed {
 		e.state.replicas.MarkExpired(name, offset, now, until)
@@ -206,14 +206,14 @@
 		e.state.forgetReplica(removed)
 	}
 	e.state.mu.Unlock()
-	outage := slog.Group("outage", "peers", outageGrace.Evidence.String(), "began_ms_ago", (now - outageGrace.Began).Milliseconds(),
-		"missed_ms_ago", (now - outageGrace.LastFailed).Milliseconds(), "ended_ms_ago", (now - outageGrace.Ended).Milliseconds())
+	outage := slog.Group("outage", "peers", grace.Evidence.String(), "began_ms_ago", (now - grace.Began).Milliseconds(),
+		"missed_ms_ago", (now - grace.LastFailed).Milliseconds(), "ended_ms_ago", (now - grace.Ended).Milliseconds())
 	switch {
 	case lapsed:
 		e.tel.Metrics.Count("replicas_lapsed", 1)
 		e.tel.Log.Info("replica lapsed during an outage of the store", "replica", name, "offset", offset,
 			"gone_in_ms", (until - now).Milliseconds(), outage)
-	case removed != "" && outageGrace.OutageKnown && now-outageGrace.Ended < outageLogPeriod:
+	case removed != "" && grace.OutageKnown && now-grace.Ended < outageLogPeriod:
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset, outage)
 	case removed != "":
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset)
--- a/internal/direct/request.go
+++ b/internal/direct/request.go
@@ -23,9 +23,9 @@
 	reason  string
 	score   float64
 	load    float64
-	// missedTokens is the part of the prefix that the replica didn't have cached, in tokens.
+	// missedTokens is how many tokens of the prefix were not expected in the replica's cache.
 	missedTokens int
-	// fetchFrom is where the replica was told to fetch missing cached prefixes from.
+	// fetchFrom is the address from which the replica was to fetch the missing prefix; "" for none.
 	fetchFrom      string
 	candidateCount int
 	version        uint64
@@ -64,9 +64,9 @@
 	started time.Duration
 	// deadline is when the final answer is due.
 	deadline time.Duration
-	// attempts decides whether the request may be sent again after a loss.
-	attempts *attempt.DispatchPlan
-	query    route.PickQuery
+	// plan decides whether the request may be sent again after a failed dispatch.
+	plan  *attempt.DispatchPlan
+	query route.PickQuery
 	// fingerprint identifies repetitions of the request; see computeFingerprint.
 	fingerprint uint64
 	// placed delivers the placement that the request waits for; nil if there is none in time.
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -92,9 +92,10 @@
 	lastHolderAt time.Duration
 	// foreignOrderAt is when another holder's latest order was received.
 	foreignOrderAt time.Duration
-	// fence is the fencing number of the lease while holds is set.
-	fence uint64
-	holds bool
+	// fence is the fencing number of the lease while issuing is set: this entry holds the lease and
+	// issues orders.
+	fence   uint64
+	issuing bool
 	// nextOffset is the offset after the last record read from the topic.
 	nextOffset uint64
 }
@@ -170,7 +171,7 @@
 	r.nextOffset = record.Offset + 1
 	envelope, err := rollout.Decode(record.Value)
 	if err != nil {
-		e.malformed.report("malformed record of the entries' topic skipped", record, err)
+		e.malformed.report("record of the entries' topic skipped", record, err)
 		return
 	}
 	if envelope.Lease != nil {
@@ -193,39 +194,39 @@
 }
 
 // receiveRecord applies a rollout record, of another entry or read back. The caller holds mu.
-func (r *rollouts) receiveRecord(n *rollout.Record) {
-	if n.Phase == rollout.PhaseOrdered && n.Holder != r.entry.settings.ID {
+func (r *rollouts) receiveRecord(record *rollout.Record) {
+	if record.Phase == rollout.PhaseOrdered && record.Holder != r.entry.settings.ID {
 		r.foreignOrderAt = r.entry.clock.now()
 	}
-	r.applyRecord(n)
+	r.applyRecord(record)
 }
 
-// receiveRecords applies rollout records that a peer sent directly.
-func (r *rollouts) receiveRecords(notes []rollout.Record) {
+// receiveRecords applies rollout records that a peer sent in a message.
+func (r *rollouts) receiveRecords(records []rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range notes {
-		if notes[i].Valid() {
-			r.receiveRecord(&notes[i])
+	for i := range records {
+		if records[i].Valid() {
+			r.receiveRecord(&records[i])
 		}
 	}
 }
 
 // applyRecord applies a rollout record to what is known of its replica.
-func (r *rollouts) applyRecord(n *rollout.Record) {
+func (r *rollouts) applyRecord(record *rollout.Record) {
 	e := r.entry
 	s := e.state
 	s.mu.Lock()
-	changed := s.board.ApplyRecord(n, e.clock.now())
+	changed := s.versionTracker.ApplyRecord(record, e.clock.now())
 	if changed {
-		s.feed.CacheCleared(n.Replica, e.clock.now())
+		s.picker.CacheCleared(record.Replica, e.clock.now())
 	}
-	if n.Phase == rollout.PhaseServing || n.Phase == rollout.PhaseReleased {
+	if record.Phase == rollout.PhaseServing || record.Phase == rollout.PhaseReleased {
 		s.notifyChanged()
 	}
 	s.mu.Unlock()
-	e.tel.Log.Info("rollout record applied", "replica", n.Replica, "model", n.Model, "version", n.Version,
-		"phase", n.Phase.String(), "giver", n.Holder, "orders", n.AcceptedOrders, "news", changed)
+	e.tel.Log.Info("rollout record applied", "replica", record.Replica, "model", record.Model, "version", record.Version,
+		"phase", record.Phase.String(), "giver", record.Holder, "orders", record.AcceptedOrders, "news", changed)
 }
 
 // run steps the rollouts until ctx ends.
@@ -275,9 +276,9 @@
 		r.stopIssuing()
 		return true
 	}
-	if !r.holds || fence != r.fence {
+	if !r.issuing || fence != r.fence {
 		r.stopIssuing()
-		r.holds, r.fence = true, fence
+		r.issuing, r.fence = true, fence
 		r.entry.tel.Log.Info("issuing orders", "fence", fence, "foreign_heard_ms_ago", (now - r.foreignOrderAt).Milliseconds())
 	}
 	if r.foreignOrderAt > 0 && now-r.foreignOrderAt < r.entry.directSettings().Lease.D()+maxOrderDelay {
@@ -289,7 +290,8 @@
 	return true
 }
 
-// keepsLease reports whether this entry has the lease for orders or has not yet read back its return.
+// keepsLease reports whether this entry holds the lease for orders or has not yet read back its
+// release.
 func (r *rollouts) keepsLease() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,10 +300,10 @@
 
 // stopIssuing discards what was under way when the lease ended.
 func (r *rollouts) stopIssuing() {
-	if !r.holds {
+	if !r.issuing {
 		return
 	}
-	r.holds = false
+	r.issuing = false
 	for _, c := range r.cores {
 		c.Stop()
 	}
@@ -329,13 +331,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := make(map[string][]rollout.State)
-	for model, demand := range s.demands {
+	for model, history := range s.versionHistories {
 		c := r.cores[model]
 		if c == nil {
 			c = rollout.NewCore(model, r.entry.settings.ID, rollout.DefaultParams)
 			r.cores[model] = c
 		}
-		c.SetDesired(demand.Newest())
+		c.SetDesired(history.Newest())
 		states := s.rolloutStates(model, now)
 		if c.NeedsOrders(states) || c.Active() {
 			due[model] = states
@@ -390,19 +392,19 @@
 
 // applyActions executes a rollout's actions. The caller holds mu.
 func (r *rollouts) applyActions(ctx context.Context, model string, actions []rollout.Action) {
-	var notes []rollout.Record
+	var records []rollout.Record
 	for _, a := range actions {
 		switch a := a.(type) {
 		case rollout.Publish:
-			notes = append(notes, a.Record)
+			records = append(records, a.Record)
 		case rollout.SendOrder:
 			go r.sendOrder(ctx, model, a.Order)
 		case rollout.QueryState:
 			go r.requestReport(ctx, model, a.Replica)
 		}
 	}
-	if len(notes) > 0 {
-		go r.publish(ctx, model, notes)
+	if len(records) > 0 {
+		go r.publish(ctx, model, records)
 	}
 }
 
@@ -444,7 +446,7 @@
 	return ok && held == fence
 }
 
-// requestReport reads a replica's state.
+// requestReport asks a replica for its state on behalf of a model's rollout.
 func (r *rollouts) requestReport(ctx context.Context, model string, replica *fleet.Replica) {
 	e := r.entry
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
--- a/internal/direct/serve.go
+++ b/internal/direct/serve.go
@@ -20,7 +20,7 @@
 	bodyTimeout = 5 * time.Second
 	// unknownBodySize is the memory reserved for a body without Content-Length, in bytes.
 	unknownBodySize = 256 << 10
-	// defaultTimeout applies if neither the caller nor the route sets one.
+	// defaultTimeout applies if neither the caller nor the route sets a timeout.
 	defaultTimeout = 30 * time.Second
 	// maxLoadFraction is the fraction of its route's objective that a request may wait at a replica.
 	maxLoadFraction = 0.4
@@ -195,7 +195,7 @@
 	budget := e.state.retryBudgetOf(req.service.Name)
 	budget.RecordRequest(e.clock.now())
 	e.state.mu.Unlock()
-	req.attempts = attempt.NewDispatchPlan(attempt.DispatchSpec{
+	req.plan = attempt.NewDispatchPlan(attempt.DispatchSpec{
 		Repeatable:    repeatable,
 		MaxRuns:       req.route.MaxAttempts,
 		MaxDispatches: attempt.DefaultMaxDispatches,
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -44,22 +44,22 @@
 	mu       sync.Mutex
 	replicas *member.Replicas
 	// outage tracks outages of the store as the reader of the replica list sees them.
-	outage       *member.Outage
-	board        *rollout.VersionTracker            // versions of weights and orders, by replica
-	feed         *route.Picker                      // loads, cached prefixes and engine speeds, to choose replicas by
-	demands      map[string]*rollout.VersionHistory // wanted versions of weights, by model
-	retryBudgets map[string]*attempt.Budget         // by service
-	crashes      *attempt.CrashTracker              // crash counts of requests
-	queues       map[string]*serviceQueue           // by service
-	rateLimits   *ratelimit.Limits
-	// leavingToSend counts, by replica that announced here that it leaves, how often the other
-	// entries are still to be notified.
+	outage           *member.Outage
+	versionTracker   *rollout.VersionTracker            // versions of weights and orders, by replica
+	picker           *route.Picker                      // loads, cached prefixes and engine speeds, to choose replicas by
+	versionHistories map[string]*rollout.VersionHistory // wanted versions of weights, by model
+	retryBudgets     map[string]*attempt.Budget         // by service
+	crashes          *attempt.CrashTracker              // crash counts of requests
+	queues           map[string]*serviceQueue           // by service
+	rateLimits       *ratelimit.Limits
+	// leavingToSend is, for each replica that announced to this entry that it leaves, how many
+	// more times the other entries are to be notified.
 	leavingToSend map[string]int
-	// listRead is set once the replica list was read whole.
+	// listRead is set once the whole replica list has been read.
 	listRead bool
-	// listRewound is when the list was last read from a store restored from an older copy;
-	// 0 for never.
-	listRewound time.Duration
+	// listRestoredAt is when the list was last read from a store that had been restored from an
+	// older copy; 0 for never.
+	listRestoredAt time.Duration
 	// changed is closed and replaced when more replicas may be usable or the configuration
 	// changes.
 	changed chan struct{}
@@ -85,19 +85,19 @@
 
 func newState(self string, budget attempt.BudgetParams) *state {
 	return &state{
-		entries:       assumedEntries,
-		replicas:      member.NewReplicas(member.DefaultReplicaParams),
-		outage:        member.NewOutage(outageParams),
-		board:         rollout.NewVersionTracker(),
-		feed:          route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		demands:       make(map[string]*rollout.VersionHistory),
-		retryBudgets:  make(map[string]*attempt.Budget),
-		crashes:       attempt.NewCrashTracker(attempt.DefaultCrashTrackerParams),
-		queues:        make(map[string]*serviceQueue),
-		rateLimits:    ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
-		changed:       make(chan struct{}),
-		retryBudget:   budget,
-		announcements: make(map[modelVersion]*rollout.Announcement),
+		entries:          assumedEntries,
+		replicas:         member.NewReplicas(member.DefaultReplicaParams),
+		outage:           member.NewOutage(outageParams),
+		versionTracker:   rollout.NewVersionTracker(),
+		picker:           route.NewPicker(route.DefaultPickerParams, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		versionHistories: make(map[string]*rollout.VersionHistory),
+		retryBudgets:     make(map[string]*attempt.Budget),
+		crashes:          attempt.NewCrashTracker(attempt.DefaultCrashTrackerParams),
+		queues:           make(map[string]*serviceQueue),
+		rateLimits:       ratelimit.New(self, ratelimit.DefaultParams, rand.Float64),
+		changed:          make(chan struct{}),
+		retryBudget:      budget,
+		announcements:    make(map[modelVersion]*rollout.Announcement),
 
 		leavingToSend:      make(map[string]int),
 		announcementsRead:  make(map[modelVersion]bool),
@@ -114,13 +114,14 @@
 	return ""
 }
 
-// rewindGraceEnd is until when a replica may be missing from the list because the store was restored
-// from an older copy: replicas write their records again. 0 for none. The caller holds mu.
-func (s *state) rewindGraceEnd() time.Duration {
-	if s.listRewound == 0 {
+// restoreGraceEnd is the time until which a replica may be missing from the list because the store
+// was restored from an older copy: replicas write their records again. 0 for none. The caller holds
+// mu.
+func (s *state) restoreGraceEnd() time.Duration {
+	if s.listRestoredAt == 0 {
 		return 0
 	}
-	return s.listRewound + recoveryGrace
+	return s.listRestoredAt + recoveryGrace
 }
 
 // notifyChanged closes changed. The caller holds mu.
@@ -206,16 +207,16 @@
 
 // forgetReplica drops what is known of a replica that is gone. The caller holds mu.
 func (s *state) forgetReplica(id string) {
-	s.board.Forget(id)
-	s.feed.RemoveReplica(id)
+	s.versionTracker.Forget(id)
+	s.picker.RemoveReplica(id)
 	s.rateLimits.Forget(id)
 }
 
 // wantedVersion is the version of a model's weights to use; 0 if none was announced. The caller
 // holds mu.
 func (s *state) wantedVersion(model string) uint64 {
-	if d := s.demands[model]; d != nil {
-		return d.Newest()
+	if history := s.versionHistories[model]; history != nil {
+		return history.Newest()
 	}
 	return 0
 }
@@ -237,8 +238,8 @@
 	var out []route.PickCandidate
 	var excluded exclusions
 	var oldest uint64
-	if d := s.demands[model]; d != nil {
-		oldest = d.OldestAllowed(now)
+	if history := s.versionHistories[model]; history != nil {
+		oldest = history.OldestAllowed(now)
 	}
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
@@ -275,12 +276,12 @@
 				excluded.otherModel++
 				continue
 			}
-			if s.board.Ordered(id, model, now) {
+			if s.versionTracker.Ordered(id, model, now) {
 				excluded.ordered++
 				continue
 			}
-			c.Version = s.board.Version(id, model)
-			c.RolloutIn, c.RolloutPlanned = s.board.TimeToSlot(id, model, now)
+			c.Version = s.versionTracker.Version(id, model)
+			c.RolloutIn, c.RolloutPlanned = s.versionTracker.TimeToSlot(id, model, now)
 			if c.Version < oldest {
 				excluded.overdue++
 				continue
@@ -300,14 +301,14 @@
 		if _, serves := r.Weights[model]; !serves || s.replicas.Draining(id) || !config.runsModel(r.Service, model) {
 			continue
 		}
-		turn, planned := s.board.TimeToSlot(id, model, now)
+		timeToSlot, hasSlot := s.versionTracker.TimeToSlot(id, model, now)
 		out = append(out, rollout.State{
-			TimeToSlot: turn, HasSlot: planned,
+			TimeToSlot: timeToSlot, HasSlot: hasSlot,
 			Replica:        r,
-			Version:        s.board.Version(id, model),
-			AcceptedOrders: s.board.AcceptedOrders(id, model),
+			Version:        s.versionTracker.Version(id, model),
+			AcceptedOrders: s.versionTracker.AcceptedOrders(id, model),
 			Reachable:      s.replicas.Health(id, now) != member.Down,
-			Running:        s.feed.Running(id),
+			Running:        s.picker.Running(id),
 		})
 	}
 	return out
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -94,7 +94,7 @@
 		if err != nil {
 			return req.handleBrokenAnswer(p, err), false
 		}
-		req.entry.watch.received(p.watched)
+		req.entry.monitor.received(p.inFlight)
 		req.startStream(p, x)
 		if _, err := req.w.Write(in.raw); err != nil {
 			return req.callerDisconnected(err)
@@ -125,9 +125,9 @@
 	s := req.entry.state
 	s.mu.Lock()
 	now := req.entry.clock.now()
-	s.feed.FirstEvent(now, &req.query, &p.choice, now-p.pickedAt)
+	s.picker.FirstEvent(now, &req.query, &p.choice, now-p.pickedAt)
 	if p.window != nil {
-		own := s.feed.PrefillTime(&req.query, &p.choice)
+		own := s.picker.PrefillTime(&req.query, &p.choice)
 		p.window.ObserveStart(p.work, now-p.pickedAt-own, req.route.LatencyTarget-own, now)
 	}
 	p.endWork()
@@ -148,7 +148,7 @@
 	req.recordSuccess(p)
 	s := req.entry.state
 	s.mu.Lock()
-	s.feed.ObserveStream(&req.query, req.entry.clock.now()-req.started-req.firstByte)
+	s.picker.ObserveStream(&req.query, req.entry.clock.now()-req.started-req.firstByte)
 	s.mu.Unlock()
 	return 0, true
 }
--- a/internal/direct/supply.go
+++ b/internal/direct/supply.go
@@ -8,52 +8,52 @@
 	"skylarklead/internal/member"
 )
 
-// supplyIfClosed returns when the replicas of a service that could take a request for a model
-// accept requests again. It returns false if any replica of the service accepts requests now or is
-// not known to refuse them. The caller holds mu.
-func (s *state) supplyIfClosed(service *fleet.Service, model string, now time.Duration) (admit.UpcomingCapacity, bool) {
-	var supply admit.UpcomingCapacity
+// upcomingCapacity returns when the replicas of a service that serve a model ("" for any) accept
+// requests again. It returns false if any replica of the service is not known to refuse requests
+// now. The caller holds mu.
+func (s *state) upcomingCapacity(service *fleet.Service, model string, now time.Duration) (admit.UpcomingCapacity, bool) {
+	var capacity admit.UpcomingCapacity
 	for _, id := range s.replicas.IDs() {
 		r := s.replicas.Get(id)
 		if r.Service != service.Name || s.replicas.Health(id, now) == member.Left {
 			continue
 		}
-		opening, closed := s.opening(id, now)
+		reopening, closed := s.reopening(id, now)
 		if !closed {
 			return nil, false
 		}
 		if _, runs := r.Weights[model]; runs || model == "" {
-			supply = append(supply, opening)
+			capacity = append(capacity, reopening)
 		}
 	}
-	return supply, len(supply) > 0
+	return capacity, len(capacity) > 0
 }
 
-// opening returns when a replica accepts requests again, false if it is not known to refuse them
-// now. The caller holds mu.
-func (s *state) opening(id string, now time.Duration) (admit.Reopening, bool) {
-	opening := admit.Reopening{At: max(s.replicas.BackoffUntil(id), s.rateLimits.Next(id, now)), Rate: admit.Unlimited}
+// reopening returns when and at which rate a replica accepts requests again; false if it is not
+// known to refuse them now. The caller holds mu.
+func (s *state) reopening(id string, now time.Duration) (admit.Reopening, bool) {
+	reopening := admit.Reopening{At: max(s.replicas.BackoffUntil(id), s.rateLimits.Next(id, now)), Rate: admit.Unlimited}
 	if limit, limited := s.rateLimits.State(id, now); limited {
-		opening.Rate = limit.Share
+		reopening.Rate = limit.Share
 	}
-	return opening, opening.At > now
+	return reopening, reopening.At > now
 }
 
-// rejectBeyondSupply rejects the waiting requests for which the replicas will have no capacity in
+// rejectBeyondCapacity rejects the waiting requests for which the replicas will have no capacity in
 // time, the last in the queue first. The caller holds mu.
-func (s *state) rejectBeyondSupply(g *serviceQueue, now time.Duration) {
-	t := g.waiting.Next(now)
-	if t == nil {
+func (s *state) rejectBeyondCapacity(q *serviceQueue, now time.Duration) {
+	queued := q.waiting.Next(now)
+	if queued == nil {
 		return
 	}
-	j := t.Value.(*request)
-	supply, closed := s.supplyIfClosed(j.service, j.params.Model, now)
+	req := queued.Value.(*request)
+	capacity, closed := s.upcomingCapacity(req.service, req.params.Model, now)
 	if !closed {
 		return
 	}
-	for _, t := range g.waiting.Trim(supply.AcceptedBy(t.ExpiresAt), now) {
-		j := t.Value.(*request)
-		j.capacityIn = max(defaultRetryAfter, supply.TimeUntil(g.waiting.Len()+1, now))
-		j.placed <- nil
+	for _, queued := range q.waiting.Trim(capacity.AcceptedBy(queued.ExpiresAt), now) {
+		req := queued.Value.(*request)
+		req.capacityIn = max(defaultRetryAfter, capacity.TimeUntil(q.waiting.Len()+1, now))
+		req.placed <- nil
 	}
 }
--- a/internal/direct/unheard.go
+++ b/internal/direct/unheard.go
@@ -116,7 +116,7 @@
 // sentReport is a report and how many times it was sent.
 type sentReport struct {
 	replicaReport
-	times int
+	sendCount int
 }
 
 // sendReport sends a report to the peers if it has changed. Only a few of the entries that receive
@@ -133,8 +133,8 @@
 		last = &sentReport{replicaReport: current}
 		m.sentReports[r.ID] = last
 	}
-	last.times++
-	due := last.times <= reportRepeats
+	last.sendCount++
+	due := last.sendCount <= reportRepeats
 	m.mu.Unlock()
 	if due {
 		m.entry.peers.broadcast(&peerMessage{From: m.entry.settings.ID, Epoch: uint64(m.entry.tel.Epoch), Reports: []replicaReport{current}})
@@ -163,14 +163,14 @@
 		e.tel.Log.Info("replica is leaving", "replica", r.ID, "by", "its report")
 	}
 	for model, version := range report.Weights {
-		if s.board.ObserveVersion(r.ID, model, version, report.AcceptedOrders) {
-			s.feed.CacheCleared(r.ID, now)
+		if s.versionTracker.ObserveVersion(r.ID, model, version, report.AcceptedOrders) {
+			s.picker.CacheCleared(r.ID, now)
 		}
 		phase := rollout.PhaseReleased
 		if report.Busy {
 			phase = rollout.PhaseOrdered
 		}
-		s.board.ApplyRecord(&rollout.Record{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
+		s.versionTracker.ApplyRecord(&rollout.Record{Replica: r.ID, Model: model, Version: version + 1, Phase: phase}, now)
 	}
 	if !report.Busy {
 		s.notifyChanged()
@@ -183,8 +183,8 @@
 // another service now.
 //
 // An answer from an incarnation that started before the known one is ignored: it was delayed.
-func (e *Entry) handleReplaced(r *fleet.Replica, name string, born int64) {
-	if name == r.Name && born <= r.StartedAtMs {
+func (e *Entry) handleReplaced(r *fleet.Replica, name string, startedAtMs int64) {
+	if name == r.Name && startedAtMs <= r.StartedAtMs {
 		return
 	}
 	go func() {
@@ -193,7 +193,7 @@
 		e.state.forgetReplica(r.ID)
 		e.state.mu.Unlock()
 		e.recordReplicaLoss(r.ID)
-		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.IncarnationID(name, born))
+		e.tel.Log.Info("replica replaced", "replica", r.ID, "address", r.Address, "by", fleet.IncarnationID(name, startedAtMs))
 		if name == "" || len(r.Weights) == 0 {
 			return
 		}
@@ -215,11 +215,11 @@
 			return
 		}
 	}
-	born := report.StartedAtMs
+	startedAtMs := report.StartedAtMs
 	if old.StartedAtMs == 0 {
-		born = 0 // records without start times would count as outdated
+		startedAtMs = 0 // records without start times would count as outdated
 	}
-	restarted := old.Restarted(name, born)
+	restarted := old.Restarted(name, startedAtMs)
 	restarted.Weights = report.Weights
 	e.state.mu.Lock()
 	known := e.state.replicas.Get(restarted.ID) != nil
@@ -227,13 +227,13 @@
 		e.state.mu.Unlock()
 		return // the list already has it
 	}
-	listing := e.state.replicas.Adopt(restarted, e.clock.now())
-	e.applyListing(restarted, &listing, false)
+	update := e.state.replicas.Adopt(restarted, e.clock.now())
+	e.applyReplicaUpdate(restarted, &update, false)
 	e.state.mu.Unlock()
-	if listing.Outdated {
+	if update.Outdated {
 		e.tel.Log.Info("restarted replica not adopted", "replica", restarted.ID, "address", restarted.Address, "reason", "its record was removed")
 		return
 	}
-	e.endPredecessor(restarted, &listing)
-	e.logListing(restarted, &listing, false, 0)
+	e.endPredecessor(restarted, &update)
+	e.logReplicaUpdate(restarted, &update, false, 0)
 }
--- a/internal/direct/watch.go
+++ b/internal/direct/watch.go
@@ -157,7 +157,7 @@
 		return
 	}
 	e.recordReplicaLoss(r.ID)
-	cancelled := e.watch.cancelRepeatable(r.ID)
+	cancelled := e.monitor.cancelRepeatable(r.ID)
 	e.tel.Log.Warn("replica unreachable", "replica", r.ID, "by", by, "taken_from_it", cancelled, "error", err)
 }
 
