--- a/internal/direct/capacity.go
+++ b/internal/direct/capacity.go
@@ -10,7 +10,7 @@
 
 // upcomingCapacity returns when the replicas of a service that serve a model ("" for any) accept
 // requests again. It returns false if any replica of the service is not known to refuse requests
-// now. The caller holds mu.
+// now, or if none serves the model. The caller holds mu.
 func (s *state) upcomingCapacity(service *fleet.Service, model string, now time.Duration) (admit.UpcomingCapacity, bool) {
 	var capacity admit.UpcomingCapacity
 	for _, id := range s.replicas.IDs() {
