--- a/internal/endpoint/harness_test.go
+++ b/internal/endpoint/harness_test.go
@@ -355,7 +355,7 @@
 
 func (n *entry) call(m protocol.Message) protocol.Message {
 	n.t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), kit.Patience)
+	ctx, stop := context.WithTimeout(context.Background(), kit.Timeout)
 	defer stop()
 	reply := kit.Must(n.session.Call(ctx, m))(n.t)
 	return reply
@@ -370,7 +370,7 @@
 			n.t.Fatal("the session ended")
 		}
 		return m
-	case <-time.After(kit.Patience):
+	case <-time.After(kit.Timeout):
 		n.t.Fatal("no message came")
 	}
 	return nil
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -295,7 +295,7 @@
 		Entry: &settings.Entry{
 			MaxBody: 64 << 10, HedgeAfter: settings.Duration(50 * time.Millisecond),
 			ResumeGrace:    settings.Duration(200 * time.Millisecond),
-			RequestTimeout: settings.Duration(kit.Patience), RetryShare: 0.2,
+			RequestTimeout: settings.Duration(kit.Timeout), RetryShare: 0.2,
 		},
 	}
 	tel := kit.Must(telemetry.New(s, io.Discard))(t)
@@ -383,7 +383,7 @@
 	c.Helper()
 	conn := kit.Must(net.Dial("tcp", c.Listener.Addr().String()))(c)
 	c.Cleanup(func() { conn.Close() })
-	conn.SetReadDeadline(time.Now().Add(kit.Patience))
+	conn.SetReadDeadline(time.Now().Add(kit.Timeout))
 	kit.Must(fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n%s", chatPath, testKey, body))(c)
 	return conn.(*net.TCPConn)
 }
--- a/internal/faultproxy/client.go
+++ b/internal/faultproxy/client.go
@@ -20,10 +20,10 @@
 // two of them, and the connection would look like nobody's.
 const tableReads = 5
 
-// DialledBy reports whether address, "ip:port" with IPv4, is the end of a TCP
+// OwnsLocalAddress reports whether address, "ip:port" with IPv4, is the end of a TCP
 // connection that a process has open. It reads /proc, so it is for Linux, and for
 // processes of the same user.
-func DialledBy(pid int, address string) bool {
+func OwnsLocalAddress(pid int, address string) bool {
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	inodes := inodesOf(dir, address)
 	files, _ := os.ReadDir(dir + "fd") // none of a process that has ended
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -17,10 +17,10 @@
 // Direction is a way through the proxy.
 type Direction int
 
-// The directions: Up runs from the dialing side to the target, Down back.
+// The directions: Upstream runs from the dialing side to the target, Downstream back.
 const (
-	Up Direction = iota
-	Down
+	Upstream Direction = iota
+	Downstream
 	directions
 )
 
@@ -73,9 +73,9 @@
 // open, as when a host is paused.
 func (p *Proxy) Freeze() { p.set(func() { p.frozen = true }) }
 
-// FreezeFrom is Freeze for the connections, open ones and later ones, whose client
+// FreezeClients is Freeze for the connections, open ones and later ones, whose client
 // address is match's, until Thaw: one peer of several is cut off.
-func (p *Proxy) FreezeFrom(match func(client string) bool) {
+func (p *Proxy) FreezeClients(match func(client string) bool) {
 	p.set(func() {
 		p.frozenFrom = match
 		for l := range p.links {
@@ -84,8 +84,8 @@
 	})
 }
 
-// Frozen is how many open connections FreezeFrom has frozen.
-func (p *Proxy) Frozen() int {
+// FrozenConnections is how many open connections FreezeFrom has frozen.
+func (p *Proxy) FrozenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -141,8 +141,8 @@
 	p.set(func() { p.lose, p.loseMatch = n, match })
 }
 
-// Lost returns how many replies were lost so far.
-func (p *Proxy) Lost() int {
+// LostReplies returns how many replies were lost so far.
+func (p *Proxy) LostReplies() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lost
@@ -155,8 +155,8 @@
 	return len(p.links)
 }
 
-// Cut resets every open connection.
-func (p *Proxy) Cut() {
+// ResetConnections resets every open connection.
+func (p *Proxy) ResetConnections() {
 	p.set(func() {
 		for l := range p.links {
 			l.cut()
@@ -169,7 +169,7 @@
 func (p *Proxy) Close() {
 	p.set(func() { p.closed = true })
 	p.listener.Close()
-	p.Cut()
+	p.ResetConnections()
 	p.pumps.Wait()
 }
 
@@ -207,7 +207,7 @@
 		reset(client)
 		return
 	}
-	l := &link{ends: [directions]*net.TCPConn{Up: client, Down: server.(*net.TCPConn)}, done: make(chan struct{})}
+	l := &link{ends: [directions]*net.TCPConn{Upstream: client, Downstream: server.(*net.TCPConn)}, done: make(chan struct{})}
 	if !p.register(l) {
 		l.cut()
 		return
@@ -245,7 +245,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case dir == Down && l.loseReply:
+	case dir == Downstream && l.loseReply:
 		if !l.replyLost {
 			// The end of the cut connection comes here as a piece of its own.
 			l.replyLost = true
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -98,13 +98,13 @@
 
 func TestHalfOpen(t *testing.T) {
 	p, conn, r, lines := proxied(t)
-	p.Drop(Down, true)
+	p.Drop(Downstream, true)
 	io.WriteString(conn, "one\n")
 	if got := <-lines; got != "one" {
 		t.Fatalf("target got %q", got)
 	}
 	wantSilence(t, conn, r)
-	p.Drop(Down, false)
+	p.Drop(Downstream, false)
 	wantEnd(t, conn, r)
 }
 
@@ -116,21 +116,21 @@
 	wantLine(t, other, otherReader, "READ")
 	io.WriteString(conn, "append\n")
 	wantEnd(t, conn, r)
-	if got := []string{<-lines, <-lines}; got[1] != "append" || p.Lost() != 1 {
-		t.Fatalf("target got %q, lost %d", got, p.Lost())
+	if got := []string{<-lines, <-lines}; got[1] != "append" || p.LostReplies() != 1 {
+		t.Fatalf("target got %q, lost %d", got, p.LostReplies())
 	}
 }
 
 func TestCutRefuseDelay(t *testing.T) {
 	p, conn, r, _ := proxied(t)
-	p.Delay(Up, 50*time.Millisecond)
+	p.Delay(Upstream, 50*time.Millisecond)
 	began := time.Now()
 	io.WriteString(conn, "late\n")
 	wantLine(t, conn, r, "LATE")
 	if took := time.Since(began); took < 50*time.Millisecond {
 		t.Fatalf("took %v", took)
 	}
-	p.Cut()
+	p.ResetConnections()
 	wantEnd(t, conn, r)
 	p.Refuse(true)
 	if refused, err := net.Dial("tcp", p.Address()); err == nil {
@@ -150,13 +150,13 @@
 	io.WriteString(other, "one\n")
 	wantLine(t, other, otherR, "ONE")
 	mine := other.LocalAddr().String()
-	p.FreezeFrom(func(client string) bool { return client == mine && DialledBy(os.Getpid(), client) })
+	p.FreezeClients(func(client string) bool { return client == mine && OwnsLocalAddress(os.Getpid(), client) })
 	io.WriteString(other, "two\n")
 	wantSilence(t, other, otherR)
 	io.WriteString(conn, "two\n")
 	wantLine(t, conn, r, "TWO")
-	if n := p.Frozen(); n != 1 || DialledBy(os.Getppid(), mine) {
-		t.Errorf("%d connections frozen; the parent has dialled %v", n, DialledBy(os.Getppid(), mine))
+	if n := p.FrozenConnections(); n != 1 || OwnsLocalAddress(os.Getppid(), mine) {
+		t.Errorf("%d connections frozen; the parent has dialled %v", n, OwnsLocalAddress(os.Getppid(), mine))
 	}
 	p.Thaw()
 	wantLine(t, other, otherR, "TWO")
--- a/internal/faultproxy/link.go
+++ b/internal/faultproxy/link.go
@@ -45,7 +45,7 @@
 }
 
 // client is the address that the dialing side dialled from.
-func (l *link) client() string { return l.ends[Up].RemoteAddr().String() }
+func (l *link) client() string { return l.ends[Upstream].RemoteAddr().String() }
 
 // cut resets both sides.
 func (l *link) cut() {
@@ -69,7 +69,7 @@
 	for {
 		buf := make([]byte, readBytes)
 		n, err := l.ends[dir].Read(buf)
-		if dir == Up {
+		if dir == Upstream {
 			p.noteRequest(l, buf[:n])
 		}
 		if n > 0 && !p.enqueue(l, dir, queue, piece{data: buf[:n]}) {
--- a/internal/measure/crossing.go
+++ b/internal/measure/crossing.go
@@ -77,8 +77,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Delay(faultproxy.Up, c.delay)
-	p.Delay(faultproxy.Down, c.delay)
+	p.Delay(faultproxy.Upstream, c.delay)
+	p.Delay(faultproxy.Downstream, c.delay)
 	c.proxies[address] = p
 	return p, nil
 }
--- a/internal/measure/slopes_spread.go
+++ b/internal/measure/slopes_spread.go
@@ -173,7 +173,7 @@
 // cut takes the log from all daemons but one.
 func (c *crowd) cut() error {
 	c.way.Refuse(true)
-	c.way.Cut()
+	c.way.ResetConnections()
 	return nil
 }
 
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -49,7 +49,7 @@
 }
 
 func (r *rig) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), kit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), kit.Timeout)
 	r.Cleanup(cancel)
 	return ctx
 }
--- a/internal/wire/keepalive_test.go
+++ b/internal/wire/keepalive_test.go
@@ -48,7 +48,7 @@
 	if _, err := call(s, "first"); !errors.Is(err, ErrClosed) {
 		t.Errorf("call: %v", err)
 	}
-	p.Cut()
+	p.ResetConnections()
 }
 
 func TestMessagesAndPingsAreSignsOfLife(t *testing.T) {
--- a/internal/wire/session_test.go
+++ b/internal/wire/session_test.go
@@ -354,8 +354,8 @@
 // Cause: no ping, or one whose answer isn't waited for.
 func TestHalfOpenSessionIsFound(t *testing.T) {
 	for name, fault := range map[string]func(*faultproxy.Proxy){
-		"replies lost":  func(p *faultproxy.Proxy) { p.Drop(faultproxy.Down, true) },
-		"requests lost": func(p *faultproxy.Proxy) { p.Drop(faultproxy.Up, true) },
+		"replies lost":  func(p *faultproxy.Proxy) { p.Drop(faultproxy.Downstream, true) },
+		"requests lost": func(p *faultproxy.Proxy) { p.Drop(faultproxy.Upstream, true) },
 		"frozen":        (*faultproxy.Proxy).Freeze,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -370,7 +370,7 @@
 			if _, err := call(s, "after"); !errors.Is(err, ErrClosed) {
 				t.Errorf("call: %v", err)
 			}
-			p.Cut()
+			p.ResetConnections()
 		})
 	}
 }
--- a/test/harness/build.go
+++ b/test/harness/build.go
@@ -14,9 +14,9 @@
 	"testing"
 )
 
-// TagsVariable names an environment variable with build tags for the programs:
+// BuildTagsEnv names an environment variable with build tags for the programs:
 // a proof is seen to fail on a build whose mechanism a tag takes out.
-const TagsVariable = "SKYLARK_TAGS"
+const BuildTagsEnv = "SKYLARK_TAGS"
 
 var binaries = sync.OnceValues(buildBinaries)
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		return "", fmt.Errorf("harness: %w", err)
 	}
-	cmd := exec.Command("go", "build", "-tags", os.Getenv(TagsVariable), "-o", dir+"/", "./cmd/...")
+	cmd := exec.Command("go", "build", "-tags", os.Getenv(BuildTagsEnv), "-o", dir+"/", "./cmd/...")
 	cmd.Dir = filepath.Dir(strings.TrimSpace(string(mod)))
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return dir, fmt.Errorf("harness: build: %w\n%s", err, out)
@@ -48,8 +48,8 @@
 	os.Exit(code)
 }
 
-// Program returns the path of one of the programs.
-func Program(t testing.TB, name string) string {
+// BinaryPath returns the path of one of the programs.
+func BinaryPath(t testing.TB, name string) string {
 	t.Helper()
 	dir, err := binaries()
 	if err != nil {
--- a/test/harness/client.go
+++ b/test/harness/client.go
@@ -30,14 +30,14 @@
 	Messages  []prefix.Message
 	MaxTokens int
 	Headers   map[string]string
-	// Event, if set, is called after each event with the number so far.
-	Event func(n int)
+	// OnEvent, if set, is called after each event with the number so far.
+	OnEvent func(n int)
 }
 
-// Reached returns a channel that is closed when the answer's n-th event is there.
-func (c *Chat) Reached(n int) <-chan struct{} {
+// NotifyAtEvent returns a channel that is closed when the answer's n-th event is there.
+func (c *Chat) NotifyAtEvent(n int) <-chan struct{} {
 	reached := make(chan struct{})
-	c.Event = func(events int) {
+	c.OnEvent = func(events int) {
 		if events == n {
 			close(reached)
 		}
@@ -52,18 +52,18 @@
 	Executor  string
 	Text      string
 	Events    int
-	// LastID is the last event's id.
-	LastID string
+	// LastEventID is the last event's id.
+	LastEventID string
 	// Ended is set by the explicit end of a stream, or by a whole body.
 	Ended bool
 	// Failure is the explicit error, nil if none.
 	Failure *Failure
-	// Cached is the number of prompt tokens served from cache, if told.
-	Cached int
-	// Run is the run number that the stand-in service tells.
-	Run int
-	// Lost is how the connection failed without an explicit end.
-	Lost error
+	// CachedTokens is the number of prompt tokens served from cache, if told.
+	CachedTokens int
+	// RunNumber is the run number that the stand-in service tells.
+	RunNumber int
+	// TransportErr is how the connection failed without an explicit end.
+	TransportErr error
 	// FirstByte is the time to the first event or to the body.
 	FirstByte time.Duration
 	// RetryAfter is the response header.
@@ -82,7 +82,7 @@
 // String sums the answer up for a failed proof.
 func (a Answer) String() string {
 	return fmt.Sprintf("status %d, request %s, %d events, %d bytes, ended %v, failure %+v, lost %v",
-		a.Status, a.RequestID, a.Events, len(a.Text), a.Ended, a.Failure, a.Lost)
+		a.Status, a.RequestID, a.Events, len(a.Text), a.Ended, a.Failure, a.TransportErr)
 }
 
 type chatBody struct {
@@ -117,7 +117,7 @@
 	if err != nil {
 		panic(err) // strings and integers
 	}
-	return c.stream(ctx, http.MethodPost, "/v1/chat/completions", body, chat.Headers, chat.Event)
+	return c.stream(ctx, http.MethodPost, "/v1/chat/completions", body, chat.Headers, chat.OnEvent)
 }
 
 // Resume asks for the rest of a stream after the event lastID.
@@ -129,7 +129,7 @@
 	began := time.Now()
 	resp, err := c.do(ctx, method, path, body, headers)
 	if err != nil {
-		return Answer{Lost: err}
+		return Answer{TransportErr: err}
 	}
 	defer resp.Body.Close()
 	a := answerOf(resp)
@@ -166,7 +166,7 @@
 func (a *Answer) readFailure(body io.Reader) {
 	var f failureBody
 	if err := json.NewDecoder(body).Decode(&f); err != nil {
-		a.Lost = fmt.Errorf("error body: %w", err)
+		a.TransportErr = fmt.Errorf("error body: %w", err)
 		return
 	}
 	a.Failure = &f.Error
@@ -202,9 +202,9 @@
 			kind = ""
 		}
 	}
-	a.Lost = sc.Err()
-	if a.Lost == nil {
-		a.Lost = io.ErrUnexpectedEOF
+	a.TransportErr = sc.Err()
+	if a.TransportErr == nil {
+		a.TransportErr = io.ErrUnexpectedEOF
 	}
 }
 
@@ -220,19 +220,19 @@
 	}
 	var chunk chunkBody
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-		a.Lost = err
+		a.TransportErr = err
 		return true
 	}
 	if chunk.Usage != nil {
-		a.Cached = chunk.Usage.Details.Cached
+		a.CachedTokens = chunk.Usage.Details.Cached
 	}
 	if len(chunk.Choices) == 0 || chunk.Choices[0].Delta.Content == "" {
 		return false
 	}
-	if a.Lost = follows(a.LastID, id); a.Lost != nil {
+	if a.TransportErr = follows(a.LastEventID, id); a.TransportErr != nil {
 		return true
 	}
-	a.LastID = id
+	a.LastEventID = id
 	a.Text += chunk.Choices[0].Delta.Content
 	a.Events++
 	return false
@@ -272,7 +272,7 @@
 	body, _ := json.Marshal(map[string]string{"echo": requestID})
 	resp, err := c.do(ctx, http.MethodPost, "/v1/services/"+Service+path, body, headers)
 	if err != nil {
-		return Answer{Lost: err}
+		return Answer{TransportErr: err}
 	}
 	defer resp.Body.Close()
 	a := answerOf(resp)
@@ -286,9 +286,9 @@
 		Run  int    `json:"run"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&got); err != nil {
-		a.Lost = err
+		a.TransportErr = err
 		return a
 	}
-	a.Text, a.Run, a.Ended = got.Echo, got.Run, true
+	a.Text, a.RunNumber, a.Ended = got.Echo, got.Run, true
 	return a
 }
--- a/test/harness/cluster.go
+++ b/test/harness/cluster.go
@@ -45,11 +45,11 @@
 	*Process
 	ID       string
 	Settings *settings.Settings
-	// Platform stands between the daemon and the platform, Peer between its
-	// peers and it, Backend between it and its engine or service.
-	Platform, Peer, Backend *faultproxy.Proxy
-	// Engine is the engine or service, nil for an entry.
-	Engine *Backend
+	// PlatformProxy stands between the daemon and the platform, PeerProxy between its
+	// peers and it, BackendProxy between it and its engine or service.
+	PlatformProxy, PeerProxy, BackendProxy *faultproxy.Proxy
+	// Backend is the engine or service, nil for an entry.
+	Backend *Backend
 }
 
 // Backend is a stand-in engine or service.
@@ -117,7 +117,7 @@
 
 func (c *Cluster) startPlatform() {
 	address := freeAddress(c.t, c.host)
-	args := []string{Program(c.t, "skylark-standin"), "platform", "--listen", address, "--lag", c.options.Lag.String()}
+	args := []string{BinaryPath(c.t, "skylark-standin"), "platform", "--listen", address, "--lag", c.options.Lag.String()}
 	c.Platform = &Backend{
 		Process: StartProcess(c.t, "platform", append(args, c.options.PlatformArgs...)...),
 		Address: address,
@@ -139,8 +139,8 @@
 
 func (c *Cluster) addEndpoint(id, kind string) *Node {
 	s := c.newSettings(id, "endpoint")
-	n := &Node{ID: id, Settings: s, Engine: c.startBackend(id, kind)}
-	n.Backend = c.Proxy(n.Engine.Address)
+	n := &Node{ID: id, Settings: s, Backend: c.startBackend(id, kind)}
+	n.BackendProxy = c.Proxy(n.Backend.Address)
 	group := Group
 	if kind == "service" {
 		group = ServiceGroup
@@ -148,7 +148,7 @@
 	s.Endpoint = &settings.Endpoint{
 		Group:                  group,
 		Kind:                   kind,
-		Backend:                "http://" + n.Backend.Address(),
+		Backend:                "http://" + n.BackendProxy.Address(),
 		MaxRunning:             settings.DefaultMaxRunning,
 		MaxQueue:               settings.DefaultMaxQueue,
 		SmallReserve:           settings.DefaultSmallReserve,
@@ -165,7 +165,7 @@
 
 func (c *Cluster) startBackend(id, kind string) *Backend {
 	address := freeAddress(c.t, c.host)
-	args := []string{Program(c.t, "skylark-standin"), kind, "--listen", address}
+	args := []string{BinaryPath(c.t, "skylark-standin"), kind, "--listen", address}
 	if kind == "engine" {
 		args = append(args, "--model", Model, "--version", Version, "--platform", "http://"+c.Platform.Address)
 		args = append(args, c.options.EngineArgs...)
@@ -207,10 +207,10 @@
 
 func (c *Cluster) startNode(n *Node) {
 	s := n.Settings
-	n.Peer = c.Proxy(s.Listen)
-	s.Advertise = n.Peer.Address()
-	n.Platform = c.Proxy(c.Platform.Address)
-	s.Platform.Log = "http://" + n.Platform.Address()
+	n.PeerProxy = c.Proxy(s.Listen)
+	s.Advertise = n.PeerProxy.Address()
+	n.PlatformProxy = c.Proxy(c.Platform.Address)
+	s.Platform.Log = "http://" + n.PlatformProxy.Address()
 	s.Platform.Instances = s.Platform.Log
 	if c.options.Settings != nil {
 		c.options.Settings(s)
@@ -224,7 +224,7 @@
 		c.t.Fatal(err)
 	}
 	c.Register(n, platform.StateLive)
-	n.Process = StartProcess(c.t, n.ID, Program(c.t, "skylarkd"), "--config", file)
+	n.Process = StartProcess(c.t, n.ID, BinaryPath(c.t, "skylarkd"), "--config", file)
 }
 
 // Proxy starts a fault proxy before target.
@@ -239,8 +239,8 @@
 	return p
 }
 
-// Bounce kills daemons together and starts them again together.
-func Bounce(nodes ...*Node) {
+// KillAndRestart kills daemons together and starts them again together.
+func KillAndRestart(nodes ...*Node) {
 	for _, n := range nodes {
 		n.Kill()
 	}
@@ -272,9 +272,9 @@
 // Ready reports whether a daemon says that it is ready.
 func (n *Node) Ready() bool { return getOK("http://" + n.httpAddress() + "/readyz") }
 
-// Balanced returns a caller at the n-th entry, or the next one that is ready, as
+// ReadyCaller returns a caller at the n-th entry, or the next one that is ready, as
 // the platform's balancer would.
-func (c *Cluster) Balanced(o Organisation, n int) Caller {
+func (c *Cluster) ReadyCaller(o Organisation, n int) Caller {
 	for i := range c.Entries {
 		if entry := c.Entries[(n+i)%len(c.Entries)]; entry.Ready() {
 			return c.Caller(entry, o)
--- a/test/harness/extra.go
+++ b/test/harness/extra.go
@@ -22,14 +22,14 @@
 
 // CtlResult is what a run of skylarkctl showed.
 type CtlResult struct {
-	Code        int
-	Out, ErrOut string
+	Code           int
+	Stdout, Stderr string
 }
 
 // Ctl runs skylarkctl against the cluster's platform.
 func (c *Cluster) Ctl(args ...string) CtlResult {
 	c.t.Helper()
-	cmd := exec.Command(Program(c.t, "skylarkctl"), args...)
+	cmd := exec.Command(BinaryPath(c.t, "skylarkctl"), args...)
 	cmd.Env = append(os.Environ(),
 		"SKYLARK_PLATFORM=http://"+c.Platform.Address,
 		"SKYLARK_FLEET_KEY="+fleetKey,
@@ -41,7 +41,7 @@
 	if err != nil && !errors.As(err, &exit) {
 		c.t.Errorf("skylarkctl: %v", err)
 	}
-	return CtlResult{Code: cmd.ProcessState.ExitCode(), Out: out.String(), ErrOut: errOut.String()}
+	return CtlResult{Code: cmd.ProcessState.ExitCode(), Stdout: out.String(), Stderr: errOut.String()}
 }
 
 // RecordFile writes records as an operator's file and returns its path.
@@ -65,7 +65,7 @@
 		Status *protocol.Status `json:"status"`
 	}
 	r := c.Ctl("status", "--address", n.Settings.Listen, "-o", "json")
-	if json.Unmarshal([]byte(r.Out), &all) != nil || len(all) != 1 {
+	if json.Unmarshal([]byte(r.Stdout), &all) != nil || len(all) != 1 {
 		return nil
 	}
 	return all[0].Status
@@ -82,8 +82,8 @@
 
 // CutOffPlatform makes the platform unreachable for one daemon until Heal.
 func (n *Node) CutOffPlatform() {
-	n.Platform.Refuse(true)
-	n.Platform.Cut()
+	n.PlatformProxy.Refuse(true)
+	n.PlatformProxy.ResetConnections()
 }
 
 // Supervise starts a back end again whenever it has ended, as the platform does,
@@ -117,10 +117,10 @@
 		endpoint := *n.Settings.Endpoint
 		s.Endpoint = &endpoint
 	}
-	twin := &Node{ID: n.ID, Settings: &s, Engine: n.Engine}
-	if twin.Engine != nil {
-		twin.Backend = c.Proxy(twin.Engine.Address)
-		s.Endpoint.Backend = "http://" + twin.Backend.Address()
+	twin := &Node{ID: n.ID, Settings: &s, Backend: n.Backend}
+	if twin.Backend != nil {
+		twin.BackendProxy = c.Proxy(twin.Backend.Address)
+		s.Endpoint.Backend = "http://" + twin.BackendProxy.Address()
 	}
 	c.startNode(twin)
 	c.AwaitUp(twin)
@@ -150,8 +150,8 @@
 	}
 }
 
-// Unused returns an address on the host of another one that nothing listens on.
-func Unused(t testing.TB, address string) string {
+// UnusedAddress returns an address on the host of another one that nothing listens on.
+func UnusedAddress(t testing.TB, address string) string {
 	t.Helper()
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -57,9 +57,9 @@
 	return messages
 }
 
-// Ask returns a chat of one question. Its answer begins with the token, in
+// NewChat returns a chat of one question. Its answer begins with the token, in
 // brackets, and depends on every byte of the prompt.
-func Ask(token string, maxTokens int) Chat {
+func NewChat(token string, maxTokens int) Chat {
 	return Chat{
 		Model:     Model,
 		MaxTokens: maxTokens,
@@ -72,12 +72,12 @@
 	return answer.Expected(append(o.system(), chat.Messages...), chat.MaxTokens)
 }
 
-// Check returns what is wrong with an answer, or nil: every byte in order with
+// CheckAnswer returns what is wrong with an answer, or nil: every byte in order with
 // an explicit end, or the beginning of it with an explicit error.
-func (o Organisation) Check(chat Chat, a Answer) error {
+func (o Organisation) CheckAnswer(chat Chat, a Answer) error {
 	want := o.Expected(chat)
 	switch {
-	case a.Lost != nil:
+	case a.TransportErr != nil:
 		return fmt.Errorf("no explicit end: %v", a)
 	case a.Failure != nil && !strings.HasPrefix(want, a.Text):
 		return fmt.Errorf("not the beginning of its own answer: %v", a)
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// Whole is Check of an answer that may not fail.
-func (o Organisation) Whole(chat Chat, a Answer) error {
-	if err := o.Check(chat, a); err != nil {
+// CheckComplete is Check of an answer that may not fail.
+func (o Organisation) CheckComplete(chat Chat, a Answer) error {
+	if err := o.CheckAnswer(chat, a); err != nil {
 		return err
 	}
 	if a.Failure != nil {
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -13,19 +13,19 @@
 	"skylarklead/internal/faultproxy"
 )
 
-// Patience is how long a proof waits for a condition. It is far longer than
+// Timeout is how long a proof waits for a condition. It is far longer than
 // anything should take, since the machine may be busy with other work.
-const Patience = 45 * time.Second
+const Timeout = 45 * time.Second
 
 // logTail is how many log lines of each process a failed proof shows.
 const logTail = 25
 
-// Line is one JSON log line, or {"msg": text} for other output.
-type Line map[string]any
+// LogLine is one JSON log line, or {"msg": text} for other output.
+type LogLine map[string]any
 
-// Is reports whether the line has this message and these attribute values, given
+// Matches reports whether the line has this message and these attribute values, given
 // as key, value pairs.
-func (l Line) Is(msg string, attrs ...string) bool {
+func (l LogLine) Matches(msg string, attrs ...string) bool {
 	if l["msg"] != msg {
 		return false
 	}
@@ -46,7 +46,7 @@
 	mu    sync.Mutex
 	cmd   *exec.Cmd
 	ended chan struct{}
-	lines []Line
+	lines []LogLine
 }
 
 // StartProcess runs args and stops it at the end of the test.
@@ -92,9 +92,9 @@
 }
 
 func (p *Process) note(text string) {
-	line := Line{}
+	line := LogLine{}
 	if json.Unmarshal([]byte(text), &line) != nil {
-		line = Line{"msg": text}
+		line = LogLine{"msg": text}
 	}
 	p.mu.Lock()
 	p.lines = append(p.lines, line)
@@ -102,17 +102,17 @@
 }
 
 // Lines returns the log so far, over all starts.
-func (p *Process) Lines() []Line {
+func (p *Process) Lines() []LogLine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lines[:len(p.lines):len(p.lines)]
 }
 
-// Count returns how many log lines match, as Line.Is does.
-func (p *Process) Count(msg string, attrs ...string) int {
+// CountLog returns how many log lines match, as Line.Is does.
+func (p *Process) CountLog(msg string, attrs ...string) int {
 	n := 0
 	for _, line := range p.Lines() {
-		if line.Is(msg, attrs...) {
+		if line.Matches(msg, attrs...) {
 			n++
 		}
 	}
@@ -135,17 +135,17 @@
 	<-p.Ended()
 }
 
-// Stop freezes the process with SIGSTOP; Continue lets it go on.
-func (p *Process) Stop() { p.signal(syscall.SIGSTOP) }
+// Pause freezes the process with SIGSTOP; Continue lets it go on.
+func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// StopFor is Stop, and Continue after d.
-func (p *Process) StopFor(d time.Duration) {
-	p.Stop()
-	time.AfterFunc(d, p.Continue)
+// PauseFor is Stop, and Continue after d.
+func (p *Process) PauseFor(d time.Duration) {
+	p.Pause()
+	time.AfterFunc(d, p.Resume)
 }
 
-// Continue ends Stop.
-func (p *Process) Continue() { p.signal(syscall.SIGCONT) }
+// Resume ends Stop.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
 // Hangup says that the settings have changed.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
@@ -153,11 +153,11 @@
 // Terminate asks for a graceful stop.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Dialled reports whether an address is the process's end of a connection.
-func (p *Process) Dialled(address string) bool {
+// OwnsLocalAddress reports whether an address is the process's end of a connection.
+func (p *Process) OwnsLocalAddress(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return faultproxy.DialledBy(p.cmd.Process.Pid, address)
+	return faultproxy.OwnsLocalAddress(p.cmd.Process.Pid, address)
 }
 
 // Ended is closed when the process has ended.
@@ -172,8 +172,8 @@
 	p.t.Helper()
 	select {
 	case <-p.Ended():
-	case <-time.After(Patience):
-		p.t.Fatalf("%s has not ended in %v", p.Name, Patience)
+	case <-time.After(Timeout):
+		p.t.Fatalf("%s has not ended in %v", p.Name, Timeout)
 	}
 }
 
@@ -200,10 +200,10 @@
 // Await polls until condition holds and fails the test if it doesn't in time.
 func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(Timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v in vain for: %s", Patience, what)
+			t.Fatalf("waited %v in vain for: %s", Timeout, what)
 		}
 		time.Sleep(5 * time.Millisecond) // between two polls
 	}
--- a/test/harness/records.go
+++ b/test/harness/records.go
@@ -77,7 +77,7 @@
 	for _, entry := range c.Entries {
 		caller := c.Caller(entry, last)
 		if len(c.Endpoints) > 0 {
-			c.awaitAnswer(entry.ID, func() Answer { return caller.Chat(context.Background(), Ask("ready", 1)) })
+			c.awaitAnswer(entry.ID, func() Answer { return caller.Chat(context.Background(), NewChat("ready", 1)) })
 		}
 		if len(c.Services) > 0 {
 			c.awaitAnswer(entry.ID, func() Answer { return caller.Call(context.Background(), "/balance", "ready", "") })
--- a/test/harness/settle.go
+++ b/test/harness/settle.go
@@ -2,15 +2,15 @@
 
 import "skylarklead/internal/faultproxy"
 
-var bothDirections = []faultproxy.Direction{faultproxy.Up, faultproxy.Down}
+var bothDirections = []faultproxy.Direction{faultproxy.Upstream, faultproxy.Downstream}
 
-// Settle heals every proxy, lets stopped daemons go on, drains the fleet and
+// ClearFaultsAndDrain heals every proxy, lets stopped daemons go on, drains the fleet and
 // waits until nothing is on its way to a back end any more. After it, a back
 // end's count is final.
-func (c *Cluster) Settle() {
+func (c *Cluster) ClearFaultsAndDrain() {
 	c.t.Helper()
 	for _, n := range c.Nodes() {
-		n.Heal()
+		n.ClearFaults()
 	}
 	for _, n := range c.Nodes() {
 		n.Terminate()
@@ -19,17 +19,17 @@
 		n.AwaitEnd()
 	}
 	for _, n := range c.Nodes() {
-		if n.Backend == nil {
+		if n.BackendProxy == nil {
 			continue
 		}
-		Await(c.t, "the last connection to "+n.Engine.Name, func() bool { return n.Backend.Connections() == 0 })
+		Await(c.t, "the last connection to "+n.Backend.Name, func() bool { return n.BackendProxy.Connections() == 0 })
 	}
 }
 
-// Heal ends every fault around a daemon.
-func (n *Node) Heal() {
-	n.Continue()
-	for _, p := range []*faultproxy.Proxy{n.Platform, n.Peer, n.Backend} {
+// ClearFaults ends every fault around a daemon.
+func (n *Node) ClearFaults() {
+	n.Resume()
+	for _, p := range []*faultproxy.Proxy{n.PlatformProxy, n.PeerProxy, n.BackendProxy} {
 		if p == nil {
 			continue
 		}
--- a/test/herd_test.go
+++ b/test/herd_test.go
@@ -76,10 +76,10 @@
 		tr.keyed[token] = a
 		tr.keyedMu.Unlock()
 	}
-	good := a.Lost == nil && a.Failure == nil && a.Ended && a.Text == want
+	good := a.TransportErr == nil && a.Failure == nil && a.Ended && a.Text == want
 	switch {
-	case !strings.HasPrefix(want, a.Text) || keyed && a.Run > 1:
-		tr.t.Errorf("%s by %s: not its own answer, or run %d: %v", token, entry.ID, a.Run, a)
+	case !strings.HasPrefix(want, a.Text) || keyed && a.RunNumber > 1:
+		tr.t.Errorf("%s by %s: not its own answer, or run %d: %v", token, entry.ID, a.RunNumber, a)
 	case good:
 		tr.whole.Add(1)
 	case (noClaims || tr.noClaims.Load()) && keyed && truthfullyRefused(a):
@@ -111,7 +111,7 @@
 	case keyedKind:
 		return caller.Call(ctx, "/pay", token, "key-of-"+token), token
 	}
-	chat := harness.Ask(token, 20)
+	chat := harness.NewChat(token, 20)
 	return caller.Chat(ctx, chat), harness.Hospice.Expected(chat)
 }
 
@@ -136,12 +136,12 @@
 	defer tr.stop()
 	tr.awaitWhole("traffic", steadyRequests)
 	for _, n := range c.Services { // so that calls are under way when it is killed
-		c.Control(n.Engine, map[string]any{"delay_ms": payDelay})
+		c.Control(n.Backend, map[string]any{"delay_ms": payDelay})
 	}
 	executors := slices.Concat(c.Endpoints, c.Services)
 	for _, nodes := range [][]*harness.Node{c.Nodes(), executors, executors} {
 		began := time.Now()
-		harness.Bounce(nodes...)
+		harness.KillAndRestart(nodes...)
 		tr.awaitWhole("the first answer", 1)
 		t.Logf("first whole answer %v after the first kill", time.Since(began).Round(time.Millisecond))
 		for _, n := range c.Nodes() {
@@ -152,7 +152,7 @@
 	tr.awaitWhole("steady service", steadyRequests)
 	t.Logf("%d whole answers, %d requests broken by the restarts", tr.whole.Load(), tr.broken.Load())
 	tr.stop()
-	c.Settle()
+	c.ClearFaultsAndDrain()
 	checkRuns(t, tr.keyed, runsOf(c), true)
 }
 
--- a/test/kit/kit.go
+++ b/test/kit/kit.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Patience is how long a test waits for what should happen.
-const Patience = 10 * time.Second
+// Timeout is how long a test waits for what should happen.
+const Timeout = 10 * time.Second
 
 // look is the pause between two looks at a condition.
 const look = 2 * time.Millisecond
@@ -46,7 +46,7 @@
 // Until waits for a condition.
 func Until(t TB, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(Patience); !condition(); time.Sleep(look) {
+	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(look) {
 		if time.Now().After(deadline) {
 			t.Fatalf("waited in vain for: %s", what)
 		}
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -22,8 +22,8 @@
 func orderLines(t *testing.T, n *harness.Node) []orderLine {
 	t.Helper()
 	var orders []orderLine
-	for _, line := range n.Engine.Lines() {
-		if !line.Is("order") {
+	for _, line := range n.Backend.Lines() {
+		if !line.Matches("order") {
 			continue
 		}
 		fence, _ := line["fence"].(float64)
@@ -33,7 +33,7 @@
 	return orders
 }
 
-func lineTime(t *testing.T, line harness.Line) time.Time {
+func lineTime(t *testing.T, line harness.LogLine) time.Time {
 	t.Helper()
 	text, _ := line["time"].(string)
 	at, err := time.Parse(time.RFC3339Nano, text)
@@ -62,27 +62,27 @@
 			c := harness.Start(t, harness.Options{Engines: 1, Entries: 1, EngineArgs: args})
 			holder := c.Endpoints[0]
 			order := string(lease.OrderName(holder.ID))
-			holder.Backend.Freeze()
+			holder.BackendProxy.Freeze()
 			revision := publishModel(c, 0, "v2")
 			harness.Await(t, "the holder to hold the lease", func() bool {
-				return holder.Count("lease granted", "lease", order) > 0
+				return holder.CountLog("lease granted", "lease", order) > 0
 			})
-			holder.Stop()
+			holder.Pause()
 			holder.CutOffPlatform()
-			holder.Backend.Thaw()
+			holder.BackendProxy.Thaw()
 			publishModel(c, revision, "v3")
 			successor := c.Replace(holder)
-			harness.Await(t, "the successor's version", func() bool { return c.EngineState(holder.Engine).Version == "v3" })
+			harness.Await(t, "the successor's version", func() bool { return c.EngineState(holder.Backend).Version == "v3" })
 			harness.Await(t, "the successor's line of the lease that it ordered with", func() bool {
-				return successor.Count("lease granted", "lease", order) > 0
+				return successor.CountLog("lease granted", "lease", order) > 0
 			})
-			holder.Continue()
+			holder.Resume()
 			orders := orderLines(t, holder)
 			harness.Await(t, "the holder to find out, or to order", func() bool {
-				return holder.Count("lease lost", "lease", order) > 0 || len(orderLines(t, holder)) > len(orders)
+				return holder.CountLog("lease lost", "lease", order) > 0 || len(orderLines(t, holder)) > len(orders)
 			})
 			c.AwaitStatus(holder, "to read the engine", func(s *protocol.Status) bool { return s.Load.Version == "v3" })
-			account := c.Account(holder.Engine)
+			account := c.Account(holder.Backend)
 			if account.Totals.StaleOrders != 0 || account.Totals.RefusedOrders != 0 || account.Weights != "v3" {
 				t.Errorf("engine has %s, took %d old orders and refused %d", account.Weights, account.Totals.StaleOrders, account.Totals.RefusedOrders)
 			}
@@ -121,7 +121,7 @@
 			t.Fatalf("%s got %d orders; want 1", n.ID, len(orders))
 		}
 		for _, line := range n.Lines() {
-			if line.Is("decision", "kind", "placement", "reason", "in_force") {
+			if line.Matches("decision", "kind", "placement", "reason", "in_force") {
 				spans = append(spans, span{from: orders[0].at, until: lineTime(t, line)})
 			}
 		}
@@ -154,7 +154,7 @@
 	publishModel(c, 0, "v2")
 	harness.Await(t, "every replica's new version", func() bool {
 		for _, n := range c.Endpoints {
-			if n.Count("decision", "kind", "placement", "reason", "in_force") == 0 {
+			if n.CountLog("decision", "kind", "placement", "reason", "in_force") == 0 {
 				return false
 			}
 		}
@@ -166,8 +166,8 @@
 	if len(spans) != replicas || most > loadPermits {
 		t.Errorf("%d replicas loaded, %d at once; want %d, at most %d", len(spans), most, replicas, loadPermits)
 	}
-	chat := harness.Ask("after", 5)
-	if err := harness.Hospice.Whole(chat, c.Caller(c.Entries[0], harness.Hospice).Chat(t.Context(), chat)); err != nil {
+	chat := harness.NewChat("after", 5)
+	if err := harness.Hospice.CheckComplete(chat, c.Caller(c.Entries[0], harness.Hospice).Chat(t.Context(), chat)); err != nil {
 		t.Errorf("a request after the roll-out: %v", err)
 	}
 }
--- a/test/parameters_test.go
+++ b/test/parameters_test.go
@@ -21,7 +21,7 @@
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
 	// post sends the fields beside a message and returns the answer's status.
 	post := func(fields string) int {
-		body := `{"model":"` + harness.Ask("x", 1).Model + `","messages":[{"role":"user","content":"x"}],"max_tokens":2,` + fields + `}`
+		body := `{"model":"` + harness.NewChat("x", 1).Model + `","messages":[{"role":"user","content":"x"}],"max_tokens":2,` + fields + `}`
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, caller.URL+"/v1/chat/completions", bytes.NewBufferString(body))
 		if err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 		t.Logf("%s: %s", resp.Status, text)
 		return resp.StatusCode
 	}
-	runs := func() int { return len(c.Account(c.Endpoints[0].Engine).Requests) }
+	runs := func() int { return len(c.Account(c.Endpoints[0].Backend).Requests) }
 	before := runs() // the harness has sent its own
 	const sampling = `"temperature":0.25,"seed":11,"stop":["<|"],`
 	for _, salt := range []string{`"cache_salt":"other"`, `"Cache_Salt":"other"`} {
@@ -54,7 +54,7 @@
 		t.Fatalf("answered by %d", status)
 	}
 	var found []engine.Record
-	for _, r := range c.Account(c.Endpoints[0].Engine).Requests {
+	for _, r := range c.Account(c.Endpoints[0].Backend).Requests {
 		if len(r.Parameters) > 0 {
 			found = append(found, r)
 		}
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -15,14 +15,14 @@
 	executors := map[*harness.Node]bool{}
 	var hits []int
 	for i, token := range []string{"one", "two", "three"} {
-		chat := harness.Ask(token, 20)
+		chat := harness.NewChat(token, 20)
 		a := c.Caller(c.Entries[i%2], harness.Foodbank).Chat(t.Context(), chat)
-		if err := harness.Foodbank.Whole(chat, a); err != nil {
+		if err := harness.Foodbank.CheckComplete(chat, a); err != nil {
 			t.Fatalf("%s: %v", token, err)
 		}
 		n := c.EndpointOf(a)
 		executors[n] = true
-		hits = append(hits, c.Account(n.Engine).Totals.HitsBySalt[harness.Foodbank.ID])
+		hits = append(hits, c.Account(n.Backend).Totals.HitsBySalt[harness.Foodbank.ID])
 	}
 	if len(executors) != 1 {
 		t.Errorf("one prefix was run by %v", executors)
@@ -34,12 +34,12 @@
 	harness.Await(t, "a decision line of routing for each request", func() bool {
 		routed := 0
 		for _, n := range c.Endpoints {
-			routed += n.Count("decision", "kind", "route")
+			routed += n.CountLog("decision", "kind", "route")
 		}
 		return routed >= len(hits)
 	})
 	balance := c.Caller(c.Entries[0], harness.Foodbank).Call(t.Context(), "/balance/7", "balance", "")
-	if !balance.Ended || balance.Run != 1 {
+	if !balance.Ended || balance.RunNumber != 1 {
 		t.Errorf("balance check: %v", balance)
 	}
 }
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -32,7 +32,7 @@
 	control := fmt.Sprintf(`{"crash_on":%q,"crash_mode":%q}`, fatal, mode)
 	c := harness.Start(t, harness.Options{Engines: 4, Entries: 3, EngineArgs: []string{"--control", control}})
 	for _, n := range c.Endpoints {
-		t.Cleanup(n.Engine.Supervise())
+		t.Cleanup(n.Backend.Supervise())
 	}
 	return c
 }
@@ -53,7 +53,7 @@
 func crashes(c *harness.Cluster) int {
 	total := 0
 	for _, n := range c.Endpoints {
-		total += n.Engine.Count("crash")
+		total += n.Backend.CountLog("crash")
 	}
 	return total
 }
@@ -70,14 +70,14 @@
 		o := []harness.Organisation{harness.Foodbank, harness.Hospice}[i%2]
 		callers.Go(func() {
 			for n := 0; !over.Load(); n++ {
-				chat := harness.Ask(fmt.Sprintf("bystander-%d-%d", i, n), 40)
+				chat := harness.NewChat(fmt.Sprintf("bystander-%d-%d", i, n), 40)
 				a := c.Caller(c.Entries[i%len(c.Entries)], o).Chat(context.Background(), chat)
-				for try := 0; try < maxTries && mayComeBack && toldToComeBack(a) && o.Check(chat, a) == nil; try++ {
+				for try := 0; try < maxTries && mayComeBack && toldToComeBack(a) && o.CheckAnswer(chat, a) == nil; try++ {
 					told.Add(1)
 					time.Sleep(time.Duration(a.Failure.RetryAfterMs) * time.Millisecond)
 					a = c.Caller(c.Entries[i%len(c.Entries)], o).Chat(context.Background(), chat)
 				}
-				if err := o.Whole(chat, a); err != nil {
+				if err := o.CheckComplete(chat, a); err != nil {
 					t.Errorf("bystander %d, request %d: %v", i, n, err)
 					continue
 				}
@@ -122,7 +122,7 @@
 	harness.Await(t, "all endpoint processes to have heard", func() bool {
 		heard := 0
 		for _, n := range c.Endpoints {
-			heard += min(1, n.Count("crash count received from peer", "verdict", "given_up")+n.Count("request given up"))
+			heard += min(1, n.CountLog("crash count received from peer", "verdict", "given_up")+n.CountLog("request given up"))
 		}
 		return heard == len(c.Endpoints)
 	})
@@ -138,14 +138,14 @@
 	inBothModes(t, func(t *testing.T, c *harness.Cluster) {
 		stop := runBystanders(t, c, false)
 		defer stop()
-		first := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), harness.Ask(fatal, 10))
+		first := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
 		checkGivenUp(t, "sent first", first)
 		awaitHeard(t, c)
 		const again = 12
 		for i := range again {
 			entry := c.Entries[i%len(c.Entries)]
 			began := time.Now()
-			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.Ask(fatal, 10))
+			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
 			checkRefused(t, fmt.Sprintf("sent again, time %d, by %s", i+1, entry.ID), a)
 			t.Logf("sent again, time %d: refused after %v", i+1, time.Since(began).Round(time.Millisecond))
 		}
@@ -164,7 +164,7 @@
 // so, and returns the final one.
 func sendUntilFinal(t *testing.T, caller harness.Caller) harness.Answer {
 	for try := 0; ; try++ {
-		a := caller.Chat(t.Context(), harness.Ask(fatal, 10))
+		a := caller.Chat(t.Context(), harness.NewChat(fatal, 10))
 		if !toldToComeBack(a) || try == maxTries {
 			return a
 		}
@@ -205,7 +205,7 @@
 		}
 		awaitHeard(t, c)
 		for _, entry := range c.Entries {
-			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.Ask(fatal, 10))
+			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
 			checkRefused(t, "sent again by "+entry.ID, a)
 		}
 		if n := crashes(c); n != atOnce {
@@ -223,19 +223,19 @@
 	t.Parallel()
 	c := poisonCluster(t, "reset")
 	// Both prompts begin alike, so both go to the same engine.
-	chat := harness.Ask("harmless", 200)
-	started := chat.Reached(1)
+	chat := harness.NewChat("harmless", 200)
+	started := chat.NotifyAtEvent(1)
 	done := make(chan harness.Answer, 1)
 	go func() { done <- c.Caller(c.Entries[0], harness.Foodbank).Chat(context.Background(), chat) }()
 	<-started
-	a := c.Caller(c.Entries[1], harness.Foodbank).Chat(t.Context(), harness.Ask(fatal, 10))
+	a := c.Caller(c.Entries[1], harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
 	checkGivenUp(t, "the fatal request", a)
-	if err := harness.Foodbank.Whole(chat, <-done); err != nil {
+	if err := harness.Foodbank.CheckComplete(chat, <-done); err != nil {
 		t.Errorf("the harmless request beside it: %v", err)
 	}
-	chat.Event = nil
+	chat.OnEvent = nil
 	for _, entry := range c.Entries {
-		if err := harness.Foodbank.Whole(chat, c.Caller(entry, harness.Foodbank).Chat(t.Context(), chat)); err != nil {
+		if err := harness.Foodbank.CheckComplete(chat, c.Caller(entry, harness.Foodbank).Chat(t.Context(), chat)); err != nil {
 			t.Errorf("the harmless request again, by %s: %v", entry.ID, err)
 		}
 	}
@@ -244,15 +244,15 @@
 		for _, n := range c.Endpoints {
 			before[n] = engineRuns(c, n)
 		}
-		chat.Event = func(events int) {
+		chat.OnEvent = func(events int) {
 			for _, n := range c.Endpoints {
 				if events == 1 && engineRuns(c, n) > before[n] {
-					c.Crash(n.Engine)
+					c.Crash(n.Backend)
 				}
 			}
 		}
 		a := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), chat)
-		if err := harness.Foodbank.Whole(chat, a); err != nil {
+		if err := harness.Foodbank.CheckComplete(chat, a); err != nil {
 			t.Errorf("the harmless request under crash %d of another cause: %v", round+1, err)
 		}
 	}
@@ -266,7 +266,7 @@
 	var struck []string
 	for _, n := range c.Endpoints {
 		for _, line := range n.Lines() {
-			if line.Is("engine crashed") {
+			if line.Matches("engine crashed") {
 				struck = append(struck, fmt.Sprint(line["struck"]))
 			}
 		}
@@ -293,10 +293,10 @@
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
 	var copies sync.WaitGroup
 	for range 8 {
-		copies.Go(func() { caller.Chat(context.Background(), harness.Ask(fatal, 10)) })
+		copies.Go(func() { caller.Chat(context.Background(), harness.NewChat(fatal, 10)) })
 	}
 	copies.Wait()
-	checkRefused(t, "a later sending", caller.Chat(t.Context(), harness.Ask(fatal, 10)))
+	checkRefused(t, "a later sending", caller.Chat(t.Context(), harness.NewChat(fatal, 10)))
 	if n := crashes(c); n != attempt.DefaultPoisonParams.MaxCrashes {
 		t.Errorf("%d crashes; want %d", n, attempt.DefaultPoisonParams.MaxCrashes)
 	}
--- a/test/promise1_cache_test.go
+++ b/test/promise1_cache_test.go
@@ -20,7 +20,7 @@
 	for _, o := range []harness.Organisation{harness.Foodbank, twin, twin} {
 		mustAnswer(t, c, o, "same")
 	}
-	totals := c.Account(c.Endpoints[0].Engine).Totals
+	totals := c.Account(c.Endpoints[0].Backend).Totals
 	if totals.ForeignHits != 0 || totals.HitsBySalt[harness.Foodbank.ID] != 0 {
 		t.Errorf("hits: %v, foreign %d", totals.HitsBySalt, totals.ForeignHits)
 	}
@@ -39,15 +39,15 @@
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, EngineArgs: []string{"--event-drop", "0.5"}})
 	holder := c.EndpointOf(mustAnswer(t, c, harness.Foodbank, "warm"))
 	mustAnswer(t, c, harness.Foodbank, "hit")
-	dead := c.Account(holder.Engine).Incarnation
-	ups := holder.Count("engine up")
-	c.Crash(holder.Engine)
-	harness.Await(t, "the new incarnation to be noticed", func() bool { return holder.Count("engine up") > ups })
-	now := c.Account(holder.Engine).Incarnation
+	dead := c.Account(holder.Backend).Incarnation
+	ups := holder.CountLog("engine up")
+	c.Crash(holder.Backend)
+	harness.Await(t, "the new incarnation to be noticed", func() bool { return holder.CountLog("engine up") > ups })
+	now := c.Account(holder.Backend).Incarnation
 	for _, n := range c.Endpoints {
 		if n != holder {
 			harness.Await(t, "the group to hear of it", func() bool {
-				return n.Count("peer engine has a new incarnation", "peer", holder.ID, "incarnation", now) > 0
+				return n.CountLog("peer engine has a new incarnation", "peer", holder.ID, "incarnation", now) > 0
 			})
 		}
 	}
@@ -55,7 +55,7 @@
 	if n := predicted(t, c, a); n != 0.0 {
 		t.Errorf("%v cached tokens were predicted of an engine that came back empty", n)
 	}
-	account := c.Account(holder.Engine)
+	account := c.Account(holder.Backend)
 	if account.Incarnation == dead || account.Totals.ForeignHits != 0 {
 		t.Errorf("incarnation %s, before %s; foreign hits %d", account.Incarnation, dead, account.Totals.ForeignHits)
 	}
@@ -77,18 +77,18 @@
 	}
 	c.Publish(harness.ModelRecord(c.Revisions[harness.Model], "v2"))
 	harness.Await(t, "both engines to have the new weights", func() bool {
-		return c.Account(c.Endpoints[0].Engine).Weights == "v2" && c.Account(c.Endpoints[1].Engine).Weights == "v2"
+		return c.Account(c.Endpoints[0].Backend).Weights == "v2" && c.Account(c.Endpoints[1].Backend).Weights == "v2"
 	})
 	close(done)
 	callers.Wait()
 	// The hospice's prefix was resident under the old weights, and nobody has asked
 	// for it since.
 	a := mustAnswer(t, c, harness.Hospice, "under-v2")
-	if n := predicted(t, c, a); n != 0.0 || a.Cached != 0 {
-		t.Errorf("predicted %v, had %d cached tokens of older weights", n, a.Cached)
+	if n := predicted(t, c, a); n != 0.0 || a.CachedTokens != 0 {
+		t.Errorf("predicted %v, had %d cached tokens of older weights", n, a.CachedTokens)
 	}
 	for _, n := range c.Endpoints {
-		account := c.Account(n.Engine)
+		account := c.Account(n.Backend)
 		if account.Totals.ForeignHits != 0 {
 			t.Errorf("%s: %d cached tokens of other weights or organisations", n.ID, account.Totals.ForeignHits)
 		}
@@ -101,7 +101,7 @@
 	t.Helper()
 	harness.Await(t, "the decision line", func() bool {
 		for _, line := range c.Entries[0].Lines() {
-			if line.Is("decision", "kind", "request", "request", a.RequestID) {
+			if line.Matches("decision", "kind", "request", "request", a.RequestID) {
 				tokens = line["predicted_cached"]
 			}
 		}
@@ -119,9 +119,9 @@
 			return
 		default:
 		}
-		chat := harness.Ask(fmt.Sprintf("weights-%d-%d", caller, i), 20)
+		chat := harness.NewChat(fmt.Sprintf("weights-%d-%d", caller, i), 20)
 		a := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), chat)
-		if err := harness.Foodbank.Check(chat, a); err != nil {
+		if err := harness.Foodbank.CheckAnswer(chat, a); err != nil {
 			t.Errorf("caller %d: %v", caller, err)
 		}
 	}
@@ -130,9 +130,9 @@
 // mustAnswer gets one whole answer through the first entry.
 func mustAnswer(t *testing.T, c *harness.Cluster, o harness.Organisation, token string) harness.Answer {
 	t.Helper()
-	chat := harness.Ask(token, 10)
+	chat := harness.NewChat(token, 10)
 	a := c.Caller(c.Entries[0], o).Chat(t.Context(), chat)
-	if err := o.Whole(chat, a); err != nil {
+	if err := o.CheckComplete(chat, a); err != nil {
 		t.Fatalf("%s: %v", token, err)
 	}
 	return a
--- a/test/promise1_import_test.go
+++ b/test/promise1_import_test.go
@@ -69,7 +69,7 @@
 	peer := i.c.Dial(i.donor).Peer()
 	return &protocol.Donor{
 		Target:      protocol.Target{Endpoint: i.donor.ID, Address: i.donor.Settings.Advertise, Epoch: peer.Epoch},
-		Incarnation: i.c.Account(i.donor.Engine).Incarnation,
+		Incarnation: i.c.Account(i.donor.Backend).Incarnation,
 		Version:     x.version,
 		Level:       x.levels()[0],
 	}
@@ -110,13 +110,13 @@
 		again := test.held
 		again.version = test.asked.version
 		i.run(i.donor, again, nil)
-		before := i.executor.Count("decision", "kind", "import", "reason", test.outcome)
+		before := i.executor.CountLog("decision", "kind", "import", "reason", test.outcome)
 		end := i.run(i.executor, test.asked, donor)
 		if imported := end.CachedTokens > 0; imported != (test.outcome == "imported") {
 			t.Errorf("%s: %d tokens were cached", test.name, end.CachedTokens)
 		}
 		harness.Await(t, test.name+" to be logged as "+test.outcome, func() bool {
-			return i.executor.Count("decision", "kind", "import", "reason", test.outcome) > before
+			return i.executor.CountLog("decision", "kind", "import", "reason", test.outcome) > before
 		})
 	}
 	// The donor's own check: an export that names weights which it has no more.
@@ -127,15 +127,15 @@
 	if x, ok := reply.(*protocol.Exported); !ok || x.Refusal != protocol.ExportOtherWeights {
 		t.Errorf("export of older weights: %+v, %v", reply, err)
 	}
-	if totals := c.Account(i.executor.Engine).Totals; totals.ForeignHits != 0 {
+	if totals := c.Account(i.executor.Backend).Totals; totals.ForeignHits != 0 {
 		t.Errorf("%d cached tokens of other weights or organisations", totals.ForeignHits)
 	}
 }
 
 func (i *importer) crashDonor() {
-	ups := i.donor.Count("engine up")
-	i.c.Crash(i.donor.Engine)
-	harness.Await(i.t, "the new incarnation to be noticed", func() bool { return i.donor.Count("engine up") > ups })
+	ups := i.donor.CountLog("engine up")
+	i.c.Crash(i.donor.Backend)
+	harness.Await(i.t, "the new incarnation to be noticed", func() bool { return i.donor.CountLog("engine up") > ups })
 }
 
 func (i *importer) restartDonor() {
@@ -170,15 +170,15 @@
 		return seen.Excluded != excludedByAsk && seen.CachedTokens > 0
 	})
 	a := mustAnswer(t, c, harness.Foodbank, "after")
-	account := c.Account(i.executor.Engine)
-	if got := account.Totals.HitsByOrigin[c.Account(i.donor.Engine).Incarnation]; c.EndpointOf(a) != i.executor || got == 0 {
+	account := c.Account(i.executor.Backend)
+	if got := account.Totals.HitsByOrigin[c.Account(i.donor.Backend).Incarnation]; c.EndpointOf(a) != i.executor || got == 0 {
 		t.Errorf("%s had %d tokens of %s in its cache", a.Executor, got, i.donor.ID)
 	}
 	// Lines reach the log up to a flush after what they tell; a process that has ended
 	// has written all of them.
 	i.executor.Terminate()
 	i.executor.AwaitEnd()
-	imports := i.executor.Count("decision", "kind", "import", "reason", "imported", "donor", i.donor.ID)
+	imports := i.executor.CountLog("decision", "kind", "import", "reason", "imported", "donor", i.donor.ID)
 	if account.Totals.ForeignHits != 0 || imports != 1 {
 		t.Errorf("%d imports, %d foreign hits", imports, account.Totals.ForeignHits)
 	}
--- a/test/promise2_streams_test.go
+++ b/test/promise2_streams_test.go
@@ -37,28 +37,30 @@
 		onceEach bool
 	}{
 		{"endpoint process killed", func(_ *harness.Cluster, n *harness.Node) { n.Kill() }, false},
-		{"endpoint process stopped", func(_ *harness.Cluster, n *harness.Node) { n.Stop() }, false},
-		{"engine killed", func(_ *harness.Cluster, n *harness.Node) { n.Engine.Kill() }, false},
-		{"engine restarts empty", func(c *harness.Cluster, n *harness.Node) { c.Crash(n.Engine) }, false},
-		{"link cut", func(_ *harness.Cluster, n *harness.Node) { n.Peer.Cut() }, true},
-		{"link frozen", func(_ *harness.Cluster, n *harness.Node) { n.Peer.FreezeFor(outage) }, false},
-		{"half-open towards the endpoint", func(_ *harness.Cluster, n *harness.Node) { n.Peer.Drop(faultproxy.Up, true) }, false},
-		{"half-open towards the entry", func(_ *harness.Cluster, n *harness.Node) { n.Peer.Drop(faultproxy.Down, true) }, false},
-		{"late messages", func(_ *harness.Cluster, n *harness.Node) { n.Peer.Delay(faultproxy.Down, 300*time.Millisecond) }, true},
-		{"engine connection cut", func(_ *harness.Cluster, n *harness.Node) { n.Backend.Cut() }, true},
-		{"engine half-open", func(_ *harness.Cluster, n *harness.Node) { n.Backend.Drop(faultproxy.Down, true) }, false},
-		{"engine stopped", func(_ *harness.Cluster, n *harness.Node) { n.Engine.Stop() }, false},
+		{"endpoint process stopped", func(_ *harness.Cluster, n *harness.Node) { n.Pause() }, false},
+		{"engine killed", func(_ *harness.Cluster, n *harness.Node) { n.Backend.Kill() }, false},
+		{"engine restarts empty", func(c *harness.Cluster, n *harness.Node) { c.Crash(n.Backend) }, false},
+		{"link cut", func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.ResetConnections() }, true},
+		{"link frozen", func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.FreezeFor(outage) }, false},
+		{"half-open towards the endpoint", func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.Drop(faultproxy.Upstream, true) }, false},
+		{"half-open towards the entry", func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.Drop(faultproxy.Downstream, true) }, false},
+		{"late messages", func(_ *harness.Cluster, n *harness.Node) {
+			n.PeerProxy.Delay(faultproxy.Downstream, 300*time.Millisecond)
+		}, true},
+		{"engine connection cut", func(_ *harness.Cluster, n *harness.Node) { n.BackendProxy.ResetConnections() }, true},
+		{"engine half-open", func(_ *harness.Cluster, n *harness.Node) { n.BackendProxy.Drop(faultproxy.Downstream, true) }, false},
+		{"engine stopped", func(_ *harness.Cluster, n *harness.Node) { n.Backend.Pause() }, false},
 		{"cut twice", func(_ *harness.Cluster, n *harness.Node) {
-			n.Peer.Cut()
-			time.AfterFunc(300*time.Millisecond, n.Peer.Cut)
+			n.PeerProxy.ResetConnections()
+			time.AfterFunc(300*time.Millisecond, n.PeerProxy.ResetConnections)
 		}, true},
 		{"link cut, then its process killed", func(_ *harness.Cluster, n *harness.Node) {
-			n.Peer.Cut()
+			n.PeerProxy.ResetConnections()
 			n.Kill()
 		}, false},
 		{"link and engine connection cut", func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Cut()
-			n.Peer.Cut()
+			n.BackendProxy.ResetConnections()
+			n.PeerProxy.ResetConnections()
 		}, true},
 	}
 	for _, tc := range faults {
@@ -72,20 +74,20 @@
 func streamsUnder(t *testing.T, fault func(*harness.Cluster, *harness.Node), onceEach bool) {
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, Settings: retryFreely})
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
-	first := c.EndpointOf(caller.Chat(t.Context(), harness.Ask("warm", 1)))
+	first := c.EndpointOf(caller.Chat(t.Context(), harness.NewChat("warm", 1)))
 	before := engineRuns(c)
 	var ready atomic.Int32
 	var calls sync.WaitGroup
 	for i := range streams {
 		calls.Go(func() {
-			chat := harness.Ask(fmt.Sprintf("stream-%d", i), streamTokens)
-			chat.Event = func(n int) {
+			chat := harness.NewChat(fmt.Sprintf("stream-%d", i), streamTokens)
+			chat.OnEvent = func(n int) {
 				if n == faultAt {
 					ready.Add(1)
 				}
 			}
 			a := caller.Chat(t.Context(), chat)
-			if err := harness.Foodbank.Whole(chat, a); err != nil {
+			if err := harness.Foodbank.CheckComplete(chat, a); err != nil {
 				t.Errorf("stream %d, though an endpoint is left: %v", i, err)
 			}
 		})
@@ -124,10 +126,10 @@
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, Settings: retryFreely})
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
-	chat := harness.Ask("charter", 600)
-	running := chat.Reached(faultAt)
+	chat := harness.NewChat("charter", 600)
+	running := chat.NotifyAtEvent(faultAt)
 	answer := make(chan harness.Answer, 1)
-	executor := c.EndpointOf(caller.Chat(t.Context(), harness.Ask("warm", 1)))
+	executor := c.EndpointOf(caller.Chat(t.Context(), harness.NewChat("warm", 1)))
 	go func() { answer <- caller.Chat(t.Context(), chat) }()
 	<-running
 	c.Publish(charter(1).Record(c.Revisions[harness.Foodbank.ID]))
@@ -135,7 +137,7 @@
 		c.AwaitStatus(n, "to have the change", func(s *protocol.Status) bool { return s.ConfigOffset > c.Revisions[harness.Hospice.ID] })
 	}
 	executor.Kill()
-	if err := harness.Foodbank.Whole(chat, <-answer); err != nil {
+	if err := harness.Foodbank.CheckComplete(chat, <-answer); err != nil {
 		t.Error(err)
 	}
 }
--- a/test/promise3_restart_test.go
+++ b/test/promise3_restart_test.go
@@ -24,14 +24,14 @@
 			listening = time.Since(began)
 			break
 		}
-		if time.Since(began) > harness.Patience {
-			return fmt.Errorf("%s doesn't listen after %v", entry.ID, harness.Patience)
+		if time.Since(began) > harness.Timeout {
+			return fmt.Errorf("%s doesn't listen after %v", entry.ID, harness.Timeout)
 		}
 		time.Sleep(time.Millisecond) // between two polls
 	}
-	chat := harness.Ask("first-at-"+entry.ID, 5)
+	chat := harness.NewChat("first-at-"+entry.ID, 5)
 	a := c.Caller(entry, o).Chat(context.Background(), chat)
-	if err := o.Whole(chat, a); err != nil {
+	if err := o.CheckComplete(chat, a); err != nil {
 		return fmt.Errorf("the first request at %s: %w", entry.ID, err)
 	}
 	c.T().Logf("%s: listening after %v, first token %v later, whole answer after %v", entry.ID,
@@ -44,7 +44,7 @@
 func restartAll(t *testing.T, c *harness.Cluster, nodes []*harness.Node, o harness.Organisation) {
 	t.Helper()
 	began := time.Now()
-	harness.Bounce(nodes...)
+	harness.KillAndRestart(nodes...)
 	verdicts := make(chan error, len(c.Entries))
 	for _, entry := range c.Entries {
 		go func() { verdicts <- firstAnswer(c, entry, o, began) }()
@@ -61,7 +61,7 @@
 func makeListStale(c *harness.Cluster) {
 	gone := c.Endpoints[0].Settings
 	c.AddInstance(platform.Instance{
-		ID: "endpoint-gone", Role: platform.RoleEndpoint, Address: harness.Unused(c.T(), gone.Listen),
+		ID: "endpoint-gone", Role: platform.RoleEndpoint, Address: harness.UnusedAddress(c.T(), gone.Listen),
 		FailureDomain: gone.FailureDomain, Group: gone.Endpoint.Group, State: platform.StateLive,
 	})
 	c.Control(c.Platform, map[string]any{"list_frozen": true})
@@ -73,7 +73,7 @@
 	dir := t.TempDir()
 	c := harness.Start(t, harness.Options{Engines: 3, Entries: 3, Settings: harness.WithBootstrap(dir)})
 	if r := c.Ctl("config", "export", "-o", harness.BootstrapFile(dir)); r.Code != ctl.ExitOK {
-		t.Fatalf("export: %s", r.ErrOut)
+		t.Fatalf("export: %s", r.Stderr)
 	}
 	return c
 }
--- a/test/promise4_own_test.go
+++ b/test/promise4_own_test.go
@@ -42,9 +42,9 @@
 func askRepeatedly(t *testing.T, c *harness.Cluster, caller int) {
 	organisation := []harness.Organisation{harness.Foodbank, harness.Hospice}[caller%2]
 	for i := range ownRequests {
-		chat := harness.Ask(fmt.Sprintf("caller-%d-request-%d", caller, i), 15)
+		chat := harness.NewChat(fmt.Sprintf("caller-%d-request-%d", caller, i), 15)
 		a := c.Caller(c.Entries[(caller/2)%2], organisation).Chat(t.Context(), chat)
-		if err := organisation.Whole(chat, a); err != nil {
+		if err := organisation.CheckComplete(chat, a); err != nil {
 			t.Errorf("caller %d request %d, though links only lag and break: %v", caller, i, err)
 		}
 	}
@@ -62,9 +62,9 @@
 		case <-ticker.C:
 		}
 		n := c.Endpoints[rng.IntN(len(c.Endpoints))]
-		n.Peer.Delay(faultproxy.Direction(rng.IntN(2)), time.Duration(rng.IntN(30))*time.Millisecond)
+		n.PeerProxy.Delay(faultproxy.Direction(rng.IntN(2)), time.Duration(rng.IntN(30))*time.Millisecond)
 		if rng.IntN(4) == 0 {
-			n.Peer.Cut()
+			n.PeerProxy.ResetConnections()
 		}
 	}
 }
--- a/test/promise5_not_run_test.go
+++ b/test/promise5_not_run_test.go
@@ -34,42 +34,42 @@
 	}{
 		{name: "none", fault: func(*harness.Cluster, *harness.Node) {}},
 		{name: "service unreachable", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Refuse(true)
-			n.Backend.Cut()
+			n.BackendProxy.Refuse(true)
+			n.BackendProxy.ResetConnections()
 		}},
 		{name: "process killed before the hand-over", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Peer.Delay(faultproxy.Up, 50*time.Millisecond)
+			n.PeerProxy.Delay(faultproxy.Upstream, 50*time.Millisecond)
 			time.AfterFunc(100*time.Millisecond, n.Kill)
 		}},
 		{name: "process killed after the hand-over", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Delay(faultproxy.Up, 50*time.Millisecond)
+			n.BackendProxy.Delay(faultproxy.Upstream, 50*time.Millisecond)
 			time.AfterFunc(100*time.Millisecond, n.Kill)
 		}},
-		{name: "process killed and restarted", fault: func(_ *harness.Cluster, n *harness.Node) { harness.Bounce(n) }},
+		{name: "process killed and restarted", fault: func(_ *harness.Cluster, n *harness.Node) { harness.KillAndRestart(n) }},
 		{name: "process killed and restarted twice", fault: func(c *harness.Cluster, n *harness.Node) {
-			harness.Bounce(n)
+			harness.KillAndRestart(n)
 			c.AwaitReady(n)
-			harness.Bounce(n)
+			harness.KillAndRestart(n)
 		}},
 		{name: "process killed with a queue", settings: oneAtATime, fault: func(_ *harness.Cluster, n *harness.Node) { n.Kill() }},
 		{name: "process drained with a queue", settings: oneAtATime, fault: func(_ *harness.Cluster, n *harness.Node) { n.Terminate() }},
-		{name: "process stopped for a while", fault: func(_ *harness.Cluster, n *harness.Node) { n.StopFor(outage) }},
-		{name: "runs arrive late", fault: func(_ *harness.Cluster, n *harness.Node) { n.Peer.FreezeFor(outage) }},
-		{name: "runs lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.Peer.Drop(faultproxy.Up, true) }},
-		{name: "ends lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.Peer.Drop(faultproxy.Down, true) }},
+		{name: "process stopped for a while", fault: func(_ *harness.Cluster, n *harness.Node) { n.PauseFor(outage) }},
+		{name: "runs arrive late", fault: func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.FreezeFor(outage) }},
+		{name: "runs lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.Drop(faultproxy.Upstream, true) }},
+		{name: "ends lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.Drop(faultproxy.Downstream, true) }},
 		{name: "link cut again and again", fault: func(_ *harness.Cluster, n *harness.Node) {
 			for i := range 10 {
-				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.Peer.Cut)
+				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.PeerProxy.ResetConnections)
 			}
 		}},
-		{name: "service killed", fault: func(_ *harness.Cluster, n *harness.Node) { n.Engine.Kill() }},
+		{name: "service killed", fault: func(_ *harness.Cluster, n *harness.Node) { n.Backend.Kill() }},
 		{name: "service dies after the effect", fault: func(c *harness.Cluster, n *harness.Node) {
-			c.Control(n.Engine, map[string]any{"lose_answer": true})
+			c.Control(n.Backend, map[string]any{"lose_answer": true})
 		}},
 		{name: "hand-over cut", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Delay(faultproxy.Up, 20*time.Millisecond)
+			n.BackendProxy.Delay(faultproxy.Upstream, 20*time.Millisecond)
 			for i := range 10 {
-				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.Backend.Cut)
+				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.BackendProxy.ResetConnections)
 			}
 		}},
 	}
@@ -91,7 +91,7 @@
 func notRunUnder(t *testing.T, change func(*settings.Settings), fault func(*harness.Cluster, *harness.Node)) {
 	c := harness.Start(t, harness.Options{Services: 2, Entries: 1, Settings: change})
 	for _, n := range c.Services {
-		c.Control(n.Engine, map[string]any{"delay_ms": confirmDelay})
+		c.Control(n.Backend, map[string]any{"delay_ms": confirmDelay})
 	}
 	var mu sync.Mutex
 	answers := map[string]harness.Answer{}
@@ -114,7 +114,7 @@
 	})
 	fault(c, c.Services[0])
 	calls.Wait()
-	c.Settle()
+	c.ClearFaultsAndDrain()
 	checkRuns(t, answers, runsOf(c), false)
 }
 
@@ -123,9 +123,9 @@
 func runsOf(c *harness.Cluster) map[string]int {
 	runs := map[string]int{}
 	for _, n := range c.Services {
-		n.Engine.Kill()
-		for _, line := range n.Engine.Lines() {
-			if id, ok := line["request"].(string); ok && line.Is("run") {
+		n.Backend.Kill()
+		for _, line := range n.Backend.Lines() {
+			if id, ok := line["request"].(string); ok && line.Matches("run") {
 				runs[id]++
 			}
 		}
@@ -143,7 +143,7 @@
 		switch {
 		case ran > 1:
 			t.Errorf("%s ran %d times: %v", id, ran, a)
-		case a.Lost != nil && !entriesKilled:
+		case a.TransportErr != nil && !entriesKilled:
 			t.Errorf("%s got no explicit answer: %v", id, a)
 		case a.Ended && ran != 1:
 			t.Errorf("%s was answered but ran %d times", id, ran)
--- a/test/promise6_once_test.go
+++ b/test/promise6_once_test.go
@@ -33,39 +33,39 @@
 		answered bool
 	}{
 		{"two entries at once", func(*harness.Cluster) {}, true},
-		{"entry killed", func(c *harness.Cluster) { harness.Bounce(c.Entries[0]) }, true},
+		{"entry killed", func(c *harness.Cluster) { harness.KillAndRestart(c.Entries[0]) }, true},
 		{"append answers lost", func(c *harness.Cluster) {
 			c.Control(c.Platform, map[string]any{"lose_next_answers": 6})
 		}, true},
 		{"append answers lost on the way", func(c *harness.Cluster) {
 			for _, n := range c.Services {
-				n.Platform.LoseReplies(2, []byte("POST "))
+				n.PlatformProxy.LoseReplies(2, []byte("POST "))
 			}
 		}, true},
 		{"log outage", func(c *harness.Cluster) { logOutage(c, 3*time.Second) }, true},
 		{"log outage twice", func(c *harness.Cluster) {
 			c.Control(c.Platform, map[string]any{"log_down": true})
 			harness.Await(c.T(), "an append to fail", func() bool {
-				return c.Services[0].Count("claims not appended")+c.Services[1].Count("claims not appended") > 0
+				return c.Services[0].CountLog("claims not appended")+c.Services[1].CountLog("claims not appended") > 0
 			})
 			c.Control(c.Platform, map[string]any{"log_down": false})
 			logOutage(c, 3*time.Second) // ends before the calls that are sent in it
 		}, true},
 		{"entry killed in a log outage", func(c *harness.Cluster) {
 			logOutage(c, 3*time.Second)
-			harness.Bounce(c.Entries[0])
+			harness.KillAndRestart(c.Entries[0])
 		}, true},
 		{"log outage and endpoint restart", func(c *harness.Cluster) {
 			logOutage(c, 3*time.Second)
-			harness.Bounce(c.Services[0])
+			harness.KillAndRestart(c.Services[0])
 		}, false},
-		{"endpoint processes restart", func(c *harness.Cluster) { harness.Bounce(c.Services...) }, false},
-		{"endpoint process stopped past its peers' patience", func(c *harness.Cluster) { c.Services[0].StopFor(outage) }, false},
-		{"one endpoint process cut off from the log", func(c *harness.Cluster) { c.Services[0].Platform.FreezeFor(3 * time.Second) }, true},
+		{"endpoint processes restart", func(c *harness.Cluster) { harness.KillAndRestart(c.Services...) }, false},
+		{"endpoint process stopped past its peers' patience", func(c *harness.Cluster) { c.Services[0].PauseFor(outage) }, false},
+		{"one endpoint process cut off from the log", func(c *harness.Cluster) { c.Services[0].PlatformProxy.FreezeFor(3 * time.Second) }, true},
 		{"ends lost", func(c *harness.Cluster) {
-			p := c.Services[0].Peer
-			p.Drop(faultproxy.Down, true)
-			time.AfterFunc(3*time.Second, func() { p.Drop(faultproxy.Down, false) })
+			p := c.Services[0].PeerProxy
+			p.Drop(faultproxy.Downstream, true)
+			time.AfterFunc(3*time.Second, func() { p.Drop(faultproxy.Downstream, false) })
 		}, true},
 	}
 	for _, tc := range faults {
@@ -90,7 +90,7 @@
 func onceUnder(t *testing.T, fault func(*harness.Cluster), answered bool) {
 	c := harness.Start(t, harness.Options{Services: 3, Entries: 2})
 	for _, n := range c.Services {
-		c.Control(n.Engine, map[string]any{"delay_ms": payDelay})
+		c.Control(n.Backend, map[string]any{"delay_ms": payDelay})
 	}
 	var mu sync.Mutex
 	told := map[string]*keyed{}
@@ -111,7 +111,7 @@
 	harness.Await(t, "runs to be under way", func() bool {
 		n := 0
 		for _, s := range c.Services {
-			n += s.Engine.Count("run")
+			n += s.Backend.CountLog("run")
 		}
 		return n >= keyedCalls/2
 	})
@@ -119,9 +119,9 @@
 	send(1)
 	calls.Wait()
 	for _, n := range c.Services {
-		t.Logf("%s lost %d answers of the platform", n.ID, n.Platform.Lost())
+		t.Logf("%s lost %d answers of the platform", n.ID, n.PlatformProxy.LostReplies())
 	}
-	c.Settle()
+	c.ClearFaultsAndDrain()
 	checkOnce(t, told, runsOf(c), answered)
 }
 
--- a/test/promise8_shutdown_test.go
+++ b/test/promise8_shutdown_test.go
@@ -62,7 +62,7 @@
 	}
 	runs := 0
 	for _, n := range endpoints {
-		runs += c.Account(n.Engine).Totals.Runs
+		runs += c.Account(n.Backend).Totals.Runs
 	}
 	return runs
 }
@@ -76,9 +76,9 @@
 		default:
 		}
 		organisation := []harness.Organisation{harness.Foodbank, harness.Hospice}[caller%2]
-		chat := harness.Ask(fmt.Sprintf("rolling-%d-%d", caller, i), rollingTokens)
-		a := c.Balanced(organisation, caller+i).Chat(t.Context(), chat)
-		if err := organisation.Whole(chat, a); err != nil {
+		chat := harness.NewChat(fmt.Sprintf("rolling-%d-%d", caller, i), rollingTokens)
+		a := c.ReadyCaller(organisation, caller+i).Chat(t.Context(), chat)
+		if err := organisation.CheckComplete(chat, a); err != nil {
 			t.Errorf("caller %d request %d: %v", caller, i, err)
 		}
 	}
--- a/test/promise9_config_test.go
+++ b/test/promise9_config_test.go
@@ -25,16 +25,16 @@
 
 // refusesKey reports whether an entry knows no organisation by o's key.
 func refusesKey(c *harness.Cluster, entry *harness.Node, o harness.Organisation) bool {
-	a := c.Caller(entry, o).Chat(context.Background(), harness.Ask("old", 1))
+	a := c.Caller(entry, o).Chat(context.Background(), harness.NewChat("old", 1))
 	return a.Failure != nil && a.Failure.Code == protocol.CodeUnauthorized
 }
 
 // answersBy reports whether an entry takes o's key and the answer follows o's
 // instructions.
 func answersBy(c *harness.Cluster, entry *harness.Node, o harness.Organisation) bool {
-	chat := harness.Ask("new", 5)
+	chat := harness.NewChat("new", 5)
 	a := c.Caller(entry, o).Chat(context.Background(), chat)
-	return a.Ended && o.Check(chat, a) == nil
+	return a.Ended && o.CheckAnswer(chat, a) == nil
 }
 
 // awaitInForce waits until next is in force at each of the entries, by what its
@@ -70,7 +70,7 @@
 	for _, entry := range entries {
 		watchers.Go(func() {
 			for ctx.Err() == nil {
-				a := c.Caller(entry, old).Chat(ctx, harness.Ask("old", 1))
+				a := c.Caller(entry, old).Chat(ctx, harness.NewChat("old", 1))
 				if a.Status != 0 && (a.Failure == nil || a.Failure.Code != protocol.CodeUnauthorized) {
 					t.Errorf("%s went back to the old key: %v", entry.ID, a)
 					return
@@ -115,8 +115,8 @@
 	if won.Code != ctl.ExitOK {
 		winner, loser, won, lost = loser, winner, lost, won
 	}
-	if won.Code != ctl.ExitOK || lost.Code != ctl.ExitRefused || !strings.Contains(lost.ErrOut, "refused") {
-		t.Fatalf("exit codes %d and %d; want one winner, the loser told:\n%s\n%s", won.Code, lost.Code, won.ErrOut, lost.ErrOut)
+	if won.Code != ctl.ExitOK || lost.Code != ctl.ExitRefused || !strings.Contains(lost.Stderr, "refused") {
+		t.Fatalf("exit codes %d and %d; want one winner, the loser told:\n%s\n%s", won.Code, lost.Code, won.Stderr, lost.Stderr)
 	}
 	awaitInForce(t, c, old, winner, c.Entries...)
 	for _, entry := range c.Entries {
@@ -138,8 +138,8 @@
 	old, next := harness.Foodbank, changed(harness.Foodbank, "new")
 	c.Control(c.Platform, map[string]any{"lose_next_answers": 1})
 	r := c.Ctl("config", "publish", "--wait", "--timeout", "40s", c.RecordFile("next.json", next.Record(c.Revisions[old.ID])))
-	if r.Code != ctl.ExitOK || !strings.Contains(r.Out, string(config.ReasonInForce)) {
-		t.Errorf("exit code %d:\n%s%s", r.Code, r.Out, r.ErrOut)
+	if r.Code != ctl.ExitOK || !strings.Contains(r.Stdout, string(config.ReasonInForce)) {
+		t.Errorf("exit code %d:\n%s%s", r.Code, r.Stdout, r.Stderr)
 	}
 	awaitInForce(t, c, old, next, c.Entries...)
 }
@@ -166,14 +166,14 @@
 	stop := watchOld(t, c, old, c.Entries...)
 	defer stop()
 	for _, n := range []*harness.Node{c.Entries[1], c.Endpoints[1]} {
-		harness.Bounce(n)
+		harness.KillAndRestart(n)
 		c.AwaitUp(n)
 		awaitOffset(t, c, offset, n)
 	}
 	awaitInForce(t, c, old, next, c.Entries...)
 	c.Control(c.Platform, map[string]any{"log_down": false})
-	cutEntry.Heal()
-	cutEndpoint.Heal()
+	cutEntry.ClearFaults()
+	cutEndpoint.ClearFaults()
 	for _, n := range c.Nodes() {
 		c.AwaitStatus(n, "to reach the log", func(s *protocol.Status) bool { return s.LogReachable })
 	}
@@ -205,7 +205,7 @@
 	if oldest := c.LogRecords("config")[0].Offset; oldest <= first {
 		t.Fatalf("the log still has offset %d", oldest)
 	}
-	harness.Bounce(c.Nodes()...)
+	harness.KillAndRestart(c.Nodes()...)
 	for _, n := range c.Nodes() {
 		c.AwaitUp(n)
 	}
@@ -218,7 +218,7 @@
 func snapshotAfter(c *harness.Cluster, offset uint64) bool {
 	for _, n := range c.Nodes() {
 		for _, line := range n.Lines() {
-			if asOf, _ := line["as_of"].(float64); line.Is("snapshot written") && line["error"] == nil && uint64(asOf) >= offset {
+			if asOf, _ := line["as_of"].(float64); line.Matches("snapshot written") && line["error"] == nil && uint64(asOf) >= offset {
 				return true
 			}
 		}
@@ -248,7 +248,7 @@
 	kept := c.Publish(future)
 	awaitOffset(t, c, kept, c.Nodes()...)
 	for _, n := range c.Nodes() {
-		harness.Bounce(n)
+		harness.KillAndRestart(n)
 		c.AwaitUp(n)
 	}
 	awaitOffset(t, c, kept, c.Nodes()...)
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -109,9 +109,9 @@
 	pause := 500*time.Millisecond + time.Duration(rng.IntN(2000))*time.Millisecond
 	switch rng.IntN(11) {
 	case 0:
-		harness.Bounce(n)
+		harness.KillAndRestart(n)
 	case 1:
-		harness.Bounce(service)
+		harness.KillAndRestart(service)
 	case 2:
 		n.Terminate()
 		n.AwaitEnd()
@@ -119,17 +119,17 @@
 	case 3:
 		i := rng.IntN(len(c.Entries))
 		s.killed[i].Add(1)
-		harness.Bounce(c.Entries[i])
+		harness.KillAndRestart(c.Entries[i])
 		c.AwaitReady(c.Entries[i])
 	case 4:
-		c.Crash(n.Engine)
+		c.Crash(n.Backend)
 	case 5:
-		n.StopFor(pause)
+		n.PauseFor(pause)
 	case 6:
-		service.Peer.Cut()
-		n.Peer.Cut()
+		service.PeerProxy.ResetConnections()
+		n.PeerProxy.ResetConnections()
 	case 7:
-		n.Peer.FreezeFor(pause)
+		n.PeerProxy.FreezeFor(pause)
 	case 8:
 		c.Control(c.Platform, map[string]any{"log_down": true, "list_frozen": true})
 		time.AfterFunc(pause, func() { c.Control(c.Platform, map[string]any{"log_down": false, "list_frozen": false}) })
@@ -165,7 +165,7 @@
 		entry := s.entry(caller + i)
 		kills := s.killed[entry].Load()
 		before := s.published.Load()
-		chat := harness.Ask(fmt.Sprintf("soak-%d-%d", caller, i), soakTokens)
+		chat := harness.NewChat(fmt.Sprintf("soak-%d-%d", caller, i), soakTokens)
 		organisation := harness.Hospice
 		if caller%2 == 0 {
 			organisation = harness.Foodbank
@@ -191,7 +191,7 @@
 	defer s.mu.Unlock()
 	s.streams++
 	switch {
-	case a.Lost != nil && killed:
+	case a.TransportErr != nil && killed:
 		s.cut++
 	case err != nil:
 		s.wrong = append(s.wrong, err.Error())
@@ -206,11 +206,11 @@
 // ran; one published a while before may still be on its way to some process.
 func (s *soak) check(o harness.Organisation, chat harness.Chat, a harness.Answer, before int32) error {
 	if o.ID != harness.Foodbank.ID {
-		return o.Check(chat, a)
+		return o.CheckAnswer(chat, a)
 	}
 	var err error
 	for n := s.published.Load(); n >= 0; n-- {
-		if err = charter(n).Check(chat, a); err == nil {
+		if err = charter(n).CheckAnswer(chat, a); err == nil {
 			return nil
 		}
 	}
@@ -260,7 +260,7 @@
 func (s *soak) recover() {
 	s.c.Control(s.c.Platform, map[string]any{"log_down": false, "list_frozen": false, "lose_next_answers": 0})
 	for _, n := range s.c.Nodes() {
-		n.Heal()
+		n.ClearFaults()
 	}
 	last := charter(s.published.Load())
 	for _, entry := range s.c.Entries {
@@ -273,10 +273,10 @@
 	t := s.t
 	foreign, imports := 0, 0
 	for _, n := range s.c.Endpoints {
-		foreign += s.c.Account(n.Engine).Totals.ForeignHits
-		imports += n.Count("decision", "kind", "import", "reason", "imported")
+		foreign += s.c.Account(n.Backend).Totals.ForeignHits
+		imports += n.CountLog("decision", "kind", "import", "reason", "imported")
 	}
-	s.c.Settle()
+	s.c.ClearFaultsAndDrain()
 	runs := runsOf(s.c)
 	twice, falseNotRun, unanswered := 0, 0, 0
 	for id, a := range s.payments {
