--- a/cmd/skylarkctl/main.go
+++ b/cmd/skylarkctl/main.go
@@ -1,5 +1,5 @@
-// Command skylarkctl is the operators' tool: it checks and publishes
-// configuration, shows what is in force where, explains routing decisions and
+// Command skylarkctl is the operators' command-line tool: it checks and publishes
+// configuration, shows the state of each instance, explains routing decisions and
 // drains endpoints.
 package main
 
--- a/internal/ctl/completion_test.go
+++ b/internal/ctl/completion_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// The script for bash offers the commands and flags that the tool lists. The tool's
-// program and the one function that is the package bash-completion's are stood in
-// for.
+// The bash completion script offers the commands and flags that skylarkctl lists.
+// Shell functions replace the skylarkctl binary and _get_comp_words_by_ref, which
+// belongs to the package bash-completion.
 func TestBashCompletion(t *testing.T) {
 	f := newFixture(t)
 	args := os.Args
 	t.Cleanup(func() { os.Args = args })
 	script := f.run(ExitOK, "completion", "bash")
 	for _, tt := range []struct {
-		words []string // the last is being typed
+		words []string // the last one is being typed
 		want  string
 	}{
 		{[]string{""}, "config status explain drain help completion"},
@@ -32,7 +32,7 @@
 			listed = listed[:last]
 		}
 		listed = append(slices.Clone(listed), "--generate-shell-completion")
-		os.Args = append([]string{"skylarkctl"}, listed...) // the library looks there too
+		os.Args = append([]string{"skylarkctl"}, listed...) // the cli library reads os.Args too
 		lines := f.run(ExitOK, listed...)
 		bash := exec.Command("bash", "--norc", "-c", fmt.Sprintf(`
 _get_comp_words_by_ref() { cur=${COMP_WORDS[COMP_CWORD]}; }
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -15,7 +15,8 @@
 	"skylarklead/internal/platform"
 )
 
-const anyNumber = 1 << 20
+// noLimit is the maximum of arguments for a command that takes any number.
+const noLimit = 1 << 20
 
 func configCommand() *cli.Command {
 	return &cli.Command{
@@ -24,39 +25,40 @@
 		Commands: []*cli.Command{
 			{
 				Name: "check", Usage: "check files without publishing them", ArgsUsage: "FILE…",
-				Description: "With --platform it also holds each group's load_permits against its replicas.\n\n" +
+				Description: "With --platform it also compares each group's load_permits with its number of replicas.\n\n" +
 					"  skylarkctl config check examples/huon-ledger/records.json",
 				Flags:  []cli.Flag{outputFlag(), platformFlag(), timeoutFlag()},
-				Action: withArgs(1, anyNumber, check),
+				Action: withArgs(1, noLimit, check),
 			},
 			publishCommand(),
 			logCommand("get", "show the record in force for a key", "KIND KEY", "config get organisation river-hospice", 2, 2, get),
-			logCommand("list", "list what is in force", "[KIND]", "config list model", 0, 1, list),
+			logCommand("list", "list the records in force", "[KIND]", "config list model", 0, 1, list),
 			logCommand("diff", "show what publishing a file would change", "FILE", "config diff records.json", 1, 1, diff),
-			logCommand("history", "show every record on the log and what became of it", "[KIND KEY]", "config history group ledger-llm", 0, 2, history),
+			logCommand("history", "show every record on the log and whether it was accepted", "[KIND KEY]", "config history group ledger-llm", 0, 2, history),
 			exportCommand(),
 		},
 	}
 }
 
-func logCommand(name, usage, args, example string, least, most int, action cli.ActionFunc) *cli.Command {
+// logCommand returns a command that reads the configuration log.
+func logCommand(name, usage, args, example string, minArgs, maxArgs int, action cli.ActionFunc) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: args, Description: "  skylarkctl " + example,
 		Flags:  []cli.Flag{outputFlag(), platformFlag(), timeoutFlag()},
-		Action: withArgs(least, most, action),
+		Action: withArgs(minArgs, maxArgs, action),
 	}
 }
 
 func platformURL(c *cli.Command) (string, error) {
-	given := c.String("platform")
-	if given == "" {
-		return "", fmt.Errorf("the platform's address is missing: --platform URL or SKYLARK_PLATFORM")
+	base := c.String("platform")
+	if base == "" {
+		return "", fmt.Errorf("the platform's address is missing: set --platform URL or SKYLARK_PLATFORM")
 	}
-	u, err := url.Parse(given)
+	u, err := url.Parse(base)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		return "", fmt.Errorf("the platform's address %q is no URL such as http://127.0.0.1:7000", given)
+		return "", fmt.Errorf("the platform's address %q is not a URL such as http://127.0.0.1:7000", base)
 	}
-	return given, nil
+	return base, nil
 }
 
 func openLog(c *cli.Command) (*platform.Log, error) {
@@ -94,7 +96,7 @@
 		if err != nil {
 			return err
 		}
-		warnPermits(ctx, c.Root().ErrWriter, base, sources)
+		warnLoadPermits(ctx, c.Root().ErrWriter, base, sources)
 	}
 	return show(c, map[string]int{"records": len(sources)}, func(w io.Writer) {
 		fmt.Fprintf(w, "%d records are good\n", len(sources))
@@ -104,12 +106,12 @@
 func parseKind(text string) (config.Kind, error) {
 	kind := config.Kind(text)
 	if !slices.Contains(config.Kinds, kind) {
-		return "", fmt.Errorf("%q is not a kind; want one of %v", text, config.Kinds)
+		return "", fmt.Errorf("%q is not a record kind; want one of %v", text, config.Kinds)
 	}
 	return kind, nil
 }
 
-// item is what get and list show of one key.
+// item is the output of get and list for one key.
 type item struct {
 	Kind     config.Kind    `json:"kind"`
 	Key      string         `json:"key"`
@@ -133,15 +135,15 @@
 	key := c.Args().Get(1)
 	it := itemOf(h.State, kind, key)
 	if it.Record == nil {
-		return fmt.Errorf("%w: no %s %s is in force%s", errRefused, kind, key, noteAfter(it.Note))
+		return fmt.Errorf("%w: no %s %s is in force%s", errRefused, kind, key, noteSuffix(it.Note))
 	}
 	return show(c, it, func(w io.Writer) {
-		fmt.Fprintf(w, "# in force since offset %d, revision %d%s\n", it.Offset, it.Revision, noteAfter(it.Note))
+		fmt.Fprintf(w, "# in force since offset %d, revision %d%s\n", it.Offset, it.Revision, noteSuffix(it.Note))
 		fmt.Fprintln(w, pretty(it.Record))
 	})
 }
 
-func noteAfter(note string) string {
+func noteSuffix(note string) string {
 	if note == "" {
 		return ""
 	}
@@ -159,6 +161,8 @@
 	return it
 }
 
+// noteOf describes records of a key that are on the log but not in force: kept for
+// a newer schema, invalid, or a deletion.
 func noteOf(s *config.State, kind config.Kind, key string) string {
 	n := string(kind) + "/" + key
 	var notes []string
@@ -203,7 +207,7 @@
 	})
 }
 
-// event is one line of a history.
+// event is one record of the history, with its verdict.
 type event struct {
 	Offset   uint64         `json:"offset"`
 	Kind     config.Kind    `json:"kind,omitempty"`
@@ -239,7 +243,7 @@
 		row(w, "OFFSET", "KIND", "KEY", "BASE", "DELETE", "OPERATOR", "VERDICT", "DETAIL")
 		for _, e := range events {
 			detail, _, _ := strings.Cut(e.Verdict.Detail, "\n")
-			row(w, e.Offset, e.Kind, e.Key, e.Base, yes(e.Delete), e.Operator, e.Verdict.Reason, detail)
+			row(w, e.Offset, e.Kind, e.Key, e.Base, yesNo(e.Delete), e.Operator, e.Verdict.Reason, detail)
 		}
 	})
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,4 +1,6 @@
-// Package ctl has the commands of skylarkctl.
+// Package ctl implements the commands of skylarkctl. It reads and appends
+// configuration on the platform's log and queries daemons over the inner
+// protocol; it keeps no state of its own.
 package ctl
 
 import (
@@ -14,15 +16,16 @@
 // Exit codes of skylarkctl.
 const (
 	ExitOK = 0
-	// ExitUsage: the command or a file was wrong; nothing was done.
+	// ExitUsage: the command line or an input file is invalid; nothing was done.
 	ExitUsage = 2
-	// ExitRefused: what was asked for was refused, or isn't there.
+	// ExitRefused: the request was refused, or its object doesn't exist.
 	ExitRefused = 3
-	// ExitUnreachable: the platform or the process gave no answer.
+	// ExitUnreachable: the platform or the process did not answer.
 	ExitUnreachable = 4
 )
 
-// The errors of commands, by exit code. An error that matches none is bad use.
+// Errors wrapped by commands to select the exit code. Any other error exits with
+// ExitUsage.
 var (
 	errRefused     = errors.New("refused")
 	errUnreachable = errors.New("unreachable")
@@ -30,10 +33,10 @@
 
 const defaultTimeout = 10 * time.Second
 
-// Run runs the tool with the arguments, the first of which is its name, and
+// Run runs skylarkctl with args, of which the first is the program's name, and
 // returns the exit code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) int {
-	err := root(out, errOut).Run(ctx, args)
+	err := rootCommand(out, errOut).Run(ctx, args)
 	if err != nil {
 		fmt.Fprintln(errOut, "skylarkctl:", err)
 	}
@@ -52,14 +55,14 @@
 	return ExitUsage
 }
 
-func root(out, errOut io.Writer) *cli.Command {
+func rootCommand(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:      "skylarkctl",
 		Usage:     "operate a skylarklead fleet",
 		Writer:    out,
 		ErrWriter: errOut,
 		Suggest:   true,
-		// The library would print the error and end the process by itself.
+		// By default the library prints the error and exits the process itself.
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 		OnUsageError:          func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err },
 		EnableShellCompletion: true,
@@ -67,7 +70,7 @@
 			c.Hidden = false
 			c.Usage = "print a completion script for bash"
 		},
-		Description: "Exit codes: 0 done; 2 bad use or a bad file; 3 refused or not there;\n" +
+		Description: "Exit codes: 0 done; 2 invalid command line or file; 3 refused or not found;\n" +
 			"4 the platform or the process can't be reached.\n\n" +
 			"  export SKYLARK_PLATFORM=http://127.0.0.1:7000 SKYLARK_FLEET_KEY=…\n" +
 			"  skylarkctl config publish examples/huon-ledger/records.json\n" +
@@ -76,10 +79,11 @@
 	}
 }
 
-// withArgs makes an action that takes from least to most arguments.
-func withArgs(least, most int, action cli.ActionFunc) cli.ActionFunc {
+// withArgs wraps an action: it checks the number of arguments and applies the flag
+// timeout to the context.
+func withArgs(minArgs, maxArgs int, action cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
-		if n := c.Args().Len(); n < least || n > most {
+		if n := c.Args().Len(); n < minArgs || n > maxArgs {
 			return fmt.Errorf("usage: skylarkctl %s %s", c.FullName()[len("skylarkctl "):], c.ArgsUsage)
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.Duration("timeout"))
@@ -93,7 +97,7 @@
 		Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "`FORMAT`, table or json",
 		Validator: func(v string) error {
 			if v != "table" && v != "json" {
-				return fmt.Errorf("%q is not a format; want table or json", v)
+				return fmt.Errorf("%q is not an output format; want table or json", v)
 			}
 			return nil
 		},
@@ -101,7 +105,7 @@
 }
 
 func timeoutFlag() cli.Flag {
-	return &cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Usage: "how long to try, such as 10s"}
+	return &cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Usage: "time limit for the whole command, such as 10s"}
 }
 
 func platformFlag() cli.Flag {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -31,11 +31,11 @@
 ]`
 
 type fixture struct {
-	t       *testing.T
-	url     string
-	file    string
-	before  func() // called before each append reaches the log
-	handler http.Handler
+	t            *testing.T
+	url          string
+	file         string
+	beforeAppend func() // if set, called before each append reaches the log
+	handler      http.Handler
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -49,8 +49,8 @@
 		{ID: "ep-5", Role: platform.RoleEndpoint, Group: "lone", State: platform.StateLive},
 	}})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodPost && strings.HasSuffix(r.URL.Path, "/records") && f.before != nil {
-			f.before()
+		if r.Method == http.MethodPost && strings.HasSuffix(r.URL.Path, "/records") && f.beforeAppend != nil {
+			f.beforeAppend()
 		}
 		f.handler.ServeHTTP(w, r)
 	}))
@@ -111,9 +111,9 @@
 	}
 }
 
-// Symptom: a weight change leaves one replica with the whole group's requests, or
-// none. Sequence: a group's load_permits is its number of replicas. Cause: nothing
-// held the one against the other.
+// If a group's load_permits is at least its number of replicas, a weight change
+// leaves one replica, or none, to serve all of the group's requests. check and
+// publish warn of that.
 func TestPermitsAreHeldAgainstReplicas(t *testing.T) {
 	f := newFixture(t)
 	const warning = "warning: group/g: load_permits is 3 and the group has 3 replicas; at most 2 load at once, and 1 would serve alone"
@@ -121,11 +121,11 @@
 	f.contains(f.run(ExitOK, "config", "publish", f.file), warning)
 	f.write(`[{"schema": 2, "kind": "group", "key": "g", "body": {"load_permits": 2}}, {"schema": 2, "kind": "group", "key": "lone", "body": {}}]`)
 	if text := f.run(ExitOK, "config", "check", f.file); strings.Contains(text, "warning") {
-		t.Errorf("warned without need: %s", text)
+		t.Errorf("unexpected warning: %s", text)
 	}
 	f.write(records)
 	f.url = "http://127.0.0.1:1"
-	f.contains(f.run(ExitOK, "config", "check", f.file), "load_permits not held against the instance list")
+	f.contains(f.run(ExitOK, "config", "check", f.file), "load_permits not checked against the instance list")
 	f.url = ""
 	if text := f.run(ExitOK, "config", "check", f.file); strings.Contains(text, "warning") {
 		t.Errorf("warned without a platform: %s", text)
@@ -150,9 +150,8 @@
 	f.run(ExitUnreachable, "config", "list", "--platform", "http://127.0.0.1:1")
 }
 
-// Symptom: an operator doesn't know whether a change was published, publishes it
-// again and undoes a colleague's. Sequence: the append takes effect and its
-// answer is lost. Cause: only the answer told the outcome.
+// An append takes effect and its reply is lost. publish must still report the
+// outcome: an operator who publishes again could undo another operator's change.
 func TestLostAnswer(t *testing.T) {
 	f := newFixture(t)
 	kit.Control(t, f.url, `{"lose_next_answers":1}`)
@@ -165,14 +164,13 @@
 	}
 }
 
-// Symptom: two operators both believe that their change is in force. Sequence:
-// the second one's record reaches the log between the first one's look and
-// append. Cause: the loser isn't told.
+// Another operator's record reaches the log between publish's read and its append.
+// The operator whose record lost must learn that it isn't in force.
 func TestRace(t *testing.T) {
 	f := newFixture(t)
 	f.run(ExitOK, "config", "publish", f.file)
 	var once sync.Once
-	f.before = func() {
+	f.beforeAppend = func() {
 		once.Do(func() {
 			body := strings.NewReader(`{"records":["` + rival + `"]}`)
 			r := httptest.NewRequest(http.MethodPost, "/v1/streams/config/records", body)
@@ -180,19 +178,20 @@
 		})
 	}
 	f.write(`{"schema": 1, "kind": "group", "key": "g", "body": {"load_permits": 5}}`)
-	f.contains(f.run(ExitRefused, "config", "publish", f.file), "the winner is at offset 4")
+	f.contains(f.run(ExitRefused, "config", "publish", f.file), "the current revision is at offset 4")
 }
 
-// rival is {"schema":1,"kind":"group","key":"g","base":1,"body":{}} in base64.
+// rival is the competing record
+// {"schema":1,"kind":"group","key":"g","base":1,"body":{}} in base64.
 const rival = "eyJzY2hlbWEiOjEsImtpbmQiOiJncm91cCIsImtleSI6ImciLCJiYXNlIjoxLCJib2R5Ijp7fX0="
 
 var fleetKey = strings.Repeat("ab", 32)
 
-// daemon answers the tool as a daemon would.
+// daemon is a fake daemon that answers skylarkctl's requests.
 type daemon struct {
 	drained bool
 	state   []byte        // encoded configuration
-	role    protocol.Role // an endpoint's if empty
+	role    protocol.Role // endpoint if empty
 }
 
 func (d *daemon) Handle(s *wire.Session, ref uint32, m protocol.Message) {
@@ -221,7 +220,7 @@
 	return protocol.Identity{ID: "ep-1", Role: cmp.Or(d.role, protocol.RoleEndpoint), FailureDomain: "hobart-a", Group: "g"}
 }
 
-// serve returns the flag that names the daemon's address.
+// serve starts the daemon and returns the flag with its address.
 func (d *daemon) serve(t *testing.T, key []byte) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = wire.Accept(w, r, wire.Options{Key: key, Self: d.identity, Handler: d})
@@ -230,24 +229,23 @@
 	return "--address=" + strings.TrimPrefix(server.URL, "http://")
 }
 
-// Symptom: new instances can't be given a bootstrap file when they need one.
-// Sequence: the log is out; an operator exports the state for the next image.
-// Cause: the state was read from the log only.
+// While the log is down, export must still produce a bootstrap file for new
+// instances: it reads the state from processes instead of the log.
 func TestExportFromAProcessInAnOutage(t *testing.T) {
 	f := newFixture(t)
 	t.Setenv("SKYLARK_FLEET_KEY", fleetKey)
 	key := kit.Must(hex.DecodeString(fleetKey))(t)
 	f.run(ExitOK, "config", "publish", f.file)
-	whole := filepath.Join(t.TempDir(), "whole")
-	f.run(ExitOK, "config", "export", "-o", whole)
-	state := kit.Must(os.ReadFile(whole))(t)
-	old, empty := &daemon{state: state}, &daemon{}
+	fromLog := filepath.Join(t.TempDir(), "whole")
+	f.run(ExitOK, "config", "export", "-o", fromLog)
+	state := kit.Must(os.ReadFile(fromLog))(t)
+	configured, empty := &daemon{state: state}, &daemon{}
 	f.url = "http://127.0.0.1:1"
 	exported := filepath.Join(t.TempDir(), "exported")
 	f.run(ExitUnreachable, "config", "export", "-o", exported)
 	f.run(ExitUnreachable, "config", "export", "--address=127.0.0.1:1", "-o", exported)
 	f.run(ExitRefused, "config", "export", empty.serve(t, key), "-o", exported)
-	f.run(ExitOK, "config", "export", "--address=127.0.0.1:1", empty.serve(t, key), old.serve(t, key), "-o", exported)
+	f.run(ExitOK, "config", "export", "--address=127.0.0.1:1", empty.serve(t, key), configured.serve(t, key), "-o", exported)
 	got, err := os.ReadFile(exported)
 	if err != nil || !bytes.Equal(got, state) {
 		t.Errorf("exported %d bytes, want the log's %d: %v", len(got), len(state), err)
@@ -270,7 +268,7 @@
 	f.run(ExitUnreachable, "status", "--fleet-key="+strings.Repeat("cd", 32), at)
 	f.run(ExitUsage, "status", "--fleet-key=xyz", at)
 	f.contains(f.run(ExitUnreachable, "status", "--fleet-key="+strings.Repeat("cd", 32), at), "refused the tool's key; is this the fleet's key?")
-	f.contains(f.run(ExitUsage, "status", "--platform=localhost:7000"), "is no URL")
+	f.contains(f.run(ExitUsage, "status", "--platform=localhost:7000"), "is not a URL")
 	d.role = protocol.RoleEntry
 	f.contains(f.run(ExitRefused, "drain", at, "ep-1"), "ep-1 is an entry; SIGTERM drains it")
 }
@@ -283,7 +281,7 @@
 	statusTable(&table, []instanceStatus{down, up, unready})
 	lines := strings.Split(strings.TrimSpace(table.String()), "\n")
 	if heads, cells := strings.Count(lines[0], "\t"), strings.Count(lines[1], "\t"); heads != cells {
-		t.Errorf("the silent instance has %d cells, the head %d", cells+1, heads+1)
+		t.Errorf("the row of the instance that did not answer has %d cells, the header %d", cells+1, heads+1)
 	}
 	want := []string{"ep-2: no answer: " + down.Error, "ep-3: not ready: " + wire.KeyRefused}
 	if got := lines[len(lines)-2:]; !slices.Equal(got, want) {
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -12,12 +12,12 @@
 	"skylarklead/internal/config"
 )
 
-// change is what publishing one record would change.
+// change is the effect of publishing one record.
 type change struct {
 	Kind config.Kind `json:"kind"`
 	Key  string      `json:"key"`
-	// What is "create", "change", "delete" or "same".
-	What string `json:"what"`
+	// Action is "create", "change", "delete" or "same".
+	Action string `json:"what"`
 	// Lines begin with "-", "+" or " ".
 	Lines []string `json:"lines,omitempty"`
 }
@@ -37,7 +37,7 @@
 	}
 	return show(c, changes, func(w io.Writer) {
 		for _, ch := range changes {
-			fmt.Fprintf(w, "%s %s/%s\n", ch.What, ch.Kind, ch.Key)
+			fmt.Fprintf(w, "%s %s/%s\n", ch.Action, ch.Kind, ch.Key)
 			for _, line := range ch.Lines {
 				fmt.Fprintln(w, "  "+line)
 			}
@@ -46,30 +46,30 @@
 }
 
 func changeOf(s *config.State, r config.Record) change {
-	ch := change{Kind: r.Kind, Key: r.Key, What: "change"}
+	ch := change{Kind: r.Kind, Key: r.Key, Action: "change"}
 	before := itemOf(s, r.Kind, r.Key).Record
-	old, fresh := "", ""
+	old, updated := "", ""
 	if before != nil {
 		old = content(before)
 	}
 	if !r.Delete {
-		fresh = content(&r)
+		updated = content(&r)
 	}
 	switch {
 	case r.Delete:
-		ch.What = "delete"
+		ch.Action = "delete"
 	case before == nil:
-		ch.What = "create"
-	case old == fresh:
-		ch.What = "same"
+		ch.Action = "create"
+	case old == updated:
+		ch.Action = "same"
 		return ch
 	}
-	ch.Lines = lineDiff(lines(old), lines(fresh))
+	ch.Lines = lineDiff(lines(old), lines(updated))
 	return ch
 }
 
-// content is the part of a record that says what is to be, with fields in order
-// and characters escaped in one way.
+// content renders a record's schema and body with sorted fields and uniform
+// escaping, so that records with the same content compare equal.
 func content(r *config.Record) string {
 	var body any
 	if len(r.Body) > 0 {
@@ -101,8 +101,7 @@
 	return strings.Split(text, "\n")
 }
 
-// lineDiff returns a's and b's lines in order, by their longest common
-// subsequence.
+// lineDiff returns a line diff of a and b, by their longest common subsequence.
 func lineDiff(a, b []string) []string {
 	common := commonLengths(a, b)
 	var out []string
@@ -123,8 +122,8 @@
 	return out
 }
 
-// commonLengths has at [i][j] the length of the longest common subsequence of
-// a[i:] and b[j:].
+// commonLengths returns a table whose element [i][j] is the length of the longest
+// common subsequence of a[i:] and b[j:].
 func commonLengths(a, b []string) [][]int {
 	common := make([][]int, len(a)+1)
 	for i := range common {
--- a/internal/ctl/drain.go
+++ b/internal/ctl/drain.go
@@ -13,9 +13,9 @@
 
 func drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "order an endpoint process to take no new work, for good", ArgsUsage: "ENDPOINT",
+		Name: "drain", Usage: "make an endpoint process refuse new work until it is restarted", ArgsUsage: "ENDPOINT",
 		Description: "  skylarkctl drain ledger-llm-07\n  skylarkctl drain --wait ledger-llm-07",
-		Flags:       append(fleetFlags(), &cli.BoolFlag{Name: "wait", Usage: "until nothing is in flight there"}),
+		Flags:       append(fleetFlags(), &cli.BoolFlag{Name: "wait", Usage: "wait until it has no requests in flight"}),
 		Action:      withArgs(1, 1, drain),
 	}
 }
@@ -41,27 +41,27 @@
 				fmt.Fprintf(w, "%s takes no new work; %d in flight\n", drained.Endpoint, drained.InFlight)
 			})
 		}
-		if wait.For(ctx, readBackPause) != nil {
-			return fmt.Errorf("%w: %s still has %d in flight", errRefused, endpoint, drained.InFlight)
+		if wait.For(ctx, pollInterval) != nil {
+			return fmt.Errorf("%w: %s still has %d requests in flight", errRefused, endpoint, drained.InFlight)
 		}
 	}
 }
 
-func (f *fleet) drainOnce(ctx context.Context, address, endpoint string) (*protocol.Drained, error) {
-	message, err := f.ask(ctx, address, &protocol.Drain{Endpoint: endpoint})
+func (f *fleetClient) drainOnce(ctx context.Context, address, endpoint string) (*protocol.Drained, error) {
+	message, err := f.call(ctx, address, &protocol.Drain{Endpoint: endpoint})
 	if err != nil {
 		return nil, err
 	}
 	drained, ok := message.(*protocol.Drained)
 	if !ok {
-		return nil, fmt.Errorf("%w: answered with %T", errRefused, message)
+		return nil, fmt.Errorf("%w: unexpected reply %T", errRefused, message)
 	}
 	return drained, nil
 }
 
 // find returns the endpoint's address. With addresses given by hand the processes
 // are asked who they are.
-func (f *fleet) find(ctx context.Context, endpoint string) (string, error) {
+func (f *fleetClient) find(ctx context.Context, endpoint string) (string, error) {
 	for _, p := range f.peers {
 		if p.ID == endpoint {
 			return p.Address, endpointOnly(p.ID, protocol.Role(p.Role))
--- a/internal/ctl/examples_test.go
+++ b/internal/ctl/examples_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// Every example record is accepted on an empty log, and nothing dangles.
+// Every example record is accepted on an empty log and refers only to records
+// that exist.
 func TestExampleRecords(t *testing.T) {
 	for _, deployment := range []string{"huon-ledger", "nakhla"} {
 		sources := kit.Must(readFile("../../examples/" + deployment + "/records.json"))(t)
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -13,7 +13,7 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "show the decisions about a request: who chose, what was excluded, the scores", ArgsUsage: "REQUEST-ID",
+		Name: "explain", Usage: "show the routing decisions for a request: deciding process, excluded endpoints, scores", ArgsUsage: "REQUEST-ID",
 		Description: "  skylarkctl explain 7f3c9a2e",
 		Flags:       fleetFlags(),
 		Action:      withArgs(1, 1, explain),
@@ -29,7 +29,7 @@
 	request := c.Args().First()
 	records := []protocol.DecisionRecord{}
 	answered := 0
-	for _, r := range f.askAll(ctx, &protocol.ExplainRequest{Request: request}) {
+	for _, r := range f.callAll(ctx, &protocol.ExplainRequest{Request: request}) {
 		if e, ok := r.message.(*protocol.Explanation); ok {
 			answered++
 			records = append(records, e.Records...)
@@ -39,7 +39,7 @@
 	case answered == 0:
 		return fmt.Errorf("%w: none of %d instances answered", errUnreachable, len(f.peers))
 	case len(records) == 0:
-		return fmt.Errorf("%w: none of %d processes remembers request %s", errRefused, answered, request)
+		return fmt.Errorf("%w: none of %d processes has a record of request %s", errRefused, answered, request)
 	}
 	return show(c, records, func(w io.Writer) { explainTable(w, records) })
 }
--- a/internal/ctl/export.go
+++ b/internal/ctl/export.go
@@ -16,8 +16,8 @@
 	return &cli.Command{
 		Name: "export", Usage: "write the state in force to a file for bootstrap.file",
 		Description: "  skylarkctl config export -o state.bootstrap\n\n" +
-			"The state comes from the log, or from the newest of the processes given, which\n" +
-			"have it in an outage of the log too:\n\n" +
+			"The state comes from the log or, with --address, from the process with the newest\n" +
+			"state, which also works while the log is unavailable:\n\n" +
 			"  skylarkctl config export --address 127.0.0.1:7101 -o state.bootstrap",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Required: true, Usage: "`FILE`"},
@@ -28,7 +28,7 @@
 }
 
 func export(ctx context.Context, c *cli.Command) error {
-	state, err := exported(ctx, c)
+	state, err := currentState(ctx, c)
 	if err != nil {
 		return err
 	}
@@ -43,9 +43,9 @@
 	return nil
 }
 
-func exported(ctx context.Context, c *cli.Command) (*config.State, error) {
+func currentState(ctx context.Context, c *cli.Command) (*config.State, error) {
 	if len(c.StringSlice("address")) > 0 {
-		return stateOfProcesses(ctx, c)
+		return newestPeerState(ctx, c)
 	}
 	h, err := readHistory(ctx, c)
 	if err != nil {
@@ -54,9 +54,9 @@
 	return h.State, nil
 }
 
-// stateOfProcesses returns the newest state that the processes given have. One
-// that doesn't answer does no harm while another does.
-func stateOfProcesses(ctx context.Context, c *cli.Command) (*config.State, error) {
+// newestPeerState returns the newest state of the processes given by the flag
+// address. It fails only if none of them returns a state.
+func newestPeerState(ctx context.Context, c *cli.Command) (*config.State, error) {
 	f, err := openFleet(ctx, c)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	for _, p := range f.peers {
 		data, err := follow.FetchState(ctx, follow.PeerFetch(f.pool, p.Address), state.Offset)
 		if err == nil && len(data) > 0 {
-			state, err = newer(state, data)
+			state, err = mergeNewer(state, data)
 		}
 		if err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%s: %w", p.Address, err))
@@ -82,8 +82,9 @@
 	return nil, fmt.Errorf("%w: the processes have no configuration", errRefused)
 }
 
-// newer merges what a process sent into state, which stays if that can't be read.
-func newer(state *config.State, data []byte) (*config.State, error) {
+// mergeNewer merges a process's encoded state into state and returns state
+// unchanged if the data can't be decoded.
+func mergeNewer(state *config.State, data []byte) (*config.State, error) {
 	merged, err := state.Merge(data)
 	if err != nil {
 		return state, err
--- a/internal/ctl/files.go
+++ b/internal/ctl/files.go
@@ -13,14 +13,15 @@
 	"skylarklead/internal/config"
 )
 
-// source is one record of a file.
+// source is one record of an input file.
 type source struct {
 	record config.Record
-	// hasBase is set if the file gives the base.
+	// hasBase is set if the file contains the field "base".
 	hasBase bool
 }
 
-// readFiles reads and checks the records of all files and returns every problem.
+// readFiles reads and validates the records of all files. Its error joins those of
+// all files.
 func readFiles(paths []string) ([]source, error) {
 	var all []source
 	var problems []error
@@ -60,8 +61,9 @@
 	return os.ReadFile(path)
 }
 
-// split returns the elements of an array, each after as many empty lines as stood
-// before it, so that errors name the file's lines; or data itself.
+// split returns the elements of an array, or data itself if it is none. Each
+// element is preceded by as many newlines as come before it in data, so that line
+// numbers in errors are those of the file.
 func split(data []byte) [][]byte {
 	value, err := hujson.Parse(data)
 	if err != nil {
@@ -85,10 +87,10 @@
 		return source{}, err
 	}
 	if r.Kind == config.KindSnapshot {
-		return source{}, fmt.Errorf("%s: snapshots are written by the system itself", path)
+		return source{}, fmt.Errorf("%s: snapshot records can't be published; daemons write them", path)
 	}
 	if !r.Understood() {
-		return source{}, fmt.Errorf("%s: %s has schema %d, newer than this tool's %d, and can't be checked", path, r.Name(), r.Schema, config.MaxSchema)
+		return source{}, fmt.Errorf("%s: %s has schema %d; this tool can check schemas up to %d", path, r.Name(), r.Schema, config.MaxSchema)
 	}
 	standard, err := hujson.Standardize(text)
 	if err != nil {
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -16,8 +16,8 @@
 	"skylarklead/internal/wire"
 )
 
-// atOnce bounds the processes that are asked at once.
-const atOnce = 32
+// maxConcurrentCalls bounds the processes that are queried at the same time.
+const maxConcurrentCalls = 32
 
 func fleetFlags() []cli.Flag {
 	return []cli.Flag{
@@ -27,42 +27,44 @@
 }
 
 func addressFlag() cli.Flag {
-	return &cli.StringSliceFlag{Name: "address", Usage: "`IP:PORT` of a process to ask, in place of the instance list"}
+	return &cli.StringSliceFlag{Name: "address", Usage: "`IP:PORT` of a process to query instead of the instance list; may be repeated"}
 }
 
 func fleetKeyFlag() cli.Flag {
 	return &cli.StringFlag{Name: "fleet-key", Usage: "the fleet's shared `KEY` in hex", Sources: cli.EnvVars("SKYLARK_FLEET_KEY")}
 }
 
-// fleet asks processes over sessions of the inner protocol.
-type fleet struct {
+// fleetClient queries processes over sessions of the inner protocol.
+type fleetClient struct {
 	pool  *wire.Pool
 	peers []platform.Instance
 }
 
-// silent handles sessions on which only replies arrive.
-type silent struct{}
+// replyOnlyHandler ignores unsolicited messages: skylarkctl only expects replies.
+type replyOnlyHandler struct{}
 
-func (silent) Handle(*wire.Session, uint32, protocol.Message) {}
-func (silent) Closed(*wire.Session, error)                    {}
+func (replyOnlyHandler) Handle(*wire.Session, uint32, protocol.Message) {}
+func (replyOnlyHandler) Closed(*wire.Session, error)                    {}
 
-func openFleet(ctx context.Context, c *cli.Command) (*fleet, error) {
+func openFleet(ctx context.Context, c *cli.Command) (*fleetClient, error) {
 	key, err := hex.DecodeString(c.String("fleet-key"))
 	if err != nil || len(key) == 0 {
-		return nil, fmt.Errorf("the fleet's key is missing or not hex: --fleet-key KEY or SKYLARK_FLEET_KEY")
+		return nil, fmt.Errorf("the fleet's key is missing or not hex: set --fleet-key KEY or SKYLARK_FLEET_KEY")
 	}
-	peers, err := peersOf(ctx, c)
+	peers, err := listPeers(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	self := protocol.Identity{ID: "skylarkctl", Role: protocol.RoleTool}
-	pool := wire.NewPool(wire.Options{Key: key, Self: func() protocol.Identity { return self }, Handler: silent{}})
-	return &fleet{pool: pool, peers: peers}, nil
+	pool := wire.NewPool(wire.Options{Key: key, Self: func() protocol.Identity { return self }, Handler: replyOnlyHandler{}})
+	return &fleetClient{pool: pool, peers: peers}, nil
 }
 
-func (f *fleet) close() { f.pool.Close() }
+func (f *fleetClient) close() { f.pool.Close() }
 
-func peersOf(ctx context.Context, c *cli.Command) ([]platform.Instance, error) {
+// listPeers returns the processes given by the flag address or, without it, those
+// of the platform's instance list by role and ID.
+func listPeers(ctx context.Context, c *cli.Command) ([]platform.Instance, error) {
 	var peers []platform.Instance
 	for _, a := range c.StringSlice("address") {
 		peers = append(peers, platform.Instance{ID: a, Address: a})
@@ -84,23 +86,23 @@
 	return peers, nil
 }
 
-// reply is one process's answer.
+// reply is one process's answer, or the error of the call.
 type reply struct {
 	from    platform.Instance
 	message protocol.Message
 	err     error
 }
 
-// askAll asks every process and returns the answers in order.
-func (f *fleet) askAll(ctx context.Context, m protocol.Message) []reply {
+// callAll sends m to every process and returns the replies in the order of peers.
+func (f *fleetClient) callAll(ctx context.Context, m protocol.Message) []reply {
 	replies := make([]reply, len(f.peers))
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var tasks sync.WaitGroup
 	for i, p := range f.peers {
 		tasks.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			message, err := f.ask(ctx, p.Address, m)
+			message, err := f.call(ctx, p.Address, m)
 			replies[i] = reply{from: p, message: message, err: err}
 		})
 	}
@@ -108,17 +110,17 @@
 	return replies
 }
 
-// ask returns the process's answer; a Failure becomes an error.
-func (f *fleet) ask(ctx context.Context, address string, m protocol.Message) (protocol.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// call sends m to a process and returns its reply; a Failure becomes an error.
+func (f *fleetClient) call(ctx context.Context, address string, m protocol.Message) (protocol.Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	session, err := f.pool.Get(ctx, address)
 	if errors.Is(err, wire.ErrUnauthenticated) {
-		return nil, fmt.Errorf("%w: %s refused the tool's key; is this the fleet's key? If others answer, its fleet_key is wrong", errUnreachable, address)
+		return nil, fmt.Errorf("%w: %s refused the tool's key; is this the fleet's key? If other processes accept it, the fleet_key of this one is wrong", errUnreachable, address)
 	}
 	if errors.Is(err, io.EOF) {
-		// What a process of an earlier build does with a peer without the key.
-		return nil, fmt.Errorf("%w: %s cut the connection at its opening; is this the fleet's key?", errUnreachable, address)
+		// Processes of earlier builds close the connection on a peer without the key.
+		return nil, fmt.Errorf("%w: %s closed the connection during the handshake; is this the fleet's key?", errUnreachable, address)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUnreachable, err)
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -9,7 +9,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// show writes value as JSON, or what table writes, by the flag output.
+// show writes value as JSON or, unless the flag output is json, calls table with
+// an aligning writer.
 func show(c *cli.Command, value any, table func(w io.Writer)) error {
 	out := c.Root().Writer
 	if c.String("output") == "json" {
@@ -23,7 +24,7 @@
 	return w.Flush()
 }
 
-// row writes one line of a table.
+// row writes one line of a table; an empty string becomes "-".
 func row(w io.Writer, cells ...any) {
 	for i, cell := range cells {
 		if i > 0 {
@@ -37,7 +38,7 @@
 	fmt.Fprintln(w)
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/internal/ctl/permits.go
+++ b/internal/ctl/permits.go
@@ -11,12 +11,12 @@
 	"skylarklead/internal/platform"
 )
 
-// warnPermits warns of groups in sources with as many load permits as replicas: a
-// weight change would load all but lease.KeepServing of them at once, and those
-// left would get the whole group's requests. base is the platform's; without it
-// nobody knows the replicas.
-func warnPermits(ctx context.Context, w io.Writer, base string, sources []source) {
-	permits := loadPermits(sources)
+// warnLoadPermits warns of groups in sources that have at least as many load
+// permits as replicas: a weight change would load all but lease.MinServing of them
+// at once, and those left would get all of the group's requests. base is the
+// platform's URL; if it is empty the replicas aren't known and nothing is checked.
+func warnLoadPermits(ctx context.Context, w io.Writer, base string, sources []source) {
+	permits := groupsIn(sources)
 	if base == "" || len(permits) == 0 {
 		return
 	}
@@ -24,7 +24,7 @@
 	defer instances.Close()
 	list, err := instances.List(ctx)
 	if err != nil {
-		fmt.Fprintf(w, "warning: load_permits not held against the instance list: %v\n", err)
+		fmt.Fprintf(w, "warning: load_permits not checked against the instance list: %v\n", err)
 		return
 	}
 	replicas := map[string]int{}
@@ -41,14 +41,14 @@
 	}
 }
 
-// loadPermits returns the groups of sources, in their order.
-func loadPermits(sources []source) (groups []config.Group) {
+// groupsIn returns the groups that sources publish, in their order.
+func groupsIn(sources []source) (groups []config.Group) {
 	for _, s := range sources {
 		if s.record.Kind != config.KindGroup || s.record.Delete {
 			continue
 		}
 		g := config.Group{LoadPermits: config.DefaultLoadPermits}
-		if json.Unmarshal(s.record.Body, &g) == nil { // it was checked when it was read
+		if json.Unmarshal(s.record.Body, &g) == nil { // readFiles has validated the body
 			g.ID = s.record.Key
 			groups = append(groups, g)
 		}
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// readBackPause is the pause between looks for a record on the log.
-	readBackPause = 200 * time.Millisecond
-	// appendAgainAfter is how long a record is looked for before it is sent again.
-	appendAgainAfter = 2 * time.Second
-	// appendBatch is how many records go into one append.
+	// pollInterval is the pause between two reads of the log or of a process's state.
+	pollInterval = 200 * time.Millisecond
+	// resendAfter is how long to look for a record on the log before resending it.
+	resendAfter = 2 * time.Second
+	// appendBatch is the maximum number of records in one append.
 	appendBatch = 100
 )
 
 func publishCommand() *cli.Command {
 	return &cli.Command{
-		Name: "publish", Usage: "publish a file of records and tell what became of each", ArgsUsage: "FILE",
+		Name: "publish", Usage: "publish a file of records and report whether each was accepted", ArgsUsage: "FILE",
 		Description: "A record without \"base\" is based on what is in force now. Records that change\n" +
-			"nothing are passed over. A lost answer is resolved by reading the log back.\n\n" +
+			"nothing are skipped. A lost reply is resolved by reading the log back.\n\n" +
 			"  skylarkctl config publish examples/huon-ledger/records.json\n" +
 			"  skylarkctl config publish --wait organisation.json",
 		Flags: append(fleetFlags(),
 			&cli.StringFlag{Name: "operator", Usage: "`NAME` to publish under", Value: os.Getenv("USER"), Sources: cli.EnvVars("SKYLARK_OPERATOR")},
-			&cli.BoolFlag{Name: "wait", Usage: "until every live instance has it in force"}),
+			&cli.BoolFlag{Name: "wait", Usage: "wait until the records are in force at every live instance"}),
 		Action: withArgs(1, 1, publish),
 	}
 }
 
-// result is what became of one record.
+// result is the outcome of publishing one record.
 type result struct {
 	Kind     config.Kind    `json:"kind"`
 	Key      string         `json:"key"`
@@ -49,7 +49,7 @@
 	Verdict  config.Verdict `json:"verdict"`
 	Nonce    string         `json:"nonce,omitempty"`
 	encoded  []byte
-	resolved bool
+	resolved bool // Verdict is known
 }
 
 const reasonUnchanged config.Reason = "unchanged"
@@ -68,14 +68,14 @@
 	if err != nil {
 		return err
 	}
-	results, after, err := prepare(h.State, sources, c.String("operator"))
+	results, next, err := prepare(h.State, sources, c.String("operator"))
 	if err != nil {
 		return err
 	}
-	for _, text := range after.Dangling() {
+	for _, text := range next.Dangling() {
 		fmt.Fprintln(c.Root().ErrWriter, "warning:", text)
 	}
-	warnPermits(ctx, c.Root().ErrWriter, c.String("platform"), sources)
+	warnLoadPermits(ctx, c.Root().ErrWriter, c.String("platform"), sources)
 	if err := appendAll(ctx, log, h.State, results); err != nil {
 		return err
 	}
@@ -88,10 +88,10 @@
 	return nil
 }
 
-// prepare gives each record its base and nonce and tries it on the state, so that
-// what would be refused isn't sent. It returns the results of those that change
-// nothing, too, and the state as it would be.
-func prepare(s *config.State, sources []source, operator string) (results []*result, after *config.State, err error) {
+// prepare sets each record's base and nonce and applies it to s locally, so that no
+// record is sent that would be refused. It returns a result for every record,
+// including unchanged ones, and the resulting state.
+func prepare(s *config.State, sources []source, operator string) (results []*result, next *config.State, err error) {
 	results = make([]*result, len(sources))
 	for i, src := range sources {
 		r := src.record
@@ -130,16 +130,16 @@
 	return it.Record != nil && it.Offset == it.Revision && content(it.Record) == content(&r)
 }
 
-// appendAll appends what is to be sent and reads the log back until each record's
-// verdict is known. The answer to an append may be lost after its effect, so an
-// answer alone settles nothing; and sending the same bytes again is safe, since
-// at most one of two records with the same base is accepted.
+// appendAll appends the unresolved records and reads the log until the verdict on
+// each is known. The reply to an append may be lost after the append took effect,
+// so a failed append doesn't show that nothing was appended. Resending the same
+// bytes is safe: at most one of two records with the same base is accepted.
 func appendAll(ctx context.Context, log *platform.Log, before *config.State, results []*result) error {
 	pending := unresolved(results)
 	var sent time.Time
 	var lastErr error
 	for len(pending) > 0 {
-		if sent.IsZero() || time.Since(sent) > appendAgainAfter {
+		if sent.IsZero() || time.Since(sent) > resendAfter {
 			lastErr = appendOnce(ctx, log, pending)
 			if errors.Is(lastErr, platform.ErrNotAppended) {
 				sent = time.Time{}
@@ -153,14 +153,15 @@
 		if pending = unresolved(pending); len(pending) == 0 {
 			return nil
 		}
-		if err := wait.For(ctx, readBackPause); err != nil {
-			return fmt.Errorf("%w: it is not known whether the records were published, publishing again is safe: %w", errUnreachable, lastErr)
+		if err := wait.For(ctx, pollInterval); err != nil {
+			return fmt.Errorf("%w: it is not known whether the records were published; publishing them again is safe: %w", errUnreachable, lastErr)
 		}
 	}
 	return nil
 }
 
-// appendOnce sends all in order, a batch at a time, up to the first failure.
+// appendOnce appends all pending records in order, in batches, and stops at the
+// first failure.
 func appendOnce(ctx context.Context, log *platform.Log, pending []*result) error {
 	for batch := range slices.Chunk(pending, appendBatch) {
 		records := make([][]byte, len(batch))
@@ -175,17 +176,17 @@
 }
 
 func unresolved(results []*result) []*result {
-	var left []*result
+	var pending []*result
 	for _, res := range results {
 		if !res.resolved {
-			left = append(left, res)
+			pending = append(pending, res)
 		}
 	}
-	return left
+	return pending
 }
 
-// resolve looks for the records on the log by their nonces. The first one with a
-// nonce counts; a later one was sent again.
+// resolve looks for the pending records on the log by nonce. The first record with
+// a nonce counts; later ones are resent copies.
 func resolve(ctx context.Context, log *platform.Log, before *config.State, pending []*result) error {
 	h, err := follow.ReadSince(ctx, log, before)
 	if err != nil {
@@ -213,7 +214,7 @@
 	}
 	for _, res := range results {
 		if !res.Verdict.Accepted {
-			return fmt.Errorf("%w: %s/%s: %s; the winner is at offset %d", errRefused, res.Kind, res.Key, res.Verdict.Detail, res.Verdict.Revision)
+			return fmt.Errorf("%w: %s/%s: %s; the current revision is at offset %d", errRefused, res.Kind, res.Key, res.Verdict.Detail, res.Verdict.Revision)
 		}
 	}
 	return nil
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -15,19 +15,19 @@
 	"skylarklead/internal/wait"
 )
 
-// askTimeout bounds one question to one process.
-const askTimeout = 3 * time.Second
+// callTimeout bounds one call to one process, including the dial.
+const callTimeout = 3 * time.Second
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show every instance: role, epoch, configuration in force, load, cache picture",
+		Name: "status", Usage: "show every instance: role, epoch, configuration in force, load, age of the cache view",
 		Description: "  skylarkctl status\n  skylarkctl status --address 127.0.0.1:7101 -o json",
 		Flags:       fleetFlags(),
 		Action:      withArgs(0, 0, status),
 	}
 }
 
-// instanceStatus is what status shows of one instance.
+// instanceStatus is the output of status for one instance.
 type instanceStatus struct {
 	ID      string           `json:"id"`
 	Address string           `json:"address"`
@@ -46,19 +46,19 @@
 	if err := show(c, all, func(w io.Writer) { statusTable(w, all) }); err != nil {
 		return err
 	}
-	return noneAnswered(all)
+	return checkAnyAnswered(all)
 }
 
-func (f *fleet) statuses(ctx context.Context) []instanceStatus {
+func (f *fleetClient) statuses(ctx context.Context) []instanceStatus {
 	all := make([]instanceStatus, len(f.peers))
-	for i, r := range f.askAll(ctx, &protocol.StatusRequest{}) {
+	for i, r := range f.callAll(ctx, &protocol.StatusRequest{}) {
 		all[i] = instanceStatus{ID: r.from.ID, Address: r.from.Address, Listed: r.from.State}
 		s, ok := r.message.(*protocol.Status)
 		switch {
 		case r.err != nil:
 			all[i].Error = r.err.Error()
 		case !ok:
-			all[i].Error = fmt.Sprintf("answered with %T", r.message)
+			all[i].Error = fmt.Sprintf("unexpected reply %T", r.message)
 		default:
 			all[i].ID, all[i].Status = s.Identity.ID, s
 		}
@@ -66,7 +66,7 @@
 	return all
 }
 
-func noneAnswered(all []instanceStatus) error {
+func checkAnyAnswered(all []instanceStatus) error {
 	for _, s := range all {
 		if s.Status != nil {
 			return nil
@@ -78,21 +78,21 @@
 	return fmt.Errorf("%w: none of %d instances answered", errUnreachable, len(all))
 }
 
-var statusHeads = []any{
+var statusColumns = []any{
 	"ID", "ROLE", "DOMAIN", "GROUP", "EPOCH", "CONFIG", "SOURCE", "LOG", "LEAVING",
 	"IN FLIGHT", "RUNNING", "QUEUED", "CACHE", "PICTURE", "UP",
 }
 
-// statusTable has a row for each instance, and what is wrong with those that
-// didn't answer or aren't ready below it, where they don't widen a column.
+// statusTable writes a row for each instance. The reasons why instances didn't
+// answer or aren't ready follow below the table, where they don't widen a column.
 func statusTable(w io.Writer, all []instanceStatus) {
-	row(w, statusHeads...)
+	row(w, statusColumns...)
 	for _, s := range all {
 		if s.Status == nil {
-			row(w, append([]any{s.ID}, slices.Repeat([]any{"-"}, len(statusHeads)-1)...)...)
+			row(w, append([]any{s.ID}, slices.Repeat([]any{"-"}, len(statusColumns)-1)...)...)
 			continue
 		}
-		row(w, cells(s.Status)...)
+		row(w, statusCells(s.Status)...)
 	}
 	for _, s := range all {
 		switch {
@@ -104,15 +104,15 @@
 	}
 }
 
-func cells(s *protocol.Status) []any {
+func statusCells(s *protocol.Status) []any {
 	id, load := s.Identity, s.Load
-	running, queued, cache, picture := "-", "-", "-", "-"
+	running, queued, cache, cacheViewAge := "-", "-", "-", "-"
 	if id.Role == protocol.RoleEndpoint {
 		running, queued = fmt.Sprint(load.Running), fmt.Sprint(load.Queued)
 		cache = fmt.Sprintf("%d/%d", load.CacheUsed, load.CacheTotal)
-		picture = (time.Duration(load.CacheViewAgeMs) * time.Millisecond).String()
+		cacheViewAge = (time.Duration(load.CacheViewAgeMs) * time.Millisecond).String()
 		if load.CacheViewStale {
-			picture += " doubtful"
+			cacheViewAge += " doubtful"
 		}
 	}
 	configuration := fmt.Sprint(s.ConfigOffset)
@@ -122,7 +122,7 @@
 	up := (time.Duration(s.UptimeMs) * time.Millisecond).Round(time.Second)
 	return []any{
 		id.ID, id.Role, id.FailureDomain, id.Group, fmt.Sprintf("%08x", uint64(id.Epoch)>>32), configuration, s.ConfigSource,
-		yes(s.LogReachable), yes(s.Leaving), s.InFlight, running, queued, cache, picture, up,
+		yesNo(s.LogReachable), yesNo(s.Leaving), s.InFlight, running, queued, cache, cacheViewAge, up,
 	}
 }
 
@@ -130,11 +130,11 @@
 	return cmp.Or(cmp.Compare(a.Role, b.Role), cmp.Compare(a.ID, b.ID))
 }
 
-// waitInForce returns when every listed instance that isn't leaving has the
-// offset in force.
+// waitInForce waits until the offset is in force at every listed instance that
+// isn't leaving.
 func waitInForce(ctx context.Context, c *cli.Command, offset uint64) error {
 	for {
-		behind, err := behindOf(ctx, c, offset)
+		behind, err := instancesBehind(ctx, c, offset)
 		if err != nil {
 			return err
 		}
@@ -142,13 +142,15 @@
 			fmt.Fprintf(c.Root().ErrWriter, "offset %d is in force at every live instance\n", offset)
 			return nil
 		}
-		if wait.For(ctx, readBackPause) != nil {
-			return fmt.Errorf("%w: published, but offset %d isn't known to be in force at %v", errUnreachable, offset, behind)
+		if wait.For(ctx, pollInterval) != nil {
+			return fmt.Errorf("%w: published, but not confirmed: offset %d isn't known to be in force at %v", errUnreachable, offset, behind)
 		}
 	}
 }
 
-func behindOf(ctx context.Context, c *cli.Command, offset uint64) ([]string, error) {
+// instancesBehind returns the IDs of the live instances that are below the offset
+// or didn't answer.
+func instancesBehind(ctx context.Context, c *cli.Command, offset uint64) ([]string, error) {
 	f, err := openFleet(ctx, c)
 	if err != nil {
 		return nil, err
