--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,8 +1,8 @@
 // Package faultproxy is a TCP proxy that injects network faults between two
-// processes of a test: cuts, freezes, delays, half-open connections, refused
+// processes of a test: resets, freezes, delays, half-open connections, refused
 // connections and replies lost after the request took effect.
 //
-// Faults are switched by methods while traffic runs. The proxy knows nothing of
+// Methods switch faults on and off while traffic runs. The proxy doesn't interpret
 // the protocols that pass through it.
 package faultproxy
 
@@ -14,10 +14,11 @@
 	"time"
 )
 
-// Direction is a way through the proxy.
+// Direction is a direction of traffic through the proxy.
 type Direction int
 
-// The directions: Upstream runs from the dialing side to the target, Downstream back.
+// Upstream is from the client to the target, Downstream from the target to the
+// client.
 const (
 	Upstream Direction = iota
 	Downstream
@@ -27,29 +28,30 @@
 // Proxy forwards connections to one target. Its methods may be called from any
 // goroutine.
 type Proxy struct {
-	listener net.Listener
-	target   string
-	pumps    sync.WaitGroup
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup
 
 	mu      sync.Mutex
 	changed chan struct{} // closed and replaced when a field below changes
 	links   map[*link]struct{}
 	frozen  bool
-	// frozenFrom tells clients whose connections are frozen, nil for none.
-	frozenFrom func(client string) bool
-	refuse     bool
-	closed     bool
-	drop       [directions]bool
-	delay      [directions]time.Duration
-	// lose is how many replies are still to be lost, to requests that contain
-	// loseMatch.
-	lose      int
-	loseMatch []byte
-	lost      int
+	// clientFrozen reports whether the connections of a client address are frozen;
+	// nil freezes none.
+	clientFrozen func(client string) bool
+	refuse       bool
+	closed       bool
+	drop         [directions]bool
+	delay        [directions]time.Duration
+	// repliesToLose is how many replies, to requests that contain loseMatch, are still
+	// to be discarded.
+	repliesToLose int
+	loseMatch     []byte
+	lostReplies   int
 }
 
-// Listen starts a proxy on listen ("ip:port", port 0 for a free one) that
-// forwards to target.
+// Listen starts a proxy on the address listen ("ip:port", port 0 for a free port)
+// that forwards connections to target.
 func Listen(listen, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -61,7 +63,7 @@
 		changed:  make(chan struct{}),
 		links:    make(map[*link]struct{}),
 	}
-	p.pumps.Add(1)
+	p.goroutines.Add(1)
 	go p.accept()
 	return p, nil
 }
@@ -69,22 +71,22 @@
 // Address returns "ip:port" of the listener.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Freeze holds back every byte in both directions until Thaw. Connections stay
-// open, as when a host is paused.
+// Freeze holds back all data in both directions until Thaw. Connections stay open,
+// as when a host is paused.
 func (p *Proxy) Freeze() { p.set(func() { p.frozen = true }) }
 
-// FreezeClients is Freeze for the connections, open ones and later ones, whose client
-// address is match's, until Thaw: one peer of several is cut off.
+// FreezeClients is Freeze for the connections whose client address match accepts,
+// open and later ones, until Thaw. It isolates one client of several.
 func (p *Proxy) FreezeClients(match func(client string) bool) {
 	p.set(func() {
-		p.frozenFrom = match
+		p.clientFrozen = match
 		for l := range p.links {
 			l.frozen = match(l.client())
 		}
 	})
 }
 
-// FrozenConnections is how many open connections FreezeFrom has frozen.
+// FrozenConnections returns how many open connections FreezeClients has frozen.
 func (p *Proxy) FrozenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,55 +99,55 @@
 	return n
 }
 
-// FreezeFor is Freeze, and Thaw after d.
+// FreezeFor is Freeze, followed by Thaw after d.
 func (p *Proxy) FreezeFor(d time.Duration) {
 	p.Freeze()
 	time.AfterFunc(d, p.Thaw)
 }
 
-// Thaw ends Freeze; what was held back arrives late.
+// Thaw ends Freeze, FreezeClients and FreezeFor; the data held back is delivered.
 func (p *Proxy) Thaw() {
 	p.set(func() {
-		p.frozen, p.frozenFrom = false, nil
+		p.frozen, p.clientFrozen = false, nil
 		for l := range p.links {
 			l.frozen = false
 		}
 	})
 }
 
-// Delay holds each byte of a direction back by d.
+// Delay delays all data of a direction by d.
 func (p *Proxy) Delay(dir Direction, d time.Duration) { p.set(func() { p.delay[dir] = d }) }
 
-// Refuse resets new connections while on is set. Open ones go on.
+// Refuse resets new connections while on is set. Open ones aren't affected.
 func (p *Proxy) Refuse(on bool) { p.set(func() { p.refuse = on }) }
 
-// Drop discards a direction's bytes while on is set, which makes connections
-// half-open. When it is taken back, connections that have lost bytes are reset,
-// since a byte stream with a hole is nothing that a network produces.
+// Drop discards the data of a direction while on is set, which makes connections
+// half-open. When it is switched off, connections that have lost data are reset,
+// since no network delivers a TCP stream with a gap.
 func (p *Proxy) Drop(dir Direction, on bool) {
 	p.set(func() {
 		p.drop[dir] = on
 		for l := range p.links {
-			if !on && l.holed[dir] {
-				l.cut()
+			if !on && l.bytesLost[dir] {
+				l.resetBoth()
 				delete(p.links, l)
 			}
 		}
 	})
 }
 
-// LoseReplies lets the next n requests that contain match through, discards the
-// first bytes of their replies and resets their connections: the effect happens
-// and the requester can't know. A nil match means every request.
+// LoseReplies forwards the next n requests that contain match, discards their
+// replies and resets their connections when the reply begins: the request takes
+// effect, but the client can't know. A nil match means every request.
 func (p *Proxy) LoseReplies(n int, match []byte) {
-	p.set(func() { p.lose, p.loseMatch = n, match })
+	p.set(func() { p.repliesToLose, p.loseMatch = n, match })
 }
 
-// LostReplies returns how many replies were lost so far.
+// LostReplies returns how many replies LoseReplies has discarded so far.
 func (p *Proxy) LostReplies() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lost
+	return p.lostReplies
 }
 
 // Connections returns how many connections are open.
@@ -159,7 +161,7 @@
 func (p *Proxy) ResetConnections() {
 	p.set(func() {
 		for l := range p.links {
-			l.cut()
+			l.resetBoth()
 			delete(p.links, l)
 		}
 	})
@@ -170,9 +172,11 @@
 	p.set(func() { p.closed = true })
 	p.listener.Close()
 	p.ResetConnections()
-	p.pumps.Wait()
+	p.goroutines.Wait()
 }
 
+// set applies a change of state under the lock and wakes the goroutines that hold
+// data back.
 func (p *Proxy) set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,19 +186,19 @@
 }
 
 func (p *Proxy) accept() {
-	defer p.pumps.Done()
+	defer p.goroutines.Done()
 	for {
 		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		p.pumps.Add(1)
+		p.goroutines.Add(1)
 		go p.connect(conn.(*net.TCPConn))
 	}
 }
 
 func (p *Proxy) connect(client *net.TCPConn) {
-	defer p.pumps.Done()
+	defer p.goroutines.Done()
 	p.mu.Lock()
 	refuse := p.refuse || p.closed
 	p.mu.Unlock()
@@ -209,53 +213,57 @@
 	}
 	l := &link{ends: [directions]*net.TCPConn{Upstream: client, Downstream: server.(*net.TCPConn)}, done: make(chan struct{})}
 	if !p.register(l) {
-		l.cut()
+		l.resetBoth()
 		return
 	}
 	for dir := range directions {
-		queue := make(chan piece, queueLength)
-		p.pumps.Add(2)
+		queue := make(chan chunk, queueLength)
+		p.goroutines.Add(2)
 		go p.receive(l, dir, queue)
 		go p.forward(l, dir, queue)
 	}
 }
 
+// register adds a link, or returns false if the proxy is closed.
 func (p *Proxy) register(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.closed {
 		p.links[l] = struct{}{}
-		l.frozen = p.frozenFrom != nil && p.frozenFrom(l.client())
+		l.frozen = p.clientFrozen != nil && p.clientFrozen(l.client())
 	}
 	return !p.closed
 }
 
-// noteRequest marks the link if this piece of a request matches LoseReplies.
-func (p *Proxy) noteRequest(l *link, data []byte) {
+// matchRequest marks the link if this chunk of a request matches LoseReplies. A
+// match that spans two chunks isn't found.
+func (p *Proxy) matchRequest(l *link, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lose > 0 && bytes.Contains(data, p.loseMatch) {
-		p.lose--
+	if p.repliesToLose > 0 && bytes.Contains(data, p.loseMatch) {
+		p.repliesToLose--
 		l.loseReply = true
 	}
 }
 
-// fate decides what becomes of a piece that is due now.
-func (p *Proxy) fate(l *link, dir Direction) (verdict verdict, changed <-chan struct{}) {
+// decide returns what to do with a chunk that is due now. For hold, changed is
+// closed when the decision may be different.
+func (p *Proxy) decide(l *link, dir Direction) (d disposition, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case dir == Downstream && l.loseReply:
 		if !l.replyLost {
-			// The end of the cut connection comes here as a piece of its own.
+			// Counted once per reply: the end of the reset connection arrives as a
+			// further chunk.
 			l.replyLost = true
-			p.lost++
+			p.lostReplies++
 		}
-		return cutLink, nil
+		return resetLink, nil
 	case p.drop[dir]:
-		l.holed[dir] = true
+		l.bytesLost[dir] = true
 		return discard, nil
-	case l.holed[dir]:
+	case l.bytesLost[dir]:
 		return discard, nil
 	case p.frozen || l.frozen:
 		return hold, p.changed
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -16,7 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers each line with the same line in capitals and counts the lines.
+// echo starts a server that answers each line with the line in capitals and sends
+// the lines received to a channel.
 func echo(t *testing.T) (address string, lines <-chan string) {
 	t.Helper()
 	l := kit.Must(net.Listen("tcp", "127.0.0.1:0"))(t)
@@ -41,7 +42,7 @@
 	return l.Addr().String(), got
 }
 
-func proxied(t *testing.T) (*Proxy, net.Conn, *bufio.Reader, <-chan string) {
+func startProxy(t *testing.T) (*Proxy, net.Conn, *bufio.Reader, <-chan string) {
 	t.Helper()
 	target, lines := echo(t)
 	p := kit.Must(Listen("127.0.0.1:0", target))(t)
@@ -66,7 +67,7 @@
 	}
 }
 
-func wantSilence(t *testing.T, conn net.Conn, r *bufio.Reader) {
+func wantNoData(t *testing.T, conn net.Conn, r *bufio.Reader) {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if got, err := r.ReadString('\n'); err == nil {
@@ -76,7 +77,7 @@
 	}
 }
 
-func wantEnd(t *testing.T, conn net.Conn, r *bufio.Reader) {
+func wantClosed(t *testing.T, conn net.Conn, r *bufio.Reader) {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	_, err := r.ReadString('\n')
@@ -86,43 +87,43 @@
 }
 
 func TestPassAndFreeze(t *testing.T) {
-	p, conn, r, _ := proxied(t)
+	p, conn, r, _ := startProxy(t)
 	io.WriteString(conn, "one\n")
 	wantLine(t, conn, r, "ONE")
 	p.Freeze()
 	io.WriteString(conn, "two\n")
-	wantSilence(t, conn, r)
+	wantNoData(t, conn, r)
 	p.Thaw()
 	wantLine(t, conn, r, "TWO")
 }
 
 func TestHalfOpen(t *testing.T) {
-	p, conn, r, lines := proxied(t)
+	p, conn, r, lines := startProxy(t)
 	p.Drop(Downstream, true)
 	io.WriteString(conn, "one\n")
 	if got := <-lines; got != "one" {
 		t.Fatalf("target got %q", got)
 	}
-	wantSilence(t, conn, r)
+	wantNoData(t, conn, r)
 	p.Drop(Downstream, false)
-	wantEnd(t, conn, r)
+	wantClosed(t, conn, r)
 }
 
 func TestLostReply(t *testing.T) {
-	p, conn, r, lines := proxied(t)
+	p, conn, r, lines := startProxy(t)
 	other, otherReader := dial(t, p)
 	p.LoseReplies(1, []byte("append"))
 	io.WriteString(other, "read\n")
 	wantLine(t, other, otherReader, "READ")
 	io.WriteString(conn, "append\n")
-	wantEnd(t, conn, r)
+	wantClosed(t, conn, r)
 	if got := []string{<-lines, <-lines}; got[1] != "append" || p.LostReplies() != 1 {
 		t.Fatalf("target got %q, lost %d", got, p.LostReplies())
 	}
 }
 
 func TestCutRefuseDelay(t *testing.T) {
-	p, conn, r, _ := proxied(t)
+	p, conn, r, _ := startProxy(t)
 	p.Delay(Upstream, 50*time.Millisecond)
 	began := time.Now()
 	io.WriteString(conn, "late\n")
@@ -131,19 +132,18 @@
 		t.Fatalf("took %v", took)
 	}
 	p.ResetConnections()
-	wantEnd(t, conn, r)
+	wantClosed(t, conn, r)
 	p.Refuse(true)
 	if refused, err := net.Dial("tcp", p.Address()); err == nil {
 		defer refused.Close() // the reset may come only after the connection is made
-		wantEnd(t, refused, bufio.NewReader(refused))
+		wantClosed(t, refused, bufio.NewReader(refused))
 	}
 }
 
-// Symptom: a proof cuts off every peer, or none, in place of one.
-// Sequence: one of two clients is frozen, and dials again; all are thawed.
-// Cause: a match by anything but the client's own address.
+// FreezeClients must isolate exactly the clients that match by their own address,
+// not all or none of several, and Thaw must release them.
 func TestFreezeFrom(t *testing.T) {
-	p, conn, r, _ := proxied(t)
+	p, conn, r, _ := startProxy(t)
 	other, otherR := dial(t, p)
 	io.WriteString(conn, "one\n")
 	wantLine(t, conn, r, "ONE")
@@ -152,11 +152,11 @@
 	mine := other.LocalAddr().String()
 	p.FreezeClients(func(client string) bool { return client == mine && OwnsLocalAddress(os.Getpid(), client) })
 	io.WriteString(other, "two\n")
-	wantSilence(t, other, otherR)
+	wantNoData(t, other, otherR)
 	io.WriteString(conn, "two\n")
 	wantLine(t, conn, r, "TWO")
 	if n := p.FrozenConnections(); n != 1 || OwnsLocalAddress(os.Getppid(), mine) {
-		t.Errorf("%d connections frozen; the parent has dialled %v", n, OwnsLocalAddress(os.Getppid(), mine))
+		t.Errorf("%d connections frozen, want 1; owned by the parent process: %v, want false", n, OwnsLocalAddress(os.Getppid(), mine))
 	}
 	p.Thaw()
 	wantLine(t, other, otherR, "TWO")
