--- a/test/kit/certificate.go
+++ b/test/kit/certificate.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// KeyPair makes a self-signed certificate for 127.0.0.1, good for an hour, and its
-// key, both in PEM.
+// KeyPair returns a new self-signed certificate for 127.0.0.1, valid for an hour,
+// and its private key, both in PEM.
 func KeyPair(t TB) (certificate, key []byte) {
 	t.Helper()
 	private := Must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))(t)
--- a/test/kit/kit.go
+++ b/test/kit/kit.go
@@ -1,4 +1,5 @@
-// Package kit has what the tests of many packages do in the same way.
+// Package kit has small helpers that the tests of many packages share. It starts no
+// processes; package harness does.
 package kit
 
 import (
@@ -9,20 +10,21 @@
 	"time"
 )
 
-// Timeout is how long a test waits for what should happen.
+// Timeout is how long a test waits for an expected event before it fails.
 const Timeout = 10 * time.Second
 
-// look is the pause between two looks at a condition.
-const look = 2 * time.Millisecond
+// pollInterval is the pause between two evaluations of a condition in Until.
+const pollInterval = 2 * time.Millisecond
 
-// TB is what a test, a benchmark, a fuzz target and a property have in common.
+// TB is the interface that tests, benchmarks, fuzz targets and property checks
+// share.
 type TB interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// Must passes on the value of a call that must not fail:
+// Must returns the value of a call that must not fail, and ends the test if it did:
 //
 //	state := kit.Must(config.DecodeState(data))(t)
 func Must[T any](value T, err error) func(TB) T {
@@ -43,22 +45,24 @@
 	}
 }
 
-// Until waits for a condition.
+// Until polls condition until it holds, and ends the test if it doesn't within
+// Timeout. what names the condition in the failure message.
 func Until(t TB, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(look) {
+	for deadline := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Control sets faults of a stand-in.
+// Control posts body, a JSON object of faults, to the control endpoint of a
+// stand-in with the base URL base.
 func Control(t TB, base, body string) {
 	t.Helper()
 	resp, err := http.Post(base+"/control", "application/json", strings.NewReader(body))
 	if err != nil && strings.Contains(body, `"crash"`) {
-		return // the answer to a crash may be lost with the connection
+		return // a stand-in that crashes may close the connection before it answers
 	}
 	OK(t, err)
 	defer resp.Body.Close()
@@ -67,7 +71,7 @@
 	}
 }
 
-// Get reads JSON.
+// Get returns the JSON document at url, decoded.
 func Get[T any](t TB, url string) (into T) {
 	t.Helper()
 	resp := Must(http.Get(url))(t)
