--- a/test/harness/build.go
+++ b/test/harness/build.go
@@ -1,5 +1,6 @@
-// Package harness starts clusters of real processes for the proofs: daemons,
-// stand-ins and fault proxies between them, on loopback addresses of their own.
+// Package harness starts clusters of real processes for the process-level tests:
+// daemons, stand-ins for platform, engines and services, and fault proxies between
+// them, each cluster on a loopback address of its own.
 package harness
 
 import (
@@ -14,14 +15,14 @@
 	"testing"
 )
 
-// BuildTagsEnv names an environment variable with build tags for the programs:
-// a proof is seen to fail on a build whose mechanism a tag takes out.
+// BuildTagsEnv names the environment variable with the build tags for the programs.
+// A tag that disables a mechanism shows that its test fails without it.
 const BuildTagsEnv = "SKYLARK_TAGS"
 
 var binaries = sync.OnceValues(buildBinaries)
 
-// buildBinaries builds the programs from the working tree, so that a proof never
-// runs an old bin/.
+// buildBinaries builds the programs from the working tree into a temporary
+// directory, so that no test runs outdated binaries from bin/.
 func buildBinaries() (string, error) {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
@@ -39,7 +40,7 @@
 	return dir, nil
 }
 
-// Main runs the tests of a package and removes the programs after them.
+// Main runs the tests of a package, removes the binaries and exits.
 func Main(m *testing.M) {
 	code := m.Run()
 	if dir, _ := binaries(); dir != "" {
@@ -48,7 +49,8 @@
 	os.Exit(code)
 }
 
-// BinaryPath returns the path of one of the programs.
+// BinaryPath returns the path of the program of this name, and builds all programs
+// on first use.
 func BinaryPath(t testing.TB, name string) string {
 	t.Helper()
 	dir, err := binaries()
@@ -58,10 +60,10 @@
 	return filepath.Join(dir, name)
 }
 
-// hosts counts the loopback hosts handed out. Outgoing connections come from
-// 127.0.0.1, so a port that is free on another host stays free until its process
-// listens on it.
-var hosts atomic.Uint32
+// hostsAllocated counts the loopback hosts allocated. Outgoing connections come from
+// 127.0.0.1, so they don't take a port that is free on another host before its
+// process listens on it.
+var hostsAllocated atomic.Uint32
 
 const (
 	firstHost = 2
@@ -69,22 +71,22 @@
 	octet     = 256
 )
 
-// newHost returns a loopback host of this process's own network: two test runs
-// at once must not take the same free port of one host for two of their
-// processes, and each then meet the other's.
+// newHost returns a loopback host in a network derived from this process's ID. Two
+// test runs at the same time could otherwise choose the same free port of one host,
+// and the processes of one run would connect to those of the other.
 func newHost() string {
 	pid := os.Getpid()
-	n := hosts.Add(1) % (lastHost - firstHost + 1)
+	n := hostsAllocated.Add(1) % (lastHost - firstHost + 1)
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid/octet%(octet-1), pid%octet, firstHost+n)
 }
 
-// handedOut has the addresses that processes were told to listen on. The kernel
-// may offer one again before its process listens on it, or between two starts;
-// the second process would then fail to start.
-var handedOut sync.Map
+// reservedAddresses has the addresses assigned to processes. The kernel may offer
+// one again before its process listens on it, or while the process is restarted; the
+// second process with that address would fail to start.
+var reservedAddresses sync.Map
 
-// freeAddress returns "ip:port" that nothing listens on and that was not handed
-// out before.
+// freeAddress reserves and returns an "ip:port" that nothing listens on and that was
+// not reserved before.
 func freeAddress(t testing.TB, host string) string {
 	t.Helper()
 	for {
@@ -94,13 +96,13 @@
 		}
 		address := l.Addr().String()
 		l.Close()
-		// A process that another test starts at this moment has a copy of the
-		// listener until its exec. A cluster would take the copy for its platform that
-		// listens, or the platform would find the address in use.
+		// A process that another test forks at this moment holds a copy of the listener
+		// until its exec. Meanwhile a cluster would take that copy for its platform
+		// listening, or the platform would find the address in use.
 		for conn, err := net.Dial("tcp", address); err == nil; conn, err = net.Dial("tcp", address) {
 			conn.Close()
 		}
-		if _, taken := handedOut.LoadOrStore(address, true); !taken {
+		if _, taken := reservedAddresses.LoadOrStore(address, true); !taken {
 			return address
 		}
 	}
--- a/test/harness/client.go
+++ b/test/harness/client.go
@@ -17,24 +17,25 @@
 	"skylarklead/internal/protocol"
 )
 
-// Caller is a customer's program: it sends requests to one entry and checks what
-// comes back.
+// Caller is an API client of an organisation: it sends requests to one entry and
+// parses the answers.
 type Caller struct {
-	// URL is the entry's base URL, Key the organisation's API key.
+	// URL is the base URL of the entry, Key the organisation's API key.
 	URL, Key string
 }
 
-// Chat is one chat completion.
+// Chat is a request for a chat completion.
 type Chat struct {
 	Model     string
 	Messages  []prefix.Message
 	MaxTokens int
 	Headers   map[string]string
-	// OnEvent, if set, is called after each event with the number so far.
+	// OnEvent, if set, is called after each event with the number of events so far.
 	OnEvent func(n int)
 }
 
-// NotifyAtEvent returns a channel that is closed when the answer's n-th event is there.
+// NotifyAtEvent sets OnEvent and returns a channel that is closed when the n-th event
+// of the answer has arrived.
 func (c *Chat) NotifyAtEvent(n int) <-chan struct{} {
 	reached := make(chan struct{})
 	c.OnEvent = func(events int) {
@@ -45,32 +46,33 @@
 	return reached
 }
 
-// Answer is what a caller got.
+// Answer is the response to a caller's request, or what arrived of it.
 type Answer struct {
 	Status    int
 	RequestID string
 	Executor  string
 	Text      string
 	Events    int
-	// LastEventID is the last event's id.
+	// LastEventID is the id of the last event with content.
 	LastEventID string
-	// Ended is set by the explicit end of a stream, or by a whole body.
+	// Ended is set by the explicit end of a stream, or by a complete body.
 	Ended bool
 	// Failure is the explicit error, nil if none.
 	Failure *Failure
-	// CachedTokens is the number of prompt tokens served from cache, if told.
+	// CachedTokens is the number of prompt tokens served from cache, 0 if not reported.
 	CachedTokens int
-	// RunNumber is the run number that the stand-in service tells.
+	// RunNumber is how often the stand-in service has run the call, as it reports.
 	RunNumber int
-	// TransportErr is how the connection failed without an explicit end.
+	// TransportErr is set if the connection failed, or the answer was malformed,
+	// without an explicit end.
 	TransportErr error
-	// FirstByte is the time to the first event or to the body.
+	// FirstByte is the time from sending to the first event or to the body.
 	FirstByte time.Duration
-	// RetryAfter is the response header.
+	// RetryAfter is the value of the response header Retry-After.
 	RetryAfter string
 }
 
-// Failure is the error shape of docs/INTERFACE.md, section 1.
+// Failure is the error object of docs/INTERFACE.md, section 1.
 type Failure struct {
 	Code         protocol.Code    `json:"code"`
 	Message      string           `json:"message"`
@@ -79,7 +81,7 @@
 	RequestID    string           `json:"request_id"`
 }
 
-// String sums the answer up for a failed proof.
+// String summarises the answer for the message of a failed test.
 func (a Answer) String() string {
 	return fmt.Sprintf("status %d, request %s, %d events, %d bytes, ended %v, failure %+v, lost %v",
 		a.Status, a.RequestID, a.Events, len(a.Text), a.Ended, a.Failure, a.TransportErr)
@@ -111,16 +113,16 @@
 
 var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Chat posts a streamed chat completion.
+// Chat requests a streamed chat completion and reads it to its end.
 func (c Caller) Chat(ctx context.Context, chat Chat) Answer {
 	body, err := json.Marshal(chatBody{Model: chat.Model, Messages: chat.Messages, MaxTokens: chat.MaxTokens, Stream: true})
 	if err != nil {
-		panic(err) // strings and integers
+		panic(err) // unreachable: the body has only strings and integers
 	}
 	return c.stream(ctx, http.MethodPost, "/v1/chat/completions", body, chat.Headers, chat.OnEvent)
 }
 
-// Resume asks for the rest of a stream after the event lastID.
+// Resume requests the rest of a stream after the event lastID.
 func (c Caller) Resume(ctx context.Context, lastID string) Answer {
 	return c.stream(ctx, http.MethodGet, "/v1/streams", nil, map[string]string{"Last-Event-ID": lastID}, nil)
 }
@@ -132,7 +134,7 @@
 		return Answer{TransportErr: err}
 	}
 	defer resp.Body.Close()
-	a := answerOf(resp)
+	a := newAnswer(resp)
 	if resp.StatusCode != http.StatusOK {
 		a.readFailure(resp.Body)
 		return a
@@ -154,7 +156,7 @@
 	return httpClient.Do(req)
 }
 
-func answerOf(resp *http.Response) Answer {
+func newAnswer(resp *http.Response) Answer {
 	return Answer{
 		Status:     resp.StatusCode,
 		RequestID:  resp.Header.Get("X-Request-Id"),
@@ -172,10 +174,10 @@
 	a.Failure = &f.Error
 }
 
-var errOrder = errors.New("harness: events out of order")
+var errEventOrder = errors.New("harness: events out of order")
 
-// readEvents reads a stream to its explicit end and checks that the sequence
-// numbers in the event ids have no gap.
+// readEvents reads a stream of server-sent events to its explicit end and checks
+// that the sequence numbers in the event ids have no gap.
 func (a *Answer) readEvents(body io.Reader, began time.Time, event func(int)) {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, 4<<20)
@@ -192,7 +194,7 @@
 			if a.Events == 0 {
 				a.FirstByte = time.Since(began)
 			}
-			if a.take(kind, id, value) {
+			if a.handleEvent(kind, id, value) {
 				return
 			}
 			if event != nil {
@@ -208,8 +210,8 @@
 	}
 }
 
-// take handles one event's data and reports whether the stream is over.
-func (a *Answer) take(kind, id, data string) bool {
+// handleEvent handles the data of one event and reports whether the stream is over.
+func (a *Answer) handleEvent(kind, id, data string) bool {
 	if data == "[DONE]" {
 		a.Ended = true
 		return true
@@ -229,7 +231,7 @@
 	if len(chunk.Choices) == 0 || chunk.Choices[0].Delta.Content == "" {
 		return false
 	}
-	if a.TransportErr = follows(a.LastEventID, id); a.TransportErr != nil {
+	if a.TransportErr = checkSequence(a.LastEventID, id); a.TransportErr != nil {
 		return true
 	}
 	a.LastEventID = id
@@ -238,22 +240,23 @@
 	return false
 }
 
-// follows checks that the sequence number at the end of id is the next one.
-func follows(last, id string) error {
-	n, err := seqOf(id)
+// checkSequence checks that the sequence number at the end of id follows that of
+// last, if there is one.
+func checkSequence(last, id string) error {
+	n, err := sequenceNumber(id)
 	if err != nil {
 		return err
 	}
 	if last == "" {
 		return nil
 	}
-	if before, _ := seqOf(last); n != before+1 {
-		return fmt.Errorf("%w: %s after %s", errOrder, id, last)
+	if before, _ := sequenceNumber(last); n != before+1 {
+		return fmt.Errorf("%w: %s after %s", errEventOrder, id, last)
 	}
 	return nil
 }
 
-func seqOf(id string) (uint64, error) {
+func sequenceNumber(id string) (uint64, error) {
 	n, err := strconv.ParseUint(id[strings.LastIndexByte(id, '/')+1:], 10, 64)
 	if err != nil {
 		return 0, fmt.Errorf("harness: event id %q: %w", id, err)
@@ -261,8 +264,8 @@
 	return n, nil
 }
 
-// Call posts to a path of the plain service. The request ID names the call in
-// the service's own count; key is the Idempotency-Key, empty for none.
+// Call posts to a path of the plain service. The service counts its runs by request
+// ID; key is the Idempotency-Key, empty for none.
 func (c Caller) Call(ctx context.Context, path, requestID, key string) Answer {
 	headers := map[string]string{"X-Request-Id": requestID}
 	if key != "" {
@@ -275,7 +278,7 @@
 		return Answer{TransportErr: err}
 	}
 	defer resp.Body.Close()
-	a := answerOf(resp)
+	a := newAnswer(resp)
 	a.FirstByte = time.Since(began)
 	if resp.StatusCode != http.StatusOK {
 		a.readFailure(resp.Body)
--- a/test/harness/cluster.go
+++ b/test/harness/cluster.go
@@ -16,37 +16,39 @@
 )
 
 const (
-	// Group, Model and Version are what the engines of a cluster serve.
+	// Group, Model and Version are the group of a cluster's engines, and the model and
+	// weights version that they serve at the start.
 	Group   = "ledger-llm"
 	Model   = "ledger-llm"
 	Version = "v1"
-	// ServiceGroup and Service are the plain service's.
+	// ServiceGroup and Service are the group and the name of the plain service.
 	ServiceGroup = "portal"
 	Service      = "portal"
 
 	fleetKey = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 )
 
-// Options say what a cluster is made of.
+// Options configure a cluster.
 type Options struct {
 	Engines, Services, Entries int
-	// EngineArgs and PlatformArgs are added to the stand-ins' arguments.
+	// EngineArgs and PlatformArgs are appended to the stand-ins' arguments.
 	EngineArgs, PlatformArgs []string
-	// Organisations are published; Foodbank and Hospice if nil.
+	// Organisations are published at the start; nil means Foodbank and Hospice.
 	Organisations []Organisation
-	// Lag is how far the instance list is behind.
+	// Lag is the delay after which a change of the instance list becomes visible.
 	Lag time.Duration
-	// Settings, if set, changes each daemon's settings before its start.
+	// Settings, if set, modifies each daemon's settings before its start.
 	Settings func(*settings.Settings)
 }
 
-// Node is a daemon with the proxies around it.
+// Node is a daemon with the fault proxies around it.
 type Node struct {
 	*Process
 	ID       string
 	Settings *settings.Settings
-	// PlatformProxy stands between the daemon and the platform, PeerProxy between its
-	// peers and it, BackendProxy between it and its engine or service.
+	// PlatformProxy is between the daemon and the platform, PeerProxy between other
+	// daemons and this one, BackendProxy between the daemon and its engine or service;
+	// nil for an entry.
 	PlatformProxy, PeerProxy, BackendProxy *faultproxy.Proxy
 	// Backend is the engine or service, nil for an entry.
 	Backend *Backend
@@ -68,24 +70,25 @@
 	Endpoints []*Node
 	Services  []*Node
 	Entries   []*Node
-	// Revisions has the offsets of the organisations' and the model's records at
-	// the start, by key.
-	Revisions map[string]uint64
-	orgs      []Organisation
+	// Revisions has the offsets of the records of the organisations and of the model
+	// that were published at the start, by key.
+	Revisions     map[string]uint64
+	organisations []Organisation
 }
 
-// limit bounds the clusters that run at once: the machine is shared.
-var limit = make(chan struct{}, 4)
+// clusterSlots bounds the clusters that run at the same time, to limit the load of
+// the machine, which other work shares.
+var clusterSlots = make(chan struct{}, 4)
 
-// Start starts a cluster and waits until every process is up and the records are
-// in force. Everything ends with the test.
+// Start starts a cluster and waits until every process is ready and the records are
+// in force. Everything is stopped at the end of the test.
 func Start(t testing.TB, o Options) *Cluster {
 	t.Helper()
-	limit <- struct{}{}
-	t.Cleanup(func() { <-limit })
-	c := &Cluster{t: t, options: o, host: newHost(), dir: t.TempDir(), orgs: o.Organisations, Revisions: map[string]uint64{}}
-	if c.orgs == nil {
-		c.orgs = []Organisation{Foodbank, Hospice}
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
+	c := &Cluster{t: t, options: o, host: newHost(), dir: t.TempDir(), organisations: o.Organisations, Revisions: map[string]uint64{}}
+	if c.organisations == nil {
+		c.organisations = []Organisation{Foodbank, Hospice}
 	}
 	c.startPlatform()
 	c.publishAll()
@@ -105,7 +108,7 @@
 	return c
 }
 
-// T is the test that the cluster belongs to.
+// T returns the test that the cluster belongs to.
 func (c *Cluster) T() testing.TB { return c.t }
 
 // Nodes returns all daemons.
@@ -227,10 +230,10 @@
 	n.Process = StartProcess(c.t, n.ID, BinaryPath(c.t, "skylarkd"), "--config", file)
 }
 
-// Proxy starts a fault proxy before target.
+// Proxy starts a fault proxy that forwards to target.
 func (c *Cluster) Proxy(target string) *faultproxy.Proxy {
 	c.t.Helper()
-	// On a host of its own, so that it takes no port of a daemon that restarts.
+	// Not on the cluster's host, so that it takes no port of a daemon being restarted.
 	p, err := faultproxy.Listen("127.0.0.1:0", target)
 	if err != nil {
 		c.t.Fatal(err)
@@ -239,7 +242,7 @@
 	return p
 }
 
-// KillAndRestart kills daemons together and starts them again together.
+// KillAndRestart kills all the daemons before it starts them again.
 func KillAndRestart(nodes ...*Node) {
 	for _, n := range nodes {
 		n.Kill()
@@ -249,7 +252,7 @@
 	}
 }
 
-// AwaitUp waits until a daemon answers on its listening address.
+// AwaitUp waits until a daemon answers its health check.
 func (c *Cluster) AwaitUp(n *Node) {
 	c.t.Helper()
 	Await(c.t, n.ID+" to be up", func() bool {
@@ -262,18 +265,18 @@
 	})
 }
 
-// AwaitReady waits until a daemon is up and says that it is ready.
+// AwaitReady waits until a daemon is up and its readiness check passes.
 func (c *Cluster) AwaitReady(n *Node) {
 	c.t.Helper()
 	c.AwaitUp(n)
 	Await(c.t, n.ID+" to be ready", n.Ready)
 }
 
-// Ready reports whether a daemon says that it is ready.
+// Ready reports whether a daemon's readiness check passes.
 func (n *Node) Ready() bool { return getOK("http://" + n.httpAddress() + "/readyz") }
 
-// ReadyCaller returns a caller at the n-th entry, or the next one that is ready, as
-// the platform's balancer would.
+// ReadyCaller returns a caller at the first ready entry from the n-th on, as the
+// platform's load balancer would choose it.
 func (c *Cluster) ReadyCaller(o Organisation, n int) Caller {
 	for i := range c.Entries {
 		if entry := c.Entries[(n+i)%len(c.Entries)]; entry.Ready() {
@@ -283,7 +286,8 @@
 	return c.Caller(c.Entries[n%len(c.Entries)], o)
 }
 
-// httpAddress is where the balancer, or a peer, asks after the daemon.
+// httpAddress is the address of the daemon's health and readiness checks: that for
+// callers at an entry, otherwise that for peers.
 func (n *Node) httpAddress() string {
 	if n.Settings.Entry != nil {
 		return n.Settings.Entry.Listen
@@ -291,7 +295,7 @@
 	return n.Settings.Listen
 }
 
-// Caller returns an organisation's caller at an entry.
+// Caller returns a caller of the organisation o at an entry.
 func (c *Cluster) Caller(entry *Node, o Organisation) Caller {
 	return Caller{URL: "http://" + entry.Settings.Entry.Listen, Key: o.Key}
 }
@@ -306,7 +310,7 @@
 	return nil
 }
 
-// EndpointOf returns the endpoint that the answer's X-Executor names.
+// EndpointOf returns the daemon named by the answer's header X-Executor.
 func (c *Cluster) EndpointOf(a Answer) *Node {
 	c.t.Helper()
 	id, _, _ := strings.Cut(a.Executor, "/")
--- a/test/harness/control.go
+++ b/test/harness/control.go
@@ -11,6 +11,7 @@
 	"skylarklead/internal/standin/engine"
 )
 
+// getOK reports whether a GET of url returns status 200.
 func getOK(url string) bool {
 	resp, err := httpClient.Get(url)
 	if err != nil {
@@ -20,7 +21,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// request sends JSON to a stand-in and decodes its answer into out, if not nil.
+// request sends in as JSON to a stand-in and decodes its answer into out, if that is
+// not nil.
 func request(method, url string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -48,7 +50,7 @@
 	return json.Unmarshal(data, out)
 }
 
-// Control merges faults into a stand-in.
+// Control adds faults to those that a stand-in injects.
 func (c *Cluster) Control(b *Backend, faults map[string]any) {
 	c.t.Helper()
 	if err := request(http.MethodPost, "http://"+b.Address+"/control", faults, nil); err != nil {
@@ -56,19 +58,19 @@
 	}
 }
 
-// Crash makes an engine drop everything it holds and come back empty, within the
-// same process. The answer goes down with its connections.
+// Crash makes an engine drop its connections, requests and cache and restart empty
+// within the same process. The reply is ignored: its connection is dropped too.
 func (c *Cluster) Crash(b *Backend) {
 	body := map[string]any{"crash": true, "crash_mode": "reset"}
 	_ = request(http.MethodPost, "http://"+b.Address+"/control", body, nil)
 }
 
-// Account returns an engine's own account.
+// Account returns an engine's account of the requests and orders that it has run.
 func (c *Cluster) Account(b *Backend) engine.Account {
 	return get[engine.Account](c, b, "/control/account")
 }
 
-// get returns what a stand-in answers.
+// get returns a stand-in's decoded answer to a GET of path.
 func get[T any](c *Cluster, b *Backend, path string) (out T) {
 	c.t.Helper()
 	if err := request(http.MethodGet, "http://"+b.Address+path, nil, &out); err != nil {
@@ -77,8 +79,8 @@
 	return out
 }
 
-// Register puts a daemon on the true instance list. What processes are shown
-// lags by Options.Lag.
+// Register sets a daemon's entry in the platform's actual instance list. The list
+// that processes see is Options.Lag behind, except before the daemon's first start.
 func (c *Cluster) Register(n *Node, state string) {
 	c.t.Helper()
 	instance := platform.Instance{
@@ -93,7 +95,7 @@
 	}
 	now := ""
 	if n.Process == nil {
-		now = "?now=1" // the fleet of the cluster's start is shown at once
+		now = "?now=1" // visible at once: the daemon hasn't been started yet
 	}
 	url := "http://" + c.Platform.Address + "/control/instances/" + n.ID + now
 	if err := request(http.MethodPut, url, instance, nil); err != nil {
--- a/test/harness/extra.go
+++ b/test/harness/extra.go
@@ -20,13 +20,13 @@
 	"skylarklead/internal/wire"
 )
 
-// CtlResult is what a run of skylarkctl showed.
+// CtlResult is the exit code and output of a run of skylarkctl.
 type CtlResult struct {
 	Code           int
 	Stdout, Stderr string
 }
 
-// Ctl runs skylarkctl against the cluster's platform.
+// Ctl runs skylarkctl with the cluster's platform and fleet key.
 func (c *Cluster) Ctl(args ...string) CtlResult {
 	c.t.Helper()
 	cmd := exec.Command(BinaryPath(c.t, "skylarkctl"), args...)
@@ -44,7 +44,7 @@
 	return CtlResult{Code: cmd.ProcessState.ExitCode(), Stdout: out.String(), Stderr: errOut.String()}
 }
 
-// RecordFile writes records as an operator's file and returns its path.
+// RecordFile writes records to a file for skylarkctl and returns its path.
 func (c *Cluster) RecordFile(name string, records ...config.Record) string {
 	c.t.Helper()
 	data, err := json.Marshal(records)
@@ -58,7 +58,7 @@
 	return path
 }
 
-// Status returns what a daemon says of itself, or nil if it doesn't answer.
+// Status returns a daemon's status, or nil if it doesn't answer.
 func (c *Cluster) Status(n *Node) *protocol.Status {
 	c.t.Helper()
 	var all []struct {
@@ -71,7 +71,7 @@
 	return all[0].Status
 }
 
-// AwaitStatus waits until what a daemon says of itself meets a condition.
+// AwaitStatus waits until a daemon's status meets a condition.
 func (c *Cluster) AwaitStatus(n *Node, what string, met func(*protocol.Status) bool) {
 	c.t.Helper()
 	Await(c.t, n.ID+" "+what, func() bool {
@@ -80,14 +80,14 @@
 	})
 }
 
-// CutOffPlatform makes the platform unreachable for one daemon until Heal.
+// CutOffPlatform makes the platform unreachable for a daemon until ClearFaults.
 func (n *Node) CutOffPlatform() {
 	n.PlatformProxy.Refuse(true)
 	n.PlatformProxy.ResetConnections()
 }
 
-// Supervise starts a back end again whenever it has ended, as the platform does,
-// until the returned function is called.
+// Supervise restarts a back end whenever its process has ended, as the platform
+// does, until the returned function is called.
 func (b *Backend) Supervise() (stop func()) {
 	done, over := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Replace starts a second daemon with a daemon's identity beside the same back
-// end, as a platform does that took the first one for dead.
+// Replace starts a second daemon with the same identity and back end as n, as a
+// platform does that falsely considers the first one dead.
 func (c *Cluster) Replace(n *Node) *Node {
 	c.t.Helper()
 	s := *n.Settings
@@ -127,10 +127,11 @@
 	return twin
 }
 
-// EngineState returns what an engine has loaded, by its own word.
+// EngineState returns what an engine reports as loaded.
 func (c *Cluster) EngineState(b *Backend) api.State { return get[api.State](c, b, "/v1/orders") }
 
-// LogRecords returns what a stream of the platform's log still has.
+// LogRecords returns the first page of the records that a stream of the platform's
+// log retains.
 func (c *Cluster) LogRecords(stream string) []platform.Record {
 	c.t.Helper()
 	log := platform.NewLog("http://" + c.Platform.Address)
@@ -150,7 +151,8 @@
 	}
 }
 
-// UnusedAddress returns an address on the host of another one that nothing listens on.
+// UnusedAddress returns an address on the same host as address that nothing listens
+// on.
 func UnusedAddress(t testing.TB, address string) string {
 	t.Helper()
 	host, _, err := net.SplitHostPort(address)
@@ -160,7 +162,7 @@
 	return freeAddress(t, host)
 }
 
-// AddInstance puts any instance on the true list, shown at once.
+// AddInstance adds an instance to the platform's list, visible at once.
 func (c *Cluster) AddInstance(i platform.Instance) {
 	c.t.Helper()
 	url := "http://" + c.Platform.Address + "/control/instances/" + i.ID + "?now=1"
@@ -169,17 +171,17 @@
 	}
 }
 
-// BootstrapFile returns where the cluster's daemons look for an exported state
-// if o's Settings is WithBootstrap of the same directory.
+// BootstrapFile returns the path of the exported state that daemons read if
+// Options.Settings is WithBootstrap of the same directory.
 func BootstrapFile(dir string) string { return filepath.Join(dir, "state.bootstrap") }
 
-// WithBootstrap returns a settings function that names the bootstrap file in dir.
+// WithBootstrap returns a function for Options.Settings that sets the bootstrap file
+// to that in dir.
 func WithBootstrap(dir string) func(*settings.Settings) {
 	return func(s *settings.Settings) { s.Bootstrap.File = BootstrapFile(dir) }
 }
 
-// Dial opens a session to a daemon, as an entry of another fleet member would.
-// Chats run on it are collected until their End.
+// Dial opens a session to a daemon in the role of an entry.
 func (c *Cluster) Dial(n *Node) *Peer {
 	c.t.Helper()
 	p := &Peer{ends: make(chan *protocol.End, 1)}
@@ -201,7 +203,7 @@
 	return s.Key()
 }
 
-// Peer is a session of the test's own to a daemon.
+// Peer is a session of the test itself to a daemon. It supports one Run at a time.
 type Peer struct {
 	*wire.Session
 	ends chan *protocol.End
@@ -217,7 +219,7 @@
 // Closed implements wire.Handler.
 func (p *Peer) Closed(*wire.Session, error) { close(p.ends) }
 
-// Run sends a Run and returns its End, nil if the session ended before.
+// Run sends a Run and waits for its End. It returns nil if the session ends before.
 func (p *Peer) Run(run *protocol.Run) *protocol.End {
 	if p.Send(run) != nil {
 		return nil
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -8,24 +8,25 @@
 	"skylarklead/internal/standin/answer"
 )
 
-// Organisation is a customer of a cluster.
+// Organisation is an organisation with its API key and its instructions, which are
+// the system messages of its prompts.
 type Organisation struct {
 	ID, Key      string
 	Instructions []string
 }
 
-// The organisations of a cluster that doesn't name its own.
+// The organisations of a cluster whose Options name none.
 var (
 	Foodbank = NewOrganisation("foodbank", "the rules of Huon Ledger", "the foodbank's charter")
 	Hospice  = NewOrganisation("hospice", "the rules of Huon Ledger", "the hospice's charter")
 )
 
-// instructionBytes is the length of each of an organisation's instructions, some
-// 1,000 tokens.
+// instructionBytes is the minimum length of each instruction text, about 1,000
+// tokens.
 const instructionBytes = 4 << 10
 
-// NewOrganisation returns an organisation with long standing instructions, one
-// for each subject.
+// NewOrganisation returns an organisation with a long instruction text for each
+// subject.
 func NewOrganisation(id string, subjects ...string) Organisation {
 	o := Organisation{ID: id, Key: "key-of-" + id}
 	for _, subject := range subjects {
@@ -42,14 +43,14 @@
 	return b.String()
 }
 
-// InstructionTokens is how many tokens of o's instructions an engine can serve
-// from cache: the whole blocks.
+// InstructionTokens returns how many tokens of o's instructions an engine can serve
+// from cache: those of full blocks.
 func (o Organisation) InstructionTokens() int {
-	text := prefix.Flatten(o.system())
+	text := prefix.Flatten(o.systemMessages())
 	return len(text) / prefix.BlockBytes * prefix.BlockTokens
 }
 
-func (o Organisation) system() []prefix.Message {
+func (o Organisation) systemMessages() []prefix.Message {
 	var messages []prefix.Message
 	for _, text := range o.Instructions {
 		messages = append(messages, prefix.Message{Role: "system", Content: text})
@@ -57,8 +58,9 @@
 	return messages
 }
 
-// NewChat returns a chat of one question. Its answer begins with the token, in
-// brackets, and depends on every byte of the prompt.
+// NewChat returns a chat with one question. Its answer begins with the token in
+// brackets and depends on every byte of the prompt, so that answers to different
+// prompts can be told apart.
 func NewChat(token string, maxTokens int) Chat {
 	return Chat{
 		Model:     Model,
@@ -67,35 +69,35 @@
 	}
 }
 
-// Expected returns the whole answer that o is to get to chat.
+// Expected returns the complete answer that o must get to chat.
 func (o Organisation) Expected(chat Chat) string {
-	return answer.Expected(append(o.system(), chat.Messages...), chat.MaxTokens)
+	return answer.Expected(append(o.systemMessages(), chat.Messages...), chat.MaxTokens)
 }
 
-// CheckAnswer returns what is wrong with an answer, or nil: every byte in order with
-// an explicit end, or the beginning of it with an explicit error.
+// CheckAnswer returns an error unless a is the complete answer to chat with an
+// explicit end, or a prefix of it with an explicit error.
 func (o Organisation) CheckAnswer(chat Chat, a Answer) error {
 	want := o.Expected(chat)
 	switch {
 	case a.TransportErr != nil:
 		return fmt.Errorf("no explicit end: %v", a)
 	case a.Failure != nil && !strings.HasPrefix(want, a.Text):
-		return fmt.Errorf("not the beginning of its own answer: %v", a)
+		return fmt.Errorf("text before the error is not a prefix of the expected answer: %v", a)
 	case a.Failure == nil && !a.Ended:
 		return fmt.Errorf("neither end nor error: %v", a)
 	case a.Failure == nil && a.Text != want:
-		return fmt.Errorf("not its own whole answer (%d bytes): %v", len(want), a)
+		return fmt.Errorf("not the expected answer of %d bytes: %v", len(want), a)
 	}
 	return nil
 }
 
-// CheckComplete is Check of an answer that may not fail.
+// CheckComplete is CheckAnswer that also rejects an explicit error.
 func (o Organisation) CheckComplete(chat Chat, a Answer) error {
 	if err := o.CheckAnswer(chat, a); err != nil {
 		return err
 	}
 	if a.Failure != nil {
-		return fmt.Errorf("refused or cut: %v", a)
+		return fmt.Errorf("refused or ended by an error: %v", a)
 	}
 	return nil
 }
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -13,14 +13,14 @@
 	"skylarklead/internal/faultproxy"
 )
 
-// Timeout is how long a proof waits for a condition. It is far longer than
-// anything should take, since the machine may be busy with other work.
+// Timeout is how long a test waits for a condition before it fails. It is far
+// longer than anything should take, since the machine may be busy with other work.
 const Timeout = 45 * time.Second
 
-// logTail is how many log lines of each process a failed proof shows.
-const logTail = 25
+// maxTailLines is how many log lines of each process a failed test shows.
+const maxTailLines = 25
 
-// LogLine is one JSON log line, or {"msg": text} for other output.
+// LogLine is a decoded JSON log line, or {"msg": text} for output that isn't JSON.
 type LogLine map[string]any
 
 // Matches reports whether the line has this message and these attribute values, given
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Process is a program that the harness started, with its log.
+// Process is a program that the harness started, with its output over all starts.
 type Process struct {
 	Name string
 	t    testing.TB
@@ -49,7 +49,8 @@
 	lines []LogLine
 }
 
-// StartProcess runs args and stops it at the end of the test.
+// StartProcess starts the program args[0] with the other args and kills it at the end
+// of the test.
 func StartProcess(t testing.TB, name string, args ...string) *Process {
 	t.Helper()
 	p := &Process{Name: name, t: t, args: args}
@@ -57,7 +58,7 @@
 	t.Cleanup(func() {
 		p.Kill()
 		if t.Failed() {
-			p.dump()
+			p.logLastLines()
 		}
 	})
 	return p
@@ -67,7 +68,7 @@
 func (p *Process) Restart() {
 	p.t.Helper()
 	cmd := exec.Command(p.args[0], p.args[1:]...)
-	// One pipe for both outputs; it ends with the process, which starts no other.
+	// One pipe for stdout and stderr. It ends with the process, which has no children.
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		p.t.Fatalf("%s: %v", p.Name, err)
@@ -85,13 +86,13 @@
 		sc := bufio.NewScanner(out)
 		sc.Buffer(nil, 1<<20)
 		for sc.Scan() {
-			p.note(sc.Text())
+			p.appendLine(sc.Text())
 		}
 		cmd.Wait()
 	}()
 }
 
-func (p *Process) note(text string) {
+func (p *Process) appendLine(text string) {
 	line := LogLine{}
 	if json.Unmarshal([]byte(text), &line) != nil {
 		line = LogLine{"msg": text}
@@ -123,44 +124,45 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended: // the number may be another process's by now
+	case <-p.ended: // the process ID may have been reused
 	default:
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.Ended()
 }
 
-// Pause freezes the process with SIGSTOP; Continue lets it go on.
+// Pause stops the process with SIGSTOP until Resume.
 func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// PauseFor is Stop, and Continue after d.
+// PauseFor is Pause, followed by Resume after d.
 func (p *Process) PauseFor(d time.Duration) {
 	p.Pause()
 	time.AfterFunc(d, p.Resume)
 }
 
-// Resume ends Stop.
+// Resume continues a paused process with SIGCONT.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Hangup says that the settings have changed.
+// Hangup sends SIGHUP, on which a daemon reloads its settings.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
 
-// Terminate asks for a graceful stop.
+// Terminate requests a graceful stop with SIGTERM.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// OwnsLocalAddress reports whether an address is the process's end of a connection.
+// OwnsLocalAddress reports whether address is the local address of a connection of
+// the process.
 func (p *Process) OwnsLocalAddress(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return faultproxy.OwnsLocalAddress(p.cmd.Process.Pid, address)
 }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -177,17 +179,17 @@
 	}
 }
 
-// ExitCode returns the code that the process has ended with.
+// ExitCode returns the exit code of the process, which must have ended.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.ProcessState.ExitCode()
 }
 
-func (p *Process) dump() {
+func (p *Process) logLastLines() {
 	lines := p.Lines()
-	if len(lines) > logTail {
-		lines = lines[len(lines)-logTail:]
+	if len(lines) > maxTailLines {
+		lines = lines[len(lines)-maxTailLines:]
 	}
 	var text strings.Builder
 	for _, line := range lines {
@@ -197,13 +199,14 @@
 	p.t.Logf("last lines of %s:\n%s", p.Name, text.String())
 }
 
-// Await polls until condition holds and fails the test if it doesn't in time.
+// Await polls until condition holds, and ends the test if it doesn't within Timeout.
+// what names the condition in the failure message.
 func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(Timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v in vain for: %s", Timeout, what)
+			t.Fatalf("timed out after %v waiting for: %s", Timeout, what)
 		}
 		time.Sleep(5 * time.Millisecond) // between two polls
 	}
--- a/test/harness/records.go
+++ b/test/harness/records.go
@@ -13,23 +13,23 @@
 // configStream is the log's stream of configuration records.
 const configStream = "config"
 
-// Record returns a record of schema 2 with this body.
+// Record returns a configuration record of schema 2 with this body.
 func Record(kind config.Kind, key string, base uint64, body any) config.Record {
 	data, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // bodies are maps of strings and numbers
+		panic(err) // unreachable: bodies are maps of strings and numbers
 	}
 	return config.Record{Schema: 2, Kind: kind, Key: key, Base: base, Operator: "proof", Body: data}
 }
 
-// ModelRecord returns the record that gives the cluster's model a version.
+// ModelRecord returns a record that sets the weights version of the cluster's model.
 func ModelRecord(base uint64, version string) config.Record {
 	return Record(config.KindModel, Model, base, map[string]any{
 		"group": Group, "versions": []string{"v1", "v2", "v3"}, "version": version, "max_tokens": 4096,
 	})
 }
 
-// Record returns o's record.
+// Record returns the configuration record of o, based on the revision base.
 func (o Organisation) Record(base uint64) config.Record {
 	digest := sha256.Sum256([]byte(o.Key))
 	return Record(config.KindOrganisation, o.ID, base, map[string]any{
@@ -40,7 +40,8 @@
 	})
 }
 
-// Publish appends a record straight to the platform and returns its offset.
+// Publish appends a record to the platform's log, not through a fault proxy, and
+// returns its offset.
 func (c *Cluster) Publish(r config.Record) uint64 {
 	c.t.Helper()
 	data, err := r.Encode()
@@ -56,7 +57,7 @@
 	return offset
 }
 
-// publishAll publishes what every cluster has.
+// publishAll publishes the records that every cluster starts with.
 func (c *Cluster) publishAll() {
 	for _, group := range []string{Group, ServiceGroup} {
 		c.Publish(Record(config.KindGroup, group, 0, map[string]any{"load_permits": 3}))
@@ -65,15 +66,16 @@
 	c.Publish(Record(config.KindService, Service, 0, map[string]any{
 		"group": ServiceGroup, "repeatable": []string{"/balance"}, "key_required": []string{"/pay"},
 	}))
-	for _, o := range c.orgs {
+	for _, o := range c.organisations {
 		c.Revisions[o.ID] = c.Publish(o.Record(0))
 	}
 }
 
-// awaitServing waits until every entry serves the last organisation.
+// awaitServing waits until every entry answers requests of the organisation that was
+// published last.
 func (c *Cluster) awaitServing() {
 	c.t.Helper()
-	last := c.orgs[len(c.orgs)-1]
+	last := c.organisations[len(c.organisations)-1]
 	for _, entry := range c.Entries {
 		caller := c.Caller(entry, last)
 		if len(c.Endpoints) > 0 {
--- a/test/harness/settle.go
+++ b/test/harness/settle.go
@@ -4,9 +4,9 @@
 
 var bothDirections = []faultproxy.Direction{faultproxy.Upstream, faultproxy.Downstream}
 
-// ClearFaultsAndDrain heals every proxy, lets stopped daemons go on, drains the fleet and
-// waits until nothing is on its way to a back end any more. After it, a back
-// end's count is final.
+// ClearFaultsAndDrain ends all faults, resumes paused daemons, stops all daemons
+// gracefully and waits until no connection to a back end is open. After it, the
+// back ends' counts of runs are final.
 func (c *Cluster) ClearFaultsAndDrain() {
 	c.t.Helper()
 	for _, n := range c.Nodes() {
@@ -26,7 +26,7 @@
 	}
 }
 
-// ClearFaults ends every fault around a daemon.
+// ClearFaults ends every fault around a daemon and resumes it if paused.
 func (n *Node) ClearFaults() {
 	n.Resume()
 	for _, p := range []*faultproxy.Proxy{n.PlatformProxy, n.PeerProxy, n.BackendProxy} {
