--- a/test/adopt_test.go
+++ b/test/adopt_test.go
@@ -7,12 +7,10 @@
 	"skylarklead/test/harness"
 )
 
-// Symptom: a caller who comes back is told that its stream is lost, while the
-// engine goes on with it.
-// Sequence: the caller's connection and then the endpoint process are lost in
-// mid-stream; the process is started again, and the caller resumes by another
-// entry. Another organisation tries to resume the same stream before.
-// Cause: an attempt was known to the epoch that took its Run alone.
+// A caller loses its connection in mid-stream, then the endpoint process is
+// restarted, and the caller resumes through another entry. The stream must continue,
+// since the engine still runs it: the attempt must be known to the epoch after the
+// one that took its Run. Another organisation must not be able to resume the stream.
 func TestStreamOutlivesCallerAndProcess(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 1, Entries: 2})
@@ -23,7 +21,7 @@
 	defer hangUp()
 	chat := harness.NewChat("outlives", 150)
 	chat.OnEvent = func(events int) {
-		if events == faultAt {
+		if events == faultEvent {
 			hangUp()
 		}
 	}
--- a/test/harness/extra.go
+++ b/test/harness/extra.go
@@ -89,9 +89,9 @@
 // Supervise restarts a back end whenever its process has ended, as the platform
 // does, until the returned function is called.
 func (b *Backend) Supervise() (stop func()) {
-	done, over := make(chan struct{}), make(chan struct{})
+	done, finished := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(finished)
 		for {
 			select {
 			case <-done:
@@ -103,7 +103,7 @@
 	}()
 	return func() {
 		close(done)
-		<-over
+		<-finished
 	}
 }
 
--- a/test/herd_test.go
+++ b/test/herd_test.go
@@ -16,32 +16,33 @@
 
 const (
 	herdCallers = 12
-	// steadyRequests are counted before a phase of steady service is over.
+	// steadyRequests is the number of complete answers that ends a phase of steady
+	// service.
 	steadyRequests = 120
-	// slowSpell is how long the platform is slow: long beside what a process
-	// polls the list and reads the log in, short beside CI.
-	slowSpell = 8 * time.Second
-	// At slowMs and verySlowMs a call with an idempotency key gets its claim while
-	// its caller waits, at hopelessMs it can't: an append times out.
+	// slowPhase is how long the platform stays slow: long compared with the intervals in
+	// which a process polls the instance list and reads the log, short enough for CI.
+	slowPhase = 8 * time.Second
+	// Platform delays. At slowMs and verySlowMs a call with an idempotency key gets its
+	// claim while its caller waits; at tooSlowMs it can't, because the append times out.
 	slowMs     = 300
 	verySlowMs = 1500
-	hopelessMs = 5000
+	tooSlowMs  = 5000
 )
 
-// traffic is callers who send chats, calls that may be repeated and calls that
-// may not, without a pause.
+// traffic is a set of callers that send chats, repeatable calls and calls with an
+// idempotency key without a pause.
 type traffic struct {
-	t      *testing.T
-	c      *harness.Cluster
-	over   atomic.Bool
-	steady atomic.Bool
-	// noClaims is set while calls with a key may be refused.
-	noClaims atomic.Bool
-	refused  atomic.Int64
-	whole    atomic.Int64
-	broken   atomic.Int64
-	callers  sync.WaitGroup
-	// keyed has what the calls with a key were told, by request ID.
+	t       *testing.T
+	c       *harness.Cluster
+	stopped atomic.Bool
+	steady  atomic.Bool
+	// claimsMayFail is set while calls with an idempotency key may be refused.
+	claimsMayFail atomic.Bool
+	refused       atomic.Int64
+	complete      atomic.Int64
+	failed        atomic.Int64
+	callers       sync.WaitGroup
+	// keyed has the answers to the calls with an idempotency key, by request ID.
 	keyedMu sync.Mutex
 	keyed   map[string]harness.Answer
 }
@@ -50,8 +51,8 @@
 	tr := &traffic{t: t, c: c, keyed: map[string]harness.Answer{}}
 	for i := range herdCallers {
 		tr.callers.Go(func() {
-			for n := 0; !tr.over.Load(); n++ {
-				tr.one(i, n)
+			for n := 0; !tr.stopped.Load(); n++ {
+				tr.sendOne(i, n)
 			}
 		})
 	}
@@ -59,14 +60,14 @@
 }
 
 func (tr *traffic) stop() {
-	tr.over.Store(true)
+	tr.stopped.Store(true)
 	tr.callers.Wait()
 }
 
-// one sends one request. Begun in a steady phase, it has to be answered wholly;
-// at any time what arrives has to be the beginning of its own answer.
-func (tr *traffic) one(i, n int) {
-	steady, noClaims := tr.steady.Load(), tr.noClaims.Load()
+// sendOne sends one request. If it is sent in a steady phase it must get its complete
+// answer; at any time, what arrives must be a prefix of its own answer.
+func (tr *traffic) sendOne(i, n int) {
+	steady, noClaims := tr.steady.Load(), tr.claimsMayFail.Load()
 	entry := tr.c.Entries[(i+n)%len(tr.c.Entries)]
 	token := fmt.Sprintf("herd-%d-%d", i, n)
 	a, want := tr.send(tr.c.Caller(entry, harness.Hospice), i, token)
@@ -76,31 +77,32 @@
 		tr.keyed[token] = a
 		tr.keyedMu.Unlock()
 	}
-	good := a.TransportErr == nil && a.Failure == nil && a.Ended && a.Text == want
+	complete := a.TransportErr == nil && a.Failure == nil && a.Ended && a.Text == want
 	switch {
 	case !strings.HasPrefix(want, a.Text) || keyed && a.RunNumber > 1:
 		tr.t.Errorf("%s by %s: not its own answer, or run %d: %v", token, entry.ID, a.RunNumber, a)
-	case good:
-		tr.whole.Add(1)
-	case (noClaims || tr.noClaims.Load()) && keyed && truthfullyRefused(a):
+	case complete:
+		tr.complete.Add(1)
+	case (noClaims || tr.claimsMayFail.Load()) && keyed && refusedWithRetryAfter(a):
 		tr.refused.Add(1)
 	case steady:
 		tr.t.Errorf("%s by %s, in steady service: %v", token, entry.ID, a)
 	default:
-		tr.broken.Add(1)
-		time.Sleep(10 * time.Millisecond) // a caller whose entry is dead
+		tr.failed.Add(1)
+		time.Sleep(10 * time.Millisecond) // limits retries to an entry that is down
 	}
 }
 
-// truthfullyRefused reports whether a call was refused since it couldn't be
-// claimed in time, with when to come back. Its claim may still take effect, so
-// that it is not always said to have not run.
-func truthfullyRefused(a harness.Answer) bool {
+// refusedWithRetryAfter reports whether a call was refused because its claim wasn't
+// confirmed in time, with a time to retry. The claim may still take effect, so the
+// outcome isn't always not_run.
+func refusedWithRetryAfter(a harness.Answer) bool {
 	return a.Failure != nil && a.Failure.Code == protocol.CodeLogUnavailable &&
 		a.Failure.Ran != protocol.Done && a.Failure.RetryAfterMs > 0
 }
 
-// keyedKind is the kind of callers whose calls may run at most once.
+// keyedKind is the kind of callers whose calls have an idempotency key and may run
+// at most once.
 const keyedKind = 1
 
 func (tr *traffic) send(caller harness.Caller, kind int, token string) (a harness.Answer, want string) {
@@ -115,79 +117,76 @@
 	return caller.Chat(ctx, chat), harness.Hospice.Expected(chat)
 }
 
-// awaitWhole waits for so many more whole answers.
-func (tr *traffic) awaitWhole(what string, more int64) {
+// awaitComplete waits for this many more complete answers.
+func (tr *traffic) awaitComplete(what string, more int64) {
 	tr.t.Helper()
-	until := tr.whole.Load() + more
-	harness.Await(tr.t, what, func() bool { return tr.whole.Load() >= until })
+	until := tr.complete.Load() + more
+	harness.Await(tr.t, what, func() bool { return tr.complete.Load() >= until })
 }
 
-// Symptom: after a restart of everything, service stays bad: callers are refused
-// or wait though every process is up; or one was told that its payment did not run.
-// Sequence: every entry and endpoint process is killed and started again under
-// load, and as soon as they are up the endpoint processes alone, twice: entries then
-// remember what died.
-// Cause: restarted processes overload the platform or each other; what was
-// learnt of dead epochs is still believed.
+// All entries and endpoint processes are killed and restarted under load, then twice
+// the endpoint processes alone, so that entries have state of earlier epochs. Service
+// must recover once every process is up, though all of them start at the same time
+// and load the platform and each other, and no call that ran may be reported as
+// not_run.
 func TestHerdRestartsUnderLoad(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 4, Services: 2, Entries: 3})
 	tr := startTraffic(t, c)
 	defer tr.stop()
-	tr.awaitWhole("traffic", steadyRequests)
-	for _, n := range c.Services { // so that calls are under way when it is killed
+	tr.awaitComplete("traffic", steadyRequests)
+	for _, n := range c.Services { // so that calls are in flight when it is killed
 		c.Control(n.Backend, map[string]any{"delay_ms": payDelay})
 	}
 	executors := slices.Concat(c.Endpoints, c.Services)
 	for _, nodes := range [][]*harness.Node{c.Nodes(), executors, executors} {
 		began := time.Now()
 		harness.KillAndRestart(nodes...)
-		tr.awaitWhole("the first answer", 1)
-		t.Logf("first whole answer %v after the first kill", time.Since(began).Round(time.Millisecond))
+		tr.awaitComplete("the first answer", 1)
+		t.Logf("first complete answer %v after the first kill", time.Since(began).Round(time.Millisecond))
 		for _, n := range c.Nodes() {
 			c.AwaitReady(n)
 		}
 	}
 	tr.steady.Store(true)
-	tr.awaitWhole("steady service", steadyRequests)
-	t.Logf("%d whole answers, %d requests broken by the restarts", tr.whole.Load(), tr.broken.Load())
+	tr.awaitComplete("steady service", steadyRequests)
+	t.Logf("%d complete answers, %d requests failed during the restarts", tr.complete.Load(), tr.failed.Load())
 	tr.stop()
 	c.ClearFaultsAndDrain()
 	checkRuns(t, tr.keyed, runsOf(c), true)
 }
 
-// Symptom: callers are refused while engines and services are idle.
-// Sequence: under load the platform takes a third of a second, then more than a
-// second, then five, for each read and append. Calls that may run only once need a
-// claim on the log; they alone may be refused, truthfully, and only when it takes
-// longer than their callers could wait.
-// Cause: a request waits for the platform, or processes are taken for dead since
-// the platform doesn't tell of them.
+// Under load the platform takes a third of a second, then more than a second, then
+// five, for each read and append. Requests must be served all the same: they must not
+// wait for the platform, nor may processes be considered dead because the platform
+// doesn't report them. Only calls with an idempotency key, which need a claim on the
+// log, may be refused, with a true outcome, and only when a claim takes longer than
+// their callers can wait.
 func TestHerdPlatformSlow(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Services: 2, Entries: 2})
 	tr := startTraffic(t, c)
 	defer tr.stop()
 	tr.steady.Store(true)
-	tr.awaitWhole("traffic", steadyRequests)
-	for _, ms := range []int{slowMs, verySlowMs, hopelessMs} {
-		tr.noClaims.Store(ms == hopelessMs)
+	tr.awaitComplete("traffic", steadyRequests)
+	for _, ms := range []int{slowMs, verySlowMs, tooSlowMs} {
+		tr.claimsMayFail.Store(ms == tooSlowMs)
 		c.Control(c.Platform, map[string]any{"slow_ms": ms})
-		spell, before := time.Now(), tr.whole.Load()
-		harness.Await(t, "the slow spell to pass", func() bool {
-			return time.Since(spell) > slowSpell && (ms != hopelessMs || tr.refused.Load() > 0)
+		began, before := time.Now(), tr.complete.Load()
+		harness.Await(t, "the slow phase to end", func() bool {
+			return time.Since(began) > slowPhase && (ms != tooSlowMs || tr.refused.Load() > 0)
 		})
-		tr.awaitWhole("traffic in the slow spell", steadyRequests)
-		t.Logf("%d whole answers in %v of a platform that takes %d ms, %d calls with a key refused",
-			tr.whole.Load()-before, time.Since(spell).Round(time.Second), ms, tr.refused.Load())
+		tr.awaitComplete("traffic in the slow phase", steadyRequests)
+		t.Logf("%d complete answers in %v with a platform delay of %d ms, %d calls with a key refused",
+			tr.complete.Load()-before, time.Since(began).Round(time.Second), ms, tr.refused.Load())
 	}
 	c.Control(c.Platform, map[string]any{"slow_ms": 0})
-	tr.awaitKeyed("a call with a key after the slow spell")
-	tr.noClaims.Store(false)
-	tr.awaitWhole("traffic after the slow spell", steadyRequests)
+	tr.awaitKeyed("a call with a key after the slow phase")
+	tr.claimsMayFail.Store(false)
+	tr.awaitComplete("traffic after the slow phase", steadyRequests)
 }
 
-// awaitKeyed waits until a call with a key is answered at each entry.
+// awaitKeyed waits until each entry answers a call with an idempotency key.
 func (tr *traffic) awaitKeyed(what string) {
 	tr.t.Helper()
 	for _, entry := range tr.c.Entries {
@@ -196,7 +195,7 @@
 			if a.Ended {
 				break
 			}
-			if !truthfullyRefused(a) || n == 10 {
+			if !refusedWithRetryAfter(a) || n == 10 {
 				tr.t.Fatalf("%s: %v", what, a)
 			}
 			time.Sleep(time.Duration(a.Failure.RetryAfterMs) * time.Millisecond)
--- a/test/lease_test.go
+++ b/test/lease_test.go
@@ -12,23 +12,23 @@
 	"skylarklead/test/harness"
 )
 
-// orderLine is what an engine's own log says of an order that it took.
-type orderLine struct {
+// loggedOrder is an order that an engine accepted, from the engine's own log.
+type loggedOrder struct {
 	at      time.Time
 	fence   float64
 	version string
 }
 
-func orderLines(t *testing.T, n *harness.Node) []orderLine {
+func loggedOrders(t *testing.T, n *harness.Node) []loggedOrder {
 	t.Helper()
-	var orders []orderLine
+	var orders []loggedOrder
 	for _, line := range n.Backend.Lines() {
 		if !line.Matches("order") {
 			continue
 		}
 		fence, _ := line["fence"].(float64)
 		version, _ := line["version"].(string)
-		orders = append(orders, orderLine{at: lineTime(t, line), fence: fence, version: version})
+		orders = append(orders, loggedOrder{at: lineTime(t, line), fence: fence, version: version})
 	}
 	return orders
 }
@@ -43,13 +43,12 @@
 	return at
 }
 
-// Symptom: after a roll-out is over an engine goes back to an older version.
-// Sequence: an endpoint process holds the lease on its engine's orders and can't
-// reach the engine; it is stopped (SIGSTOP) while it holds; the platform puts
-// another process in its place, which takes the lease after its end and orders a
-// newer version; the first goes on, cut off from the log, and still believes.
-// Cause: the holder trusts a check of its lease that is older than its pause, or
-// waits for the log to tell it.
+// An endpoint process holds the lease for its engine's orders and can't reach the
+// engine when it is paused (SIGSTOP). The platform replaces it; the replacement
+// acquires the lease after its expiry and orders a newer version. Then the first
+// process resumes, cut off from the log. It must not order the older version: it must
+// not rely on a lease check from before its pause, nor on the log for the loss of its
+// lease.
 func TestLeaseStoppedHolderStillBelieves(t *testing.T) {
 	t.Parallel()
 	for _, checks := range []bool{true, false} {
@@ -73,28 +72,28 @@
 			publishModel(c, revision, "v3")
 			successor := c.Replace(holder)
 			harness.Await(t, "the successor's version", func() bool { return c.EngineState(holder.Backend).Version == "v3" })
-			harness.Await(t, "the successor's line of the lease that it ordered with", func() bool {
+			harness.Await(t, "the successor to log its lease", func() bool {
 				return successor.CountLog("lease granted", "lease", order) > 0
 			})
 			holder.Resume()
-			orders := orderLines(t, holder)
-			harness.Await(t, "the holder to find out, or to order", func() bool {
-				return holder.CountLog("lease lost", "lease", order) > 0 || len(orderLines(t, holder)) > len(orders)
+			orders := loggedOrders(t, holder)
+			harness.Await(t, "the former holder to notice the loss of its lease, or to order", func() bool {
+				return holder.CountLog("lease lost", "lease", order) > 0 || len(loggedOrders(t, holder)) > len(orders)
 			})
 			c.AwaitStatus(holder, "to read the engine", func(s *protocol.Status) bool { return s.Load.Version == "v3" })
 			account := c.Account(holder.Backend)
 			if account.Totals.StaleOrders != 0 || account.Totals.RefusedOrders != 0 || account.Weights != "v3" {
-				t.Errorf("engine has %s, took %d old orders and refused %d", account.Weights, account.Totals.StaleOrders, account.Totals.RefusedOrders)
+				t.Errorf("engine has version %s, accepted %d stale orders and refused %d", account.Weights, account.Totals.StaleOrders, account.Totals.RefusedOrders)
 			}
-			if orders = orderLines(t, holder); !slices.IsSortedFunc(orders, func(a, b orderLine) int { return int(a.fence - b.fence) }) {
-				t.Errorf("fencing numbers of the engine's orders: %v", orders)
+			if orders = loggedOrders(t, holder); !slices.IsSortedFunc(orders, func(a, b loggedOrder) int { return int(a.fence - b.fence) }) {
+				t.Errorf("fencing tokens of the engine's orders aren't in order: %v", orders)
 			}
 		})
 	}
 }
 
-// publishModel publishes a version of the cluster's model and returns the
-// record's offset. A base of 0 stands for the record of the cluster's start.
+// publishModel publishes a version of the cluster's model and returns the record's
+// offset. Base 0 stands for the model's record from the start of the cluster.
 func publishModel(c *harness.Cluster, base uint64, version string) uint64 {
 	if base == 0 {
 		base = c.Revisions[harness.Model]
@@ -104,21 +103,21 @@
 
 const (
 	replicas = 6
-	// loadPermits is what the group's record says.
+	// loadPermits is the value in the group's record, set by the harness.
 	loadPermits = 3
 )
 
-// span is when an engine was loading, at most: from its own line of the order to
-// its process's line that it was read back.
+// span is an upper bound of the time in which an engine was loading: from its own
+// log line of the order to its endpoint process's line that the version is in force.
 type span struct{ from, until time.Time }
 
 func loadSpans(t *testing.T, nodes []*harness.Node) []span {
 	t.Helper()
 	var spans []span
 	for _, n := range nodes {
-		orders := orderLines(t, n)
+		orders := loggedOrders(t, n)
 		if len(orders) != 1 {
-			t.Fatalf("%s got %d orders; want 1", n.ID, len(orders))
+			t.Fatalf("the engine of %s received %d orders; want 1", n.ID, len(orders))
 		}
 		for _, line := range n.Lines() {
 			if line.Matches("decision", "kind", "placement", "reason", "in_force") {
@@ -129,8 +128,8 @@
 	return spans
 }
 
-// mostAtOnce returns how many spans overlap at most.
-func mostAtOnce(spans []span) int {
+// maxOverlap returns the maximum number of spans that overlap.
+func maxOverlap(spans []span) int {
 	most := 0
 	for _, s := range spans {
 		at := 0
@@ -144,13 +143,12 @@
 	return most
 }
 
-// Symptom: a new version takes the whole group out of service at once, and the
-// weight store's speed is shared among all of it.
-// Sequence: a model's version changes; six replicas want to load, three may.
-// Cause: each process orders by itself.
+// A model's version changes in a group of six replicas with three load permits. At
+// most three may load at a time. If each process ordered independently, the whole
+// group would be out of service at once and share the bandwidth of the weight store.
 func TestLeasePermitsBoundLoads(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Options{Engines: replicas, Entries: 1, EngineArgs: []string{"--load-ms", "500"}, Settings: calmHeartbeats})
+	c := harness.Start(t, harness.Options{Engines: replicas, Entries: 1, EngineArgs: []string{"--load-ms", "500"}, Settings: lenientHeartbeats})
 	publishModel(c, 0, "v2")
 	harness.Await(t, "every replica's new version", func() bool {
 		for _, n := range c.Endpoints {
@@ -161,19 +159,20 @@
 		return true
 	})
 	spans := loadSpans(t, c.Endpoints)
-	most := mostAtOnce(spans)
+	most := maxOverlap(spans)
 	t.Logf("at most %d of %d replicas loaded at once", most, len(spans))
 	if len(spans) != replicas || most > loadPermits {
-		t.Errorf("%d replicas loaded, %d at once; want %d, at most %d", len(spans), most, replicas, loadPermits)
+		t.Errorf("%d replicas loaded, up to %d at once; want %d, at most %d at once", len(spans), most, replicas, loadPermits)
 	}
 	chat := harness.NewChat("after", 5)
 	if err := harness.Hospice.CheckComplete(chat, c.Caller(c.Entries[0], harness.Hospice).Chat(t.Context(), chat)); err != nil {
-		t.Errorf("a request after the roll-out: %v", err)
+		t.Errorf("a request after the rollout: %v", err)
 	}
 }
 
-// calmHeartbeats keeps a busy machine from making replicas suspect.
-func calmHeartbeats(s *settings.Settings) {
+// lenientHeartbeats raises SuspectAfter, so that replicas don't become suspect on a
+// busy machine.
+func lenientHeartbeats(s *settings.Settings) {
 	if s.Endpoint != nil {
 		s.Endpoint.SuspectAfter = settings.Duration(5 * time.Second)
 	}
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,5 +1,5 @@
-// Package test has the process-level proofs: real processes behind fault
-// proxies. docs/PROOFS.md says what each proves and what not.
+// Package test has the process-level tests, which run real processes behind fault
+// proxies. docs/PROOFS.md says what each test proves and what it doesn't.
 package test
 
 import (
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -6,9 +6,9 @@
 	"skylarklead/test/harness"
 )
 
-// TestPath takes requests from caller to engine and back through separate
-// processes. Those with the same instructions land on the same endpoint, also by
-// way of another entry, and are cache hits by the engine's own account.
+// TestPath sends requests through separate processes from caller to engine and back.
+// Requests with the same instructions must go to the same endpoint, also through
+// different entries, and be cache hits by the engine's own account.
 func TestPath(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Services: 1, Entries: 2})
@@ -25,13 +25,13 @@
 		hits = append(hits, c.Account(n.Backend).Totals.HitsBySalt[harness.Foodbank.ID])
 	}
 	if len(executors) != 1 {
-		t.Errorf("one prefix was run by %v", executors)
+		t.Errorf("requests with the same prefix were run by several endpoints: %v", executors)
 	}
 	want := harness.Foodbank.InstructionTokens()
 	if hits[0] != 0 || hits[1] < want || hits[2] < 2*want {
 		t.Errorf("cached tokens %v; want 0, then at least %d more each time", hits, want)
 	}
-	harness.Await(t, "a decision line of routing for each request", func() bool {
+	harness.Await(t, "a logged routing decision for each request", func() bool {
 		routed := 0
 		for _, n := range c.Endpoints {
 			routed += n.CountLog("decision", "kind", "route")
--- a/test/poison_test.go
+++ b/test/poison_test.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// fatal is the text that crashes an engine.
-	fatal = "a-fatal-enquiry"
-	// bystanders are callers whose streams run on the engines meanwhile.
+	// poisonPrompt is the text in a prompt on which the engines crash.
+	poisonPrompt = "a-fatal-enquiry"
+	// bystanders is the number of callers whose harmless streams run meanwhile.
 	bystanders = 6
-	// maxTries is how often a caller comes back at most.
+	// maxTries is the maximum number of retries of a caller.
 	maxTries = 5
 )
 
-// poisonCluster starts a cluster whose engines crash on fatal, and restarts those
-// that exit.
+// poisonCluster starts a cluster whose engines crash on poisonPrompt, and restarts
+// engines that exit.
 func poisonCluster(t *testing.T, mode string) *harness.Cluster {
-	control := fmt.Sprintf(`{"crash_on":%q,"crash_mode":%q}`, fatal, mode)
+	control := fmt.Sprintf(`{"crash_on":%q,"crash_mode":%q}`, poisonPrompt, mode)
 	c := harness.Start(t, harness.Options{Engines: 4, Entries: 3, EngineArgs: []string{"--control", control}})
 	for _, n := range c.Endpoints {
 		t.Cleanup(n.Backend.Supervise())
@@ -37,8 +37,8 @@
 	return c
 }
 
-// inBothModes runs a test on engines that exit when they crash, and on others that
-// lose all that they hold.
+// inBothModes runs a test on engines that exit when they crash, and on engines that
+// keep running but lose all their state.
 func inBothModes(t *testing.T, test func(t *testing.T, c *harness.Cluster)) {
 	for _, mode := range []string{"exit", "reset"} {
 		t.Run(mode, func(t *testing.T) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// crashes is how often the engines have crashed, by their own logs, which outlive
-// their processes.
+// crashes returns how often the engines have crashed, by their logs, which the
+// harness keeps over restarts.
 func crashes(c *harness.Cluster) int {
 	total := 0
 	for _, n := range c.Endpoints {
@@ -58,22 +58,22 @@
 	return total
 }
 
-// runBystanders sends other callers' requests again and again. The returned
-// function ends that. The test fails unless each answer is whole or, where
-// mayComeBack, says explicitly when to come back and is whole in the end.
-func runBystanders(t *testing.T, c *harness.Cluster, mayComeBack bool) (stop func()) {
-	var over atomic.Bool
-	var whole, told atomic.Int64
+// runBystanders sends other callers' requests until the returned function is called.
+// The test fails unless each answer is complete. If mayRetry is set, a request may
+// also be refused with an explicit time to retry, and must be complete in the end.
+func runBystanders(t *testing.T, c *harness.Cluster, mayRetry bool) (stop func()) {
+	var stopped atomic.Bool
+	var complete, retries atomic.Int64
 	var callers sync.WaitGroup
 	for i := range bystanders {
-		// Those of the fatal request's organisation use the engines that it goes to.
+		// The poison request is Foodbank's, whose bystanders use the engines it goes to.
 		o := []harness.Organisation{harness.Foodbank, harness.Hospice}[i%2]
 		callers.Go(func() {
-			for n := 0; !over.Load(); n++ {
+			for n := 0; !stopped.Load(); n++ {
 				chat := harness.NewChat(fmt.Sprintf("bystander-%d-%d", i, n), 40)
 				a := c.Caller(c.Entries[i%len(c.Entries)], o).Chat(context.Background(), chat)
-				for try := 0; try < maxTries && mayComeBack && toldToComeBack(a) && o.CheckAnswer(chat, a) == nil; try++ {
-					told.Add(1)
+				for try := 0; try < maxTries && mayRetry && toldToRetry(a) && o.CheckAnswer(chat, a) == nil; try++ {
+					retries.Add(1)
 					time.Sleep(time.Duration(a.Failure.RetryAfterMs) * time.Millisecond)
 					a = c.Caller(c.Entries[i%len(c.Entries)], o).Chat(context.Background(), chat)
 				}
@@ -81,24 +81,24 @@
 					t.Errorf("bystander %d, request %d: %v", i, n, err)
 					continue
 				}
-				whole.Add(1)
+				complete.Add(1)
 			}
 		})
 	}
 	return func() {
-		over.Store(true)
+		stopped.Store(true)
 		callers.Wait()
-		t.Logf("%d whole answers to bystanders, who were told to come back %d times", whole.Load(), told.Load())
+		t.Logf("%d complete answers to bystanders, after %d retries", complete.Load(), retries.Load())
 	}
 }
 
 // checkGivenUp fails the test unless a is the final answer to a request that was
-// given up, with when to come back: in the header, or in the error event of a
-// stream whose header was out before the engine crashed.
+// given up, with a time to retry: in the header, or in the error event of a stream
+// whose header was sent before the engine crashed.
 func checkGivenUp(t *testing.T, what string, a harness.Answer) {
 	t.Helper()
 	if a.Failure == nil || a.Failure.Code != protocol.CodeGivenUp || a.Failure.RetryAfterMs <= 0 {
-		t.Errorf("%s: %v; want given_up and when to come back", what, a)
+		t.Errorf("%s: %v; want given_up and a time to retry", what, a)
 		return
 	}
 	if seconds, err := strconv.Atoi(a.RetryAfter); a.Status != http.StatusOK && (err != nil || seconds <= 0) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// checkRefused is checkGivenUp of a request that reached no engine.
+// checkRefused is checkGivenUp for a request that must not have reached an engine.
 func checkRefused(t *testing.T, what string, a harness.Answer) {
 	t.Helper()
 	checkGivenUp(t, what, a)
@@ -115,38 +115,38 @@
 	}
 }
 
-// awaitHeard waits until every endpoint process has given the request up, or
-// heard that another has.
-func awaitHeard(t *testing.T, c *harness.Cluster) {
+// awaitGivenUpEverywhere waits until every endpoint process has given up the request
+// or received notice that another one has.
+func awaitGivenUpEverywhere(t *testing.T, c *harness.Cluster) {
 	t.Helper()
-	harness.Await(t, "all endpoint processes to have heard", func() bool {
-		heard := 0
+	harness.Await(t, "all endpoint processes to know that the request is given up", func() bool {
+		informed := 0
 		for _, n := range c.Endpoints {
-			heard += min(1, n.CountLog("crash count received from peer", "verdict", "given_up")+n.CountLog("request given up"))
+			informed += min(1, n.CountLog("crash count received from peer", "verdict", "given_up")+n.CountLog("request given up"))
 		}
-		return heard == len(c.Endpoints)
+		return informed == len(c.Endpoints)
 	})
 }
 
-// Symptom: engines crash one after the other, and everyone's streams with them.
-// Sequence: one request crashes each engine that runs it; its caller sends it
-// again through one entry after the other, while others use the engines.
-// Cause: the request is retried elsewhere like one that was unlucky, and nobody
-// remembers it.
+// A request crashes every engine that runs it, and its caller sends it again through
+// each of the entries. If it were retried like any other failed request, and no
+// process remembered it, it would crash one engine after the other together with all
+// streams on them. The number of crashes must stay within the limit, and the other
+// callers' streams must be complete.
 func TestPoisonSentAgain(t *testing.T) {
 	t.Parallel()
 	inBothModes(t, func(t *testing.T, c *harness.Cluster) {
 		stop := runBystanders(t, c, false)
 		defer stop()
-		first := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
+		first := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), harness.NewChat(poisonPrompt, 10))
 		checkGivenUp(t, "sent first", first)
-		awaitHeard(t, c)
+		awaitGivenUpEverywhere(t, c)
 		const again = 12
 		for i := range again {
 			entry := c.Entries[i%len(c.Entries)]
 			began := time.Now()
-			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
-			checkRefused(t, fmt.Sprintf("sent again, time %d, by %s", i+1, entry.ID), a)
+			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.NewChat(poisonPrompt, 10))
+			checkRefused(t, fmt.Sprintf("sent again, time %d, through %s", i+1, entry.ID), a)
 			t.Logf("sent again, time %d: refused after %v", i+1, time.Since(began).Round(time.Millisecond))
 		}
 		if n := crashes(c); n < 1 || n > attempt.DefaultPoisonParams.MaxCrashes {
@@ -155,34 +155,33 @@
 	})
 }
 
-// toldToComeBack reports whether a caller was told to send its request again soon.
-func toldToComeBack(a harness.Answer) bool {
+// toldToRetry reports whether the answer is a refusal that asks for a retry soon.
+func toldToRetry(a harness.Answer) bool {
 	return a.Failure != nil && a.Failure.Code != protocol.CodeGivenUp && a.Failure.RetryAfterMs > 0
 }
 
-// sendUntilFinal sends the fatal request, comes back as told while the answer says
-// so, and returns the final one.
+// sendUntilFinal sends the poison request, retries while the answer asks for it, and
+// returns the final answer.
 func sendUntilFinal(t *testing.T, caller harness.Caller) harness.Answer {
 	for try := 0; ; try++ {
-		a := caller.Chat(t.Context(), harness.NewChat(fatal, 10))
-		if !toldToComeBack(a) || try == maxTries {
+		a := caller.Chat(t.Context(), harness.NewChat(poisonPrompt, 10))
+		if !toldToRetry(a) || try == maxTries {
 			return a
 		}
-		t.Logf("a copy was told to come back: %v", a)
+		t.Logf("a copy was told to retry: %v", a)
 		time.Sleep(time.Duration(a.Failure.RetryAfterMs) * time.Millisecond)
 	}
 }
 
-// Symptom: as above, though each caller sends the request only once.
-// Sequence: many copies of one request come through all entries at once, and as
-// many more when the last of them has its final answer.
-// Cause: copies that wait or run elsewhere aren't held back by the first crash.
+// Many copies of a poison request arrive through all entries at once, and as many
+// again after the last of them has its final answer. A crash must also stop the
+// copies that wait or run elsewhere; otherwise each of them crashes an engine.
 func TestPoisonManyCopiesAtOnce(t *testing.T) {
 	t.Parallel()
 	inBothModes(t, func(t *testing.T, c *harness.Cluster) {
 		stop := runBystanders(t, c, true)
 		defer stop()
-		// A few for each entry: they share its retry budget with the bystanders.
+		// Few for each entry: copies and bystanders share the entry's retry budget.
 		const copies, waves = 9, 2
 		for wave := range waves {
 			var callers sync.WaitGroup
@@ -195,48 +194,48 @@
 			}
 			callers.Wait()
 		}
-		// By internal/attempt: the limit, one for each other engine on which a
-		// copy ran already, and one for each whose process hadn't heard.
+		// The bound of internal/attempt: the limit, plus one for each other engine on
+		// which a copy was already running, plus one for each engine whose process had not
+		// received the notice.
 		bound := attempt.DefaultPoisonParams.MaxCrashes + 2*(len(c.Endpoints)-1)
 		atOnce := crashes(c)
-		t.Logf("%d crashes for twice %d copies at once", atOnce, copies)
+		t.Logf("%d crashes for two waves of %d copies", atOnce, copies)
 		if atOnce < 1 || atOnce > bound {
 			t.Errorf("%d crashes; want 1 to %d", atOnce, bound)
 		}
-		awaitHeard(t, c)
+		awaitGivenUpEverywhere(t, c)
 		for _, entry := range c.Entries {
-			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
-			checkRefused(t, "sent again by "+entry.ID, a)
+			a := c.Caller(entry, harness.Foodbank).Chat(t.Context(), harness.NewChat(poisonPrompt, 10))
+			checkRefused(t, "sent again through "+entry.ID, a)
 		}
 		if n := crashes(c); n != atOnce {
-			t.Errorf("%d more crashes after it was given up", n-atOnce)
+			t.Errorf("%d more crashes after the request was given up", n-atOnce)
 		}
 	})
 }
 
-// Symptom: a caller's harmless request gets given up.
-// Sequence: it runs beside the fatal one at the first crash, and again later; then
-// its engine crashes under it, of other causes, in one sending after the other.
-// Cause: whatever ran on an engine that crashed is held guilty, or stays suspect
-// though it has completed since.
+// A harmless request runs on the same engine as a poison request at the first crash,
+// and completes later. Then its engine crashes for other causes each time it is sent.
+// It must not be given up: not every request that was running at a crash is to blame,
+// and one that has completed since must no longer be suspected.
 func TestPoisonClearsBystanders(t *testing.T) {
 	t.Parallel()
 	c := poisonCluster(t, "reset")
-	// Both prompts begin alike, so both go to the same engine.
+	// Both prompts have the same prefix, so both go to the same engine.
 	chat := harness.NewChat("harmless", 200)
 	started := chat.NotifyAtEvent(1)
 	done := make(chan harness.Answer, 1)
 	go func() { done <- c.Caller(c.Entries[0], harness.Foodbank).Chat(context.Background(), chat) }()
 	<-started
-	a := c.Caller(c.Entries[1], harness.Foodbank).Chat(t.Context(), harness.NewChat(fatal, 10))
-	checkGivenUp(t, "the fatal request", a)
+	a := c.Caller(c.Entries[1], harness.Foodbank).Chat(t.Context(), harness.NewChat(poisonPrompt, 10))
+	checkGivenUp(t, "the poison request", a)
 	if err := harness.Foodbank.CheckComplete(chat, <-done); err != nil {
-		t.Errorf("the harmless request beside it: %v", err)
+		t.Errorf("the harmless request running at the crash: %v", err)
 	}
 	chat.OnEvent = nil
 	for _, entry := range c.Entries {
 		if err := harness.Foodbank.CheckComplete(chat, c.Caller(entry, harness.Foodbank).Chat(t.Context(), chat)); err != nil {
-			t.Errorf("the harmless request again, by %s: %v", entry.ID, err)
+			t.Errorf("the harmless request again, through %s: %v", entry.ID, err)
 		}
 	}
 	for round := range attempt.DefaultPoisonParams.MaxClears {
@@ -253,35 +252,35 @@
 		}
 		a := c.Caller(c.Entries[0], harness.Foodbank).Chat(t.Context(), chat)
 		if err := harness.Foodbank.CheckComplete(chat, a); err != nil {
-			t.Errorf("the harmless request under crash %d of another cause: %v", round+1, err)
+			t.Errorf("the harmless request in crash %d of another cause: %v", round+1, err)
 		}
 	}
-	if !strings.Contains(struckAt(c), "2") {
-		t.Log("the two requests didn't share an engine at the crash: ", struckAt(c))
+	if !strings.Contains(requestsAtCrashes(c), "2") {
+		t.Log("the two requests didn't share an engine at the crash: ", requestsAtCrashes(c))
 	}
 }
 
-// struckAt returns how many requests each crash found running.
-func struckAt(c *harness.Cluster) string {
-	var struck []string
+// requestsAtCrashes returns how many requests were running at each crash, as logged.
+func requestsAtCrashes(c *harness.Cluster) string {
+	var counts []string
 	for _, n := range c.Endpoints {
 		for _, line := range n.Lines() {
 			if line.Matches("engine crashed") {
-				struck = append(struck, fmt.Sprint(line["struck"]))
+				counts = append(counts, fmt.Sprint(line["struck"]))
 			}
 		}
 	}
-	return strings.Join(struck, " ")
+	return strings.Join(counts, " ")
 }
 
-// Symptom: one request crashes one engine again and again.
-// Sequence: copies of it wait at one endpoint process; the engine is back at once
-// each time, before its load is read again.
-// Cause: crashes are told apart by the incarnations that load reports name; of
-// one that was lost before its first report nobody knows the name.
+// Copies of a poison request wait in the queue of one endpoint process, and the
+// engine restarts after each crash before its load is read again. Each crash must be
+// counted: if crashes were told apart only by the incarnations in load reports, one of
+// an incarnation that crashed before its first report would be missed, and the request
+// would crash the engine again and again.
 func TestPoisonCrashesBeforeTheNextLoadReport(t *testing.T) {
 	t.Parallel()
-	control := fmt.Sprintf(`{"crash_on":%q,"crash_mode":"reset","restart_ms":1}`, fatal)
+	control := fmt.Sprintf(`{"crash_on":%q,"crash_mode":"reset","restart_ms":1}`, poisonPrompt)
 	c := harness.Start(t, harness.Options{
 		Engines: 1, Entries: 1, EngineArgs: []string{"--control", control},
 		Settings: func(s *settings.Settings) {
@@ -293,10 +292,10 @@
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
 	var copies sync.WaitGroup
 	for range 8 {
-		copies.Go(func() { caller.Chat(context.Background(), harness.NewChat(fatal, 10)) })
+		copies.Go(func() { caller.Chat(context.Background(), harness.NewChat(poisonPrompt, 10)) })
 	}
 	copies.Wait()
-	checkRefused(t, "a later sending", caller.Chat(t.Context(), harness.NewChat(fatal, 10)))
+	checkRefused(t, "sent again later", caller.Chat(t.Context(), harness.NewChat(poisonPrompt, 10)))
 	if n := crashes(c); n != attempt.DefaultPoisonParams.MaxCrashes {
 		t.Errorf("%d crashes; want %d", n, attempt.DefaultPoisonParams.MaxCrashes)
 	}
--- a/test/promise1_cache_test.go
+++ b/test/promise1_cache_test.go
@@ -8,12 +8,12 @@
 	"skylarklead/test/harness"
 )
 
-// twin has the same instructions as the foodbank, byte for byte.
+// twin is another organisation with the same instructions as Foodbank, byte for byte.
 var twin = harness.Organisation{ID: "twin", Key: "key-of-twin", Instructions: harness.Foodbank.Instructions}
 
-// Symptom: a charity's answer is computed from another one's cached text.
-// Sequence: two organisations with the same instructions ask one after the other.
-// Cause: cache entries that aren't salted by organisation.
+// Two organisations with the same instructions send requests one after the other.
+// Cache entries must be salted by organisation, so that neither gets an answer
+// computed from the cached prompt of the other.
 func TestPromise1OrganisationsShareNoCache(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 1, Entries: 1, Organisations: []harness.Organisation{harness.Foodbank, twin, harness.Hospice}})
@@ -24,16 +24,16 @@
 	if totals.ForeignHits != 0 || totals.HitsBySalt[harness.Foodbank.ID] != 0 {
 		t.Errorf("hits: %v, foreign %d", totals.HitsBySalt, totals.ForeignHits)
 	}
-	// The twin's first prompt was computed, its second one a hit.
+	// The twin's first prompt was computed; its second one was a cache hit.
 	if got, once := totals.HitsBySalt[twin.ID], twin.InstructionTokens(); got < once || got >= 2*once {
 		t.Errorf("the twin had %d cached tokens; want about %d", got, once)
 	}
 }
 
-// Symptom: a request is sent to an engine for cache entries that died with it.
-// Sequence: an engine that holds a prefix crashes and comes back empty at once;
-// the next request has the same prefix. Half of the engines' events are lost.
-// Cause: a cache picture that outlives its engine's incarnation.
+// An engine that holds a prefix crashes and restarts empty at once; the next request
+// has the same prefix. Half of the engines' cache events are lost. The cache view of
+// an engine must end with the engine's incarnation, or requests are routed to it for
+// cache entries that no longer exist.
 func TestPromise1NothingOfADeadEngineIsReliedOn(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, EngineArgs: []string{"--event-drop", "0.5"}})
@@ -46,14 +46,14 @@
 	now := c.Account(holder.Backend).Incarnation
 	for _, n := range c.Endpoints {
 		if n != holder {
-			harness.Await(t, "the group to hear of it", func() bool {
+			harness.Await(t, "the peer to learn of the new incarnation", func() bool {
 				return n.CountLog("peer engine has a new incarnation", "peer", holder.ID, "incarnation", now) > 0
 			})
 		}
 	}
 	a := mustAnswer(t, c, harness.Foodbank, "after")
-	if n := predicted(t, c, a); n != 0.0 {
-		t.Errorf("%v cached tokens were predicted of an engine that came back empty", n)
+	if n := predictedCached(t, c, a); n != 0.0 {
+		t.Errorf("%v cached tokens were predicted for an engine that restarted empty", n)
 	}
 	account := c.Account(holder.Backend)
 	if account.Incarnation == dead || account.Totals.ForeignHits != 0 {
@@ -61,9 +61,8 @@
 	}
 }
 
-// Symptom: an answer mixes two versions of the weights.
-// Sequence: the model's version is changed while callers ask.
-// Cause: cache entries, or streams, that outlive their weights.
+// The model's version changes while callers send requests. Neither cache entries nor
+// streams may continue under other weights: an answer would mix two versions.
 func TestPromise1NothingOfOlderWeightsIsReliedOn(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, Settings: retryFreely, PlatformArgs: []string{"--weights", "100ms"}})
@@ -73,7 +72,7 @@
 	done := make(chan struct{})
 	var callers sync.WaitGroup
 	for i := range 4 {
-		callers.Go(func() { askUntil(t, c, i, done) })
+		callers.Go(func() { chatUntil(t, c, i, done) })
 	}
 	c.Publish(harness.ModelRecord(c.Revisions[harness.Model], "v2"))
 	harness.Await(t, "both engines to have the new weights", func() bool {
@@ -81,11 +80,11 @@
 	})
 	close(done)
 	callers.Wait()
-	// The hospice's prefix was resident under the old weights, and nobody has asked
-	// for it since.
+	// The prefix of Hospice was resident under the old weights, and no request has used
+	// it since.
 	a := mustAnswer(t, c, harness.Hospice, "under-v2")
-	if n := predicted(t, c, a); n != 0.0 || a.CachedTokens != 0 {
-		t.Errorf("predicted %v, had %d cached tokens of older weights", n, a.CachedTokens)
+	if n := predictedCached(t, c, a); n != 0.0 || a.CachedTokens != 0 {
+		t.Errorf("%v cached tokens of older weights predicted, %d used", n, a.CachedTokens)
 	}
 	for _, n := range c.Endpoints {
 		account := c.Account(n.Backend)
@@ -95,11 +94,11 @@
 	}
 }
 
-// predicted returns how many cached tokens were relied on when a request was
-// placed, by the entry's decision line.
-func predicted(t *testing.T, c *harness.Cluster, a harness.Answer) (tokens any) {
+// predictedCached returns how many cached tokens were predicted when a request was
+// routed, from the decision that the entry logged.
+func predictedCached(t *testing.T, c *harness.Cluster, a harness.Answer) (tokens any) {
 	t.Helper()
-	harness.Await(t, "the decision line", func() bool {
+	harness.Await(t, "the logged decision", func() bool {
 		for _, line := range c.Entries[0].Lines() {
 			if line.Matches("decision", "kind", "request", "request", a.RequestID) {
 				tokens = line["predicted_cached"]
@@ -110,9 +109,9 @@
 	return tokens
 }
 
-// askUntil asks until done. Refusals are allowed while weights load; wrong or cut
-// answers are not.
-func askUntil(t *testing.T, c *harness.Cluster, caller int, done <-chan struct{}) {
+// chatUntil sends chats until done is closed. Refusals are allowed while weights are
+// loading; wrong or truncated answers are not.
+func chatUntil(t *testing.T, c *harness.Cluster, caller int, done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-done:
@@ -127,7 +126,7 @@
 	}
 }
 
-// mustAnswer gets one whole answer through the first entry.
+// mustAnswer returns the complete answer to one chat through the first entry.
 func mustAnswer(t *testing.T, c *harness.Cluster, o harness.Organisation, token string) harness.Answer {
 	t.Helper()
 	chat := harness.NewChat(token, 10)
--- a/test/promise1_import_test.go
+++ b/test/promise1_import_test.go
@@ -11,8 +11,8 @@
 	"skylarklead/test/harness"
 )
 
-// transferring switches imports on, with bounds that a busy machine keeps.
-func transferring(s *settings.Settings) {
+// enableTransfers enables imports, with time limits that a busy machine can meet.
+func enableTransfers(s *settings.Settings) {
 	if s.Endpoint != nil {
 		s.Endpoint.TransferTokensPerSecond = 200_000
 		s.Endpoint.TransferWait = settings.Duration(20 * time.Second)
@@ -20,15 +20,16 @@
 	}
 }
 
-// importer plays an entry before a donor and an executor, so that the test decides
-// what happens between a decision and the export.
+// importer acts as the entry for a donor and an executor, so that the test controls
+// what happens between a routing decision and the export.
 type importer struct {
 	t               *testing.T
 	c               *harness.Cluster
 	donor, executor *harness.Node
 }
 
-// sharedPrompt is a request with instructions of its own.
+// sharedPrompt is a request's prompt, with the organisation and weights version that
+// salt its cache entries.
 type sharedPrompt struct {
 	organisation, version string
 	instructions          []string
@@ -46,7 +47,7 @@
 	return prefix.Levels(salt.Root(), x.prompt())
 }
 
-// run has a node run the request, with a donor or without, and returns its End.
+// run makes n run the request, with a donor unless it is nil, and returns its End.
 func (i *importer) run(n *harness.Node, x sharedPrompt, donor *protocol.Donor) *protocol.End {
 	i.t.Helper()
 	var id protocol.AttemptID
@@ -64,8 +65,8 @@
 	return end
 }
 
-// decided names the donor as an owner would now.
-func (i *importer) decided(x sharedPrompt) *protocol.Donor {
+// donorDecision returns the donor as an owner would name it in a decision now.
+func (i *importer) donorDecision(x sharedPrompt) *protocol.Donor {
 	peer := i.c.Dial(i.donor).Peer()
 	return &protocol.Donor{
 		Target:      protocol.Target{Endpoint: i.donor.ID, Address: i.donor.Settings.Advertise, Epoch: peer.Epoch},
@@ -75,16 +76,14 @@
 	}
 }
 
-// Symptom: a request is answered from blocks that the owner never decided on: of
-// an engine or process that came after the one it named, of other weights, of
-// another organisation.
-// Sequence: an owner names a donor; before the executor asks for the blocks the
-// donor's engine crashes, comes back and holds the prefix again, or its process is
-// restarted, or the weights change; or the decision is another organisation's.
-// Cause: an import that goes by the donor's name alone.
+// An owner's decision names a donor. Before the executor requests the blocks, the
+// donor's engine crashes and holds the prefix again, or its process restarts, or the
+// weights change; or the decision belongs to another organisation. An import must
+// identify the blocks by more than the donor's name: by engine incarnation, process
+// epoch, weights and organisation.
 func TestPromise1ImportIsOfWhatWasDecided(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Options{Engines: 2, Settings: transferring, PlatformArgs: []string{"--weights", "100ms"}})
+	c := harness.Start(t, harness.Options{Engines: 2, Settings: enableTransfers, PlatformArgs: []string{"--weights", "100ms"}})
 	i := &importer{t: t, c: c, donor: c.Endpoints[0], executor: c.Endpoints[1]}
 	foodbank := func(version, subject string) sharedPrompt {
 		return sharedPrompt{harness.Foodbank.ID, version, harness.NewOrganisation("", subject).Instructions}
@@ -94,7 +93,8 @@
 	tests := []struct {
 		name, outcome string
 		asked, held   sharedPrompt
-		// between comes after the decision, whose prefix the donor then holds again.
+		// between is called after the decision; then the donor runs the prompt again, so
+		// that it holds the prefix.
 		between func()
 	}{
 		{"nothing changed", "imported", foodbank("v1", "one"), foodbank("v1", "one"), func() {}},
@@ -105,7 +105,7 @@
 	}
 	for _, test := range tests {
 		i.run(i.donor, test.held, nil)
-		donor := i.decided(test.held)
+		donor := i.donorDecision(test.held)
 		test.between()
 		again := test.held
 		again.version = test.asked.version
@@ -119,8 +119,8 @@
 			return i.executor.CountLog("decision", "kind", "import", "reason", test.outcome) > before
 		})
 	}
-	// The donor's own check: an export that names weights which it has no more.
-	old := i.decided(foodbank("v1", "five"))
+	// The donor itself refuses an export for weights that it no longer has loaded.
+	old := i.donorDecision(foodbank("v1", "five"))
 	reply, err := c.Dial(i.donor).Call(t.Context(), &protocol.Export{
 		Epoch: old.Target.Epoch, Incarnation: old.Incarnation, Version: old.Version, Hashes: []prefix.Hash{old.Level.Hash},
 	})
@@ -147,35 +147,36 @@
 func (i *importer) changeWeights() {
 	i.c.Publish(harness.ModelRecord(i.c.Revisions[harness.Model], "v2"))
 	for _, n := range i.c.Endpoints {
-		harness.Await(i.t, n.ID+" to know of the new weights", func() bool {
+		harness.Await(i.t, n.ID+" to report the new weights", func() bool {
 			status := i.c.Status(n)
 			return status != nil && status.Load.EngineUp && status.Load.Version == "v2"
 		})
 	}
 }
 
-// The whole path: an endpoint that is drained gives its prefixes to the one that
-// takes over.
+// An endpoint that is being drained serves as a donor of its prefixes to the endpoint
+// that takes over, on the path from drain command to answer.
 func TestPromise1LeavingHolderIsADonor(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, Settings: transferring})
+	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, Settings: enableTransfers})
 	i := &importer{t: t, c: c, donor: c.Endpoints[0], executor: c.Endpoints[1]}
-	// Without an owner's decision, so that what owners know is the endpoint's word.
+	// Not routed by an owner, so that owners know the prefix only from the endpoint's
+	// advertisement.
 	i.run(i.donor, sharedPrompt{harness.Foodbank.ID, "v1", harness.Foodbank.Instructions}, nil)
 	if r := c.Ctl("drain", i.donor.ID); r.Code != 0 {
 		t.Fatalf("drain: %+v", r)
 	}
-	harness.Await(t, "the owner to hear what the leaving endpoint holds", func() bool {
-		seen := i.seen(sharedPrompt{harness.Foodbank.ID, "v1", harness.Foodbank.Instructions})
-		return seen.Excluded != excludedByAsk && seen.CachedTokens > 0
+	harness.Await(t, "the owner to know what the leaving endpoint holds", func() bool {
+		seen := i.candidateSeen(sharedPrompt{harness.Foodbank.ID, "v1", harness.Foodbank.Instructions})
+		return seen.Excluded != excludedByRequest && seen.CachedTokens > 0
 	})
 	a := mustAnswer(t, c, harness.Foodbank, "after")
 	account := c.Account(i.executor.Backend)
 	if got := account.Totals.HitsByOrigin[c.Account(i.donor.Backend).Incarnation]; c.EndpointOf(a) != i.executor || got == 0 {
-		t.Errorf("%s had %d tokens of %s in its cache", a.Executor, got, i.donor.ID)
+		t.Errorf("%s ran the request with %d imported tokens of %s in cache", a.Executor, got, i.donor.ID)
 	}
-	// Lines reach the log up to a flush after what they tell; a process that has ended
-	// has written all of them.
+	// Log lines are buffered and may be written late; a process that has ended has
+	// written all of them.
 	i.executor.Terminate()
 	i.executor.AwaitEnd()
 	imports := i.executor.CountLog("decision", "kind", "import", "reason", "imported", "donor", i.donor.ID)
@@ -184,12 +185,13 @@
 	}
 }
 
-// excludedByAsk is why an endpoint that takes new work is left out by seen.
-const excludedByAsk = "already_failed"
+// excludedByRequest is the reason by which candidateSeen's request excludes an
+// endpoint that accepts new work.
+const excludedByRequest = "already_failed"
 
-// seen returns what the executor, as an owner, believes of the donor. The question
-// excludes both, so that it places nothing.
-func (i *importer) seen(x sharedPrompt) protocol.Candidate {
+// candidateSeen returns the donor as a candidate in a decision of the executor, which
+// acts as owner. The request excludes both, so that nothing is routed.
+func (i *importer) candidateSeen(x sharedPrompt) protocol.Candidate {
 	i.t.Helper()
 	reply, err := i.c.Dial(i.executor).Call(i.t.Context(), &protocol.Ask{
 		Request: "seen", Organisation: x.organisation, Group: harness.Group, Model: harness.Model,
@@ -205,5 +207,5 @@
 			return candidate
 		}
 	}
-	return protocol.Candidate{Excluded: excludedByAsk}
+	return protocol.Candidate{Excluded: excludedByRequest}
 }
--- a/test/promise2_streams_test.go
+++ b/test/promise2_streams_test.go
@@ -16,24 +16,22 @@
 const (
 	streams      = 6
 	streamTokens = 120
-	// faultAt is the event at which every stream is when the fault comes.
-	faultAt = 8
-	// outage is longer than it takes to find a silent peer.
+	// faultEvent is the event that every stream has reached when the fault is injected.
+	faultEvent = 8
+	// outage is longer than it takes to detect an unresponsive peer.
 	outage = 6 * time.Second
 )
 
-// Symptom: a treasurer's answer stops in the middle, has a hole or a doubled
-// part, or hangs.
-// Sequence: streams are running on one endpoint; then one process, connection or
-// direction of it fails.
-// Cause: a stream bound to its connection or process; chunks without sequence
-// numbers; an end that is inferred from silence.
+// While streams run on one endpoint, a process, a connection or one direction of a
+// connection fails. No answer may be truncated, have gaps or repeated parts, or hang:
+// streams must not depend on one connection or process, chunks need sequence numbers,
+// and the end of a stream must be explicit, not inferred from silence.
 func TestPromise2StreamsAreWhole(t *testing.T) {
 	faults := []struct {
 		name  string
 		fault func(c *harness.Cluster, n *harness.Node)
-		// onceEach demands that the engines run each stream once: a lost connection
-		// is made again, and nothing is computed twice.
+		// onceEach requires that the engines run each stream once: the lost connection is
+		// restored and nothing is computed twice.
 		onceEach bool
 	}{
 		{"endpoint process killed", func(_ *harness.Cluster, n *harness.Node) { n.Kill() }, false},
@@ -82,13 +80,13 @@
 		calls.Go(func() {
 			chat := harness.NewChat(fmt.Sprintf("stream-%d", i), streamTokens)
 			chat.OnEvent = func(n int) {
-				if n == faultAt {
+				if n == faultEvent {
 					ready.Add(1)
 				}
 			}
 			a := caller.Chat(t.Context(), chat)
 			if err := harness.Foodbank.CheckComplete(chat, a); err != nil {
-				t.Errorf("stream %d, though an endpoint is left: %v", i, err)
+				t.Errorf("stream %d, though one endpoint is available: %v", i, err)
 			}
 		})
 	}
@@ -101,13 +99,13 @@
 		}
 	}
 	if t.Failed() {
-		t.Logf("the fault was at %s", first.ID)
+		t.Logf("the fault was injected at %s", first.ID)
 	}
 }
 
-// retryFreely lets every stream of a proof be retried at once, and wait for its turn
-// for as long as its caller does; the budget and standing backlogs have tests of
-// their own.
+// retryFreely allows retries of all streams of a test at the same time and lets them
+// queue as long as their callers wait. The retry budget and standing queues have
+// tests of their own.
 func retryFreely(s *settings.Settings) {
 	if s.Entry != nil {
 		s.Entry.RetryShare = 1
@@ -117,17 +115,15 @@
 	}
 }
 
-// Symptom: a letter begins by one charter and ends by another.
-// Sequence: an operator changes the charter while an answer is under way; every
-// process has the change; then the answer's endpoint process is killed.
-// Cause: an answer gone on with under the instructions in force by then, not those
-// that it was begun under.
+// An organisation's instructions change while an answer is being generated, and every
+// process has the change when the endpoint process is killed. The answer must be
+// continued under the instructions that it began with, not those now in force.
 func TestPromise2AnswerKeepsItsCharter(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 1, Settings: retryFreely})
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
 	chat := harness.NewChat("charter", 600)
-	running := chat.NotifyAtEvent(faultAt)
+	running := chat.NotifyAtEvent(faultEvent)
 	answer := make(chan harness.Answer, 1)
 	executor := c.EndpointOf(caller.Chat(t.Context(), harness.NewChat("warm", 1)))
 	go func() { answer <- caller.Chat(t.Context(), chat) }()
--- a/test/promise3_restart_test.go
+++ b/test/promise3_restart_test.go
@@ -13,8 +13,8 @@
 	"skylarklead/test/harness"
 )
 
-// firstAnswer waits until an entry listens, sends one request at once, and fails
-// the test unless it is answered wholly. It returns the times since began.
+// firstAnswer waits until an entry listens, sends one request at once, and returns an
+// error unless the answer is complete. It logs the times since began.
 func firstAnswer(c *harness.Cluster, entry *harness.Node, o harness.Organisation, began time.Time) error {
 	var listening time.Duration
 	for {
@@ -34,13 +34,13 @@
 	if err := o.CheckComplete(chat, a); err != nil {
 		return fmt.Errorf("the first request at %s: %w", entry.ID, err)
 	}
-	c.T().Logf("%s: listening after %v, first token %v later, whole answer after %v", entry.ID,
+	c.T().Logf("%s: listening after %v, first token %v after the request, complete answer after %v", entry.ID,
 		listening.Round(time.Millisecond), a.FirstByte.Round(time.Millisecond), time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-// restartAll kills daemons together, starts them again together, and checks each
-// entry's first request, all at the same time.
+// restartAll kills all nodes, restarts them, and checks the first request at each
+// entry, at all entries concurrently.
 func restartAll(t *testing.T, c *harness.Cluster, nodes []*harness.Node, o harness.Organisation) {
 	t.Helper()
 	began := time.Now()
@@ -56,8 +56,8 @@
 	}
 }
 
-// makeListStale freezes the instance list while it names an endpoint that is no
-// more.
+// makeListStale adds an endpoint that doesn't exist to the instance list and freezes
+// the list.
 func makeListStale(c *harness.Cluster) {
 	gone := c.Endpoints[0].Settings
 	c.AddInstance(platform.Instance{
@@ -67,9 +67,9 @@
 	c.Control(c.Platform, map[string]any{"list_frozen": true})
 }
 
-// startExported starts a cluster and exports its state to the daemons' bootstrap
-// file.
-func startExported(t *testing.T) *harness.Cluster {
+// startWithExportedState starts a cluster and exports its state to the bootstrap file of
+// its daemons.
+func startWithExportedState(t *testing.T) *harness.Cluster {
 	dir := t.TempDir()
 	c := harness.Start(t, harness.Options{Engines: 3, Entries: 3, Settings: harness.WithBootstrap(dir)})
 	if r := c.Ctl("config", "export", "-o", harness.BootstrapFile(dir)); r.Code != ctl.ExitOK {
@@ -78,29 +78,25 @@
 	return c
 }
 
-// Symptom: after a failure of a whole site, entries listen and refuse their first
-// callers; or they don't listen until the log is back.
-// Sequence: the log goes down; the instance list stands still and names an
-// endpoint that is no more; every entry and endpoint process is killed and
-// started again, with nothing but an exported state to start from.
-// Cause: an entry listens before it knows a configuration and an endpoint, or
-// needs the log to know them.
+// A whole site restarts while the log is down and the instance list is frozen with an
+// endpoint that no longer exists; every process has only an exported state to start
+// from. Entries must start to listen without the log, but not before they have a
+// configuration and an endpoint, or they would refuse their first callers.
 func TestPromise3AllRestartWithoutLog(t *testing.T) {
 	t.Parallel()
-	c := startExported(t)
+	c := startWithExportedState(t)
 	makeListStale(c)
 	c.Control(c.Platform, map[string]any{"log_down": true})
 	restartAll(t, c, c.Nodes(), harness.Hospice)
 	c.Control(c.Platform, map[string]any{"log_down": false, "list_frozen": false})
 }
 
-// Symptom: as above, where no state was exported or the file is old.
-// Sequence: as above, but one endpoint process survives, and the configuration
-// has changed since the file was written.
-// Cause: a process that restarts doesn't ask its peers, or prefers an older file.
+// As above, but the exported state is outdated and one endpoint process survives with
+// the current configuration. Restarted processes must fetch it from their peer and
+// prefer it to the older file.
 func TestPromise3RestartFromPeer(t *testing.T) {
 	t.Parallel()
-	c := startExported(t)
+	c := startWithExportedState(t)
 	old, next := harness.Hospice, changed(harness.Hospice, "new")
 	offset := c.Publish(next.Record(c.Revisions[old.ID]))
 	survivor := c.Endpoints[0]
@@ -110,15 +106,14 @@
 	restartAll(t, c, append(append([]*harness.Node{}, c.Endpoints[1:]...), c.Entries...), next)
 	for _, entry := range c.Entries {
 		if !refusesKey(c, entry, old) {
-			t.Errorf("%s takes the old key", entry.ID)
+			t.Errorf("%s accepts the old key", entry.ID)
 		}
 	}
 }
 
-// Symptom: as above, while neither the log nor the instance list answers.
-// Sequence: the whole platform is unreachable; every entry is killed and started
-// again; its settings name two endpoint processes as peers.
-// Cause: endpoints are known by the list alone.
+// The whole platform is unreachable, log and instance list, when all entries restart;
+// their settings name two endpoint processes as peers. Entries must learn of the
+// endpoints from these peers, not from the instance list alone.
 func TestPromise3EntriesRestartWithoutPlatform(t *testing.T) {
 	t.Parallel()
 	var peers []string
--- a/test/promise4_own_test.go
+++ b/test/promise4_own_test.go
@@ -17,10 +17,10 @@
 	ownSeed     = 4
 )
 
-// Symptom: a family reads a sentence of another family's letter.
-// Sequence: many callers of two organisations share sessions; replies are late by
-// differing times and cross one another; links are cut and their streams resumed.
-// Cause: answers matched by connection or by order in place of the attempt's ID.
+// Many callers of two organisations share sessions; replies are delayed by different
+// times and overtake each other; connections are reset and their streams resumed. No
+// caller may get any part of another caller's answer: replies must be matched by
+// attempt ID, not by connection or order.
 func TestPromise4CallersGetTheirOwnAnswers(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 2, Settings: retryFreely})
@@ -28,7 +28,7 @@
 	disturbed := make(chan struct{})
 	go func() {
 		defer close(disturbed)
-		disturb(c, done)
+		injectFaults(c, done)
 	}()
 	var calls sync.WaitGroup
 	for i := range ownCallers {
@@ -45,13 +45,13 @@
 		chat := harness.NewChat(fmt.Sprintf("caller-%d-request-%d", caller, i), 15)
 		a := c.Caller(c.Entries[(caller/2)%2], organisation).Chat(t.Context(), chat)
 		if err := organisation.CheckComplete(chat, a); err != nil {
-			t.Errorf("caller %d request %d, though links only lag and break: %v", caller, i, err)
+			t.Errorf("caller %d request %d, though links are only delayed or reset: %v", caller, i, err)
 		}
 	}
 }
 
-// disturb varies delays and cuts links until done.
-func disturb(c *harness.Cluster, done <-chan struct{}) {
+// injectFaults changes the delays of links and resets links until done is closed.
+func injectFaults(c *harness.Cluster, done <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(ownSeed, 0))
 	ticker := time.NewTicker(150 * time.Millisecond)
 	defer ticker.Stop()
--- a/test/promise5_not_run_test.go
+++ b/test/promise5_not_run_test.go
@@ -15,17 +15,16 @@
 const (
 	confirmCallers = 8
 	confirmCalls   = 6
-	// confirmDelay makes runs overlap the faults.
+	// confirmDelay, in milliseconds, makes runs overlap the faults.
 	confirmDelay = 100
 )
 
-// Symptom: a caller is told that its payment confirmation did not run, sends it
-// again, and it has run twice.
-// Sequence: calls that may not be repeated are on their way to two replicas of a
-// service; a process, connection or direction fails at some step between accept,
-// hand-over, effect and answer.
-// Cause: not_run said by one who can't know: on a lost connection, by a new epoch,
-// or by an executor that a late Run still reaches.
+// While calls that may not be repeated are in flight to two replicas of a service, a
+// process, a connection or one direction of it fails at some step between acceptance,
+// dispatch to the service, effect and answer. A caller that is told not_run may send
+// the call again, so not_run must be true: a process must not report it when it can't
+// know, that is after a lost connection, in a new epoch, or while a late Run can still
+// arrive at the executor.
 func TestPromise5NotRunIsTrue(t *testing.T) {
 	faults := []struct {
 		name     string
@@ -81,7 +80,7 @@
 	}
 }
 
-// oneAtATime makes calls wait in the endpoint process's queue.
+// oneAtATime limits an endpoint to one running call, so that others are queued.
 func oneAtATime(s *settings.Settings) {
 	if s.Endpoint != nil {
 		s.Endpoint.MaxRunning = 1
@@ -118,8 +117,9 @@
 	checkRuns(t, answers, runsOf(c), false)
 }
 
-// runsOf sums the services' own counts by request ID. They are taken from the
-// logs, which outlive a killed service; its end completes its log.
+// runsOf returns how often the services ran each request ID, from their logs, which
+// the harness keeps when a service is killed. It kills the services first, so that
+// the logs are complete.
 func runsOf(c *harness.Cluster) map[string]int {
 	runs := map[string]int{}
 	for _, n := range c.Services {
@@ -133,11 +133,11 @@
 	return runs
 }
 
-// checkRuns fails the test if a request ran twice, or otherwise than was told. None
-// may be left without an answer unless entries were killed.
+// checkRuns fails the test if a request ran twice or its reported outcome is false.
+// Every request must have an explicit answer unless entries were killed.
 func checkRuns(t *testing.T, answers map[string]harness.Answer, runs map[string]int, entriesKilled bool) {
 	t.Helper()
-	said := map[protocol.Outcome]int{}
+	outcomes := map[protocol.Outcome]int{}
 	for id, a := range answers {
 		ran := runs[id]
 		switch {
@@ -151,10 +151,10 @@
 			t.Errorf("%s was told not_run but ran: %v", id, a)
 		}
 		if a.Failure != nil {
-			said[a.Failure.Ran]++
+			outcomes[a.Failure.Ran]++
 		} else {
-			said[protocol.Done]++
+			outcomes[protocol.Done]++
 		}
 	}
-	t.Logf("outcomes told: %v", said)
+	t.Logf("reported outcomes: %v", outcomes)
 }
--- a/test/promise6_once_test.go
+++ b/test/promise6_once_test.go
@@ -13,23 +13,22 @@
 
 const (
 	keyedCalls = 8
-	// keyedTries bounds how often a caller sends one key, keyedPause is between.
+	// keyedTries is how often a caller sends one key at most, with pauses of keyedPause.
 	keyedTries = 30
 	keyedPause = 300 * time.Millisecond
-	payDelay   = 150
+	payDelay   = 150 // of a run in the service, in milliseconds
 )
 
-// Symptom: a pledge letter goes out twice.
-// Sequence: the same idempotency key is sent through two entries at once and again
-// after each failure; meanwhile an entry, an endpoint process, the log or the
-// answer to an append fails.
-// Cause: duplicates looked for in one process's memory, an append sent again in
-// doubt, or a right to run that outlives its epoch.
+// The same idempotency key is sent through two entries at the same time and again
+// after each failure, while an entry, an endpoint process, the log or the reply to an
+// append fails. The call must run at most once: duplicates can't be detected in one
+// process's memory, an append with an unknown outcome must not lead to a second run,
+// and a claim must not outlive the epoch that made it.
 func TestPromise6RunsAtMostOnce(t *testing.T) {
 	faults := []struct {
 		name  string
 		fault func(c *harness.Cluster)
-		// answered demands that every key gets its answer in the end.
+		// answered requires that every key gets its answer in the end.
 		answered bool
 	}{
 		{"two entries at once", func(*harness.Cluster) {}, true},
@@ -49,7 +48,7 @@
 				return c.Services[0].CountLog("claims not appended")+c.Services[1].CountLog("claims not appended") > 0
 			})
 			c.Control(c.Platform, map[string]any{"log_down": false})
-			logOutage(c, 3*time.Second) // ends before the calls that are sent in it
+			logOutage(c, 3*time.Second) // ends before the calls sent during it give up
 		}, true},
 		{"entry killed in a log outage", func(c *harness.Cluster) {
 			logOutage(c, 3*time.Second)
@@ -81,10 +80,10 @@
 	time.AfterFunc(d, func() { c.Control(c.Platform, map[string]any{"log_down": false}) })
 }
 
-// keyed is what the callers of one key were told.
-type keyed struct {
-	answers []harness.Answer
-	first   time.Duration
+// keyAnswers has the answers to the callers of one key.
+type keyAnswers struct {
+	answers      []harness.Answer
+	settledAfter time.Duration
 }
 
 func onceUnder(t *testing.T, fault func(*harness.Cluster), answered bool) {
@@ -93,22 +92,22 @@
 		c.Control(n.Backend, map[string]any{"delay_ms": payDelay})
 	}
 	var mu sync.Mutex
-	told := map[string]*keyed{}
+	byKey := map[string]*keyAnswers{}
 	var calls sync.WaitGroup
 	send := func(wave int) {
 		mu.Lock()
 		defer mu.Unlock()
 		for i := range keyedCalls {
 			id := fmt.Sprintf("pay-%d-%d", wave, i)
-			k := &keyed{}
-			told[id] = k
+			k := &keyAnswers{}
+			byKey[id] = k
 			for _, entry := range c.Entries {
 				calls.Go(func() { sendKey(t, c, entry, id, &mu, k) })
 			}
 		}
 	}
 	send(0)
-	harness.Await(t, "runs to be under way", func() bool {
+	harness.Await(t, "runs to be in flight", func() bool {
 		n := 0
 		for _, s := range c.Services {
 			n += s.Backend.CountLog("run")
@@ -119,61 +118,63 @@
 	send(1)
 	calls.Wait()
 	for _, n := range c.Services {
-		t.Logf("%s lost %d answers of the platform", n.ID, n.PlatformProxy.LostReplies())
+		t.Logf("%s: %d replies of the platform were lost", n.ID, n.PlatformProxy.LostReplies())
 	}
 	c.ClearFaultsAndDrain()
-	checkOnce(t, told, runsOf(c), answered)
+	checkOnce(t, byKey, runsOf(c), answered)
 }
 
-// sendKey sends a key until its answer comes or its refusal is final.
-func sendKey(t *testing.T, c *harness.Cluster, entry *harness.Node, id string, mu *sync.Mutex, k *keyed) {
+// sendKey sends a key until the payment is known to be made, at most keyedTries times.
+func sendKey(t *testing.T, c *harness.Cluster, entry *harness.Node, id string, mu *sync.Mutex, k *keyAnswers) {
 	began := time.Now()
 	for range keyedTries {
 		a := c.Caller(entry, harness.Foodbank).Call(t.Context(), "/pay", id, "key-"+id)
 		mu.Lock()
 		k.answers = append(k.answers, a)
-		if answeredOnce(a) && k.first == 0 {
-			k.first = time.Since(began)
+		if paymentSettled(a) && k.settledAfter == 0 {
+			k.settledAfter = time.Since(began)
 		}
 		mu.Unlock()
-		if answeredOnce(a) {
+		if paymentSettled(a) {
 			return
 		}
-		time.Sleep(keyedPause) // the pause of a caller that comes back
+		time.Sleep(keyedPause) // as a caller that retries
 	}
 }
 
-// answeredOnce reports whether a caller knows that its payment is made: by the
-// answer, or by the word that it has run.
-func answeredOnce(a harness.Answer) bool {
+// paymentSettled reports whether a caller knows that its payment is made, by the
+// answer or by a refusal with the outcome done.
+func paymentSettled(a harness.Answer) bool {
 	return a.Ended || a.Failure != nil && a.Failure.Ran == protocol.Done
 }
 
-func checkOnce(t *testing.T, told map[string]*keyed, runs map[string]int, answered bool) {
+// checkOnce fails the test if a key ran more than once or was answered without a
+// run or, where answered is set, got no answer.
+func checkOnce(t *testing.T, byKey map[string]*keyAnswers, runs map[string]int, answered bool) {
 	t.Helper()
 	refusals := map[protocol.Code]int{}
 	var slowest time.Duration
 	unsettled := 0
-	for id, k := range told {
+	for id, k := range byKey {
 		last := k.answers[len(k.answers)-1]
 		if runs[id] > 1 {
 			t.Errorf("%s ran %d times; last answer %v", id, runs[id], last)
 		}
-		if k.first == 0 {
+		if k.settledAfter == 0 {
 			unsettled++
 		}
-		if answered && k.first == 0 {
+		if answered && k.settledAfter == 0 {
 			t.Errorf("%s got no answer in %d tries; last %v", id, len(k.answers), last)
 		}
-		if k.first > 0 && runs[id] != 1 {
+		if k.settledAfter > 0 && runs[id] != 1 {
 			t.Errorf("%s was answered but ran %d times", id, runs[id])
 		}
-		slowest = max(slowest, k.first)
+		slowest = max(slowest, k.settledAfter)
 		for _, a := range k.answers {
 			if a.Failure != nil {
 				refusals[a.Failure.Code]++
 			}
 		}
 	}
-	t.Logf("refusals on the way %v, slowest answer %v, keys left without one %d of %d", refusals, slowest, unsettled, len(told))
+	t.Logf("refusals before the answers: %v; slowest answer: %v; keys without an answer: %d of %d", refusals, slowest, unsettled, len(byKey))
 }
--- a/test/promise7_leaving_test.go
+++ b/test/promise7_leaving_test.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// listLag is how far the instance list is behind in these proofs.
+	// listLag is the delay of changes to the instance list in these tests.
 	listLag = 30 * time.Second
-	// leavingPatience is within "a few seconds" of the brief.
-	leavingPatience = 3 * time.Second
+	// leavingLimit is the time after which a leaving endpoint must get no new requests;
+	// the requirement is "a few seconds".
+	leavingLimit = 3 * time.Second
 )
 
-// Symptom: an endpoint that is to be taken away still gets new requests.
-// Sequence: it is told to leave, or gets SIGTERM with a stream open; the instance
-// list shows it live for half a minute more; its inbound link is frozen for all, or
-// for one entry, so that they can't hear of it, and what they sent arrives late.
-// Cause: leaving known from the list alone, or refused work that is late.
+// An endpoint gets SIGTERM with a stream open, while the instance list shows it as
+// live for another half minute. In two cases its inbound link is frozen, for all
+// entries or for one, so that they get no notice and what they sent arrives late. The
+// endpoint must get no new requests after a few seconds: entries must not rely on the
+// instance list alone, and late work must not be run.
 func TestPromise7LeavingEndpointGetsNoNewWork(t *testing.T) {
 	for name, freeze := range map[string]func(c *harness.Cluster, n *harness.Node){
 		"reachable":                func(*harness.Cluster, *harness.Node) {},
@@ -35,12 +36,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leaving(t, freeze)
+			checkLeaving(t, freeze)
 		})
 	}
 }
 
-func leaving(t *testing.T, freeze func(*harness.Cluster, *harness.Node)) {
+func checkLeaving(t *testing.T, freeze func(*harness.Cluster, *harness.Node)) {
 	c := harness.Start(t, harness.Options{Engines: 3, Entries: 2, Lag: listLag})
 	caller := c.Caller(c.Entries[0], harness.Foodbank)
 	n := c.EndpointOf(caller.Chat(t.Context(), harness.NewChat("warm", 1)))
@@ -49,34 +50,34 @@
 	started := chat.NotifyAtEvent(1)
 	go func() { open <- caller.Chat(t.Context(), chat) }()
 	<-started
-	ask(t, c, -1) // so that each entry has a connection to it
+	chatAtEachEntry(t, c, -1) // so that each entry has a connection to the endpoint
 	freeze(c, n)
 	defer n.PeerProxy.Thaw()
 	c.Register(n, platform.StateLeaving)
 	n.Terminate()
-	deadline := time.Now().Add(leavingPatience)
+	deadline := time.Now().Add(leavingLimit)
 	for i := 0; time.Now().Before(deadline); i++ {
-		ask(t, c, i)
+		chatAtEachEntry(t, c, i)
 	}
 	before := c.Account(n.Backend).Totals.Runs
 	for i := range 20 {
-		ask(t, c, 1000+i)
+		chatAtEachEntry(t, c, 1000+i)
 	}
 	n.PeerProxy.Thaw()
 	for i := range 5 {
-		ask(t, c, 2000+i)
+		chatAtEachEntry(t, c, 2000+i)
 	}
 	if after := c.Account(n.Backend).Totals.Runs; after != before {
-		t.Errorf("%s got %d new requests after %v of leaving", n.ID, after-before, leavingPatience)
+		t.Errorf("%s got %d new requests more than %v after it began to leave", n.ID, after-before, leavingLimit)
 	}
 	if err := harness.Foodbank.CheckComplete(chat, <-open); err != nil {
 		t.Errorf("the open stream: %v", err)
 	}
 }
 
-// ask sends one request through each entry; neither may fail, for other endpoints
-// are there.
-func ask(t *testing.T, c *harness.Cluster, i int) {
+// chatAtEachEntry sends one request through each entry. Since other endpoints are
+// available, each must be answered or refused before it ran.
+func chatAtEachEntry(t *testing.T, c *harness.Cluster, i int) {
 	t.Helper()
 	for _, entry := range c.Entries {
 		chat := harness.NewChat(fmt.Sprintf("new-%d", i), 2)
--- a/test/promise8_shutdown_test.go
+++ b/test/promise8_shutdown_test.go
@@ -10,17 +10,16 @@
 
 const (
 	rollingCallers = 8
-	// rollingTokens make an answer take about a second, far longer than a process
-	// lingers at its exit.
+	// rollingTokens makes an answer take about a second, far longer than a process stays
+	// after its last stream has ended.
 	rollingTokens = 100
 )
 
-// Symptom: an upgrade of the fleet cuts answers, or callers get refusals.
-// Sequence: every endpoint process and every entry is told to stop and started
-// again, one after the other, under load; the callers' balancer is a caller that
-// goes to the other entry while one is not ready.
-// Cause: a listener closed before its streams have ended; refusals of a leaving
-// endpoint passed on to callers in place of a retry.
+// Every endpoint process and every entry is stopped gracefully and restarted, one
+// after the other, under load; callers use the other entry while one isn't ready, as
+// a load balancer would. No answer may be truncated and no caller refused: streams
+// must end before their listener closes, and a request that a leaving endpoint refuses
+// must be retried elsewhere instead of being refused to the caller.
 func TestPromise8GracefulShutdownCutsNothing(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 3, Entries: 2})
@@ -49,13 +48,13 @@
 	close(done)
 	callers.Wait()
 	if runs := engineRuns(c) - before; runs != total {
-		t.Errorf("%d requests took %d runs: a stop cut answers that then ran again", total, runs)
+		t.Errorf("%d requests took %d runs: a stop truncated answers that were then run again", total, runs)
 	}
-	t.Logf("%d requests over the rolling restart", total)
+	t.Logf("%d requests during the rolling restart", total)
 }
 
-// engineRuns sums the counts of runs of these endpoints' engines, all if none is
-// named, by the engines' own accounts.
+// engineRuns returns the number of runs of the engines of these endpoints, or of all
+// if none is given, by the engines' own accounts.
 func engineRuns(c *harness.Cluster, endpoints ...*harness.Node) int {
 	if endpoints == nil {
 		endpoints = c.Endpoints
@@ -67,7 +66,8 @@
 	return runs
 }
 
-// callUntil sends requests one after the other until done, and returns how many.
+// callUntil sends requests one after the other until done is closed, and returns
+// their number.
 func callUntil(t *testing.T, c *harness.Cluster, caller int, done <-chan struct{}) int {
 	for i := 0; ; i++ {
 		select {
--- a/test/promise9_config_test.go
+++ b/test/promise9_config_test.go
@@ -23,13 +23,13 @@
 	return next
 }
 
-// refusesKey reports whether an entry knows no organisation by o's key.
+// refusesKey reports whether an entry refuses o's key as unauthorized.
 func refusesKey(c *harness.Cluster, entry *harness.Node, o harness.Organisation) bool {
 	a := c.Caller(entry, o).Chat(context.Background(), harness.NewChat("old", 1))
 	return a.Failure != nil && a.Failure.Code == protocol.CodeUnauthorized
 }
 
-// answersBy reports whether an entry takes o's key and the answer follows o's
+// answersBy reports whether an entry accepts o's key and the answer follows from o's
 // instructions.
 func answersBy(c *harness.Cluster, entry *harness.Node, o harness.Organisation) bool {
 	chat := harness.NewChat("new", 5)
@@ -37,22 +37,22 @@
 	return a.Ended && o.CheckAnswer(chat, a) == nil
 }
 
-// awaitInForce waits until next is in force at each of the entries, by what its
-// callers see: the new key is taken and the new instructions followed, the old
-// key refused.
+// awaitInForce waits until next is in force at each of the entries as seen by callers:
+// the new key is accepted, the new instructions are followed and the old key is
+// refused.
 func awaitInForce(t *testing.T, c *harness.Cluster, old, next harness.Organisation, entries ...*harness.Node) {
 	t.Helper()
 	began := time.Now()
 	for _, entry := range entries {
 		harness.Await(t, "the new key and instructions at "+entry.ID, func() bool { return answersBy(c, entry, next) })
 		if !refusesKey(c, entry, old) {
-			t.Errorf("%s takes the new key and the old one", entry.ID)
+			t.Errorf("%s accepts both the new key and the old one", entry.ID)
 		}
 		t.Logf("in force at %s within %v", entry.ID, time.Since(began).Round(time.Millisecond))
 	}
 }
 
-// awaitOffset waits until each daemon says that the offset is in force.
+// awaitOffset waits until each daemon reports that the offset is in force.
 func awaitOffset(t *testing.T, c *harness.Cluster, offset uint64, nodes ...*harness.Node) {
 	t.Helper()
 	began := time.Now()
@@ -62,9 +62,9 @@
 	}
 }
 
-// watchOld asks each entry again and again with a key that is over, and fails the
-// test when one takes it. The returned function ends it.
-func watchOld(t *testing.T, c *harness.Cluster, old harness.Organisation, entries ...*harness.Node) (stop func()) {
+// watchOldKey sends requests with a revoked key to each entry and fails the test if one
+// accepts it, until the returned function is called.
+func watchOldKey(t *testing.T, c *harness.Cluster, old harness.Organisation, entries ...*harness.Node) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var watchers sync.WaitGroup
 	for _, entry := range entries {
@@ -72,12 +72,12 @@
 			for ctx.Err() == nil {
 				a := c.Caller(entry, old).Chat(ctx, harness.NewChat("old", 1))
 				if a.Status != 0 && (a.Failure == nil || a.Failure.Code != protocol.CodeUnauthorized) {
-					t.Errorf("%s went back to the old key: %v", entry.ID, a)
+					t.Errorf("%s accepts the old key again: %v", entry.ID, a)
 					return
 				}
 				select {
 				case <-ctx.Done():
-				case <-time.After(20 * time.Millisecond): // bounds the load
+				case <-time.After(20 * time.Millisecond): // limits the load
 				}
 			}
 		})
@@ -88,13 +88,11 @@
 	}
 }
 
-// Symptom: two operators are both told that their change of one organisation is
-// accepted, and one of the changes is gone; or a key that was taken back works at
-// some entry.
-// Sequence: both publish at once, on the same base; the platform is slow, so that
-// each has read the log before the other's record is on it.
-// Cause: the last writer wins, or processes judge by another order than the
-// log's.
+// Two operators change one organisation at the same time, on the same base; the
+// platform is slow, so that each reads the log before the other's record is on it.
+// Only one change may be accepted, the other operator must be told, and all entries
+// must accept the same key: neither may the last writer win, nor may a process decide
+// by an order other than that of the log.
 func TestPromise9RacingOperators(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 3})
@@ -116,22 +114,21 @@
 		winner, loser, won, lost = loser, winner, lost, won
 	}
 	if won.Code != ctl.ExitOK || lost.Code != ctl.ExitRefused || !strings.Contains(lost.Stderr, "refused") {
-		t.Fatalf("exit codes %d and %d; want one winner, the loser told:\n%s\n%s", won.Code, lost.Code, won.Stderr, lost.Stderr)
+		t.Fatalf("exit codes %d and %d; want one accepted and the other refused:\n%s\n%s", won.Code, lost.Code, won.Stderr, lost.Stderr)
 	}
 	awaitInForce(t, c, old, winner, c.Entries...)
 	for _, entry := range c.Entries {
 		if !refusesKey(c, entry, loser) {
-			t.Errorf("%s takes the loser's key", entry.ID)
+			t.Errorf("%s accepts the key of the refused change", entry.ID)
 		}
 	}
 	records := c.LogRecords("config")
 	awaitOffset(t, c, records[len(records)-1].Offset, c.Nodes()...)
 }
 
-// Symptom: an operator is told that a change failed though it is in force, and
-// publishes it again over a later one.
-// Sequence: the append takes effect, its answer is lost.
-// Cause: the answer to an append is taken for the append.
+// An append takes effect and its reply is lost. publish must report the change as in
+// force: an operator who is told that it failed would publish it again, over a later
+// change. A failed append doesn't show that nothing was appended.
 func TestPromise9LostAppendAnswer(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 1, Entries: 2})
@@ -144,13 +141,11 @@
 	awaitInForce(t, c, old, next, c.Entries...)
 }
 
-// Symptom: a key that was taken back still works at one entry, or works again
-// after a restart; a charter that was replaced is still followed.
-// Sequence: an entry and an endpoint process are cut off from the platform; a
-// change is accepted; the log goes down right after; another entry and endpoint
-// process restart in the outage; the log comes back.
-// Cause: the configuration comes from the log alone; a restarted process starts
-// from less than its peers have.
+// An entry and an endpoint process are cut off from the platform when a change is
+// accepted, and the log goes down right after. Then another entry and endpoint process
+// restart during the outage. The change must reach all of them through their peers,
+// and a restarted process must start from what its peers have: otherwise a revoked key
+// is still accepted, or again after a restart, and replaced instructions are followed.
 func TestPromise9OutageAfterAcceptance(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 3, Entries: 3})
@@ -163,7 +158,7 @@
 	c.Control(c.Platform, map[string]any{"log_down": true})
 	awaitOffset(t, c, offset, c.Nodes()...)
 	awaitInForce(t, c, old, next, c.Entries...)
-	stop := watchOld(t, c, old, c.Entries...)
+	stop := watchOldKey(t, c, old, c.Entries...)
 	defer stop()
 	for _, n := range []*harness.Node{c.Entries[1], c.Endpoints[1]} {
 		harness.KillAndRestart(n)
@@ -180,11 +175,9 @@
 	awaitInForce(t, c, old, next, c.Entries...)
 }
 
-// Symptom: after the log's retention the fleet restarts without organisations, or
-// with an old revision of one.
-// Sequence: records are published, a snapshot is written, retention takes the
-// records, every daemon is killed and started again.
-// Cause: the state in force is only in records that the log doesn't keep.
+// Records are published, a snapshot is written, the log's retention removes the
+// records, and every daemon is killed and restarted. The state must be recovered from
+// the snapshot, with all organisations in their current revisions.
 func TestPromise9RetentionPasses(t *testing.T) {
 	t.Parallel()
 	shortRetention := func(s *settings.Settings) { s.Platform.Retention = settings.Duration(6 * time.Second) }
@@ -197,13 +190,13 @@
 		revision = c.Publish(harness.Hospice.Record(revision))
 	}
 	harness.Await(t, "a snapshot of the last change", func() bool { return snapshotAfter(c, revision) })
-	// More than what is later than the change, less than reaches back to it:
-	// snapshots that are written meanwhile don't push each other out.
+	// Retain most of the records after the change, but not the change itself, so that
+	// snapshots which are written meanwhile don't displace each other.
 	records := c.LogRecords("config")
 	keep := records[len(records)-1].Offset - first - 1
 	c.Control(c.Platform, map[string]any{"retention_count": keep})
 	if oldest := c.LogRecords("config")[0].Offset; oldest <= first {
-		t.Fatalf("the log still has offset %d", oldest)
+		t.Fatalf("the log still has offset %d; want it removed up to the change", oldest)
 	}
 	harness.KillAndRestart(c.Nodes()...)
 	for _, n := range c.Nodes() {
@@ -226,13 +219,10 @@
 	return false
 }
 
-// Symptom: a record of a newer schema takes an organisation out of service at
-// processes that can't read it, or a process applies the half of it that it
-// knows.
-// Sequence: one organisation has a record of schema 1, another one of schema 2;
-// a record of schema 3 is published for one of them, every daemon restarts, a
-// record of schema 2 replaces that one.
-// Cause: an unknown version is read as if it were known, or dropped.
+// One organisation has a record of schema 1, another of schema 2. A record of the
+// unknown schema 3 is published for one of them, every daemon restarts, and a record of
+// schema 2 replaces it. Processes must keep the unknown record without applying any
+// part of it, and the organisation must stay in service with its previous record.
 func TestPromise9MixedSchemas(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 2, Entries: 2})
@@ -240,7 +230,7 @@
 	next := harness.Organisation{ID: old.ID, Key: "key-of-schema-1", Instructions: []string{"the rules by schema 1"}}
 	offset := c.Publish(schema1(next, c.Revisions[old.ID]))
 	awaitInForce(t, c, old, next, c.Entries...)
-	stop := watchOld(t, c, old, c.Entries...)
+	stop := watchOldKey(t, c, old, c.Entries...)
 	defer stop()
 	future := changed(old, "future").Record(offset)
 	future.Schema = config.MaxSchema + 1
@@ -258,8 +248,8 @@
 			t.Errorf("%s doesn't report the kept record: %+v", n.ID, s)
 		}
 	}
-	// A change on the base of what is in force, not of what was kept, would undo
-	// the newer one.
+	// A change based on the record in force instead of the kept, newer one must be
+	// refused, since it would undo the newer one.
 	late := changed(old, "late")
 	c.Publish(late.Record(offset))
 	last := changed(old, "last")
@@ -267,12 +257,12 @@
 	awaitInForce(t, c, next, last, c.Entries...)
 	for _, entry := range c.Entries {
 		if !refusesKey(c, entry, late) {
-			t.Errorf("%s takes the key of a record with an old base", entry.ID)
+			t.Errorf("%s accepts the key of a record with an old base", entry.ID)
 		}
 	}
 }
 
-// schema1 returns o's record as operators wrote it before schema 2.
+// schema1 returns o's record in schema 1, the format before schema 2.
 func schema1(o harness.Organisation, base uint64) config.Record {
 	digest := sha256.Sum256([]byte(o.Key))
 	r := harness.Record(config.KindOrganisation, o.ID, base, map[string]any{
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	soakFor  = flag.Duration("soak", 15*time.Second, "how long the soak brings about faults")
-	soakSeed = flag.Uint64("seed", 1, "seed of the soak's faults")
+	soakFor  = flag.Duration("soak", 15*time.Second, "how long the soak test injects faults")
+	soakSeed = flag.Uint64("seed", 1, "seed of the soak test's faults")
 )
 
 const (
@@ -27,32 +27,31 @@
 	soakTokens    = 60
 )
 
-// soak is one run: the fleet, its load and what was seen.
+// soak is one run of the soak test: the fleet, its load and the results.
 type soak struct {
 	t    *testing.T
 	c    *harness.Cluster
 	done chan struct{}
-	// killed counts the kills of each entry: a caller whose entry was killed
-	// meanwhile has lost its connection and no more.
+	// killed counts the kills of each entry. An answer without an explicit end is
+	// allowed only if the caller's entry was killed meanwhile.
 	killed [2]atomic.Int32
-	// revision is the foodbank's record in force or about to be.
+	// revision is the offset of Foodbank's last published record.
 	revision  uint64
 	published atomic.Int32
 
-	mu       sync.Mutex
-	wrong    []string
-	streams  int
-	whole    int
-	refused  map[protocol.Code]int
-	cut      int
-	payments map[string]harness.Answer
+	mu         sync.Mutex
+	violations []string
+	streams    int
+	complete   int
+	refused    map[protocol.Code]int
+	cutByKill  int
+	payments   map[string]harness.Answer
 }
 
-// Symptom: promises that hold one at a time break together.
-// Sequence: kills, graceful restarts, pauses, cuts, late links, log outages, lost
-// append answers, engine crashes and configuration changes, drawn by a seed, under
-// streams and payments of two organisations.
-// Cause: whatever the proofs of one fault each don't meet.
+// Random combinations of kills, graceful restarts, pauses, connection resets, frozen
+// links, log outages, lost append replies, engine crashes and configuration changes,
+// drawn by a seed, under streams and payments of two organisations. It finds failures
+// that need several faults together, which the tests with one fault each miss.
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Options{Engines: 3, Services: 2, Entries: 2, Settings: soakSettings})
@@ -68,11 +67,11 @@
 	for i := range soakPayers {
 		load.Go(func() { s.pay(i) })
 	}
-	s.disturb()
+	s.injectFaults()
 	close(s.done)
 	load.Wait()
-	s.recover()
-	s.verdict()
+	s.clearFaultsAndAwait()
+	s.report()
 }
 
 func soakSettings(s *settings.Settings) {
@@ -83,7 +82,7 @@
 	}
 }
 
-func (s *soak) over() bool {
+func (s *soak) stopped() bool {
 	select {
 	case <-s.done:
 		return true
@@ -92,17 +91,17 @@
 	}
 }
 
-// disturb brings about one fault after the other until the time is up.
-func (s *soak) disturb() {
+// injectFaults injects one fault after the other for the duration soakFor.
+func (s *soak) injectFaults() {
 	rng := rand.New(rand.NewPCG(*soakSeed, 0))
 	end := time.Now().Add(*soakFor)
 	for time.Now().Before(end) {
-		s.fault(rng)
-		time.Sleep(300*time.Millisecond + time.Duration(rng.IntN(500))*time.Millisecond) // the pace of faults
+		s.injectFault(rng)
+		time.Sleep(300*time.Millisecond + time.Duration(rng.IntN(500))*time.Millisecond) // between two faults
 	}
 }
 
-func (s *soak) fault(rng *rand.Rand) {
+func (s *soak) injectFault(rng *rand.Rand) {
 	c := s.c
 	n := c.Endpoints[rng.IntN(len(c.Endpoints))]
 	service := c.Services[rng.IntN(len(c.Services))]
@@ -140,7 +139,8 @@
 	}
 }
 
-// charter returns the foodbank as the n-th change has it; 0 is the first.
+// charter returns Foodbank with its instructions after the n-th change; 0 is the
+// original.
 func charter(n int32) harness.Organisation {
 	if n == 0 {
 		return harness.Foodbank
@@ -150,8 +150,8 @@
 	return o
 }
 
-// publish changes the foodbank's charter. In an outage, or with its answer lost,
-// the change is tried again until the log has it.
+// publish changes Foodbank's instructions. It first ends a log outage and the loss of
+// append replies, so that the append succeeds and its offset is known.
 func (s *soak) publish() {
 	s.c.Control(s.c.Platform, map[string]any{"log_down": false, "lose_next_answers": 0})
 	next := s.published.Load() + 1
@@ -159,9 +159,9 @@
 	s.revision = s.c.Publish(charter(next).Record(s.revision))
 }
 
-// stream asks for one answer after the other and checks each.
+// stream requests one answer after the other and checks each.
 func (s *soak) stream(caller int) {
-	for i := 0; !s.over(); i++ {
+	for i := 0; !s.stopped(); i++ {
 		entry := s.entry(caller + i)
 		kills := s.killed[entry].Load()
 		before := s.published.Load()
@@ -171,11 +171,11 @@
 			organisation = harness.Foodbank
 		}
 		a := s.c.Caller(s.c.Entries[entry], organisation).Chat(context.Background(), chat)
-		s.note(organisation, chat, a, before, s.killed[entry].Load() != kills)
+		s.record(organisation, chat, a, before, s.killed[entry].Load() != kills)
 	}
 }
 
-// entry is the n-th entry, or the next one that is ready.
+// entry returns the index of the first ready entry from the n-th on.
 func (s *soak) entry(n int) int {
 	for i := range s.c.Entries {
 		if e := (n + i) % len(s.c.Entries); s.c.Entries[e].Ready() {
@@ -185,25 +185,25 @@
 	return n % len(s.c.Entries)
 }
 
-func (s *soak) note(o harness.Organisation, chat harness.Chat, a harness.Answer, before int32, killed bool) {
+func (s *soak) record(o harness.Organisation, chat harness.Chat, a harness.Answer, before int32, killed bool) {
 	err := s.check(o, chat, a, before)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams++
 	switch {
 	case a.TransportErr != nil && killed:
-		s.cut++
+		s.cutByKill++
 	case err != nil:
-		s.wrong = append(s.wrong, err.Error())
+		s.violations = append(s.violations, err.Error())
 	case a.Failure != nil:
 		s.refused[a.Failure.Code]++
 	default:
-		s.whole++
+		s.complete++
 	}
 }
 
-// check takes the foodbank's answer under any charter that was in force while it
-// ran; one published a while before may still be on its way to some process.
+// check accepts Foodbank's answer under any of its published charters, since a process
+// may not have received the newest ones yet.
 func (s *soak) check(o harness.Organisation, chat harness.Chat, a harness.Answer, before int32) error {
 	if o.ID != harness.Foodbank.ID {
 		return o.CheckAnswer(chat, a)
@@ -214,12 +214,12 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w; %s", err, s.origin(chat, a))
+	return fmt.Errorf("%w; %s", err, s.describeCharters(chat, a))
 }
 
-// origin tells under which charters a wrong answer's first and last pieces were
-// generated.
-func (s *soak) origin(chat harness.Chat, a harness.Answer) string {
+// describeCharters describes under which charters the beginning and the end of a wrong
+// answer were generated.
+func (s *soak) describeCharters(chat harness.Chat, a harness.Answer) string {
 	first, last := "none", "none"
 	for n := range s.published.Load() + 1 {
 		want := charter(n).Expected(chat)
@@ -230,17 +230,18 @@
 			last = fmt.Sprint(n)
 		}
 	}
-	return fmt.Sprintf("begun under charter %s, ended under %s", first, last)
+	return fmt.Sprintf("beginning from charter %s, end from charter %s", first, last)
 }
 
-// pay sends payments with a key, each until its answer or final refusal.
+// pay sends payments with a key, each up to five times until it is known to be made,
+// and confirmations, which have no key, once each.
 func (s *soak) pay(caller int) {
-	for i := 0; !s.over(); i++ {
+	for i := 0; !s.stopped(); i++ {
 		id := fmt.Sprintf("pay-%d-%d", caller, i)
 		key := "key-" + id
 		path := "/pay"
 		if i%3 == 2 {
-			path, key = "/confirm", "" // may not be repeated, and has no key
+			path, key = "/confirm", "" // not repeatable, and has no key
 		}
 		var a harness.Answer
 		for range 5 {
@@ -248,16 +249,17 @@
 			s.mu.Lock()
 			s.payments[id] = a
 			s.mu.Unlock()
-			if key == "" || answeredOnce(a) {
+			if key == "" || paymentSettled(a) {
 				break
 			}
-			time.Sleep(keyedPause) // the pause of a caller that comes back
+			time.Sleep(keyedPause) // as a caller that retries
 		}
 	}
 }
 
-// recover ends every fault and waits until each entry answers by the last charter.
-func (s *soak) recover() {
+// clearFaultsAndAwait ends all faults and waits until each entry answers by the last
+// charter.
+func (s *soak) clearFaultsAndAwait() {
 	s.c.Control(s.c.Platform, map[string]any{"log_down": false, "list_frozen": false, "lose_next_answers": 0})
 	for _, n := range s.c.Nodes() {
 		n.ClearFaults()
@@ -268,8 +270,8 @@
 	}
 }
 
-// verdict prints one line a promise.
-func (s *soak) verdict() {
+// report checks the results and logs one line for each promise.
+func (s *soak) report() {
 	t := s.t
 	foreign, imports := 0, 0
 	for _, n := range s.c.Endpoints {
@@ -291,10 +293,10 @@
 			unanswered++
 		}
 	}
-	for _, w := range s.wrong {
+	for _, w := range s.violations {
 		t.Error(w)
 	}
-	t.Logf("soak of %v, seed %d: %d of %d streams whole, %d payments, %d changes, %d imports", *soakFor, *soakSeed, s.whole, s.streams, len(s.payments), s.published.Load(), imports)
+	t.Logf("soak of %v, seed %d: %d of %d streams complete, %d payments, %d changes, %d imports", *soakFor, *soakSeed, s.complete, s.streams, len(s.payments), s.published.Load(), imports)
 	line := func(promise, what string, broken int) {
 		if broken > 0 {
 			t.Errorf("promise %s BROKEN: %s: %d", promise, what, broken)
@@ -303,9 +305,9 @@
 		t.Logf("promise %s held: %s", promise, what)
 	}
 	line("1", "no cached tokens of other organisations or weights", foreign)
-	line("2 and 4", fmt.Sprintf("every answer its own, whole, or an explicit error (%v); %d cut with their entry", s.refused, s.cut), len(s.wrong))
-	if 2*s.whole < s.streams {
-		t.Errorf("only %d of %d streams were whole: the fleet hardly served", s.whole, s.streams)
+	line("2 and 4", fmt.Sprintf("every answer its own, complete, or an explicit error (%v); %d lost with a killed entry", s.refused, s.cutByKill), len(s.violations))
+	if 2*s.complete < s.streams {
+		t.Errorf("only %d of %d streams were complete, want at least half", s.complete, s.streams)
 	}
 	line("5", "no call ran that was told not_run", falseNotRun)
 	line("6", "no payment ran twice", twice)
