--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -13,19 +13,19 @@
 	"skylarklead/internal/faultproxy"
 )
 
-// Patience is how long a proof waits for a condition. It is far longer than
-// anything should take, since the machine may be busy with other work.
-const Patience = 45 * time.Second
+// Timeout is how long a test waits for a condition before it fails. It is far
+// longer than anything should take, since the machine may be busy with other work.
+const Timeout = 45 * time.Second
 
-// logTail is how many log lines of each process a failed proof shows.
-const logTail = 25
+// maxTailLines is how many log lines of each process a failed test shows.
+const maxTailLines = 25
 
-// Line is one JSON log line, or {"msg": text} for other output.
-type Line map[string]any
+// LogLine is a decoded JSON log line, or {"msg": text} for output that isn't JSON.
+type LogLine map[string]any
 
-// Is reports whether the line has this message and these attribute values, given
+// Matches reports whether the line has this message and these attribute values, given
 // as key, value pairs.
-func (l Line) Is(msg string, attrs ...string) bool {
+func (l LogLine) Matches(msg string, attrs ...string) bool {
 	if l["msg"] != msg {
 		return false
 	}
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Process is a program that the harness started, with its log.
+// Process is a program that the harness started, with its output over all starts.
 type Process struct {
 	Name string
 	t    testing.TB
@@ -46,10 +46,11 @@
 	mu    sync.Mutex
 	cmd   *exec.Cmd
 	ended chan struct{}
-	lines []Line
+	lines []LogLine
 }
 
-// StartProcess runs args and stops it at the end of the test.
+// StartProcess starts the program args[0] with the other args and kills it at the end
+// of the test.
 func StartProcess(t testing.TB, name string, args ...string) *Process {
 	t.Helper()
 	p := &Process{Name: name, t: t, args: args}
@@ -57,7 +58,7 @@
 	t.Cleanup(func() {
 		p.Kill()
 		if t.Failed() {
-			p.dump()
+			p.logLastLines()
 		}
 	})
 	return p
@@ -67,7 +68,7 @@
 func (p *Process) Restart() {
 	p.t.Helper()
 	cmd := exec.Command(p.args[0], p.args[1:]...)
-	// One pipe for both outputs; it ends with the process, which starts no other.
+	// One pipe for stdout and stderr. It ends with the process, which has no children.
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		p.t.Fatalf("%s: %v", p.Name, err)
@@ -85,16 +86,16 @@
 		sc := bufio.NewScanner(out)
 		sc.Buffer(nil, 1<<20)
 		for sc.Scan() {
-			p.note(sc.Text())
+			p.appendLine(sc.Text())
 		}
 		cmd.Wait()
 	}()
 }
 
-func (p *Process) note(text string) {
-	line := Line{}
+func (p *Process) appendLine(text string) {
+	line := LogLine{}
 	if json.Unmarshal([]byte(text), &line) != nil {
-		line = Line{"msg": text}
+		line = LogLine{"msg": text}
 	}
 	p.mu.Lock()
 	p.lines = append(p.lines, line)
@@ -102,17 +103,17 @@
 }
 
 // Lines returns the log so far, over all starts.
-func (p *Process) Lines() []Line {
+func (p *Process) Lines() []LogLine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lines[:len(p.lines):len(p.lines)]
 }
 
-// Count returns how many log lines match, as Line.Is does.
-func (p *Process) Count(msg string, attrs ...string) int {
+// CountLog returns how many log lines match, as Line.Is does.
+func (p *Process) CountLog(msg string, attrs ...string) int {
 	n := 0
 	for _, line := range p.Lines() {
-		if line.Is(msg, attrs...) {
+		if line.Matches(msg, attrs...) {
 			n++
 		}
 	}
@@ -123,44 +124,45 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended: // the number may be another process's by now
+	case <-p.ended: // the process ID may have been reused
 	default:
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.Ended()
 }
 
-// Stop freezes the process with SIGSTOP; Continue lets it go on.
-func (p *Process) Stop() { p.signal(syscall.SIGSTOP) }
+// Pause stops the process with SIGSTOP until Resume.
+func (p *Process) Pause() { p.signal(syscall.SIGSTOP) }
 
-// StopFor is Stop, and Continue after d.
-func (p *Process) StopFor(d time.Duration) {
-	p.Stop()
-	time.AfterFunc(d, p.Continue)
+// PauseFor is Pause, followed by Resume after d.
+func (p *Process) PauseFor(d time.Duration) {
+	p.Pause()
+	time.AfterFunc(d, p.Resume)
 }
 
-// Continue ends Stop.
-func (p *Process) Continue() { p.signal(syscall.SIGCONT) }
+// Resume continues a paused process with SIGCONT.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Hangup says that the settings have changed.
+// Hangup sends SIGHUP, on which a daemon reloads its settings.
 func (p *Process) Hangup() { p.signal(syscall.SIGHUP) }
 
-// Terminate asks for a graceful stop.
+// Terminate requests a graceful stop with SIGTERM.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Dialled reports whether an address is the process's end of a connection.
-func (p *Process) Dialled(address string) bool {
+// OwnsLocalAddress reports whether address is the local address of a connection of
+// the process.
+func (p *Process) OwnsLocalAddress(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return faultproxy.DialledBy(p.cmd.Process.Pid, address)
+	return faultproxy.OwnsLocalAddress(p.cmd.Process.Pid, address)
 }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,22 +174,22 @@
 	p.t.Helper()
 	select {
 	case <-p.Ended():
-	case <-time.After(Patience):
-		p.t.Fatalf("%s has not ended in %v", p.Name, Patience)
+	case <-time.After(Timeout):
+		p.t.Fatalf("%s has not ended in %v", p.Name, Timeout)
 	}
 }
 
-// ExitCode returns the code that the process has ended with.
+// ExitCode returns the exit code of the process, which must have ended.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.ProcessState.ExitCode()
 }
 
-func (p *Process) dump() {
+func (p *Process) logLastLines() {
 	lines := p.Lines()
-	if len(lines) > logTail {
-		lines = lines[len(lines)-logTail:]
+	if len(lines) > maxTailLines {
+		lines = lines[len(lines)-maxTailLines:]
 	}
 	var text strings.Builder
 	for _, line := range lines {
@@ -197,13 +199,14 @@
 	p.t.Logf("last lines of %s:\n%s", p.Name, text.String())
 }
 
-// Await polls until condition holds and fails the test if it doesn't in time.
+// Await polls until condition holds, and ends the test if it doesn't within Timeout.
+// what names the condition in the failure message.
 func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(Timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %v in vain for: %s", Patience, what)
+			t.Fatalf("timed out after %v waiting for: %s", Timeout, what)
 		}
 		time.Sleep(5 * time.Millisecond) // between two polls
 	}
--- a/test/promise5_not_run_test.go
+++ b/test/promise5_not_run_test.go
@@ -15,17 +15,16 @@
 const (
 	confirmCallers = 8
 	confirmCalls   = 6
-	// confirmDelay makes runs overlap the faults.
+	// confirmDelay, in milliseconds, makes runs overlap the faults.
 	confirmDelay = 100
 )
 
-// Symptom: a caller is told that its payment confirmation did not run, sends it
-// again, and it has run twice.
-// Sequence: calls that may not be repeated are on their way to two replicas of a
-// service; a process, connection or direction fails at some step between accept,
-// hand-over, effect and answer.
-// Cause: not_run said by one who can't know: on a lost connection, by a new epoch,
-// or by an executor that a late Run still reaches.
+// While calls that may not be repeated are in flight to two replicas of a service, a
+// process, a connection or one direction of it fails at some step between acceptance,
+// dispatch to the service, effect and answer. A caller that is told not_run may send
+// the call again, so not_run must be true: a process must not report it when it can't
+// know, that is after a lost connection, in a new epoch, or while a late Run can still
+// arrive at the executor.
 func TestPromise5NotRunIsTrue(t *testing.T) {
 	faults := []struct {
 		name     string
@@ -34,42 +33,42 @@
 	}{
 		{name: "none", fault: func(*harness.Cluster, *harness.Node) {}},
 		{name: "service unreachable", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Refuse(true)
-			n.Backend.Cut()
+			n.BackendProxy.Refuse(true)
+			n.BackendProxy.ResetConnections()
 		}},
 		{name: "process killed before the hand-over", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Peer.Delay(faultproxy.Up, 50*time.Millisecond)
+			n.PeerProxy.Delay(faultproxy.Upstream, 50*time.Millisecond)
 			time.AfterFunc(100*time.Millisecond, n.Kill)
 		}},
 		{name: "process killed after the hand-over", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Delay(faultproxy.Up, 50*time.Millisecond)
+			n.BackendProxy.Delay(faultproxy.Upstream, 50*time.Millisecond)
 			time.AfterFunc(100*time.Millisecond, n.Kill)
 		}},
-		{name: "process killed and restarted", fault: func(_ *harness.Cluster, n *harness.Node) { harness.Bounce(n) }},
+		{name: "process killed and restarted", fault: func(_ *harness.Cluster, n *harness.Node) { harness.KillAndRestart(n) }},
 		{name: "process killed and restarted twice", fault: func(c *harness.Cluster, n *harness.Node) {
-			harness.Bounce(n)
+			harness.KillAndRestart(n)
 			c.AwaitReady(n)
-			harness.Bounce(n)
+			harness.KillAndRestart(n)
 		}},
 		{name: "process killed with a queue", settings: oneAtATime, fault: func(_ *harness.Cluster, n *harness.Node) { n.Kill() }},
 		{name: "process drained with a queue", settings: oneAtATime, fault: func(_ *harness.Cluster, n *harness.Node) { n.Terminate() }},
-		{name: "process stopped for a while", fault: func(_ *harness.Cluster, n *harness.Node) { n.StopFor(outage) }},
-		{name: "runs arrive late", fault: func(_ *harness.Cluster, n *harness.Node) { n.Peer.FreezeFor(outage) }},
-		{name: "runs lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.Peer.Drop(faultproxy.Up, true) }},
-		{name: "ends lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.Peer.Drop(faultproxy.Down, true) }},
+		{name: "process stopped for a while", fault: func(_ *harness.Cluster, n *harness.Node) { n.PauseFor(outage) }},
+		{name: "runs arrive late", fault: func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.FreezeFor(outage) }},
+		{name: "runs lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.Drop(faultproxy.Upstream, true) }},
+		{name: "ends lost", fault: func(_ *harness.Cluster, n *harness.Node) { n.PeerProxy.Drop(faultproxy.Downstream, true) }},
 		{name: "link cut again and again", fault: func(_ *harness.Cluster, n *harness.Node) {
 			for i := range 10 {
-				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.Peer.Cut)
+				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.PeerProxy.ResetConnections)
 			}
 		}},
-		{name: "service killed", fault: func(_ *harness.Cluster, n *harness.Node) { n.Engine.Kill() }},
+		{name: "service killed", fault: func(_ *harness.Cluster, n *harness.Node) { n.Backend.Kill() }},
 		{name: "service dies after the effect", fault: func(c *harness.Cluster, n *harness.Node) {
-			c.Control(n.Engine, map[string]any{"lose_answer": true})
+			c.Control(n.Backend, map[string]any{"lose_answer": true})
 		}},
 		{name: "hand-over cut", fault: func(_ *harness.Cluster, n *harness.Node) {
-			n.Backend.Delay(faultproxy.Up, 20*time.Millisecond)
+			n.BackendProxy.Delay(faultproxy.Upstream, 20*time.Millisecond)
 			for i := range 10 {
-				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.Backend.Cut)
+				time.AfterFunc(time.Duration(i)*40*time.Millisecond, n.BackendProxy.ResetConnections)
 			}
 		}},
 	}
@@ -81,7 +80,7 @@
 	}
 }
 
-// oneAtATime makes calls wait in the endpoint process's queue.
+// oneAtATime limits an endpoint to one running call, so that others are queued.
 func oneAtATime(s *settings.Settings) {
 	if s.Endpoint != nil {
 		s.Endpoint.MaxRunning = 1
@@ -91,7 +90,7 @@
 func notRunUnder(t *testing.T, change func(*settings.Settings), fault func(*harness.Cluster, *harness.Node)) {
 	c := harness.Start(t, harness.Options{Services: 2, Entries: 1, Settings: change})
 	for _, n := range c.Services {
-		c.Control(n.Engine, map[string]any{"delay_ms": confirmDelay})
+		c.Control(n.Backend, map[string]any{"delay_ms": confirmDelay})
 	}
 	var mu sync.Mutex
 	answers := map[string]harness.Answer{}
@@ -114,18 +113,19 @@
 	})
 	fault(c, c.Services[0])
 	calls.Wait()
-	c.Settle()
+	c.ClearFaultsAndDrain()
 	checkRuns(t, answers, runsOf(c), false)
 }
 
-// runsOf sums the services' own counts by request ID. They are taken from the
-// logs, which outlive a killed service; its end completes its log.
+// runsOf returns how often the services ran each request ID, from their logs, which
+// the harness keeps when a service is killed. It kills the services first, so that
+// the logs are complete.
 func runsOf(c *harness.Cluster) map[string]int {
 	runs := map[string]int{}
 	for _, n := range c.Services {
-		n.Engine.Kill()
-		for _, line := range n.Engine.Lines() {
-			if id, ok := line["request"].(string); ok && line.Is("run") {
+		n.Backend.Kill()
+		for _, line := range n.Backend.Lines() {
+			if id, ok := line["request"].(string); ok && line.Matches("run") {
 				runs[id]++
 			}
 		}
@@ -133,17 +133,17 @@
 	return runs
 }
 
-// checkRuns fails the test if a request ran twice, or otherwise than was told. None
-// may be left without an answer unless entries were killed.
+// checkRuns fails the test if a request ran twice or its reported outcome is false.
+// Every request must have an explicit answer unless entries were killed.
 func checkRuns(t *testing.T, answers map[string]harness.Answer, runs map[string]int, entriesKilled bool) {
 	t.Helper()
-	said := map[protocol.Outcome]int{}
+	outcomes := map[protocol.Outcome]int{}
 	for id, a := range answers {
 		ran := runs[id]
 		switch {
 		case ran > 1:
 			t.Errorf("%s ran %d times: %v", id, ran, a)
-		case a.Lost != nil && !entriesKilled:
+		case a.TransportErr != nil && !entriesKilled:
 			t.Errorf("%s got no explicit answer: %v", id, a)
 		case a.Ended && ran != 1:
 			t.Errorf("%s was answered but ran %d times", id, ran)
@@ -151,10 +151,10 @@
 			t.Errorf("%s was told not_run but ran: %v", id, a)
 		}
 		if a.Failure != nil {
-			said[a.Failure.Ran]++
+			outcomes[a.Failure.Ran]++
 		} else {
-			said[protocol.Done]++
+			outcomes[protocol.Done]++
 		}
 	}
-	t.Logf("outcomes told: %v", said)
+	t.Logf("reported outcomes: %v", outcomes)
 }
