--- a/cmd/skylark-standin/engine.go
+++ b/cmd/skylark-standin/engine.go
@@ -14,7 +14,7 @@
 
 // engineCommand runs the model engine's stand-in.
 func engineCommand() *cli.Command {
-	d := engine.Defaults()
+	d := engine.DefaultSettings()
 	return &cli.Command{
 		Name:  "engine",
 		Usage: "model engine with continuous batching and a small prefix cache",
@@ -65,7 +65,7 @@
 }
 
 func engineSettings(c *cli.Command) (engine.Settings, error) {
-	s := engine.Defaults()
+	s := engine.DefaultSettings()
 	s.PrefillTokensPerSecond = c.Float64("prefill-tokens-per-second")
 	s.StepMs = c.Float64("step-ms")
 	s.StepPerRequestMs = c.Float64("step-per-request-ms")
--- a/cmd/skylark-standin/load.go
+++ b/cmd/skylark-standin/load.go
@@ -54,7 +54,7 @@
 }
 
 func runLoad(ctx context.Context, c *cli.Command) error {
-	w, err := load.Read(c.Args().First())
+	w, err := load.ReadWorkload(c.Args().First())
 	if err != nil {
 		return err
 	}
@@ -78,27 +78,27 @@
 
 func loadOptions(c *cli.Command) load.Options {
 	o := load.Options{
-		Entries:  c.StringSlice("entry"),
-		Rate:     c.Float64("rate"),
-		Duration: c.Duration("duration"),
-		Warmup:   c.Duration("warmup"),
-		Seed:     c.Uint64("seed"),
-		Label:    c.String("label"),
-		Only:     c.StringSlice("only"),
-		ShiftAt:  c.Duration("shift-at"),
-		ChangeAt: c.Duration("change-at"),
+		Entries:           c.StringSlice("entry"),
+		Rate:              c.Float64("rate"),
+		Duration:          c.Duration("duration"),
+		Warmup:            c.Duration("warmup"),
+		Seed:              c.Uint64("seed"),
+		Label:             c.String("label"),
+		Only:              c.StringSlice("only"),
+		PopularityShiftAt: c.Duration("shift-at"),
+		CharterChangeAt:   c.Duration("change-at"),
 		Burst: load.Burst{
 			Organisation: c.String("burst"),
 			Factor:       c.Float64("burst-factor"),
 			From:         c.Duration("burst-from"),
 			Until:        c.Duration("burst-until"),
 		},
-		Deadline:    c.Duration("deadline"),
-		RetryAfter:  c.Int("retry-after"),
-		Timeout:     c.Duration("timeout"),
-		Goal:        c.Duration("goal"),
-		HealthEvery: c.Duration("health-every"),
-		Progress:    os.Stderr,
+		ChatDeadline:        c.Duration("deadline"),
+		MaxRetries:          c.Int("retry-after"),
+		Timeout:             c.Duration("timeout"),
+		FirstTokenGoal:      c.Duration("goal"),
+		HealthCheckInterval: c.Duration("health-every"),
+		Progress:            os.Stderr,
 	}
 	if o.Burst.Until == 0 {
 		o.Burst.Until = o.Duration
@@ -147,7 +147,7 @@
 }
 
 func printRecords(out io.Writer, w load.Workload) error {
-	records, err := load.Records(w)
+	records, err := load.ConfigRecords(w)
 	if err != nil {
 		return err
 	}
--- a/cmd/skylark-standin/platform.go
+++ b/cmd/skylark-standin/platform.go
@@ -19,7 +19,7 @@
 
 // platformCommand runs the platform's stand-in.
 func platformCommand() *cli.Command {
-	d := platform.Defaults()
+	d := platform.DefaultControl()
 	return &cli.Command{
 		Name:  "platform",
 		Usage: "append-only log, lagging instance list, weight store",
--- a/internal/endpoint/freeze_test.go
+++ b/internal/endpoint/freeze_test.go
@@ -80,7 +80,7 @@
 			}
 			if c.midway && !c.struck {
 				kit.Until(t, "the engine's cancel", func() bool {
-					return kit.Get[standinengine.Account](t, backend+"/control/account").Requests[run.Attempt.String()].Cancelled
+					return kit.Get[standinengine.Stats](t, backend+"/control/account").Requests[run.Attempt.String()].Cancelled
 				})
 			}
 		})
--- a/internal/endpoint/harness_test.go
+++ b/internal/endpoint/harness_test.go
@@ -208,7 +208,7 @@
 
 func platformOf(t *testing.T, list []platform.Instance) settings.Platform {
 	t.Helper()
-	server := httptest.NewServer(standin.New(standin.Options{Control: standin.Defaults(), Instances: list}))
+	server := httptest.NewServer(standin.New(standin.Options{Control: standin.DefaultControl(), Instances: list}))
 	t.Cleanup(server.Close)
 	return settings.Platform{Log: server.URL, Instances: server.URL, Retention: settings.DefaultRetention}
 }
--- a/internal/endpoint/orders_test.go
+++ b/internal/endpoint/orders_test.go
@@ -22,13 +22,13 @@
 // its base URL. Its load report lags.
 func startStandinEngine(t *testing.T) string {
 	t.Helper()
-	return serveStandinEngine(t, standinengine.Defaults())
+	return serveStandinEngine(t, standinengine.DefaultSettings())
 }
 
 // startCurrentStandinEngine runs one whose load report doesn't lag.
 func startCurrentStandinEngine(t *testing.T) string {
 	t.Helper()
-	settings := standinengine.Defaults()
+	settings := standinengine.DefaultSettings()
 	settings.LoadLagMs = 0
 	return serveStandinEngine(t, settings)
 }
--- a/internal/endpoint/parameters_test.go
+++ b/internal/endpoint/parameters_test.go
@@ -19,7 +19,7 @@
 	if _, end := n.answer(0); end.Outcome != protocol.Done {
 		t.Fatalf("ended with %+v", end)
 	}
-	got := kit.Get[standinengine.Account](t, base+"/control/account").Requests[run.Attempt.String()]
+	got := kit.Get[standinengine.Stats](t, base+"/control/account").Requests[run.Attempt.String()]
 	if got.Salt != "org" || len(got.Parameters) != 2 || string(got.Parameters["temperature"]) != "0.2" {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -133,7 +133,7 @@
 }
 
 func (f *Fleet) publish(ctx context.Context, w load.Workload) error {
-	records, err := load.Records(w)
+	records, err := load.ConfigRecords(w)
 	if err != nil {
 		return err
 	}
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -35,7 +35,7 @@
 	series := func(rates ...int) *hitSeries {
 		h := &hitSeries{}
 		for second, cached := range rates {
-			h.add(load.Result{At: time.Duration(second) * time.Second, PromptTokens: 100, CachedTokens: cached})
+			h.add(load.Result{ScheduledAt: time.Duration(second) * time.Second, PromptTokens: 100, CachedTokens: cached})
 		}
 		return h
 	}
--- a/internal/measure/recovery.go
+++ b/internal/measure/recovery.go
@@ -24,7 +24,7 @@
 func (h *hitSeries) add(r load.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	second := int(r.At / time.Second)
+	second := int(r.ScheduledAt / time.Second)
 	for len(h.prompt) <= second {
 		h.prompt = append(h.prompt, 0)
 		h.cached = append(h.cached, 0)
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -42,9 +42,9 @@
 	PromptTokens int `json:"prompt_tokens"`
 	WastedTokens int `json:"wasted_tokens"`
 	// FirstToken is by class, BetweenTokens over all.
-	FirstToken    map[string]load.Times `json:"first_token"`
-	BetweenTokens load.Times            `json:"between_tokens"`
-	Outcomes      map[load.Outcome]int  `json:"outcomes"`
+	FirstToken    map[string]load.LatencySummary `json:"first_token"`
+	BetweenTokens load.LatencySummary            `json:"between_tokens"`
+	Outcomes      map[load.Outcome]int           `json:"outcomes"`
 	// ClassOutcomes are by class.
 	ClassOutcomes map[string]map[load.Outcome]int `json:"class_outcomes"`
 	Refusals      map[string]int                  `json:"refusals"`
@@ -81,7 +81,7 @@
 
 // Measure starts a deployment, runs one scenario on it and stops it.
 func Measure(ctx context.Context, d Deployment, s Scenario, policy string, seed uint64, o Options) (*Run, error) {
-	w, err := load.Read(d.Workload)
+	w, err := load.ReadWorkload(d.Workload)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	hits := &hitSeries{}
 	options := load.Options{
 		Entries: f.EntryURLs(), Duration: o.Duration, Warmup: o.Warmup, Seed: seed,
-		Rate: w.Rate * rateFactor(s.Rate), OnResult: hits.add, HealthEvery: time.Second,
+		Rate: w.Rate * rateFactor(s.Rate), OnResult: hits.add, HealthCheckInterval: time.Second,
 	}
 	if s.Load != nil {
 		s.Load(&options, w)
@@ -157,7 +157,7 @@
 func (r *Run) fill(report *load.Report, before, after sample) {
 	r.PromptTokens = after.prompt - before.prompt
 	r.HitRate = ratio(after.cached-before.cached, r.PromptTokens)
-	r.FirstToken = map[string]load.Times{}
+	r.FirstToken = map[string]load.LatencySummary{}
 	r.ClassOutcomes = map[string]map[load.Outcome]int{}
 	for class, g := range report.Classes {
 		r.FirstToken[class] = g.FirstToken
@@ -214,7 +214,7 @@
 func (f *Fleet) sample() (sample, error) {
 	s := sample{at: time.Now(), cpu: map[string]float64{}, control: map[string]float64{}, imports: map[string]int{}}
 	for _, n := range f.Engines {
-		var account engine.Account
+		var account engine.Stats
 		if err := getJSON("http://"+n.address+"/control/account", &account); err != nil {
 			return s, err
 		}
--- a/internal/measure/scenario.go
+++ b/internal/measure/scenario.go
@@ -46,7 +46,7 @@
 	patience       = 3 * time.Second
 )
 
-func impatient(o *load.Options, _ load.Workload) { o.Deadline = patience }
+func impatient(o *load.Options, _ load.Workload) { o.ChatDeadline = patience }
 
 // eventLoss is the share of cache events lost in the scenario of that name.
 const eventLoss = 0.2
@@ -58,8 +58,8 @@
 	{Name: "tenfold", Hot: true, Load: func(o *load.Options, w load.Workload) {
 		o.Burst = load.Burst{Organisation: largest(w), Factor: 10, Until: o.Duration}
 	}},
-	{Name: "shift", Hot: true, Load: func(o *load.Options, _ load.Workload) { o.ShiftAt = share(o.Duration, middle) }},
-	{Name: "charter", Hot: true, Load: func(o *load.Options, _ load.Workload) { o.ChangeAt = share(o.Duration, middle) }},
+	{Name: "shift", Hot: true, Load: func(o *load.Options, _ load.Workload) { o.PopularityShiftAt = share(o.Duration, middle) }},
+	{Name: "charter", Hot: true, Load: func(o *load.Options, _ load.Workload) { o.CharterChangeAt = share(o.Duration, middle) }},
 	{Name: "crash", Faults: []Fault{{At: middle, Do: crashEngines(1)}}},
 	{Name: "half_restart", Faults: []Fault{{At: middle, Do: func(f *Fleet) error {
 		return crashEngines(len(f.Engines) / 2)(f)
--- a/internal/measure/slopes.go
+++ b/internal/measure/slopes.go
@@ -135,10 +135,10 @@
 		Organisations: []load.Organisation{{
 			ID: "organisation-slopes", Class: load.ClassLarge, APIKey: slopeKey, Share: 1, Weight: 1,
 			Instructions: []load.Instruction{{Seed: "slopes", Tokens: 400}},
-			Requests: []load.Request{{Name: "chat", Share: 1, Chat: &load.Chat{
+			Requests: []load.RequestKind{{Name: "chat", Share: 1, Chat: &load.Chat{
 				Model:          slopeGroup,
-				Charter:        load.Shared{Tokens: 800, Count: slopeCharters, Skew: 1},
-				Case:           load.Shared{Tokens: 200, Count: slopeCases, Skew: 1},
+				Charter:        load.SharedTexts{Tokens: 800, Count: slopeCharters, Skew: 1},
+				Case:           load.SharedTexts{Tokens: 200, Count: slopeCases, Skew: 1},
 				QuestionTokens: 40, MinTokens: s.answerTokens, MaxTokens: s.answerTokens,
 			}}},
 		}},
@@ -245,10 +245,10 @@
 }
 
 // uses reads all daemons, and the sum of the engines' accounts.
-func (f *Fleet) uses() (map[string]use, engine.Account, error) {
-	var sum engine.Account
+func (f *Fleet) uses() (map[string]use, engine.Stats, error) {
+	var sum engine.Stats
 	for _, n := range f.Engines {
-		var account engine.Account
+		var account engine.Stats
 		if err := getJSON("http://"+n.address+"/control/account", &account); err != nil {
 			return nil, sum, err
 		}
--- a/internal/measure/slopes_claims.go
+++ b/internal/measure/slopes_claims.go
@@ -30,7 +30,7 @@
 	Settles  int                  `json:"settles"`
 	Bytes    int                  `json:"bytes"`
 	// Calls are the callers' times for a whole answer.
-	Calls load.Times `json:"calls"`
+	Calls load.LatencySummary `json:"calls"`
 	// CPU is the replicas' share of a core, Platform their reads of it on the wire.
 	Endpoint RoleUse `json:"endpoint"`
 	Entry    RoleUse `json:"entry"`
@@ -67,8 +67,8 @@
 		},
 		Organisations: []load.Organisation{{
 			ID: "organisation-slopes", Class: load.ClassLarge, APIKey: slopeKey, Share: 1, Weight: 1,
-			Requests: []load.Request{{Name: "payment", Share: 1, Call: &load.Call{
-				Service: slopeServices, Path: "payments", Keyed: true, Tokens: 60,
+			Requests: []load.RequestKind{{Name: "payment", Share: 1, Call: &load.Call{
+				Service: slopeServices, Path: "payments", Idempotent: true, Tokens: 60,
 			}}},
 		}},
 	}
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -57,12 +57,12 @@
 
 func medianRow(runs []*Run) Row {
 	of := func(value func(*Run) float64) float64 { return median(runs, value) }
-	first := func(class string, value func(load.Times) float64) float64 {
+	first := func(class string, value func(load.LatencySummary) float64) float64 {
 		return of(func(r *Run) float64 { return value(r.FirstToken[class]) })
 	}
-	p50 := func(t load.Times) float64 { return t.P50 }
-	p95 := func(t load.Times) float64 { return t.P95 }
-	p99 := func(t load.Times) float64 { return t.P99 }
+	p50 := func(t load.LatencySummary) float64 { return t.P50 }
+	p95 := func(t load.LatencySummary) float64 { return t.P95 }
+	p99 := func(t load.LatencySummary) float64 { return t.P99 }
 	return Row{
 		Deployment: runs[0].Deployment, Scenario: runs[0].Scenario, Policy: runs[0].Policy, Seeds: len(runs),
 		HitRate:      of(func(r *Run) float64 { return r.HitRate }),
@@ -165,7 +165,7 @@
 	slim := make([]*Run, len(runs))
 	for i, r := range runs {
 		c := *r
-		c.FirstToken = map[string]load.Times{}
+		c.FirstToken = map[string]load.LatencySummary{}
 		for class, t := range r.FirstToken {
 			t.Histogram = ""
 			c.FirstToken[class] = t
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -16,9 +16,9 @@
 const (
 	// TokenBytes is the length of every token but an echoed first one.
 	TokenBytes = 5
-	// EchoMark in the last user message makes the word after it the answer's
+	// EchoMarker in the last user message makes the word after it the answer's
 	// first token, in brackets.
-	EchoMark = "echo:"
+	EchoMarker = "echo:"
 )
 
 // Answer is the whole endless answer to one prompt.
@@ -92,7 +92,7 @@
 		if messages[i].Role != "user" {
 			continue
 		}
-		_, after, found := strings.Cut(messages[i].Content, EchoMark)
+		_, after, found := strings.Cut(messages[i].Content, EchoMarker)
 		if !found {
 			return ""
 		}
--- a/internal/standin/engine/account.go
+++ b/internal/standin/engine/account.go
@@ -10,23 +10,23 @@
 	"skylarklead/internal/prefix"
 )
 
-// Account is what GET /control/account tells: the engine's own truth, over all
+// Stats is what GET /control/account tells: the engine's own truth, over all
 // incarnations of the process.
-type Account struct {
+type Stats struct {
 	Incarnation string `json:"incarnation"`
 	Weights     string `json:"weights_version"`
 	Running     int    `json:"running"`
 	Waiting     int    `json:"waiting"`
 	// ResidentBlocks is exact; ResidentHashes are told with ?hashes=1.
-	ResidentBlocks int                 `json:"resident_blocks"`
-	ResidentHashes api.Hashes          `json:"resident_hashes,omitempty"`
-	Requests       map[string]Record   `json:"requests"`
-	Totals         Totals              `json:"totals"`
-	Crashed        map[string][]string `json:"crashed"`
+	ResidentBlocks int                     `json:"resident_blocks"`
+	ResidentHashes api.Hashes              `json:"resident_hashes,omitempty"`
+	Requests       map[string]RequestStats `json:"requests"`
+	Totals         Totals                  `json:"totals"`
+	Crashed        map[string][]string     `json:"crashed"`
 }
 
-// Record tells of one request ID. But for Runs and Crashes it is of its last run.
-type Record struct {
+// RequestStats tells of one request ID. But for Runs and Crashes it is of its last run.
+type RequestStats struct {
 	PromptTokens     int    `json:"prompt_tokens"`
 	CachedTokens     int    `json:"cached_tokens"`
 	ComputedTokens   int    `json:"computed_tokens"`
@@ -67,7 +67,7 @@
 // account keeps the books. Its methods are called under the engine's lock.
 type account struct {
 	logger   *slog.Logger
-	requests map[string]*Record
+	requests map[string]*RequestStats
 	totals   Totals
 	// live are the requests that started in the present incarnation and haven't
 	// ended; crashed names them for each incarnation that crashed.
@@ -78,7 +78,7 @@
 func newAccount(logger *slog.Logger) *account {
 	return &account{
 		logger:   logger,
-		requests: map[string]*Record{},
+		requests: map[string]*RequestStats{},
 		totals:   Totals{HitsBySalt: map[string]int{}, HitsByOrigin: map[string]int{}},
 		live:     map[*request]bool{},
 		crashed:  map[string][]string{},
@@ -88,10 +88,10 @@
 func (a *account) start(r *request) {
 	record := a.requests[r.id]
 	if record == nil {
-		record = &Record{}
+		record = &RequestStats{}
 		a.requests[r.id] = record
 	}
-	*record = Record{
+	*record = RequestStats{
 		PromptTokens: r.promptTokens,
 		CachedTokens: r.cached,
 		Salt:         r.origin.Salt,
@@ -136,7 +136,7 @@
 		record.Cancelled = true
 		return
 	}
-	a.requests[r.id] = &Record{Cancelled: true, Salt: r.origin.Salt}
+	a.requests[r.id] = &RequestStats{Cancelled: true, Salt: r.origin.Salt}
 }
 
 func (a *account) crash(incarnation string) {
@@ -151,16 +151,16 @@
 }
 
 // report returns a copy of the books.
-func (e *Engine) report(hashes bool) Account {
+func (e *Engine) report(hashes bool) Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := Account{
+	out := Stats{
 		Incarnation:    e.incarnation,
 		Weights:        e.orders.state.Version,
 		Running:        len(e.running),
 		Waiting:        len(e.waiting),
 		ResidentBlocks: len(e.cache.blocks),
-		Requests:       make(map[string]Record, len(e.account.requests)),
+		Requests:       make(map[string]RequestStats, len(e.account.requests)),
 		Totals:         e.account.totals,
 		Crashed:        maps.Clone(e.account.crashed),
 	}
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -22,7 +22,7 @@
 
 // fast are costs that keep tests short.
 func fast() Settings {
-	s := Defaults()
+	s := DefaultSettings()
 	s.StepMs, s.StepPerRequestMs, s.EventDelayMs, s.LoadLagMs, s.LoadMs = 1, 0, 0, 0, 1
 	s.PrefillTokensPerSecond = 1e6
 	s.CrashMode, s.RestartMs = CrashReset, 1
@@ -59,9 +59,9 @@
 	kit.Control(r, r.base, body)
 }
 
-func (r *rig) account() Account {
+func (r *rig) account() Stats {
 	r.Helper()
-	return kit.Get[Account](r, r.base+"/control/account?hashes=1")
+	return kit.Get[Stats](r, r.base+"/control/account?hashes=1")
 }
 
 // prompt has a shared prefix of 64 blocks and a question.
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -120,8 +120,8 @@
 	DropNextEvents int `json:"drop_next_events"`
 }
 
-// Defaults returns settings without faults; the package says why these.
-func Defaults() Settings {
+// DefaultSettings returns settings without faults; the package says why these.
+func DefaultSettings() Settings {
 	return Settings{
 		PrefillTokensPerSecond:  20_000,
 		StepMs:                  8,
--- a/internal/standin/load/caller.go
+++ b/internal/standin/load/caller.go
@@ -46,7 +46,7 @@
 		r.Resent = resent
 		r.Total = time.Since(start)
 		again := r.Outcome == Refused && r.Ran == "not_run" && r.retryAfter > 0
-		if !again || resent == c.options.RetryAfter || wait.For(ctx, r.retryAfter) != nil {
+		if !again || resent == c.options.MaxRetries || wait.For(ctx, r.retryAfter) != nil {
 			return r
 		}
 	}
@@ -57,8 +57,8 @@
 		RequestID:    "load-" + a.token,
 		Organisation: a.organisation.ID,
 		Class:        a.organisation.Class,
-		Request:      a.request.Name,
-		At:           a.at,
+		RequestKind:  a.request.Name,
+		ScheduledAt:  a.at,
 		chat:         a.request.Chat != nil,
 	}
 	req, err := c.request(ctx, a, &r)
@@ -104,14 +104,14 @@
 	deadline := 0
 	if call := a.request.Call; call != nil {
 		deadline = call.DeadlineMS
-		if call.Keyed {
-			r.Key = "key-" + a.token
-			req.Header.Set("Idempotency-Key", r.Key)
+		if call.Idempotent {
+			r.IdempotencyKey = "key-" + a.token
+			req.Header.Set("Idempotency-Key", r.IdempotencyKey)
 		}
 	} else {
 		deadline = a.request.Chat.DeadlineMS
-		if c.options.Deadline > 0 {
-			deadline = int(c.options.Deadline.Milliseconds())
+		if c.options.ChatDeadline > 0 {
+			deadline = int(c.options.ChatDeadline.Milliseconds())
 		}
 	}
 	if deadline > 0 {
@@ -156,7 +156,7 @@
 	switch {
 	case got.Echo != token:
 		r.end(Wrong, fmt.Sprintf("echo %q, want %q", got.Echo, token))
-	case r.Key != "" && got.Run > 1:
+	case r.IdempotencyKey != "" && got.Run > 1:
 		r.end(Wrong, fmt.Sprintf("ran %d times", got.Run))
 	default:
 		r.end(OK, "")
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -66,9 +66,9 @@
 	report, err := Run(t.Context(), testWorkload(), Options{
 		Entries:  []string{server.URL, server.URL + "/"},
 		Duration: time.Second, Seed: 5, Rate: 200,
-		HealthEvery: 10 * time.Millisecond,
-		Progress:    &progress,
-		OnResult:    func(Result) { results++ },
+		HealthCheckInterval: 10 * time.Millisecond,
+		Progress:            &progress,
+		OnResult:            func(Result) { results++ },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 	for _, again := range []int{0, 2} {
 		server := httptest.NewServer(&fakeEntry{spoil: refuse})
 		report, err := Run(t.Context(), testWorkload(), Options{
-			Entries: []string{server.URL}, Duration: time.Second, Rate: 20, RetryAfter: again,
+			Entries: []string{server.URL}, Duration: time.Second, Rate: 20, MaxRetries: again,
 		})
 		server.Close()
 		if err != nil {
@@ -212,7 +212,7 @@
 		{`{"echo":"t1"`, "", Wrong},
 	}
 	for _, test := range tests {
-		r := Result{Key: test.key}
+		r := Result{IdempotencyKey: test.key}
 		checkCall(&r, strings.NewReader(test.body), "t1")
 		if r.Outcome != test.want {
 			t.Errorf("%s: %s (%s), want %s", test.body, r.Outcome, r.Detail, test.want)
@@ -222,12 +222,12 @@
 
 func TestExampleWorkloads(t *testing.T) {
 	for _, name := range []string{"huon", "nakhla"} {
-		w, err := Read("../../../examples/workloads/" + name + ".json")
+		w, err := ReadWorkload("../../../examples/workloads/" + name + ".json")
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		records, err := Records(w)
+		records, err := ConfigRecords(w)
 		if err != nil || len(records) != len(w.Records)+8 {
 			t.Errorf("%s: %d records, %v", name, len(records), err)
 		}
--- a/internal/standin/load/options.go
+++ b/internal/standin/load/options.go
@@ -22,25 +22,25 @@
 	Label string
 	// Only has the IDs or classes of the organisations that call, all if empty.
 	Only []string
-	// ShiftAt is when each organisation's popular texts change places; 0 is never.
-	ShiftAt time.Duration
-	// ChangeAt is when each organisation's first charter gets a new text; 0 is
+	// PopularityShiftAt is when each organisation's popular texts change places; 0 is never.
+	PopularityShiftAt time.Duration
+	// CharterChangeAt is when each organisation's first charter gets a new text; 0 is
 	// never.
-	ChangeAt time.Duration
-	Burst    Burst
+	CharterChangeAt time.Duration
+	Burst           Burst
 	// Timeout bounds one request, 60 s if 0.
 	Timeout time.Duration
-	// Deadline is how long the callers of chats say that they will wait, in
+	// ChatDeadline is how long the callers of chats say that they will wait, in
 	// place of the workload's word, 0 to keep that.
-	Deadline time.Duration
-	// RetryAfter is how often a request that was refused as not run, with a time
+	ChatDeadline time.Duration
+	// MaxRetries is how often a request that was refused as not run, with a time
 	// to come back, is sent again after that time.
-	RetryAfter int
-	// Goal is the time to first token that counts into goodput, 880 ms if 0.
-	Goal time.Duration
-	// HealthEvery is how often the entries' readiness is asked for, as the
+	MaxRetries int
+	// FirstTokenGoal is the time to first token that counts into goodput, 880 ms if 0.
+	FirstTokenGoal time.Duration
+	// HealthCheckInterval is how often the entries' readiness is asked for, as the
 	// platform's balancer does; 0 is never.
-	HealthEvery time.Duration
+	HealthCheckInterval time.Duration
 	// MaxInFlight bounds requests in flight, 20,000 if 0. What arrives above it
 	// is dropped and reported, and the run doesn't count as a measurement.
 	MaxInFlight int
@@ -78,8 +78,8 @@
 	if o.Timeout == 0 {
 		o.Timeout = defaultTimeout
 	}
-	if o.Goal == 0 {
-		o.Goal = defaultGoal
+	if o.FirstTokenGoal == 0 {
+		o.FirstTokenGoal = defaultGoal
 	}
 	if o.MaxInFlight == 0 {
 		o.MaxInFlight = defaultMaxInFlight
--- a/internal/standin/load/plan.go
+++ b/internal/standin/load/plan.go
@@ -16,7 +16,7 @@
 	// at is since the run's start.
 	at           time.Duration
 	organisation *Organisation
-	request      *Request
+	request      *RequestKind
 	// token is the request's own: its answer has to begin with it.
 	token string
 	// charterSeed and caseSeed name the shared texts, empty where there is none.
@@ -123,7 +123,7 @@
 	a.maxTokens = chat.MinTokens + s.contents.IntN(chat.MaxTokens-chat.MinTokens+1)
 	if i := s.shared(chat.Charter, at); i >= 0 {
 		a.charterSeed = fmt.Sprintf("%s/charter-%d", s.org.ID, i)
-		if i == 0 && changed(s.options.ChangeAt, at) {
+		if i == 0 && changed(s.options.CharterChangeAt, at) {
 			a.charterSeed += "-revised"
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 // shared draws one of a level's texts by popularity, -1 if it has none.
-func (s *source) shared(level Shared, at time.Duration) int {
+func (s *source) shared(level SharedTexts, at time.Duration) int {
 	if level.Tokens == 0 {
 		return -1
 	}
@@ -143,7 +143,7 @@
 		weights[rank] = math.Pow(float64(rank+1), -level.Skew)
 	}
 	rank := pick(s.contents, weights)
-	if changed(s.options.ShiftAt, at) {
+	if changed(s.options.PopularityShiftAt, at) {
 		return s.moved(level.Count)[rank]
 	}
 	return rank
--- a/internal/standin/load/plan_test.go
+++ b/internal/standin/load/plan_test.go
@@ -16,19 +16,19 @@
 	chat := func(count int) *Chat {
 		return &Chat{
 			Model:          "m",
-			Charter:        Shared{Tokens: 64, Count: count, Skew: 1},
-			Case:           Shared{Tokens: 32, Count: 3},
+			Charter:        SharedTexts{Tokens: 64, Count: count, Skew: 1},
+			Case:           SharedTexts{Tokens: 32, Count: 3},
 			QuestionTokens: 8, MinTokens: 2, MaxTokens: 6,
 		}
 	}
 	return Workload{Name: "test", Rate: 100, Organisations: []Organisation{
-		{ID: "big", Class: ClassLarge, APIKey: "kb", Share: 4, Requests: []Request{
+		{ID: "big", Class: ClassLarge, APIKey: "kb", Share: 4, Requests: []RequestKind{
 			{Name: "chat", Share: 3, Chat: chat(5)},
-			{Name: "pay", Share: 1, Call: &Call{Service: "portal", Path: "payments", Keyed: true, Tokens: 4}},
+			{Name: "pay", Share: 1, Call: &Call{Service: "portal", Path: "payments", Idempotent: true, Tokens: 4}},
 		}},
 		{ID: "tiny", Class: ClassSmall, APIKey: "kt", Share: 1,
 			Instructions: []Instruction{{"rules", 40}, {"tiny", 20}},
-			Requests:     []Request{{Name: "chat", Share: 1, Chat: chat(2)}}},
+			Requests:     []RequestKind{{Name: "chat", Share: 1, Chat: chat(2)}}},
 	}}
 }
 
@@ -116,7 +116,7 @@
 
 func TestPlanShiftsAndChanges(t *testing.T) {
 	w := testWorkload()
-	o := Options{Seed: 3, Duration: 40 * time.Second, ShiftAt: 20 * time.Second}
+	o := Options{Seed: 3, Duration: 40 * time.Second, PopularityShiftAt: 20 * time.Second}
 	popular := func(all []arrival, from, until time.Duration) string {
 		counts := map[string]int{}
 		best := ""
@@ -131,11 +131,11 @@
 		return best
 	}
 	all := plan(&w, &o)
-	if before, after := popular(all, 0, o.ShiftAt), popular(all, o.ShiftAt, o.Duration); before != "big/charter-0" || after == before {
+	if before, after := popular(all, 0, o.PopularityShiftAt), popular(all, o.PopularityShiftAt, o.Duration); before != "big/charter-0" || after == before {
 		t.Errorf("most popular before %q, after %q", before, after)
 	}
-	o.ShiftAt, o.ChangeAt = 0, 20*time.Second
-	if after := popular(plan(&w, &o), o.ChangeAt, o.Duration); after != "big/charter-0-revised" {
+	o.PopularityShiftAt, o.CharterChangeAt = 0, 20*time.Second
+	if after := popular(plan(&w, &o), o.CharterChangeAt, o.Duration); after != "big/charter-0-revised" {
 		t.Errorf("most popular after the change %q", after)
 	}
 }
--- a/internal/standin/load/records.go
+++ b/internal/standin/load/records.go
@@ -31,9 +31,9 @@
 	MaxInFlight int `json:"max_in_flight"`
 }
 
-// Records returns the configuration records that a workload needs: its own and
+// ConfigRecords returns the configuration records that a workload needs: its own and
 // one for each of its organisations, with the same texts that its prompts have.
-func Records(w Workload) ([]config.Record, error) {
+func ConfigRecords(w Workload) ([]config.Record, error) {
 	records := slices.Clone(w.Records)
 	for _, o := range w.Organisations {
 		body, err := json.Marshal(organisationRecord(&o))
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -44,14 +44,14 @@
 	CachedTokens int `json:"cached_tokens"`
 	// FirstToken and Chat count from the scheduled arrival, BetweenTokens from
 	// the event with text before; Calls are of plain services.
-	FirstToken    Times `json:"first_token"`
-	BetweenTokens Times `json:"between_tokens"`
-	Chat          Times `json:"chat"`
-	Calls         Times `json:"calls"`
+	FirstToken    LatencySummary `json:"first_token"`
+	BetweenTokens LatencySummary `json:"between_tokens"`
+	Chat          LatencySummary `json:"chat"`
+	Calls         LatencySummary `json:"calls"`
 }
 
-// Times summarise a histogram of right answers, in milliseconds.
-type Times struct {
+// LatencySummary summarise a histogram of right answers, in milliseconds.
+type LatencySummary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
 	P50   float64 `json:"p50_ms"`
@@ -76,7 +76,7 @@
 		Workload:      workload,
 		Seed:          t.options.Seed,
 		Seconds:       seconds,
-		GoalMS:        float64(t.options.Goal.Milliseconds()),
+		GoalMS:        float64(t.options.FirstTokenGoal.Milliseconds()),
 		Dropped:       t.dropped,
 		LateP99MS:     quantile(t.late, 99),
 		All:           t.all.summary(seconds),
@@ -111,12 +111,12 @@
 	}
 }
 
-func times(h *hdrhistogram.Histogram) Times {
+func times(h *hdrhistogram.Histogram) LatencySummary {
 	encoded, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		encoded = nil // the summary stands without it
 	}
-	return Times{
+	return LatencySummary{
 		Count:     h.TotalCount(),
 		Mean:      h.Mean() / 1000,
 		P50:       quantile(h, 50),
--- a/internal/standin/load/result.go
+++ b/internal/standin/load/result.go
@@ -24,23 +24,23 @@
 
 // Result is how one request went. Times in JSON are in nanoseconds.
 type Result struct {
-	RequestID    string  `json:"request_id"`
-	Organisation string  `json:"organisation"`
-	Class        string  `json:"class"`
-	Request      string  `json:"request"`
-	Key          string  `json:"key,omitempty"`
-	Outcome      Outcome `json:"outcome"`
+	RequestID      string  `json:"request_id"`
+	Organisation   string  `json:"organisation"`
+	Class          string  `json:"class"`
+	RequestKind    string  `json:"request"`
+	IdempotencyKey string  `json:"key,omitempty"`
+	Outcome        Outcome `json:"outcome"`
 	// Code and Ran are of a refusal or failure.
 	Code string `json:"code,omitempty"`
 	Ran  string `json:"ran,omitempty"`
 	// Detail tells what was wrong.
 	Detail   string `json:"detail,omitempty"`
 	Executor string `json:"executor,omitempty"`
-	// At is the scheduled arrival since the run's start. FirstToken and Total
+	// ScheduledAt is the scheduled arrival since the run's start. FirstToken and Total
 	// count from it.
-	At         time.Duration `json:"at"`
-	FirstToken time.Duration `json:"first_token"`
-	Total      time.Duration `json:"total"`
+	ScheduledAt time.Duration `json:"at"`
+	FirstToken  time.Duration `json:"first_token"`
+	Total       time.Duration `json:"total"`
 	// Tokens are those received; PromptTokens and CachedTokens are what the
 	// answer says.
 	Tokens       int `json:"tokens"`
--- a/internal/standin/load/run.go
+++ b/internal/standin/load/run.go
@@ -21,8 +21,8 @@
 	t := newTally(&o)
 	watching, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup
-	if o.HealthEvery > 0 {
-		background.Go(func() { b.watch(watching, o.HealthEvery) })
+	if o.HealthCheckInterval > 0 {
+		background.Go(func() { b.watch(watching, o.HealthCheckInterval) })
 	}
 	if o.Progress != nil {
 		background.Go(func() { t.progress(watching) })
--- a/internal/standin/load/tally.go
+++ b/internal/standin/load/tally.go
@@ -130,16 +130,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inFlight--
-	t.second.add(&r, t.options.Goal)
+	t.second.add(&r, t.options.FirstTokenGoal)
 	if t.options.OnResult != nil {
 		t.options.OnResult(r)
 	}
-	if r.At < t.options.Warmup {
+	if r.ScheduledAt < t.options.Warmup {
 		return
 	}
-	of(t.groups, r.Organisation).add(&r, t.options.Goal)
-	of(t.classes, r.Class).add(&r, t.options.Goal)
-	t.all.add(&r, t.options.Goal)
+	of(t.groups, r.Organisation).add(&r, t.options.FirstTokenGoal)
+	of(t.classes, r.Class).add(&r, t.options.FirstTokenGoal)
+	t.all.add(&r, t.options.FirstTokenGoal)
 }
 
 func of(groups map[string]*group, name string) *group {
--- a/internal/standin/load/workload.go
+++ b/internal/standin/load/workload.go
@@ -45,9 +45,9 @@
 	// before each prompt.
 	Instructions []Instruction `json:"instructions"`
 	// Weight and MaxInFlight go into its configuration record.
-	Weight      float64   `json:"weight"`
-	MaxInFlight int       `json:"max_in_flight"`
-	Requests    []Request `json:"requests"`
+	Weight      float64       `json:"weight"`
+	MaxInFlight int           `json:"max_in_flight"`
+	Requests    []RequestKind `json:"requests"`
 }
 
 // Instruction is Text(Seed, Tokens).
@@ -56,9 +56,9 @@
 	Tokens int    `json:"tokens"`
 }
 
-// Request is one kind of an organisation's requests: exactly one of Chat and
+// RequestKind is one kind of an organisation's requests: exactly one of Chat and
 // Call is set.
-type Request struct {
+type RequestKind struct {
 	Name string `json:"name"`
 	// Share is its part of the organisation's arrivals, relative to the others.
 	Share float64 `json:"share"`
@@ -69,10 +69,10 @@
 // Chat is a streamed chat completion over nested prefixes: a charter, one of its
 // cases, and a question that is new each time.
 type Chat struct {
-	Model    string `json:"model"`
-	Priority int    `json:"priority"`
-	Charter  Shared `json:"charter"`
-	Case     Shared `json:"case"`
+	Model    string      `json:"model"`
+	Priority int         `json:"priority"`
+	Charter  SharedTexts `json:"charter"`
+	Case     SharedTexts `json:"case"`
 	// QuestionTokens is the length of the question.
 	QuestionTokens int `json:"question_tokens"`
 	// MinTokens and MaxTokens bound the length of an answer, drawn uniformly.
@@ -82,8 +82,8 @@
 	DeadlineMS int `json:"deadline_ms"`
 }
 
-// Shared is a set of texts that requests have in common.
-type Shared struct {
+// SharedTexts is a set of texts that requests have in common.
+type SharedTexts struct {
 	// Tokens is the length of each; 0 leaves the level out.
 	Tokens int `json:"tokens"`
 	// Count is how many there are, under each text of the level above.
@@ -97,15 +97,15 @@
 type Call struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Keyed calls carry an Idempotency-Key of their own.
-	Keyed bool `json:"keyed"`
+	// Idempotent calls carry an Idempotency-Key of their own.
+	Idempotent bool `json:"keyed"`
 	// Tokens is the length of the rest of the body.
 	Tokens     int `json:"tokens"`
 	DeadlineMS int `json:"deadline_ms"`
 }
 
-// Read reads a workload file, JSON with comments, and checks it.
-func Read(file string) (Workload, error) {
+// ReadWorkload reads a workload file, JSON with comments, and checks it.
+func ReadWorkload(file string) (Workload, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return Workload{}, fmt.Errorf("load: %w", err)
@@ -143,7 +143,7 @@
 	}
 }
 
-func (r *Request) check(doc *strictjson.Document, path string) {
+func (r *RequestKind) check(doc *strictjson.Document, path string) {
 	if r.Share <= 0 {
 		doc.Add(path+".share", fmt.Sprintf("is %v", r.Share), "above 0")
 	}
@@ -161,7 +161,7 @@
 	r.Chat.Case.check(doc, path+".chat.case")
 }
 
-func (s *Shared) check(doc *strictjson.Document, path string) {
+func (s *SharedTexts) check(doc *strictjson.Document, path string) {
 	if s.Tokens > 0 && s.Count < 1 {
 		doc.Add(path+".count", fmt.Sprintf("is %d", s.Count), "at least 1")
 	}
--- a/internal/standin/platform/control.go
+++ b/internal/standin/platform/control.go
@@ -39,8 +39,8 @@
 	WeightsBound int `json:"weights_bound"`
 }
 
-// Defaults returns a platform without faults, in the brief's sizes.
-func Defaults() Control {
+// DefaultControl returns a platform without faults, in the brief's sizes.
+func DefaultControl() Control {
 	return Control{
 		AppendsPerSecond: 300,
 		AppendBurst:      60,
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -39,13 +39,13 @@
 
 // Runs are how often requests ran, by X-Request-Id and by Idempotency-Key.
 type Runs struct {
-	ByRequest map[string]int `json:"by_request"`
-	ByKey     map[string]int `json:"by_key"`
-	Total     int            `json:"total"`
+	ByRequest        map[string]int `json:"by_request"`
+	ByIdempotencyKey map[string]int `json:"by_key"`
+	Total            int            `json:"total"`
 }
 
-// Answer is the body of a run's answer.
-type Answer struct {
+// Response is the body of a run's answer.
+type Response struct {
 	// Echo is the request body's field "echo", or the path if it has none.
 	Echo string `json:"echo"`
 	Path string `json:"path"`
@@ -66,7 +66,7 @@
 func New() *Service {
 	return &Service{
 		exit: os.Exit,
-		runs: Runs{ByRequest: map[string]int{}, ByKey: map[string]int{}},
+		runs: Runs{ByRequest: map[string]int{}, ByIdempotencyKey: map[string]int{}},
 	}
 }
 
@@ -96,7 +96,7 @@
 
 func (s *Service) report(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	runs := Runs{ByRequest: maps.Clone(s.runs.ByRequest), ByKey: maps.Clone(s.runs.ByKey), Total: s.runs.Total}
+	runs := Runs{ByRequest: maps.Clone(s.runs.ByRequest), ByIdempotencyKey: maps.Clone(s.runs.ByIdempotencyKey), Total: s.runs.Total}
 	s.mu.Unlock()
 	writeJSON(w, http.StatusOK, runs)
 }
@@ -126,7 +126,7 @@
 	if faults.ErrorStatus != 0 {
 		status = faults.ErrorStatus
 	}
-	writeJSON(w, status, Answer{Echo: echo(body, r.URL.Path), Path: r.URL.Path, Run: count})
+	writeJSON(w, status, Response{Echo: echo(body, r.URL.Path), Path: r.URL.Path, Run: count})
 }
 
 func (s *Service) count(header http.Header) (int, Faults) {
@@ -139,8 +139,8 @@
 	if key == "" {
 		return s.runs.ByRequest[id], s.faults
 	}
-	s.runs.ByKey[key]++
-	return s.runs.ByKey[key], s.faults
+	s.runs.ByIdempotencyKey[key]++
+	return s.runs.ByIdempotencyKey[key], s.faults
 }
 
 func echo(body []byte, path string) string {
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -16,18 +16,18 @@
 	server := httptest.NewServer(New().Handler())
 	defer server.Close()
 	client := engine.NewService(server.URL)
-	call := func() (Answer, int, error) {
+	call := func() (Response, int, error) {
 		resp, err := client.Call(context.Background(), engine.ServiceRequest{
 			ID: "r1", Key: "k1", Method: http.MethodPost, Path: "/pay/now?x=1", Body: []byte(`{"echo":"mine"}`),
 		})
 		if err != nil {
-			return Answer{}, 0, err
+			return Response{}, 0, err
 		}
 		defer resp.Body.Close()
-		var a Answer
+		var a Response
 		return a, resp.Status, json.NewDecoder(resp.Body).Decode(&a)
 	}
-	if a, status, err := call(); err != nil || status != 200 || a != (Answer{Echo: "mine", Path: "/pay/now", Run: 1}) {
+	if a, status, err := call(); err != nil || status != 200 || a != (Response{Echo: "mine", Path: "/pay/now", Run: 1}) {
 		t.Errorf("answer %+v, %d, %v", a, status, err)
 	}
 	kit.Control(t, server.URL, `{"error_status": 500}`)
@@ -39,7 +39,7 @@
 		t.Errorf("lost answer: %v", err)
 	}
 	runs := kit.Get[Runs](t, server.URL+"/control/runs")
-	if runs.ByRequest["r1"] != 3 || runs.ByKey["k1"] != 3 || runs.Total != 3 {
+	if runs.ByRequest["r1"] != 3 || runs.ByIdempotencyKey["k1"] != 3 || runs.Total != 3 {
 		t.Errorf("runs %+v", runs)
 	}
 }
--- a/test/harness/control.go
+++ b/test/harness/control.go
@@ -64,8 +64,8 @@
 }
 
 // Account returns an engine's own account.
-func (c *Cluster) Account(b *Backend) engine.Account {
-	return get[engine.Account](c, b, "/control/account")
+func (c *Cluster) Account(b *Backend) engine.Stats {
+	return get[engine.Stats](c, b, "/control/account")
 }
 
 // get returns what a stand-in answers.
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -63,7 +63,7 @@
 	return Chat{
 		Model:     Model,
 		MaxTokens: maxTokens,
-		Messages:  []prefix.Message{{Role: "user", Content: "How do the two ledgers reconcile? " + answer.EchoMark + token}},
+		Messages:  []prefix.Message{{Role: "user", Content: "How do the two ledgers reconcile? " + answer.EchoMarker + token}},
 	}
 }
 
--- a/test/parameters_test.go
+++ b/test/parameters_test.go
@@ -53,7 +53,7 @@
 	if status := post(sampling + `"cache_salt":null,"Cache_Salt":""`); status != http.StatusOK {
 		t.Fatalf("answered by %d", status)
 	}
-	var found []engine.Record
+	var found []engine.RequestStats
 	for _, r := range c.Account(c.Endpoints[0].Engine).Requests {
 		if len(r.Parameters) > 0 {
 			found = append(found, r)
