--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,6 +1,6 @@
-// Package answer is the text that the stand-in engine generates: a fixed
-// function of the prompt, so that whoever holds the prompt can check that an
-// answer is whole, in order and its own.
+// Package answer defines the text that the stand-in engine generates. It is a
+// deterministic function of the prompt, so that anyone who has the prompt can
+// check that an answer is complete, in order and not that of another request.
 package answer
 
 import (
@@ -14,52 +14,51 @@
 )
 
 const (
-	// TokenBytes is the length of every token but an echoed first one.
+	// TokenBytes is the length of every token except an echoed first one.
 	TokenBytes = 5
-	// EchoMarker in the last user message makes the word after it the answer's
-	// first token, in brackets.
+	// EchoMarker in the last user message makes the word that follows it, in
+	// brackets, the first token of the answer.
 	EchoMarker = "echo:"
 )
 
-// Answer is the whole endless answer to one prompt.
+// Answer generates the unbounded token sequence that answers one prompt.
 type Answer struct {
-	seed  uint64
-	first string
+	seed       uint64
+	firstToken string
 }
 
-// New returns the answer to a prompt. The messages are those that the engine
-// sees, standing instructions included.
+// New returns the answer to a prompt. The messages must be those that the engine
+// receives, including an organisation's standing instructions.
 func New(messages []prefix.Message) Answer {
 	a := Answer{seed: xxhash.Sum64(prefix.Flatten(messages))}
-	a.first = a.plain(0)
-	if word := echoWord(messages); word != "" {
-		a.first = "[" + word + "] "
+	a.firstToken = a.hashedToken(0)
+	if echoed := echoedWord(messages); echoed != "" {
+		a.firstToken = "[" + echoed + "] "
 	}
 	return a
 }
 
-// Continue splits a request that goes on from a partial answer: the answer to
-// the prompt without its last message, and the number of tokens that the
-// partial answer holds. A partial answer that ends inside a token counts as if
-// it ended before it.
-func Continue(messages []prefix.Message) (a Answer, have int) {
+// Continue handles a request whose last message is a partial answer to be
+// continued. It returns the answer to the prompt without that message, and how
+// many whole tokens the partial answer contains.
+func Continue(messages []prefix.Message) (a Answer, generated int) {
 	if len(messages) == 0 {
 		return New(nil), 0
 	}
 	last := len(messages) - 1
 	a = New(messages[:last])
-	return a, a.count(len(messages[last].Content))
+	return a, a.wholeTokens(len(messages[last].Content))
 }
 
 // Token returns the text of token i.
 func (a Answer) Token(i int) string {
 	if i == 0 {
-		return a.first
+		return a.firstToken
 	}
-	return a.plain(i)
+	return a.hashedToken(i)
 }
 
-// Text returns tokens from up to, but without, to.
+// Text returns the concatenated tokens in [from, to).
 func (a Answer) Text(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
@@ -68,26 +67,26 @@
 	return b.String()
 }
 
-// Expected returns the first tokens of the answer to a prompt.
+// Expected returns the first tokens of the answer to a prompt, concatenated.
 func Expected(messages []prefix.Message, tokens int) string {
 	return New(messages).Text(0, tokens)
 }
 
-func (a Answer) plain(i int) string {
+func (a Answer) hashedToken(i int) string {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], a.seed)
 	binary.LittleEndian.PutUint64(key[8:], uint64(i))
 	return fmt.Sprintf("%04x ", uint16(xxhash.Sum64(key[:])))
 }
 
-func (a Answer) count(bytes int) int {
-	if bytes < len(a.first) {
+func (a Answer) wholeTokens(bytes int) int {
+	if bytes < len(a.firstToken) {
 		return 0
 	}
-	return 1 + (bytes-len(a.first))/TokenBytes
+	return 1 + (bytes-len(a.firstToken))/TokenBytes
 }
 
-func echoWord(messages []prefix.Message) string {
+func echoedWord(messages []prefix.Message) string {
 	for i := len(messages) - 1; i >= 0; i-- {
 		if messages[i].Role != "user" {
 			continue
--- a/internal/standin/engine/account.go
+++ b/internal/standin/engine/account.go
@@ -10,14 +10,15 @@
 	"skylarklead/internal/prefix"
 )
 
-// Stats is what GET /control/account tells: the engine's own truth, over all
-// incarnations of the process.
+// Stats is the response of GET /control/account. It is exact, neither delayed nor
+// lossy, and the request counts cover all incarnations of the process.
 type Stats struct {
 	Incarnation string `json:"incarnation"`
 	Weights     string `json:"weights_version"`
 	Running     int    `json:"running"`
 	Waiting     int    `json:"waiting"`
-	// ResidentBlocks is exact; ResidentHashes are told with ?hashes=1.
+	// ResidentBlocks is the number of blocks in the cache. ResidentHashes is only
+	// set with ?hashes=1.
 	ResidentBlocks int                     `json:"resident_blocks"`
 	ResidentHashes api.Hashes              `json:"resident_hashes,omitempty"`
 	Requests       map[string]RequestStats `json:"requests"`
@@ -25,7 +26,8 @@
 	Crashed        map[string][]string     `json:"crashed"`
 }
 
-// RequestStats tells of one request ID. But for Runs and Crashes it is of its last run.
+// RequestStats describes one request ID. All fields except Runs are of its last
+// run.
 type RequestStats struct {
 	PromptTokens     int    `json:"prompt_tokens"`
 	CachedTokens     int    `json:"cached_tokens"`
@@ -35,13 +37,13 @@
 	Weights          string `json:"weights_version"`
 	Incarnation      string `json:"incarnation"`
 	Cancelled        bool   `json:"cancelled"`
-	// Runs counts how often it started.
+	// Runs counts how often the request was started.
 	Runs int `json:"runs"`
-	// Parameters are the body's fields that the stand-in ignores.
+	// Parameters are the fields of the request body that the stand-in ignores.
 	Parameters map[string]json.RawMessage `json:"parameters,omitempty"`
 }
 
-// Totals sum over all runs.
+// Totals are sums over all runs.
 type Totals struct {
 	Runs             int `json:"runs"`
 	PromptTokens     int `json:"prompt_tokens"`
@@ -50,108 +52,111 @@
 	CompletionTokens int `json:"completion_tokens"`
 	Cancelled        int `json:"cancelled"`
 	Crashes          int `json:"crashes"`
-	// HitsBySalt and HitsByOrigin are cached tokens, by the salt of the request
+	// HitsBySalt and HitsByOrigin count cached tokens by the salt of the request
 	// and by the incarnation that computed them.
 	HitsBySalt   map[string]int `json:"hits_by_salt"`
 	HitsByOrigin map[string]int `json:"hits_by_origin"`
-	// ForeignHits are cached tokens whose content was computed for another salt
-	// or under other weights: anything but 0 breaks the isolation.
+	// ForeignHits counts cached tokens that were computed for another salt or
+	// with other weights. Any value but 0 is a violation of cache isolation.
 	ForeignHits int `json:"foreign_hits"`
-	// Orders were taken; StaleOrders of them had a number below the highest.
+	// Orders counts accepted orders; StaleOrders counts those of them whose
+	// fencing number was below the highest one seen.
 	Orders      int `json:"orders"`
 	StaleOrders int `json:"stale_orders"`
-	// RefusedOrders had an old number and were refused.
+	// RefusedOrders counts orders refused because of an old fencing number.
 	RefusedOrders int `json:"refused_orders"`
 }
 
-// account keeps the books. Its methods are called under the engine's lock.
-type account struct {
+// statsRecorder collects Stats. Its methods must be called with Engine.mu held.
+type statsRecorder struct {
 	logger   *slog.Logger
 	requests map[string]*RequestStats
 	totals   Totals
-	// live are the requests that started in the present incarnation and haven't
-	// ended; crashed names them for each incarnation that crashed.
-	live    map[*request]bool
+	// active holds the requests that were started in the current incarnation and
+	// haven't ended. crashed has the IDs of the requests that were active when an
+	// incarnation crashed, by incarnation.
+	active  map[*request]bool
 	crashed map[string][]string
 }
 
-func newAccount(logger *slog.Logger) *account {
-	return &account{
+func newStatsRecorder(logger *slog.Logger) *statsRecorder {
+	return &statsRecorder{
 		logger:   logger,
 		requests: map[string]*RequestStats{},
 		totals:   Totals{HitsBySalt: map[string]int{}, HitsByOrigin: map[string]int{}},
-		live:     map[*request]bool{},
+		active:   map[*request]bool{},
 		crashed:  map[string][]string{},
 	}
 }
 
-func (a *account) start(r *request) {
-	record := a.requests[r.id]
-	if record == nil {
-		record = &RequestStats{}
-		a.requests[r.id] = record
+func (s *statsRecorder) recordStart(r *request) {
+	stats := s.requests[r.id]
+	if stats == nil {
+		stats = &RequestStats{}
+		s.requests[r.id] = stats
 	}
-	*record = RequestStats{
+	*stats = RequestStats{
 		PromptTokens: r.promptTokens,
 		CachedTokens: r.cached,
 		Salt:         r.origin.Salt,
 		Weights:      r.origin.Weights,
 		Incarnation:  r.origin.Incarnation,
-		Runs:         record.Runs + 1,
+		Runs:         stats.Runs + 1,
 		Parameters:   r.parameters,
 	}
-	a.live[r] = true
-	a.totals.Runs++
-	a.totals.PromptTokens += r.promptTokens
-	a.totals.CachedTokens += r.cached
-	a.logger.Info("run", "request", r.id, "salt", r.origin.Salt, "weights_version", r.origin.Weights,
+	s.active[r] = true
+	s.totals.Runs++
+	s.totals.PromptTokens += r.promptTokens
+	s.totals.CachedTokens += r.cached
+	s.logger.Info("run", "request", r.id, "salt", r.origin.Salt, "weights_version", r.origin.Weights,
 		"incarnation", r.origin.Incarnation, "prompt_tokens", r.promptTokens, "cached_tokens", r.cached)
 }
 
-func (a *account) hit(r *request, from origin) {
-	a.totals.HitsBySalt[r.origin.Salt] += prefix.BlockTokens
-	a.totals.HitsByOrigin[from.Incarnation] += prefix.BlockTokens
-	if from.Salt != r.origin.Salt || from.Weights != r.origin.Weights {
-		a.totals.ForeignHits += prefix.BlockTokens
+func (s *statsRecorder) recordHit(r *request, source origin) {
+	s.totals.HitsBySalt[r.origin.Salt] += prefix.BlockTokens
+	s.totals.HitsByOrigin[source.Incarnation] += prefix.BlockTokens
+	if source.Salt != r.origin.Salt || source.Weights != r.origin.Weights {
+		s.totals.ForeignHits += prefix.BlockTokens
 	}
 }
 
-func (a *account) computed(r *request, tokens int) {
-	a.requests[r.id].ComputedTokens += tokens
-	a.totals.ComputedTokens += tokens
+func (s *statsRecorder) recordPrefill(r *request, tokens int) {
+	s.requests[r.id].ComputedTokens += tokens
+	s.totals.ComputedTokens += tokens
 }
 
-func (a *account) produced(r *request) {
-	a.requests[r.id].CompletionTokens++
-	a.totals.CompletionTokens++
-	if r.produced == r.maxTokens {
-		delete(a.live, r)
+func (s *statsRecorder) recordToken(r *request) {
+	s.requests[r.id].CompletionTokens++
+	s.totals.CompletionTokens++
+	if r.generated == r.maxTokens {
+		delete(s.active, r)
 	}
 }
 
-func (a *account) cancelled(r *request) {
-	delete(a.live, r)
-	a.totals.Cancelled++
-	if record := a.requests[r.id]; record != nil {
-		record.Cancelled = true
+func (s *statsRecorder) recordCancellation(r *request) {
+	delete(s.active, r)
+	s.totals.Cancelled++
+	if stats := s.requests[r.id]; stats != nil {
+		stats.Cancelled = true
 		return
 	}
-	a.requests[r.id] = &RequestStats{Cancelled: true, Salt: r.origin.Salt}
+	s.requests[r.id] = &RequestStats{Cancelled: true, Salt: r.origin.Salt}
 }
 
-func (a *account) crash(incarnation string) {
-	a.totals.Crashes++
+func (s *statsRecorder) recordCrash(incarnation string) {
+	s.totals.Crashes++
 	ids := []string{}
-	for r := range a.live {
+	for r := range s.active {
 		ids = append(ids, r.id)
 	}
-	a.crashed[incarnation] = ids
-	clear(a.live)
-	a.logger.Warn("crash", "incarnation", incarnation, "running", ids)
+	s.crashed[incarnation] = ids
+	clear(s.active)
+	s.logger.Warn("crash", "incarnation", incarnation, "running", ids)
 }
 
-// report returns a copy of the books.
-func (e *Engine) report(hashes bool) Stats {
+// snapshotStats returns a copy of the statistics, with the hashes of all resident
+// blocks if withHashes is set.
+func (e *Engine) snapshotStats(withHashes bool) Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := Stats{
@@ -160,16 +165,16 @@
 		Running:        len(e.running),
 		Waiting:        len(e.waiting),
 		ResidentBlocks: len(e.cache.blocks),
-		Requests:       make(map[string]RequestStats, len(e.account.requests)),
-		Totals:         e.account.totals,
-		Crashed:        maps.Clone(e.account.crashed),
+		Requests:       make(map[string]RequestStats, len(e.stats.requests)),
+		Totals:         e.stats.totals,
+		Crashed:        maps.Clone(e.stats.crashed),
 	}
-	out.Totals.HitsBySalt = maps.Clone(e.account.totals.HitsBySalt)
-	out.Totals.HitsByOrigin = maps.Clone(e.account.totals.HitsByOrigin)
-	for id, record := range e.account.requests {
-		out.Requests[id] = *record
+	out.Totals.HitsBySalt = maps.Clone(e.stats.totals.HitsBySalt)
+	out.Totals.HitsByOrigin = maps.Clone(e.stats.totals.HitsByOrigin)
+	for id, requestStats := range e.stats.requests {
+		out.Requests[id] = *requestStats
 	}
-	if hashes {
+	if withHashes {
 		for h := range e.cache.blocks {
 			out.ResidentHashes = append(out.ResidentHashes, h)
 		}
@@ -177,7 +182,7 @@
 	return out
 }
 
-// JournalKind is a change of the cache.
+// JournalKind is the kind of a change of the cache.
 type JournalKind string
 
 // The kinds of changes.
@@ -188,15 +193,16 @@
 	JournalCleared  JournalKind = "cleared"
 )
 
-// JournalEntry is an exact change of the cache. TimeUs is wall time in
-// microseconds, to set the journals of engines on one machine side by side.
+// JournalEntry is one change of the cache, recorded when it takes effect. TimeUs
+// is wall-clock time in microseconds, so that the journals of engines on one
+// machine can be merged.
 type JournalEntry struct {
 	TimeUs int64       `json:"time_us"`
 	Kind   JournalKind `json:"kind"`
 	Hashes api.Hashes  `json:"hashes"`
 }
 
-func (e *Engine) record(kind JournalKind, hashes []prefix.Hash) {
+func (e *Engine) recordCacheChange(kind JournalKind, hashes []prefix.Hash) {
 	if e.settings.Journal {
 		e.journal = append(e.journal, JournalEntry{TimeUs: time.Now().UnixMicro(), Kind: kind, Hashes: hashes})
 	}
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -7,7 +7,8 @@
 	"skylarklead/internal/prefix"
 )
 
-// origin is where a block's content was computed.
+// origin identifies for which salt, with which weights and in which incarnation a
+// block was computed.
 type origin struct {
 	Salt        string `json:"salt"`
 	Weights     string `json:"weights_version"`
@@ -19,34 +20,36 @@
 	hash   prefix.Hash
 	parent prefix.Hash
 	origin origin
-	// refs counts the running requests that use the block; those of its
-	// ancestors are at least as many.
+	// refs counts the running requests that use the block. It is never higher
+	// than the count of the block's parent.
 	refs int
-	// idle is the block's place in the cache's idle list, nil while in use.
-	idle      *list.Element
-	idleSince time.Time
+	// idleElement is the block's element in cache.idleBlocks, nil while it is in
+	// use.
+	idleElement *list.Element
+	idleSince   time.Time
 }
 
-// cache is the prefix cache. Blocks not in use stay until their room is needed,
-// least recently used first.
+// cache is the prefix cache. Blocks that aren't in use stay resident until their
+// space is needed and are evicted in LRU order.
 //
-// Invariant: in the idle list a block stands before its ancestors, since every
-// use of a block is one of its ancestors too and release goes from the leaf
-// upwards. So the front is always a leaf, and no block outlives its parent.
+// Invariant: in idleBlocks a block precedes its ancestors, since a request that
+// uses a block also uses its ancestors, and release goes from the leaf to the
+// root. So the front element is always a leaf, and no block outlives its parent.
 type cache struct {
-	total  int
-	blocks map[prefix.Hash]*block
-	idle   *list.List
-	// reserved counts blocks promised to running requests and not yet stored.
+	total      int
+	blocks     map[prefix.Hash]*block
+	idleBlocks *list.List
+	// reserved counts blocks that are reserved for running requests and not yet
+	// stored.
 	reserved int
 }
 
 func newCache(total int) *cache {
-	return &cache{total: total, blocks: map[prefix.Hash]*block{}, idle: list.New()}
+	return &cache{total: total, blocks: map[prefix.Hash]*block{}, idleBlocks: list.New()}
 }
 
-// match returns how many leading blocks of a chain are resident.
-func (c *cache) match(chain []prefix.Hash) int {
+// matchLength returns how many leading blocks of a chain are resident.
+func (c *cache) matchLength(chain []prefix.Hash) int {
 	for i, h := range chain {
 		if c.blocks[h] == nil {
 			return i
@@ -55,73 +58,76 @@
 	return len(chain)
 }
 
-// acquire puts resident blocks in use.
+// acquire adds a reference to each block of a chain; all must be resident.
 func (c *cache) acquire(chain []prefix.Hash) {
 	for _, h := range chain {
-		c.use(c.blocks[h])
+		c.addRef(c.blocks[h])
 	}
 }
 
-func (c *cache) use(b *block) {
+func (c *cache) addRef(b *block) {
 	b.refs++
-	if b.idle != nil {
-		c.idle.Remove(b.idle)
-		b.idle = nil
+	if b.idleElement != nil {
+		c.idleBlocks.Remove(b.idleElement)
+		b.idleElement = nil
 	}
 }
 
-// release ends the use of blocks that were acquired or stored.
+// release drops one reference to each block of a chain that was acquired or
+// stored.
 func (c *cache) release(chain []prefix.Hash, now time.Time) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		b := c.blocks[chain[i]]
 		if b.refs--; b.refs == 0 {
-			b.idle = c.idle.PushBack(b)
+			b.idleElement = c.idleBlocks.PushBack(b)
 			b.idleSince = now
 		}
 	}
 }
 
-// reserve promises n blocks, if there are as many free or idle.
+// reserve reserves n blocks and reports whether that many are free or idle.
 func (c *cache) reserve(n int) bool {
-	if c.total-len(c.blocks)-c.reserved+c.idle.Len() < n {
+	if c.total-len(c.blocks)-c.reserved+c.idleBlocks.Len() < n {
 		return false
 	}
 	c.reserved += n
 	return true
 }
 
-// store turns a reserved block into a resident one in use, and reports whether
-// it is new.
-func (c *cache) store(h, parent prefix.Hash, from origin) bool {
+// store makes a reserved block resident with one reference, and reports whether
+// it wasn't resident before.
+func (c *cache) store(h, parent prefix.Hash, source origin) bool {
 	c.reserved--
 	if b := c.blocks[h]; b != nil {
-		c.use(b)
+		c.addRef(b)
 		return false
 	}
-	c.blocks[h] = &block{hash: h, parent: parent, origin: from, refs: 1}
+	c.blocks[h] = &block{hash: h, parent: parent, origin: source, refs: 1}
 	return true
 }
 
-// trim evicts until the cache is within its bound, and returns what it evicted.
-func (c *cache) trim() []prefix.Hash {
-	var gone []prefix.Hash
-	for len(c.blocks)+c.reserved > c.total && c.idle.Len() > 0 {
-		gone = append(gone, c.evictFront())
+// evictExcess evicts idle blocks until resident and reserved blocks fit in total,
+// and returns the evicted ones.
+func (c *cache) evictExcess() []prefix.Hash {
+	var evicted []prefix.Hash
+	for len(c.blocks)+c.reserved > c.total && c.idleBlocks.Len() > 0 {
+		evicted = append(evicted, c.evictOldest())
 	}
-	return gone
+	return evicted
 }
 
-// expire evicts what is idle since before a time, and returns it.
-func (c *cache) expire(before time.Time) []prefix.Hash {
-	var gone []prefix.Hash
-	for c.idle.Len() > 0 && c.idle.Front().Value.(*block).idleSince.Before(before) {
-		gone = append(gone, c.evictFront())
+// evictIdleSince evicts blocks that became idle before the given time, and
+// returns them.
+func (c *cache) evictIdleSince(before time.Time) []prefix.Hash {
+	var evicted []prefix.Hash
+	for c.idleBlocks.Len() > 0 && c.idleBlocks.Front().Value.(*block).idleSince.Before(before) {
+		evicted = append(evicted, c.evictOldest())
 	}
-	return gone
+	return evicted
 }
 
-func (c *cache) evictFront() prefix.Hash {
-	b := c.idle.Remove(c.idle.Front()).(*block)
+func (c *cache) evictOldest() prefix.Hash {
+	b := c.idleBlocks.Remove(c.idleBlocks.Front()).(*block)
 	delete(c.blocks, b.hash)
 	return b.hash
 }
--- a/internal/standin/engine/cache_test.go
+++ b/internal/standin/engine/cache_test.go
@@ -9,23 +9,23 @@
 	"skylarklead/internal/prefix"
 )
 
-// Whatever runs, the cache keeps its bound, no block outlives its parent, and
-// blocks in use stay.
+// Under any sequence of runs the cache stays within its limit, no block outlives
+// its parent, and blocks in use aren't evicted.
 func TestCacheInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCache(rapid.IntRange(4, 24).Draw(t, "total"))
-		type run struct{ chain []prefix.Hash }
-		var runs []run
+		type runningRequest struct{ chain []prefix.Hash }
+		var runs []runningRequest
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				chain := drawChain(t)
-				hits := chain[:c.match(chain)]
+				hits := chain[:c.matchLength(chain)]
 				c.acquire(hits)
 				if !c.reserve(len(chain) - len(hits)) {
 					c.release(hits, time.Time{})
 					return
 				}
-				c.trim()
+				c.evictExcess()
 				for i := len(hits); i < len(chain); i++ {
 					parent := prefix.Hash(0)
 					if i > 0 {
@@ -33,7 +33,7 @@
 					}
 					c.store(chain[i], parent, origin{})
 				}
-				runs = append(runs, run{chain})
+				runs = append(runs, runningRequest{chain})
 			},
 			"end": func(t *rapid.T) {
 				if len(runs) == 0 {
@@ -53,7 +53,7 @@
 					}
 				}
 				for _, r := range runs {
-					if c.match(r.chain) != len(r.chain) {
+					if c.matchLength(r.chain) != len(r.chain) {
 						t.Fatal("a block in use was evicted")
 					}
 				}
@@ -62,7 +62,7 @@
 	})
 }
 
-// drawChain returns a path in a small tree, so that prefixes are shared.
+// drawChain returns a path in a small tree, so that many chains share a prefix.
 func drawChain(t *rapid.T) []prefix.Hash {
 	var chain []prefix.Hash
 	h := prefix.Hash(1)
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// handleControl merges settings and brings faults about. The answer to a crash
-// may be lost with the connection.
+// handleControl merges settings and injects faults. The response to a request for
+// a crash may be lost, since the crash drops all connections.
 func (e *Engine) handleControl(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	control := Control{Settings: e.settings}
 	e.mu.Unlock()
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&control); err != nil {
 		writeError(w, badRequest("control: %v", err))
@@ -22,7 +22,7 @@
 		writeError(w, badRequest("control: crash_mode %q", mode))
 		return
 	}
-	e.set(control)
+	e.applyControl(control)
 	writeJSON(w, http.StatusOK, control.Settings)
 }
 
@@ -33,11 +33,11 @@
 	writeJSON(w, http.StatusOK, settings)
 }
 
-func (e *Engine) handleAccount(w http.ResponseWriter, r *http.Request) {
-	writeJSON(w, http.StatusOK, e.report(r.URL.Query().Get("hashes") != ""))
+func (e *Engine) handleStats(w http.ResponseWriter, r *http.Request) {
+	writeJSON(w, http.StatusOK, e.snapshotStats(r.URL.Query().Get("hashes") != ""))
 }
 
-// handleJournal writes one JSON line for each change of the cache so far.
+// handleJournal writes one JSON line for each recorded change of the cache.
 func (e *Engine) handleJournal(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	journal := e.journal
@@ -50,7 +50,7 @@
 	}
 }
 
-func (e *Engine) set(c Control) {
+func (e *Engine) applyControl(c Control) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.settings = c.Settings
@@ -62,5 +62,5 @@
 	if c.Crash {
 		e.crash()
 	}
-	e.signal()
+	e.wakeStepLoop()
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -13,15 +13,15 @@
 	"skylarklead/internal/prefix"
 )
 
-// Engine is the stand-in. Serve and Run bring it to life.
+// Engine is the stand-in. Serve runs it.
 type Engine struct {
 	options Options
 	logger  *slog.Logger
 	exit    func(code int)
-	// wake tells the step loop that there may be work; crashed tells Serve to
-	// drop its connections.
-	wake    chan struct{}
-	crashed chan struct{}
+	// workAvailable wakes the step loop when there may be work; crashSignal tells
+	// Serve to drop its connections after a crash.
+	workAvailable chan struct{}
+	crashSignal   chan struct{}
 
 	mu          sync.Mutex
 	settings    Settings
@@ -36,21 +36,21 @@
 	cache       *cache
 	events      *eventLog
 	orders      orders
-	loads       []loadSample
-	account     *account
+	loadSamples []loadSample
+	stats       *statsRecorder
 	journal     []JournalEntry
 }
 
-// New returns an engine that has its first weights and an empty cache.
+// New returns an engine with its initial weights loaded and an empty cache.
 func New(o Options) *Engine {
 	e := &Engine{
-		options:  o,
-		logger:   o.Logger,
-		exit:     o.Exit,
-		wake:     make(chan struct{}, 1),
-		crashed:  make(chan struct{}, 1),
-		settings: o.Settings,
-		random:   rand.New(rand.NewPCG(o.Seed, o.Seed)),
+		options:       o,
+		logger:        o.Logger,
+		exit:          o.Exit,
+		workAvailable: make(chan struct{}, 1),
+		crashSignal:   make(chan struct{}, 1),
+		settings:      o.Settings,
+		random:        rand.New(rand.NewPCG(o.Seed, o.Seed)),
 	}
 	if e.logger == nil {
 		e.logger = slog.New(slog.DiscardHandler)
@@ -58,28 +58,30 @@
 	if e.exit == nil {
 		e.exit = os.Exit
 	}
-	e.account = newAccount(e.logger)
+	e.stats = newStatsRecorder(e.logger)
 	e.reset()
 	return e
 }
 
-// reset begins a new incarnation that knows nothing of the one before.
+// reset aborts all requests and starts a new incarnation without any state of the
+// previous one.
 func (e *Engine) reset() {
 	for _, r := range slices.Concat(e.running, e.waiting) {
 		r.end(true)
 	}
 	e.incarnation = fmt.Sprintf("%016x", rand.Uint64())
-	e.waiting, e.running, e.loads = nil, nil, nil
+	e.waiting, e.running, e.loadSamples = nil, nil, nil
 	e.streams = map[string]*request{}
 	e.cache = newCache(e.settings.cacheBlocks())
 	e.events = newEventLog()
 	e.orders = newOrders(e.options)
-	e.record(JournalCleared, nil)
+	e.recordCacheChange(JournalCleared, nil)
 }
 
-// crash ends the process, or the incarnation. The caller holds the lock.
+// crash ends the process or the incarnation, depending on CrashMode. The caller
+// holds e.mu.
 func (e *Engine) crash() {
-	e.account.crash(e.incarnation)
+	e.stats.recordCrash(e.incarnation)
 	if e.settings.CrashMode == CrashExit {
 		e.exit(1)
 		return
@@ -87,47 +89,47 @@
 	e.down = true
 	e.reset()
 	select {
-	case e.crashed <- struct{}{}:
+	case e.crashSignal <- struct{}{}:
 	default:
 	}
 }
 
-// submit queues a request.
+// submit validates and queues a request.
 func (e *Engine) submit(id string, body *completionBody) (*request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.accepts(body); err != nil {
+	if err := e.validate(body); err != nil {
 		return nil, err
 	}
 	r := newRequest(id, body, origin{Salt: body.CacheSalt, Weights: e.orders.state.Version, Incarnation: e.incarnation})
-	if r.blocks() > e.cache.total {
-		return nil, badRequest("prompt and answer need %d cache blocks, the engine has %d", r.blocks(), e.cache.total)
+	if r.requiredBlocks() > e.cache.total {
+		return nil, badRequest("prompt and answer need %d cache blocks, the engine has %d", r.requiredBlocks(), e.cache.total)
 	}
 	e.arrivals++
 	r.arrival = e.arrivals
 	e.waiting = enqueue(e.waiting, r)
 	e.streams[id] = r
-	e.signal()
+	e.wakeStepLoop()
 	return r, nil
 }
 
-func (e *Engine) accepts(body *completionBody) error {
+func (e *Engine) validate(body *completionBody) error {
 	switch {
 	case e.orders.state.Loading:
 		return unavailable(api.CodeLoading, "weights are loading")
 	case e.settings.RefuseNew:
-		return unavailable(api.CodeRefused, "told to refuse")
+		return unavailable(api.CodeRefused, "new requests are refused: refuse_new is set")
 	case len(body.Messages) == 0:
-		return badRequest("no messages")
+		return badRequest("messages is empty")
 	case !body.Stream:
-		return badRequest("only streams are served")
+		return badRequest("only streamed completions are supported")
 	case body.Model != e.orders.state.Model:
 		return badRequest("model %q is not loaded", body.Model)
 	}
 	return nil
 }
 
-// cancel ends a stream; it is idempotent.
+// cancel aborts a stream. It is idempotent.
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,39 +142,41 @@
 	if r.ended {
 		return
 	}
-	e.account.cancelled(r)
-	e.finish(r, true, time.Now())
+	e.stats.recordCancellation(r)
+	e.finishRequest(r, true, time.Now())
 }
 
-// attach counts a connection of a stream.
+// attach registers a connection that reads a stream.
 func (e *Engine) attach(r *request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r.attached++
-	if r.expiry != nil && !r.ended {
-		r.expiry.Stop()
+	r.connections++
+	if r.resumeTimer != nil && !r.ended {
+		r.resumeTimer.Stop()
 	}
 }
 
-// detach ends a connection. The stream is cancelled if none comes back in time.
+// detach unregisters a connection. If it was the last one, the stream is
+// cancelled unless another attaches within ResumeMs.
 func (e *Engine) detach(r *request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r.attached--
-	if r.attached > 0 || r.ended {
+	r.connections--
+	if r.connections > 0 || r.ended {
 		return
 	}
-	r.expiry = time.AfterFunc(milliseconds(e.settings.ResumeMs), func() {
+	r.resumeTimer = time.AfterFunc(milliseconds(e.settings.ResumeMs), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if r.attached == 0 {
+		if r.connections == 0 {
 			e.cancelRequest(r)
 		}
 	})
 }
 
-// forgetLater drops an ended stream once nobody can want to resume it.
-func (e *Engine) forgetLater(r *request) {
+// scheduleStreamRemoval removes an ended stream after ResumeMs, when it can no
+// longer be resumed.
+func (e *Engine) scheduleStreamRemoval(r *request) {
 	time.AfterFunc(milliseconds(e.settings.ResumeMs), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -182,14 +186,14 @@
 	})
 }
 
-func (e *Engine) signal() {
+func (e *Engine) wakeStepLoop() {
 	select {
-	case e.wake <- struct{}{}:
+	case e.workAvailable <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) stored(hashes []prefix.Hash, computed bool) {
+func (e *Engine) publishStored(hashes []prefix.Hash, computed bool) {
 	if len(hashes) == 0 {
 		return
 	}
@@ -197,16 +201,16 @@
 	if computed {
 		kind = JournalComputed
 	}
-	e.record(kind, hashes)
-	e.publish(api.BlocksStored, hashes)
+	e.recordCacheChange(kind, hashes)
+	e.publishEvent(api.BlocksStored, hashes)
 }
 
-func (e *Engine) removed(hashes []prefix.Hash) {
+func (e *Engine) publishRemoved(hashes []prefix.Hash) {
 	if len(hashes) == 0 {
 		return
 	}
-	e.record(JournalRemoved, hashes)
-	e.publish(api.BlocksRemoved, hashes)
+	e.recordCacheChange(JournalRemoved, hashes)
+	e.publishEvent(api.BlocksRemoved, hashes)
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -13,11 +13,11 @@
 )
 
 func TestCompletion(t *testing.T) {
-	r := newRig(t, fast())
+	r := newTestEngine(t, fastSettings())
 	messages := prompt("charter", "echo:q1 what is left?")
 	want := answer.Expected(messages, 20)
 
-	text, usage := r.complete(query("a", "huon", messages, 20))
+	text, usage := r.complete(completionRequest("a", "huon", messages, 20))
 	if text != want {
 		t.Errorf("answer %q, want %q", text, want)
 	}
@@ -25,29 +25,29 @@
 		t.Errorf("usage %+v", usage)
 	}
 
-	text, usage = r.complete(query("b", "huon", messages, 20))
+	text, usage = r.complete(completionRequest("b", "huon", messages, 20))
 	cached := usage.PromptTokensDetails.CachedTokens
 	if text != want || cached < 60*prefix.BlockTokens || cached >= usage.PromptTokens {
 		t.Errorf("second answer %q, cached %d of %d", text, cached, usage.PromptTokens)
 	}
 
-	partial := query("c", "huon", messages, 13)
+	partial := completionRequest("c", "huon", messages, 13)
 	partial.Partial = answer.Expected(messages, 7)
 	if text, _ = r.complete(partial); partial.Partial+text != want {
 		t.Errorf("continued answer %q, want %q", partial.Partial+text, want)
 	}
 
-	a := r.account()
+	a := r.stats()
 	if a.Requests["a"].Runs != 1 || a.Requests["b"].CachedTokens != cached || a.Totals.Runs != 3 || a.Totals.HitsBySalt["huon"] < cached {
 		t.Errorf("account %+v", a)
 	}
 }
 
 func TestCacheIsolation(t *testing.T) {
-	r := newRig(t, fast())
+	r := newTestEngine(t, fastSettings())
 	messages := prompt("charter", "q")
-	r.complete(query("a", "huon", messages, 1))
-	if _, usage := r.complete(query("b", "nakhla", messages, 1)); usage.PromptTokensDetails.CachedTokens != 0 {
+	r.complete(completionRequest("a", "huon", messages, 1))
+	if _, usage := r.complete(completionRequest("b", "nakhla", messages, 1)); usage.PromptTokensDetails.CachedTokens != 0 {
 		t.Errorf("another organisation hit %+v", usage)
 	}
 	kit.Must(r.client.SendOrder(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}))(t)
@@ -55,27 +55,28 @@
 		state, err := r.client.State(r.context())
 		return err == nil && !state.Loading && state.Version == "v2"
 	})
-	if n := r.account().ResidentBlocks; n != 0 {
+	if n := r.stats().ResidentBlocks; n != 0 {
 		t.Errorf("%d blocks of the old weights", n)
 	}
-	if _, usage := r.complete(query("c", "huon", messages, 1)); usage.PromptTokensDetails.CachedTokens != 0 {
+	if _, usage := r.complete(completionRequest("c", "huon", messages, 1)); usage.PromptTokensDetails.CachedTokens != 0 {
 		t.Errorf("new weights hit %+v", usage)
 	}
-	if n := r.account().Totals.ForeignHits; n != 0 {
+	if n := r.stats().Totals.ForeignHits; n != 0 {
 		t.Errorf("%d foreign hits", n)
 	}
 }
 
-// Pieces that came before the cut are still read after it, so the cut is told by
-// the first error. The engine is slowed down meanwhile: the answer can't end first.
+// Events that were received before the connection is closed can still be read
+// afterwards, so the disconnection shows as the first error. The engine is slowed
+// down meanwhile so that the answer doesn't end before it.
 func TestResumeAndCancel(t *testing.T) {
 	const tokens = 600
-	settings := fast()
+	settings := fastSettings()
 	settings.StepMs = 5
-	r := newRig(t, settings)
+	r := newTestEngine(t, settings)
 	messages := prompt("charter", "q")
 	ctx, cut := context.WithCancel(r.context())
-	s, err := r.client.Complete(ctx, query("cut/1", "huon", messages, tokens))
+	s, err := r.client.Complete(ctx, completionRequest("cut/1", "huon", messages, tokens))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,14 +87,14 @@
 	}
 	r.control(`{"step_ms": 1000}`)
 	cut()
-	if _, _, err := drain(s); !errors.Is(err, api.ErrOutcomeUnknown) {
+	if _, _, err := readAll(s); !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("cut stream: %v", err)
 	}
 	r.control(`{"step_ms": 1}`)
 	if s, err = r.client.Resume(r.context(), "cut/1", 3); err != nil {
 		t.Fatal(err)
 	}
-	rest, _, err := drain(s)
+	rest, _, err := readAll(s)
 	if want := answer.Expected(messages, tokens); err != nil || have+rest != want {
 		t.Errorf("resumed %q, %v, want %q", have+rest, err, want)
 	}
@@ -101,51 +102,51 @@
 		t.Errorf("resume of nothing: %v", err)
 	}
 
-	s = kit.Must(r.client.Complete(r.context(), query("long", "huon", messages, 5000)))(t)
+	s = kit.Must(r.client.Complete(r.context(), completionRequest("long", "huon", messages, 5000)))(t)
 	for range 2 {
 		if err := r.client.Cancel(r.context(), "long"); err != nil {
 			t.Errorf("cancel: %v", err)
 		}
 	}
-	if _, _, err := drain(s); !errors.Is(err, api.ErrOutcomeUnknown) {
+	if _, _, err := readAll(s); !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("cancelled stream: %v", err)
 	}
-	if a := r.account(); !a.Requests["long"].Cancelled || a.Running != 0 {
+	if a := r.stats(); !a.Requests["long"].Cancelled || a.Running != 0 {
 		t.Errorf("account %+v, running %d", a.Requests["long"], a.Running)
 	}
 }
 
-// A stream that nobody comes back to is cancelled after its resume time.
+// A stream without a connection is cancelled after ResumeMs.
 func TestAbandonedStream(t *testing.T) {
-	settings := fast()
+	settings := fastSettings()
 	settings.ResumeMs = 1
-	r := newRig(t, settings)
+	r := newTestEngine(t, settings)
 	ctx, cut := context.WithCancel(r.context())
-	kit.Must(r.client.Complete(ctx, query("x", "huon", prompt("charter", "q"), 20_000)))(t)
+	kit.Must(r.client.Complete(ctx, completionRequest("x", "huon", prompt("charter", "q"), 20_000)))(t)
 	cut()
-	kit.Until(r, "it is cancelled", func() bool { return r.account().Requests["x"].Cancelled })
+	kit.Until(r, "the stream is cancelled", func() bool { return r.stats().Requests["x"].Cancelled })
 }
 
 func TestOrders(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		settings := fast()
+		settings := fastSettings()
 		settings.CheckFencing = checks
-		r := newRig(t, settings)
+		r := newTestEngine(t, settings)
 		kit.Must(r.client.SendOrder(r.context(), api.Order{Fence: 7, Op: api.OpSetRole, Role: "decode"}))(t)
 		_, err := r.client.SendOrder(r.context(), api.Order{Fence: 6, Op: api.OpSetRole, Role: "prefill"})
 		var stale *api.StaleFenceError
 		if checks && (!errors.Is(err, api.ErrStaleFence) || !errors.As(err, &stale) || stale.Fence != 7) {
-			t.Errorf("checking engine: %v", err)
+			t.Errorf("engine that checks fencing numbers: %v", err)
 		}
-		if a := r.account(); !checks && (err != nil || a.Totals.StaleOrders != 1) {
-			t.Errorf("ignoring engine: %v, %+v", err, a.Totals)
+		if a := r.stats(); !checks && (err != nil || a.Totals.StaleOrders != 1) {
+			t.Errorf("engine that ignores fencing numbers: %v, %+v", err, a.Totals)
 		}
 	}
 }
 
 func TestRefusals(t *testing.T) {
-	r := newRig(t, fast())
-	wrong := query("a", "huon", prompt("charter", "q"), 1)
+	r := newTestEngine(t, fastSettings())
+	wrong := completionRequest("a", "huon", prompt("charter", "q"), 1)
 	wrong.Model = "other"
 	if _, err := r.client.Complete(r.context(), wrong); !errors.Is(err, api.ErrNotRun) || errors.Is(err, api.ErrLoading) {
 		t.Errorf("wrong model: %v", err)
@@ -154,39 +155,39 @@
 	if state, err := r.client.SendOrder(r.context(), api.Order{Fence: 1, Op: api.OpLoadVersion, Version: "v2"}); err != nil || !state.Loading {
 		t.Fatalf("order: %+v, %v", state, err)
 	}
-	_, err := r.client.Complete(r.context(), query("b", "huon", prompt("charter", "q"), 1))
+	_, err := r.client.Complete(r.context(), completionRequest("b", "huon", prompt("charter", "q"), 1))
 	if !errors.Is(err, api.ErrLoading) || !errors.Is(err, api.ErrNotRun) {
 		t.Errorf("while loading: %v", err)
 	}
-	if a := r.account(); a.Totals.Runs != 0 {
+	if a := r.stats(); a.Totals.Runs != 0 {
 		t.Errorf("refused requests ran: %+v", a.Totals)
 	}
 }
 
-// Symptom: a stream ends without its explicit end and the cache is empty.
-// Sequence: a prompt with the fatal text starts beside another stream.
-// Cause: the engine crashes, drops all connections and comes back empty.
+// A prompt that contains the text of crash_on crashes the engine while another
+// stream is running: all connections are dropped, streams end without a final
+// event, and the engine comes back with a new incarnation and an empty cache.
 func TestCrash(t *testing.T) {
-	r := newRig(t, fast())
+	r := newTestEngine(t, fastSettings())
 	r.control(`{"crash_on": "fatal"}`)
-	before := r.account().Incarnation
-	other := kit.Must(r.client.Complete(r.context(), query("other", "huon", prompt("charter", "q"), 20_000)))(t)
+	before := r.stats().Incarnation
+	other := kit.Must(r.client.Complete(r.context(), completionRequest("other", "huon", prompt("charter", "q"), 20_000)))(t)
 	kit.Must(other.Next())(t)
-	s, err := r.client.Complete(r.context(), query("poison", "huon", prompt("charter", "fatal"), 1))
+	s, err := r.client.Complete(r.context(), completionRequest("poison", "huon", prompt("charter", "fatal"), 1))
 	if err == nil {
 		_, err = s.Next()
 	}
 	if !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("poison: %v", err)
 	}
-	if _, _, err := drain(other); !errors.Is(err, api.ErrOutcomeUnknown) {
+	if _, _, err := readAll(other); !errors.Is(err, api.ErrOutcomeUnknown) {
 		t.Errorf("other: %v", err)
 	}
-	kit.Until(r, "the engine is back", func() bool {
+	kit.Until(r, "the engine has a new incarnation", func() bool {
 		load, err := r.client.Load(r.context())
 		return err == nil && load.Incarnation != before
 	})
-	a := r.account()
+	a := r.stats()
 	crashed := a.Crashed[before]
 	slices.Sort(crashed)
 	if a.ResidentBlocks != 0 || a.Totals.Crashes != 1 || !slices.Equal(crashed, []string{"other", "poison"}) {
@@ -209,9 +210,9 @@
 }
 
 func TestExportImport(t *testing.T) {
-	from, to := newRig(t, fast()), newRig(t, fast())
+	from, to := newTestEngine(t, fastSettings()), newTestEngine(t, fastSettings())
 	messages := prompt("charter", "q")
-	from.complete(query("a", "huon", messages, 1))
+	from.complete(completionRequest("a", "huon", messages, 1))
 	root := prefix.Salt{Organisation: "huon", Model: "m", Weights: "v1"}.Root()
 	chain := prefix.Chain(root, prefix.Flatten(messages))
 	kv, err := from.client.ExportKV(from.context(), chain)
@@ -226,8 +227,8 @@
 	if n, err := to.client.ImportKV(to.context(), kv); err != nil || n != len(chain) {
 		t.Errorf("import: %d of %d, %v", n, len(chain), err)
 	}
-	if _, usage := to.complete(query("b", "huon", messages, 1)); usage.PromptTokensDetails.CachedTokens == 0 {
-		t.Error("imported blocks weren't hit")
+	if _, usage := to.complete(completionRequest("b", "huon", messages, 1)); usage.PromptTokensDetails.CachedTokens == 0 {
+		t.Error("no cache hit on imported blocks")
 	}
 	kv.Weights = "v0"
 	if _, err := to.client.ImportKV(to.context(), kv); !errors.Is(err, api.ErrWeightsMismatch) {
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -7,18 +7,18 @@
 	"skylarklead/internal/prefix"
 )
 
-// loggedEvent is a cache event and when it may be seen.
+// loggedEvent is a cache event and the time from which readers may see it.
 type loggedEvent struct {
 	event     api.CacheEvent
 	visibleAt time.Time
-	// dropped events are only seen in a replay.
+	// dropped events are only delivered in a replay.
 	dropped bool
 }
 
-// eventLog has the cache events of one incarnation. Dropped events use up a
-// sequence number, so that a reader can see the gap.
+// eventLog holds the cache events of one incarnation. A dropped event uses up a
+// sequence number, so that a reader can detect the gap.
 type eventLog struct {
-	last     uint64
+	lastSeq  uint64
 	buffer   []loggedEvent
 	dropNext int
 	changed  chan struct{}
@@ -26,16 +26,16 @@
 
 func newEventLog() *eventLog { return &eventLog{changed: make(chan struct{})} }
 
-func (e *Engine) publish(kind api.EventType, hashes []prefix.Hash) {
+func (e *Engine) publishEvent(kind api.EventType, hashes []prefix.Hash) {
 	log := e.events
-	log.last++
-	dropped := e.drops()
+	log.lastSeq++
+	dropped := e.shouldDropEvent()
 	if dropped && !e.settings.ReplayDropped {
 		return
 	}
 	log.buffer = append(log.buffer, loggedEvent{
 		event: api.CacheEvent{
-			Seq:         log.last,
+			Seq:         log.lastSeq,
 			Incarnation: e.incarnation,
 			Weights:     e.orders.state.Version,
 			Type:        kind,
@@ -51,7 +51,7 @@
 	log.changed = make(chan struct{})
 }
 
-func (e *Engine) drops() bool {
+func (e *Engine) shouldDropEvent() bool {
 	if e.events.dropNext > 0 {
 		e.events.dropNext--
 		return true
@@ -59,47 +59,48 @@
 	return e.settings.EventDrop > 0 && e.random.Float64() < e.settings.EventDrop
 }
 
-// eventReader follows an event log from a sequence number on.
+// eventReader reads an event log from a sequence number on.
 type eventReader struct {
-	log  *eventLog
-	next uint64
-	// live is the first number that wasn't there yet when reading began: events
-	// before it are a replay.
-	live uint64
+	log     *eventLog
+	nextSeq uint64
+	// firstLiveSeq is the first sequence number that wasn't assigned yet when
+	// reading began: events before it are a replay.
+	firstLiveSeq uint64
 }
 
-// readEvents begins to follow the log. A number that the log hasn't reached is
-// of another incarnation: everything there is gets replayed.
-func (e *Engine) readEvents(from uint64) *eventReader {
+// newEventReader returns a reader that starts at a sequence number. A number that
+// the log hasn't reached is of another incarnation, so the whole buffer is
+// replayed.
+func (e *Engine) newEventReader(from uint64) *eventReader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if from > e.events.last+1 {
+	if from > e.events.lastSeq+1 {
 		from = 1
 	}
-	return &eventReader{log: e.events, next: from, live: e.events.last + 1}
+	return &eventReader{log: e.events, nextSeq: from, firstLiveSeq: e.events.lastSeq + 1}
 }
 
-// poll returns the events that are now visible, and when to look again: at a
-// change or after a time, whichever is first.
-func (e *Engine) poll(r *eventReader, now time.Time) (ready []api.CacheEvent, changed <-chan struct{}, after time.Duration) {
+// pollEvents returns the events that are visible now. The caller polls again when
+// changed is closed or after recheckAfter, whichever is first.
+func (e *Engine) pollEvents(r *eventReader, now time.Time) (ready []api.CacheEvent, changed <-chan struct{}, recheckAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	after = time.Hour
+	recheckAfter = time.Hour
 	if frozen := e.frozenUntil.Sub(now); frozen > 0 {
 		return nil, nil, frozen
 	}
-	for _, logged := range r.log.buffer {
-		if logged.event.Seq < r.next {
+	for _, entry := range r.log.buffer {
+		if entry.event.Seq < r.nextSeq {
 			continue
 		}
-		if wait := logged.visibleAt.Sub(now); wait > 0 {
-			after = wait
+		if remaining := entry.visibleAt.Sub(now); remaining > 0 {
+			recheckAfter = remaining
 			break
 		}
-		r.next = logged.event.Seq + 1
-		if !logged.dropped || logged.event.Seq < r.live {
-			ready = append(ready, logged.event)
+		r.nextSeq = entry.event.Seq + 1
+		if !entry.dropped || entry.event.Seq < r.firstLiveSeq {
+			ready = append(ready, entry.event)
 		}
 	}
-	return ready, r.log.changed, after
+	return ready, r.log.changed, recheckAfter
 }
--- a/internal/standin/engine/events_test.go
+++ b/internal/standin/engine/events_test.go
@@ -12,8 +12,8 @@
 
 var errEnough = errors.New("enough")
 
-// follow reads n cache events from a number on.
-func (r *rig) follow(from uint64, n int) []api.CacheEvent {
+// readCacheEvents reads n cache events from a sequence number on.
+func (r *testEngine) readCacheEvents(from uint64, n int) []api.CacheEvent {
 	r.Helper()
 	var events []api.CacheEvent
 	err := r.client.Events(r.context(), from, func(event api.CacheEvent) error {
@@ -29,22 +29,23 @@
 	return events
 }
 
-// The events tell exactly what is resident, with eviction under way.
+// Applying all events in order gives exactly the resident blocks, with evictions
+// among them.
 func TestEventsTellResidentBlocks(t *testing.T) {
-	settings := fast()
+	settings := fastSettings()
 	settings.CacheTokens = 100 * prefix.BlockTokens
 	settings.EventBuffer = 100_000
-	r := newRig(t, settings)
+	r := newTestEngine(t, settings)
 	for i := range 8 {
-		r.complete(query(fmt.Sprint(i), "huon", prompt(fmt.Sprintf("charter%d", i%4), "q"), 1))
+		r.complete(completionRequest(fmt.Sprint(i), "huon", prompt(fmt.Sprintf("charter%d", i%4), "q"), 1))
 	}
-	account := r.account()
+	account := r.stats()
 	r.engine.mu.Lock()
-	last := int(r.engine.events.last)
+	last := int(r.engine.events.lastSeq)
 	r.engine.mu.Unlock()
 	resident := map[prefix.Hash]bool{}
 	removals := 0
-	for i, event := range r.follow(1, last) {
+	for i, event := range r.readCacheEvents(1, last) {
 		if event.Seq != uint64(i+1) || event.Incarnation != account.Incarnation || event.Weights != "v1" {
 			t.Fatalf("event %d is %+v", i, event)
 		}
@@ -58,61 +59,61 @@
 		}
 	}
 	if len(resident) != account.ResidentBlocks || removals == 0 {
-		t.Errorf("%d resident by events, %d in truth, %d removals", len(resident), account.ResidentBlocks, removals)
+		t.Errorf("%d blocks resident by events, %d in the cache, %d removals", len(resident), account.ResidentBlocks, removals)
 	}
 	for _, h := range account.ResidentHashes {
 		if !resident[h] {
-			t.Errorf("no event told of %016x", h)
+			t.Errorf("resident block %016x is missing from the events", h)
 		}
 	}
 }
 
-// A lost event leaves a gap in the numbers; another incarnation's number gets
-// all there is.
+// A dropped event leaves a gap in the sequence numbers. A reader that starts at a
+// number of another incarnation gets the whole buffer.
 func TestEventGap(t *testing.T) {
-	settings := fast()
+	settings := fastSettings()
 	settings.PrefillChunk = prefix.BlockTokens
-	r := newRig(t, settings)
+	r := newTestEngine(t, settings)
 	r.control(`{"drop_next_events": 2}`)
-	r.complete(query("a", "huon", prompt("charter", "q"), 1))
-	if got := r.follow(1, 1)[0].Seq; got != 3 {
-		t.Errorf("first event %d after two were lost", got)
+	r.complete(completionRequest("a", "huon", prompt("charter", "q"), 1))
+	if got := r.readCacheEvents(1, 1)[0].Seq; got != 3 {
+		t.Errorf("first event has number %d after two were dropped", got)
 	}
-	if got := r.follow(1_000_000, 1)[0].Seq; got != 3 {
-		t.Errorf("first event %d from an unknown number", got)
+	if got := r.readCacheEvents(1_000_000, 1)[0].Seq; got != 3 {
+		t.Errorf("first event has number %d when reading from an unknown number", got)
 	}
 }
 
 func TestEvictionByAge(t *testing.T) {
-	r := newRig(t, fast())
-	r.complete(query("a", "huon", prompt("charter", "q"), 1))
-	if n := r.account().ResidentBlocks; n == 0 {
+	r := newTestEngine(t, fastSettings())
+	r.complete(completionRequest("a", "huon", prompt("charter", "q"), 1))
+	if n := r.stats().ResidentBlocks; n == 0 {
 		t.Fatal("nothing is resident")
 	}
 	r.control(`{"evict_after_ms": 1}`)
-	kit.Until(r, "all is evicted", func() bool { return r.account().ResidentBlocks == 0 })
+	kit.Until(r, "all blocks are evicted", func() bool { return r.stats().ResidentBlocks == 0 })
 }
 
-// An event is seen only once it is as old as the delay, and a load report is at
-// least as old as the lag.
+// An event is visible once it is as old as EventDelayMs, and a load report is at
+// least LoadLagMs old.
 func TestDelays(t *testing.T) {
-	settings := fast()
+	settings := fastSettings()
 	settings.EventDelayMs, settings.LoadLagMs = 60_000, 1_000
 	e := New(Options{Model: "m", Version: "v1", Settings: settings})
-	e.publish(api.BlocksStored, []prefix.Hash{1})
-	reader := e.readEvents(1)
+	e.publishEvent(api.BlocksStored, []prefix.Hash{1})
+	reader := e.newEventReader(1)
 	published := e.events.buffer[0].visibleAt.Add(-milliseconds(60_000))
-	if ready, _, after := e.poll(reader, published.Add(milliseconds(59_000))); len(ready) != 0 || after != milliseconds(1_000) {
-		t.Errorf("%d events early, look again after %v", len(ready), after)
+	if ready, _, after := e.pollEvents(reader, published.Add(milliseconds(59_000))); len(ready) != 0 || after != milliseconds(1_000) {
+		t.Errorf("%d events visible early, recheck after %v", len(ready), after)
 	}
-	if ready, _, _ := e.poll(reader, published.Add(milliseconds(60_000))); len(ready) != 1 {
-		t.Errorf("%d events once due", len(ready))
+	if ready, _, _ := e.pollEvents(reader, published.Add(milliseconds(60_000))); len(ready) != 1 {
+		t.Errorf("%d events visible after the delay", len(ready))
 	}
 	for second := range 5 {
 		now := published.Add(milliseconds(int64(second) * 1_000))
 		e.orders.state.Role = fmt.Sprint(second)
-		e.sample(now)
-		if load := e.lagged(now); second > 0 && (load.Role != fmt.Sprint(second-1) || load.AgeMs != 1_000) {
+		e.sampleLoad(now)
+		if load := e.laggedLoad(now); second > 0 && (load.Role != fmt.Sprint(second-1) || load.AgeMs != 1_000) {
 			t.Errorf("report in second %d: %+v", second, load)
 		}
 	}
--- a/internal/standin/engine/helpers_test.go
+++ b/internal/standin/engine/helpers_test.go
@@ -12,16 +12,16 @@
 	"skylarklead/test/kit"
 )
 
-// rig is a stand-in that serves, and its client.
-type rig struct {
+// testEngine is a running stand-in and a client of it.
+type testEngine struct {
 	*testing.T
-	engine *Engine
-	client *api.Client
-	base   string
+	engine  *Engine
+	client  *api.Client
+	baseURL string
 }
 
-// fast are costs that keep tests short.
-func fast() Settings {
+// fastSettings returns settings whose costs and delays keep tests short.
+func fastSettings() Settings {
 	s := DefaultSettings()
 	s.StepMs, s.StepPerRequestMs, s.EventDelayMs, s.LoadLagMs, s.LoadMs = 1, 0, 0, 0, 1
 	s.PrefillTokensPerSecond = 1e6
@@ -29,15 +29,15 @@
 	return s
 }
 
-func newRig(t *testing.T, settings Settings) *rig {
+func newTestEngine(t *testing.T, settings Settings) *testEngine {
 	t.Helper()
 	e := New(Options{Model: "m", Version: "v1", Role: "mixed", Seed: 1, Settings: settings})
 	ctx, cancel := context.WithCancel(context.Background())
 	addresses := make(chan string, 100)
 	served := make(chan error, 1)
 	go func() { served <- e.Serve(ctx, "127.0.0.1:0", func(a string) { addresses <- a }) }()
-	r := &rig{T: t, engine: e, base: "http://" + <-addresses}
-	r.client = api.NewClient(r.base)
+	r := &testEngine{T: t, engine: e, baseURL: "http://" + <-addresses}
+	r.client = api.NewClient(r.baseURL)
 	t.Cleanup(func() {
 		cancel()
 		r.client.Close()
@@ -48,23 +48,23 @@
 	return r
 }
 
-func (r *rig) context() context.Context {
+func (r *testEngine) context() context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), kit.Patience)
 	r.Cleanup(cancel)
 	return ctx
 }
 
-func (r *rig) control(body string) {
+func (r *testEngine) control(body string) {
 	r.Helper()
-	kit.Control(r, r.base, body)
+	kit.Control(r, r.baseURL, body)
 }
 
-func (r *rig) account() Stats {
+func (r *testEngine) stats() Stats {
 	r.Helper()
-	return kit.Get[Stats](r, r.base+"/control/account?hashes=1")
+	return kit.Get[Stats](r, r.baseURL+"/control/account?hashes=1")
 }
 
-// prompt has a shared prefix of 64 blocks and a question.
+// prompt returns a system message of about 64 blocks and a question.
 func prompt(charter, question string) []prefix.Message {
 	return []prefix.Message{
 		{Role: "system", Content: strings.Repeat(charter+" ", 64*prefix.BlockBytes/(len(charter)+1))},
@@ -72,12 +72,12 @@
 	}
 }
 
-func query(id, salt string, messages []prefix.Message, tokens int) api.Request {
+func completionRequest(id, salt string, messages []prefix.Message, tokens int) api.Request {
 	return api.Request{ID: id, Model: "m", Messages: messages, MaxTokens: tokens, CacheSalt: salt}
 }
 
-// drain reads a stream up to its explicit end.
-func drain(s *api.Stream) (text string, usage *api.Usage, err error) {
+// readAll reads a stream up to its final event.
+func readAll(s *api.Stream) (text string, usage *api.Usage, err error) {
 	defer s.Close()
 	var b strings.Builder
 	for {
@@ -95,10 +95,10 @@
 	}
 }
 
-func (r *rig) complete(q api.Request) (string, *api.Usage) {
+func (r *testEngine) complete(q api.Request) (string, *api.Usage) {
 	r.Helper()
 	s := kit.Must(r.client.Complete(r.context(), q))(r)
-	text, usage, err := drain(s)
+	text, usage, err := readAll(s)
 	if err != nil {
 		r.Fatal(err)
 	}
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -8,14 +8,14 @@
 	"skylarklead/internal/prefix"
 )
 
-// exportedBlock stands for the content of one block in an export.
+// exportedBlock represents one block in the blob of an export.
 type exportedBlock struct {
 	Hash   uint64 `json:"hash"`
 	Parent uint64 `json:"parent"`
 	Origin origin `json:"origin"`
 }
 
-// export returns the blocks asked for that are resident.
+// export returns those of the requested blocks that are resident.
 func (e *Engine) export(hashes []prefix.Hash) api.KV {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -31,13 +31,13 @@
 	}
 	blob, err := json.Marshal(blocks)
 	if err != nil {
-		panic(err) // the type has nothing that can't be encoded
+		panic(err) // every value of the type can be encoded
 	}
 	kv.Blob = blob
 	return kv
 }
 
-// transferTime is how long an import of so many blocks takes.
+// transferTime returns how long an import of this many blocks takes.
 func (e *Engine) transferTime(blocks int) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,8 +45,9 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// importKV stores exported blocks as far as they join on to the salt's root or
-// to a resident block, and there is room.
+// importKV stores exported blocks in order until one is neither a child of the
+// salt's root nor of a resident block, or the cache has no space. It returns how
+// many were accepted.
 func (e *Engine) importKV(kv api.KV, blocks []exportedBlock, now time.Time) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,57 +55,58 @@
 		return 0, conflict("blocks are of weights %q, the engine has %q", kv.Weights, e.orders.state.Version)
 	}
 	root := prefix.Salt{Organisation: kv.CacheSalt, Model: e.orders.state.Model, Weights: kv.Weights}.Root()
-	held := newHolding(e.cache)
+	pinned := newPinSet(e.cache)
 	var stored []prefix.Hash
 	for _, b := range blocks {
 		hash, parent := prefix.Hash(b.Hash), prefix.Hash(b.Parent)
-		if parent != root && !held.lineage(parent) || !e.cache.reserve(1) {
+		if parent != root && !pinned.pinWithAncestors(parent) || !e.cache.reserve(1) {
 			break
 		}
-		if held.store(hash, parent, b.Origin) {
+		if pinned.storePinned(hash, parent, b.Origin) {
 			stored = append(stored, hash)
 		}
-		e.removed(e.cache.trim())
+		e.publishRemoved(e.cache.evictExcess())
 	}
-	e.cache.release(held.chain, now)
-	e.stored(stored, false)
-	return held.imported, nil
+	e.cache.release(pinned.chain, now)
+	e.publishStored(stored, false)
+	return pinned.imported, nil
 }
 
-// holding is the blocks that an import has in use, parents first.
-type holding struct {
+// pinSet holds the blocks that an import keeps in use, parents first.
+type pinSet struct {
 	cache    *cache
 	chain    []prefix.Hash
-	has      map[prefix.Hash]bool
+	members  map[prefix.Hash]bool
 	imported int
 }
 
-func newHolding(c *cache) *holding { return &holding{cache: c, has: map[prefix.Hash]bool{}} }
+func newPinSet(c *cache) *pinSet { return &pinSet{cache: c, members: map[prefix.Hash]bool{}} }
 
-// lineage puts a resident block and its ancestors in use, lest room for their
-// descendants be made by evicting them. It reports whether the block is there.
-func (h *holding) lineage(hash prefix.Hash) bool {
-	if h.has[hash] {
+// pinWithAncestors adds a reference to a resident block and its ancestors, so
+// that storing their descendants doesn't evict them. It reports whether the block
+// is resident.
+func (p *pinSet) pinWithAncestors(hash prefix.Hash) bool {
+	if p.members[hash] {
 		return true
 	}
-	b := h.cache.blocks[hash]
+	b := p.cache.blocks[hash]
 	if b == nil {
 		return false
 	}
-	h.lineage(b.parent)
-	h.cache.use(b)
-	h.add(hash)
+	p.pinWithAncestors(b.parent)
+	p.cache.addRef(b)
+	p.add(hash)
 	return true
 }
 
-func (h *holding) store(hash, parent prefix.Hash, from origin) bool {
-	h.imported++
-	isNew := h.cache.store(hash, parent, from)
-	h.add(hash)
+func (p *pinSet) storePinned(hash, parent prefix.Hash, source origin) bool {
+	p.imported++
+	isNew := p.cache.store(hash, parent, source)
+	p.add(hash)
 	return isNew
 }
 
-func (h *holding) add(hash prefix.Hash) {
-	h.chain = append(h.chain, hash)
-	h.has[hash] = true
+func (p *pinSet) add(hash prefix.Hash) {
+	p.chain = append(p.chain, hash)
+	p.members[hash] = true
 }
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -7,55 +7,55 @@
 	api "skylarklead/internal/engine"
 )
 
-// loadSampleEvery is how often the load is noted for lagged reports.
-const loadSampleEvery = 20 * time.Millisecond
+// loadSampleInterval is how often the load is sampled for lagged reports.
+const loadSampleInterval = 20 * time.Millisecond
 
 type loadSample struct {
 	at   time.Time
 	load api.Load
 }
 
-// sampleLoads notes the load now and then until ctx ends.
-func (e *Engine) sampleLoads(ctx context.Context) {
+// runLoadSampler samples the load periodically until ctx ends.
+func (e *Engine) runLoadSampler(ctx context.Context) {
 	for ctx.Err() == nil {
-		e.thaw(ctx)
-		e.sample(time.Now())
-		sleep(ctx, loadSampleEvery)
+		e.waitWhileFrozen(ctx)
+		e.sampleLoad(time.Now())
+		sleep(ctx, loadSampleInterval)
 	}
 }
 
-// sample notes the load and drops what is too old to be reported.
-func (e *Engine) sample(now time.Time) {
+// sampleLoad samples the load and drops samples that are too old to be reported.
+func (e *Engine) sampleLoad(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loads = append(e.loads, loadSample{at: now, load: e.loadNow()})
+	e.loadSamples = append(e.loadSamples, loadSample{at: now, load: e.currentLoad()})
 	oldest := now.Add(-milliseconds(e.settings.LoadLagMs))
-	for len(e.loads) > 1 && !e.loads[1].at.After(oldest) {
-		e.loads = e.loads[1:]
+	for len(e.loadSamples) > 1 && !e.loadSamples[1].at.After(oldest) {
+		e.loadSamples = e.loadSamples[1:]
 	}
 }
 
-// lagged returns the newest load that is at least the lag old, or the oldest
-// there is just after the start.
-func (e *Engine) lagged(now time.Time) api.Load {
+// laggedLoad returns the newest sample that is at least LoadLagMs old, or the
+// oldest one if there is none that old yet.
+func (e *Engine) laggedLoad(now time.Time) api.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.settings.LoadLagMs == 0 || len(e.loads) == 0 {
-		return e.loadNow()
+	if e.settings.LoadLagMs == 0 || len(e.loadSamples) == 0 {
+		return e.currentLoad()
 	}
-	chosen := e.loads[0]
+	reported := e.loadSamples[0]
 	oldest := now.Add(-milliseconds(e.settings.LoadLagMs))
-	for _, s := range e.loads {
+	for _, s := range e.loadSamples {
 		if s.at.After(oldest) {
 			break
 		}
-		chosen = s
+		reported = s
 	}
-	chosen.load.AgeMs = now.Sub(chosen.at).Milliseconds()
-	return chosen.load
+	reported.load.AgeMs = now.Sub(reported.at).Milliseconds()
+	return reported.load
 }
 
-func (e *Engine) loadNow() api.Load {
+func (e *Engine) currentLoad() api.Load {
 	state := e.orders.state
 	return api.Load{
 		Incarnation:   e.incarnation,
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -9,19 +9,20 @@
 	api "skylarklead/internal/engine"
 )
 
-const weightStoreRetry = 200 * time.Millisecond
+const weightStoreRetryInterval = 200 * time.Millisecond
 
-// orders is what the engine serves and what it was last told to.
+// orders is the state that orders change: what the engine serves, and weights
+// that are being loaded.
 type orders struct {
 	state api.State
-	// highest is the highest fencing number seen.
-	highest uint64
-	// target is what loads; fetched is set when only running requests keep it
-	// from being switched to.
-	target  weightsID
-	fetched bool
-	// loads numbers the loads: a newer one overrides those before it.
-	loads uint64
+	// highestFence is the highest fencing number of an accepted order.
+	highestFence uint64
+	// loadTarget identifies the weights that are being loaded. fetched is set when
+	// they can be activated as soon as no request uses the old ones.
+	loadTarget weightsID
+	fetched    bool
+	// loadGeneration is the number of the last load; it supersedes earlier ones.
+	loadGeneration uint64
 }
 
 type weightsID struct{ model, version string }
@@ -30,29 +31,30 @@
 	return orders{state: api.State{Model: o.Model, Version: o.Version, Role: o.Role, Adapters: []string{}}}
 }
 
-// order takes an order. Loads go on after it returns.
-func (e *Engine) order(o api.Order) (api.State, error) {
+// acceptOrder checks an order's fencing number and applies it. Loading weights
+// continues after it returns.
+func (e *Engine) acceptOrder(o api.Order) (api.State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if o.Fence < e.orders.highest && e.settings.CheckFencing {
-		e.account.totals.RefusedOrders++
-		return api.State{}, &api.StaleFenceError{Fence: e.orders.highest}
+	if o.Fence < e.orders.highestFence && e.settings.CheckFencing {
+		e.stats.totals.RefusedOrders++
+		return api.State{}, &api.StaleFenceError{Fence: e.orders.highestFence}
 	}
-	if err := e.obey(o); err != nil {
+	if err := e.applyOrder(o); err != nil {
 		return api.State{}, err
 	}
-	e.account.totals.Orders++
-	if o.Fence < e.orders.highest {
-		e.account.totals.StaleOrders++
+	e.stats.totals.Orders++
+	if o.Fence < e.orders.highestFence {
+		e.stats.totals.StaleOrders++
 	}
-	e.orders.highest = max(e.orders.highest, o.Fence)
+	e.orders.highestFence = max(e.orders.highestFence, o.Fence)
 	e.orders.state.Fence = o.Fence
 	e.logger.Info("order", "fence", o.Fence, "op", o.Op, "model", o.Model, "version", o.Version,
 		"adapter", o.Adapter, "role", o.Role)
-	return e.stateNow(), nil
+	return e.currentState(), nil
 }
 
-func (e *Engine) obey(o api.Order) error {
+func (e *Engine) applyOrder(o api.Order) error {
 	state := &e.orders.state
 	switch o.Op {
 	case api.OpSetRole:
@@ -63,58 +65,59 @@
 		}
 	case api.OpLoadVersion:
 		if o.Version == "" {
-			return badRequest("load_version without a version")
+			return badRequest("load_version: version is missing")
 		}
-		e.load(weightsID{model: state.Model, version: o.Version})
+		e.startLoad(weightsID{model: state.Model, version: o.Version})
 	case api.OpLoadModel:
 		if o.Model == "" || o.Version == "" {
-			return badRequest("load_model without a model and version")
+			return badRequest("load_model: model or version is missing")
 		}
-		e.load(weightsID{model: o.Model, version: o.Version})
+		e.startLoad(weightsID{model: o.Model, version: o.Version})
 	default:
 		return badRequest("unknown op %q", o.Op)
 	}
 	return nil
 }
 
-// load begins to load weights, unless they are there or on their way. Requests
-// already taken end under the old weights.
-func (e *Engine) load(id weightsID) {
+// startLoad begins to load weights, unless they are loaded or being loaded.
+// Requests already accepted finish with the old weights.
+func (e *Engine) startLoad(id weightsID) {
 	o := &e.orders
-	if o.state.Loading && o.target == id {
+	if o.state.Loading && o.loadTarget == id {
 		return
 	}
-	o.loads++
+	o.loadGeneration++
 	o.fetched = false
-	o.target = id
+	o.loadTarget = id
 	o.state.Loading = id != (weightsID{o.state.Model, o.state.Version})
 	if o.state.Loading {
-		go e.fetch(id, o.loads, e.incarnation)
+		go e.fetchAndLoad(id, o.loadGeneration, e.incarnation)
 	}
 }
 
-// fetch gets weights from the weight store and loads them.
-func (e *Engine) fetch(id weightsID, load uint64, incarnation string) {
+// fetchAndLoad fetches weights from the weight store, with retries until a newer
+// load or incarnation supersedes this one, and loads them.
+func (e *Engine) fetchAndLoad(id weightsID, generation uint64, incarnation string) {
 	current := func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.orders.loads == load && e.incarnation == incarnation
+		return e.orders.loadGeneration == generation && e.incarnation == incarnation
 	}
 	for !e.fetchFromStore(id) {
-		time.Sleep(weightStoreRetry)
+		time.Sleep(weightStoreRetryInterval)
 		if !current() {
 			return
 		}
 	}
 	e.mu.Lock()
-	pause := milliseconds(e.settings.LoadMs)
+	loadTime := milliseconds(e.settings.LoadMs)
 	e.mu.Unlock()
-	time.Sleep(pause)
+	time.Sleep(loadTime)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.orders.loads == load && e.incarnation == incarnation {
+	if e.orders.loadGeneration == generation && e.incarnation == incarnation {
 		e.orders.fetched = true
-		e.switchWeights()
+		e.activateFetchedWeights()
 	}
 }
 
@@ -131,22 +134,22 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// switchWeights puts fetched weights in force once no request uses the old
-// ones, and empties the cache: its blocks are of the old weights.
-func (e *Engine) switchWeights() {
+// activateFetchedWeights switches to fetched weights if no request uses the old
+// ones, and clears the cache, whose blocks were computed with the old weights.
+func (e *Engine) activateFetchedWeights() {
 	o := &e.orders
 	if !o.fetched || len(e.running) > 0 || len(e.waiting) > 0 {
 		return
 	}
 	o.fetched = false
 	o.state.Loading = false
-	o.state.Model, o.state.Version = o.target.model, o.target.version
+	o.state.Model, o.state.Version = o.loadTarget.model, o.loadTarget.version
 	e.cache = newCache(e.settings.cacheBlocks())
-	e.record(JournalCleared, nil)
-	e.publish(api.CacheCleared, nil)
+	e.recordCacheChange(JournalCleared, nil)
+	e.publishEvent(api.CacheCleared, nil)
 }
 
-func (e *Engine) stateNow() api.State {
+func (e *Engine) currentState() api.State {
 	state := e.orders.state
 	state.Adapters = slices.Clone(state.Adapters)
 	state.Incarnation = e.incarnation
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -18,7 +18,7 @@
 	objectChunk      = "chat.completion.chunk"
 )
 
-// request is a completion from its arrival until its stream is forgotten.
+// request is a completion, from its arrival until its stream is removed.
 type request struct {
 	id       string
 	model    string
@@ -33,29 +33,31 @@
 	promptTokens int
 	maxTokens    int
 	answer       answer.Answer
-	// have is how many tokens of the answer the prompt already holds.
-	have int
+	// priorTokens is how many tokens of the answer the prompt already contains,
+	// if the request continues a partial answer.
+	priorTokens int
 
-	// cached and computed are prompt tokens, from the cache and prefilled.
+	// cached and computed count prompt tokens taken from the cache and prefilled.
 	cached   int
 	computed int
-	// held is how many leading blocks of chain the request uses; reserved is
-	// what it was promised besides.
-	held     int
-	reserved int
-	produced int
-
-	// events are the data of the stream's events; changed is closed and replaced
-	// when there are more, or when the stream ends.
-	events   [][]byte
-	changed  chan struct{}
-	ended    bool
-	aborted  bool
-	attached int
-	expiry   *time.Timer
+	// heldBlocks is how many leading blocks of chain the request holds a reference
+	// to; reservedBlocks is how many more are reserved for it.
+	heldBlocks     int
+	reservedBlocks int
+	generated      int
+
+	// events has the data of the stream's events. changed is closed and replaced
+	// when an event is added or the stream ends.
+	events      [][]byte
+	changed     chan struct{}
+	ended       bool
+	aborted     bool
+	connections int
+	resumeTimer *time.Timer
 }
 
-// completionBody is a completion with the fields that the stand-in ignores.
+// completionBody is the body of a completion request. parameters has the fields
+// that aren't part of api.Completion.
 type completionBody struct {
 	api.Completion
 	parameters map[string]json.RawMessage
@@ -76,13 +78,13 @@
 	return nil
 }
 
-func newRequest(id string, body *completionBody, from origin) *request {
+func newRequest(id string, body *completionBody, source origin) *request {
 	r := &request{
 		id:           id,
 		model:        body.Model,
 		priority:     body.Priority,
-		origin:       from,
-		root:         prefix.Salt{Organisation: from.Salt, Model: body.Model, Weights: from.Weights}.Root(),
+		origin:       source,
+		root:         prefix.Salt{Organisation: source.Salt, Model: body.Model, Weights: source.Weights}.Root(),
 		promptTokens: prefix.EstimateTokens(body.Messages),
 		maxTokens:    body.MaxTokens,
 		parameters:   body.parameters,
@@ -95,34 +97,36 @@
 		r.maxTokens = defaultMaxTokens
 	}
 	if body.ContinueFinalMessage {
-		r.answer, r.have = answer.Continue(body.Messages)
+		r.answer, r.priorTokens = answer.Continue(body.Messages)
 	} else {
 		r.answer = answer.New(body.Messages)
 	}
 	return r
 }
 
-// blocks is the KV room that the request takes in all.
-func (r *request) blocks() int {
+// requiredBlocks returns how many cache blocks the prompt and answer need.
+func (r *request) requiredBlocks() int {
 	tokens := r.promptTokens + r.maxTokens
 	return (tokens + prefix.BlockTokens - 1) / prefix.BlockTokens
 }
 
-// cacheable is how many leading blocks may come from the cache: the last prompt
-// token is always computed, since the first answer token follows from it.
-func (r *request) cacheable() []prefix.Hash {
+// cacheablePrefix returns the leading blocks that may be taken from the cache.
+// The last prompt token is always computed, since the first answer token depends
+// on it.
+func (r *request) cacheablePrefix() []prefix.Hash {
 	return r.chain[:min(len(r.chain), (r.promptTokens-1)/prefix.BlockTokens)]
 }
 
-func (r *request) prefillLeft() int { return r.promptTokens - r.cached - r.computed }
+func (r *request) remainingPrefill() int { return r.promptTokens - r.cached - r.computed }
 
 func (r *request) contains(s string) bool { return s != "" && strings.Contains(r.text, s) }
 
-// produce adds the next token to the stream, and its end after the last one.
-func (r *request) produce() {
-	choice := api.Choice{Delta: api.Delta{Content: r.answer.Token(r.have + r.produced)}}
-	r.produced++
-	done := r.produced == r.maxTokens
+// appendToken adds the next token to the stream, and the usage after the last
+// one.
+func (r *request) appendToken() {
+	choice := api.Choice{Delta: api.Delta{Content: r.answer.Token(r.priorTokens + r.generated)}}
+	r.generated++
+	done := r.generated == r.maxTokens
 	if done {
 		reason := finishLength
 		choice.FinishReason = &reason
@@ -131,7 +135,7 @@
 	if done {
 		r.publish(api.CompletionChunk{Choices: []api.Choice{}, Usage: &api.Usage{
 			PromptTokens:        r.promptTokens,
-			CompletionTokens:    r.produced,
+			CompletionTokens:    r.generated,
 			PromptTokensDetails: api.PromptDetails{CachedTokens: r.cached},
 		}})
 	}
@@ -141,24 +145,25 @@
 	chunk.ID, chunk.Object, chunk.Model = r.id, objectChunk, r.model
 	data, err := json.Marshal(chunk)
 	if err != nil {
-		panic(err) // the type has nothing that can't be encoded
+		panic(err) // every value of the type can be encoded
 	}
 	r.events = append(r.events, data)
-	r.signal()
+	r.notify()
 }
 
-// end marks the stream as ended; an aborted one has no explicit end.
+// end marks the stream as ended. An aborted stream has no final event.
 func (r *request) end(aborted bool) {
 	r.ended, r.aborted = true, aborted
-	r.signal()
+	r.notify()
 }
 
-func (r *request) signal() {
+func (r *request) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// enqueue inserts by priority, then arrival.
+// enqueue inserts a request in order of priority, lowest number first, then of
+// arrival.
 func enqueue(queue []*request, r *request) []*request {
 	at := len(queue)
 	for at > 0 && queue[at-1].priority > r.priority {
@@ -167,6 +172,6 @@
 	return slices.Insert(queue, at, r)
 }
 
-func remove(list []*request, r *request) []*request {
+func removeRequest(list []*request, r *request) []*request {
 	return slices.DeleteFunc(list, func(other *request) bool { return other == r })
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -14,17 +14,19 @@
 )
 
 const (
-	maxBody = 64 << 20
-	// A reset engine's port may be taken for a moment by an outgoing connection.
-	relistenFor   = 10 * time.Second
-	relistenPause = 20 * time.Millisecond
+	maxBodyBytes = 64 << 20
+	// After a reset, an outgoing connection may temporarily occupy the engine's
+	// port, so listening is retried.
+	relistenTimeout  = 10 * time.Second
+	relistenInterval = 20 * time.Millisecond
 )
 
 // Serve runs the engine at an address until ctx ends. It calls ready with the
-// address each time it listens.
+// actual address each time it starts to listen, also after a crash with
+// CrashReset.
 func (e *Engine) Serve(ctx context.Context, address string, ready func(address string)) error {
-	go e.generate(ctx)
-	go e.sampleLoads(ctx)
+	go e.runSteps(ctx)
+	go e.runLoadSampler(ctx)
 	for ctx.Err() == nil {
 		listener, err := listen(ctx, address)
 		if err != nil {
@@ -40,7 +42,7 @@
 }
 
 func listen(ctx context.Context, address string) (net.Listener, error) {
-	for deadline := time.Now().Add(relistenFor); ; sleep(ctx, relistenPause) {
+	for deadline := time.Now().Add(relistenTimeout); ; sleep(ctx, relistenInterval) {
 		listener, err := net.Listen("tcp", address)
 		if err == nil || ctx.Err() != nil || time.Now().After(deadline) {
 			return listener, err
@@ -48,7 +50,7 @@
 	}
 }
 
-// serveUntilCrash returns when ctx ends, or when a reset engine may come back.
+// serveUntilCrash serves until ctx ends, or until a crash and RestartMs after it.
 func (e *Engine) serveUntilCrash(ctx context.Context, listener net.Listener) error {
 	e.mu.Lock()
 	e.down = false
@@ -62,13 +64,13 @@
 		return err
 	case <-ctx.Done():
 		return nil
-	case <-e.crashed:
+	case <-e.crashSignal:
 	}
 	server.Close()
 	e.mu.Lock()
-	pause := milliseconds(e.settings.RestartMs)
+	restartDelay := milliseconds(e.settings.RestartMs)
 	e.mu.Unlock()
-	sleep(ctx, pause)
+	sleep(ctx, restartDelay)
 	return nil
 }
 
@@ -76,27 +78,27 @@
 	router := mux.NewRouter().UseEncodedPath()
 	router.HandleFunc("/control", e.handleControl).Methods(http.MethodPost)
 	router.HandleFunc("/control", e.handleSettings).Methods(http.MethodGet)
-	router.HandleFunc("/control/account", e.handleAccount).Methods(http.MethodGet)
+	router.HandleFunc("/control/account", e.handleStats).Methods(http.MethodGet)
 	router.HandleFunc("/control/journal", e.handleJournal).Methods(http.MethodGet)
 	v1 := router.PathPrefix("/v1").Subrouter()
-	v1.Use(e.whenUp)
+	v1.Use(e.requireUp)
 	v1.HandleFunc("/chat/completions", e.handleCompletion).Methods(http.MethodPost)
 	v1.HandleFunc("/streams/{id}", e.handleResume).Methods(http.MethodGet)
 	v1.HandleFunc("/streams/{id}", e.handleCancel).Methods(http.MethodDelete)
 	v1.HandleFunc("/cache/events", e.handleEvents).Methods(http.MethodGet)
 	v1.HandleFunc("/load", e.handleLoad).Methods(http.MethodGet)
 	v1.HandleFunc("/orders", e.handleOrder).Methods(http.MethodPost)
-	v1.HandleFunc("/orders", e.handleOrders).Methods(http.MethodGet)
+	v1.HandleFunc("/orders", e.handleState).Methods(http.MethodGet)
 	v1.HandleFunc("/kv/export", e.handleExport).Methods(http.MethodPost)
 	v1.HandleFunc("/kv/import", e.handleImport).Methods(http.MethodPost)
 	return router
 }
 
-// whenUp holds requests while the engine is frozen, and drops them when it is
-// crashed.
-func (e *Engine) whenUp(next http.Handler) http.Handler {
+// requireUp delays requests while the engine is frozen, and closes their
+// connections while it is down after a crash.
+func (e *Engine) requireUp(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.thaw(r.Context())
+		e.waitWhileFrozen(r.Context())
 		e.mu.Lock()
 		down := e.down
 		e.mu.Unlock()
@@ -107,9 +109,10 @@
 	})
 }
 
-// readBody decodes a request's body, or answers with 400.
-func readBody(w http.ResponseWriter, r *http.Request, v any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(v)
+// decodeBody decodes a request's JSON body into v. On failure it responds with
+// 400 and returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, v any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(v)
 	if err != nil {
 		writeError(w, badRequest("body: %v", err))
 	}
@@ -117,15 +120,15 @@
 }
 
 func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, e.lagged(time.Now()))
+	writeJSON(w, http.StatusOK, e.laggedLoad(time.Now()))
 }
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order api.Order
-	if !readBody(w, r, &order) {
+	if !decodeBody(w, r, &order) {
 		return
 	}
-	state, err := e.order(order)
+	state, err := e.acceptOrder(order)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -133,23 +136,23 @@
 	writeJSON(w, http.StatusOK, state)
 }
 
-func (e *Engine) handleOrders(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	state := e.stateNow()
+	state := e.currentState()
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, state)
 }
 
 func (e *Engine) handleExport(w http.ResponseWriter, r *http.Request) {
 	var query api.KVQuery
-	if readBody(w, r, &query) {
+	if decodeBody(w, r, &query) {
 		writeJSON(w, http.StatusOK, e.export(query.Hashes))
 	}
 }
 
 func (e *Engine) handleImport(w http.ResponseWriter, r *http.Request) {
 	var kv api.KV
-	if !readBody(w, r, &kv) {
+	if !decodeBody(w, r, &kv) {
 		return
 	}
 	var blocks []exportedBlock
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -8,10 +8,11 @@
 	"skylarklead/internal/wait"
 )
 
-// expireEvery is how often an idle engine looks for blocks to evict by age.
-const expireEvery = 50 * time.Millisecond
+// idlePollInterval is how often an idle engine checks for blocks to evict by age.
+const idlePollInterval = 50 * time.Millisecond
 
-// step is the work of one pass of the batch.
+// step is the work of one step of the batch. prefill has the number of prompt
+// tokens to compute for each request.
 type step struct {
 	incarnation string
 	prefill     map[*request]int
@@ -19,63 +20,63 @@
 	duration    time.Duration
 }
 
-// generate runs the batch until ctx ends.
-func (e *Engine) generate(ctx context.Context) {
+// runSteps runs the batch until ctx ends.
+func (e *Engine) runSteps(ctx context.Context) {
 	for ctx.Err() == nil {
-		e.thaw(ctx)
-		s := e.plan(time.Now())
+		e.waitWhileFrozen(ctx)
+		s := e.planStep(time.Now())
 		if s == nil {
-			e.idle(ctx)
+			e.waitForWork(ctx)
 			continue
 		}
 		sleep(ctx, s.duration)
-		e.thaw(ctx)
-		e.apply(s, time.Now())
+		e.waitWhileFrozen(ctx)
+		e.applyStep(s, time.Now())
 	}
 }
 
-// thaw waits until the engine isn't frozen.
-func (e *Engine) thaw(ctx context.Context) {
+// waitWhileFrozen waits until the engine isn't frozen or ctx ends.
+func (e *Engine) waitWhileFrozen(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.mu.Lock()
-		frozen := time.Until(e.frozenUntil)
+		remaining := time.Until(e.frozenUntil)
 		e.mu.Unlock()
-		if frozen <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		sleep(ctx, frozen)
+		sleep(ctx, remaining)
 	}
 }
 
-// idle waits for work, or until the engine has to look again.
-func (e *Engine) idle(ctx context.Context) {
-	timer := time.NewTimer(expireEvery)
+// waitForWork waits for work, at most idlePollInterval.
+func (e *Engine) waitForWork(ctx context.Context) {
+	timer := time.NewTimer(idlePollInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-e.wake:
+	case <-e.workAvailable:
 	}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
-	_ = wait.For(ctx, d) // who waits looks at ctx next
+	_ = wait.For(ctx, d) // callers check ctx afterwards
 }
 
-// plan starts waiting requests and shares the next step out. It returns nil if
+// planStep starts waiting requests and plans the next step. It returns nil if
 // there is no work.
-func (e *Engine) plan(now time.Time) *step {
+func (e *Engine) planStep(now time.Time) *step {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.expireBlocks(now)
-	e.switchWeights()
+	e.evictBlocks(now)
+	e.activateFetchedWeights()
 	s := &step{incarnation: e.incarnation, prefill: map[*request]int{}}
 	for _, r := range e.running {
-		if r.prefillLeft() == 0 {
+		if r.remainingPrefill() == 0 {
 			s.decode = append(s.decode, r)
 		}
 	}
-	total := e.sharePrefill(s, now)
+	total := e.allocatePrefill(s, now)
 	if len(e.running) == 0 {
 		return nil
 	}
@@ -85,126 +86,128 @@
 	return s
 }
 
-// sharePrefill gives the step's prefill tokens to requests in order of start,
-// and starts waiting ones as long as some are left. A request that would get
-// none isn't started, so that it finds in the cache what those before it are
-// still computing.
-func (e *Engine) sharePrefill(s *step, now time.Time) (total int) {
+// allocatePrefill assigns the step's prefill budget to running requests in order
+// of their start, and starts waiting requests while some of it is left. A request
+// that would get no tokens isn't started yet, so that later it can use the blocks
+// that earlier requests are still computing. It returns the tokens assigned.
+func (e *Engine) allocatePrefill(s *step, now time.Time) (total int) {
 	budget := max(1, e.settings.PrefillChunk-len(s.decode))
-	share := func(r *request) {
-		if n := min(r.prefillLeft(), budget-total); n > 0 {
+	allocate := func(r *request) {
+		if n := min(r.remainingPrefill(), budget-total); n > 0 {
 			s.prefill[r] = n
 			total += n
 		}
 	}
 	for _, r := range e.running {
-		share(r)
+		allocate(r)
 	}
-	for total < budget && e.startNext(now) {
-		share(e.running[len(e.running)-1])
+	for total < budget && e.startNextWaiting(now) {
+		allocate(e.running[len(e.running)-1])
 	}
 	return total
 }
 
-// startNext starts the first waiting request if batch and cache have room. One
-// that doesn't fit holds back those behind it, so that none starves.
-func (e *Engine) startNext(now time.Time) bool {
+// startNextWaiting starts the first waiting request if batch and cache have
+// space for it. If not, the requests behind it wait too, so that a large request
+// doesn't starve.
+func (e *Engine) startNextWaiting(now time.Time) bool {
 	if len(e.waiting) == 0 || len(e.running) >= e.settings.MaxBatch {
 		return false
 	}
-	return e.start(e.waiting[0], now)
+	return e.startRequest(e.waiting[0], now)
 }
 
-func (e *Engine) start(r *request, now time.Time) bool {
+func (e *Engine) startRequest(r *request, now time.Time) bool {
 	if r.contains(e.settings.CrashOn) {
-		e.account.start(r)
+		e.stats.recordStart(r)
 		e.crash()
 		return false
 	}
-	hits := r.cacheable()
-	hits = hits[:e.cache.match(hits)]
+	hits := r.cacheablePrefix()
+	hits = hits[:e.cache.matchLength(hits)]
 	e.cache.acquire(hits)
-	if !e.cache.reserve(r.blocks() - len(hits)) {
+	if !e.cache.reserve(r.requiredBlocks() - len(hits)) {
 		e.cache.release(hits, now)
 		return false
 	}
-	r.held, r.reserved = len(hits), r.blocks()-len(hits)
+	r.heldBlocks, r.reservedBlocks = len(hits), r.requiredBlocks()-len(hits)
 	r.cached = len(hits) * prefix.BlockTokens
 	e.waiting = e.waiting[1:]
 	e.running = append(e.running, r)
-	e.account.start(r)
+	e.stats.recordStart(r)
 	for _, h := range hits {
-		e.account.hit(r, e.cache.blocks[h].origin)
+		e.stats.recordHit(r, e.cache.blocks[h].origin)
 	}
-	e.removed(e.cache.trim())
+	e.publishRemoved(e.cache.evictExcess())
 	return true
 }
 
-// apply does the work of a step that has taken its time.
-func (e *Engine) apply(s *step, now time.Time) {
+// applyStep applies the results of a step after its duration has passed, unless
+// the engine has crashed meanwhile.
+func (e *Engine) applyStep(s *step, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.incarnation != e.incarnation {
 		return
 	}
 	for _, r := range s.decode {
-		e.produce(r, now)
+		e.generateToken(r, now)
 	}
 	for r, n := range s.prefill {
-		e.prefill(r, n, now)
+		e.prefillRequest(r, n, now)
 	}
 }
 
-func (e *Engine) prefill(r *request, n int, now time.Time) {
+func (e *Engine) prefillRequest(r *request, tokens int, now time.Time) {
 	if r.ended {
 		return
 	}
-	r.computed += n
-	e.account.computed(r, n)
-	whole := min(len(r.chain), (r.cached+r.computed)/prefix.BlockTokens)
+	r.computed += tokens
+	e.stats.recordPrefill(r, tokens)
+	wholeBlocks := min(len(r.chain), (r.cached+r.computed)/prefix.BlockTokens)
 	var stored []prefix.Hash
-	for ; r.held < whole; r.held++ {
+	for ; r.heldBlocks < wholeBlocks; r.heldBlocks++ {
 		parent := r.root
-		if r.held > 0 {
-			parent = r.chain[r.held-1]
+		if r.heldBlocks > 0 {
+			parent = r.chain[r.heldBlocks-1]
 		}
-		r.reserved--
-		if e.cache.store(r.chain[r.held], parent, r.origin) {
-			stored = append(stored, r.chain[r.held])
+		r.reservedBlocks--
+		if e.cache.store(r.chain[r.heldBlocks], parent, r.origin) {
+			stored = append(stored, r.chain[r.heldBlocks])
 		}
 	}
-	e.stored(stored, true)
-	if r.prefillLeft() == 0 {
-		e.produce(r, now)
+	e.publishStored(stored, true)
+	if r.remainingPrefill() == 0 {
+		e.generateToken(r, now)
 	}
 }
 
-func (e *Engine) produce(r *request, now time.Time) {
+func (e *Engine) generateToken(r *request, now time.Time) {
 	if r.ended {
 		return
 	}
-	r.produce()
-	e.account.produced(r)
-	if r.produced == r.maxTokens {
-		e.finish(r, false, now)
+	r.appendToken()
+	e.stats.recordToken(r)
+	if r.generated == r.maxTokens {
+		e.finishRequest(r, false, now)
 	}
 }
 
-// finish takes a request off the engine, in whatever state it is.
-func (e *Engine) finish(r *request, aborted bool, now time.Time) {
-	e.waiting = remove(e.waiting, r)
-	e.running = remove(e.running, r)
-	e.cache.release(r.chain[:r.held], now)
-	e.cache.reserved -= r.reserved
-	r.held, r.reserved = 0, 0
+// finishRequest removes a request, waiting or running, and releases its blocks.
+func (e *Engine) finishRequest(r *request, aborted bool, now time.Time) {
+	e.waiting = removeRequest(e.waiting, r)
+	e.running = removeRequest(e.running, r)
+	e.cache.release(r.chain[:r.heldBlocks], now)
+	e.cache.reserved -= r.reservedBlocks
+	r.heldBlocks, r.reservedBlocks = 0, 0
 	r.end(aborted)
-	e.forgetLater(r)
-	e.signal()
+	e.scheduleStreamRemoval(r)
+	e.wakeStepLoop()
 }
 
-func (e *Engine) expireBlocks(now time.Time) {
+func (e *Engine) evictBlocks(now time.Time) {
 	if e.settings.EvictAfterMs > 0 {
-		e.removed(e.cache.expire(now.Add(-milliseconds(e.settings.EvictAfterMs))))
+		e.publishRemoved(e.cache.evictIdleSince(now.Add(-milliseconds(e.settings.EvictAfterMs))))
 	}
-	e.removed(e.cache.trim())
+	e.publishRemoved(e.cache.evictExcess())
 }
--- a/internal/standin/engine/streams.go
+++ b/internal/standin/engine/streams.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	contentEvents = "text/event-stream"
-	endOfStream   = "data: [DONE]\n\n"
+	contentTypeEventStream = "text/event-stream"
+	endOfStream            = "data: [DONE]\n\n"
 )
 
 func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var body completionBody
-	if !readBody(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
 	id := r.Header.Get(api.HeaderRequestID)
 	if id == "" {
-		writeError(w, badRequest("no %s", api.HeaderRequestID))
+		writeError(w, badRequest("header %s is missing", api.HeaderRequestID))
 		return
 	}
 	req, err := e.submit(id, &body)
@@ -33,23 +33,23 @@
 		writeError(w, err)
 		return
 	}
-	e.follow(w, r, req, 0)
+	e.streamEvents(w, r, req, 0)
 }
 
 func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
-	from, ok := from(w, r)
+	from, ok := parseFrom(w, r)
 	if !ok {
 		return
 	}
 	e.mu.Lock()
 	req := e.streams[streamID(r)]
-	gone := req == nil || req.aborted
+	missing := req == nil || req.aborted
 	e.mu.Unlock()
-	if gone {
-		writeError(w, &refusedError{http.StatusNotFound, api.CodeNotFound, "no such stream"})
+	if missing {
+		writeError(w, &httpError{http.StatusNotFound, api.CodeNotFound, "no such stream"})
 		return
 	}
-	e.follow(w, r, req, from)
+	e.streamEvents(w, r, req, from)
 }
 
 func (e *Engine) handleCancel(w http.ResponseWriter, r *http.Request) {
@@ -57,8 +57,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// streamID returns the path's request ID, which may hold any character. An ID
-// that is badly escaped is returned as it stands, and matches nothing.
+// streamID returns the path's request ID, which may contain any character. An ID
+// with invalid escapes is returned unchanged and matches no stream.
 func streamID(r *http.Request) string {
 	raw := mux.Vars(r)["id"]
 	if id, err := url.PathUnescape(raw); err == nil {
@@ -67,8 +67,9 @@
 	return raw
 }
 
-// from reads the query's number of the first event, or answers with 400.
-func from(w http.ResponseWriter, r *http.Request) (uint64, bool) {
+// parseFrom returns the number of the first event from the query, 0 if there is
+// none. On failure it responds with 400 and returns false.
+func parseFrom(w http.ResponseWriter, r *http.Request) (uint64, bool) {
 	text := r.URL.Query().Get("from")
 	if text == "" {
 		return 0, true
@@ -80,21 +81,21 @@
 	return n, err == nil
 }
 
-// follow writes a stream's events as they come. A stream that was cut short has
-// its connection dropped, without the explicit end.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, req *request, next uint64) {
+// streamEvents writes a stream's events from number next on as they are added. If
+// the stream is aborted, it closes the connection without a final event.
+func (e *Engine) streamEvents(w http.ResponseWriter, r *http.Request, req *request, next uint64) {
 	e.attach(req)
 	defer e.detach(req)
-	w.Header().Set("Content-Type", contentEvents)
+	w.Header().Set("Content-Type", contentTypeEventStream)
 	w.Header().Set(api.HeaderIncarnation, req.origin.Incarnation)
 	w.Header().Set(api.HeaderWeights, req.origin.Weights)
 	w.Header().Set(api.HeaderCacheSalt, req.origin.Salt)
 	flusher := http.NewResponseController(w)
 	for {
 		_ = flusher.Flush()
-		data, ended, changed := e.read(req, next)
-		for _, chunk := range data {
-			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", next, chunk)
+		events, ended, changed := e.readEvents(req, next)
+		for _, data := range events {
+			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", next, data)
 			next++
 		}
 		if ended && !req.aborted {
@@ -104,7 +105,7 @@
 		if ended {
 			panic(http.ErrAbortHandler)
 		}
-		if len(data) > 0 {
+		if len(events) > 0 {
 			continue
 		}
 		select {
@@ -115,34 +116,34 @@
 	}
 }
 
-func (e *Engine) read(req *request, next uint64) (data [][]byte, ended bool, changed <-chan struct{}) {
+func (e *Engine) readEvents(req *request, next uint64) (events [][]byte, ended bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if next < uint64(len(req.events)) {
-		data = req.events[next:]
+		events = req.events[next:]
 	}
-	return data, req.ended, req.changed
+	return events, req.ended, req.changed
 }
 
 func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
-	from, ok := from(w, r)
+	from, ok := parseFrom(w, r)
 	if !ok {
 		return
 	}
-	reader := e.readEvents(from)
-	w.Header().Set("Content-Type", contentEvents)
+	reader := e.newEventReader(from)
+	w.Header().Set("Content-Type", contentTypeEventStream)
 	w.Header().Set(api.HeaderIncarnation, e.currentIncarnation())
 	flusher := http.NewResponseController(w)
 	for {
 		_ = flusher.Flush()
-		ready, changed, after := e.poll(reader, time.Now())
+		ready, changed, recheckAfter := e.pollEvents(reader, time.Now())
 		for _, event := range ready {
 			writeEvent(w, event)
 		}
 		if len(ready) > 0 {
 			continue
 		}
-		timer := time.NewTimer(after)
+		timer := time.NewTimer(recheckAfter)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -157,7 +158,7 @@
 func writeEvent(w http.ResponseWriter, event api.CacheEvent) {
 	data, err := json.Marshal(event)
 	if err != nil {
-		panic(err) // the type has nothing that can't be encoded
+		panic(err) // every value of the type can be encoded
 	}
 	fmt.Fprintf(w, "data: %s\n\n", data)
 }
--- a/internal/standin/load/balancer.go
+++ b/internal/standin/load/balancer.go
@@ -10,16 +10,16 @@
 	"skylarklead/internal/wait"
 )
 
-// healthTimeout bounds one question for an entry's readiness.
-const healthTimeout = time.Second
+// readinessTimeout bounds one readiness check of an entry.
+const readinessTimeout = time.Second
 
-// balancer takes entries in turn, as the platform's balancer does, and leaves
-// out those that say they aren't ready.
+// balancer selects entries in round-robin order and skips those that aren't
+// ready, as the platform's load balancer does.
 type balancer struct {
 	mu      sync.Mutex
 	entries []string
 	unready map[string]bool
-	turn    int
+	last    int
 }
 
 func newBalancer(entries []string) *balancer {
@@ -30,28 +30,28 @@
 	return b
 }
 
-// next returns whose turn it is; with none ready, readiness doesn't count.
+// next returns the next ready entry. If none is ready, it ignores readiness.
 func (b *balancer) next() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.entries {
-		b.turn = (b.turn + 1) % len(b.entries)
-		if e := b.entries[b.turn]; !b.unready[e] {
+		b.last = (b.last + 1) % len(b.entries)
+		if e := b.entries[b.last]; !b.unready[e] {
 			return e
 		}
 	}
-	b.turn = (b.turn + 1) % len(b.entries)
-	return b.entries[b.turn]
+	b.last = (b.last + 1) % len(b.entries)
+	return b.entries[b.last]
 }
 
-// watch asks each entry for its readiness until ctx ends.
-func (b *balancer) watch(ctx context.Context, every time.Duration) {
+// pollReadiness checks the readiness of each entry periodically until ctx ends.
+func (b *balancer) pollReadiness(ctx context.Context, interval time.Duration) {
 	var wg sync.WaitGroup
-	client := &http.Client{Timeout: healthTimeout}
+	client := &http.Client{Timeout: readinessTimeout}
 	defer client.CloseIdleConnections()
 	for _, e := range b.entries {
 		wg.Go(func() {
-			for wait.For(ctx, every) == nil {
+			for wait.For(ctx, interval) == nil {
 				ready := isReady(ctx, client, e)
 				b.mu.Lock()
 				b.unready[e] = !ready
--- a/internal/standin/load/caller.go
+++ b/internal/standin/load/caller.go
@@ -13,10 +13,10 @@
 	"skylarklead/internal/wait"
 )
 
-// maxAnswer bounds the body of an answer that isn't a stream, in bytes.
-const maxAnswer = 1 << 20
+// maxResponseBytes bounds the body of a response that isn't a stream.
+const maxResponseBytes = 1 << 20
 
-// caller sends requests.
+// caller sends requests and checks their responses.
 type caller struct {
 	client   *http.Client
 	balancer *balancer
@@ -36,23 +36,23 @@
 	}
 }
 
-// call sends a request, again after a refusal where the options say so, and
-// returns how it went. Start is when it was to arrive.
-func (c *caller) call(ctx context.Context, a *arrival, start time.Time) Result {
+// send sends a request, with retries after a refusal as the options allow, and
+// returns its result. start is the scheduled arrival.
+func (c *caller) send(ctx context.Context, a *arrival, start time.Time) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	for resent := 0; ; resent++ {
-		r := c.try(ctx, a, start)
-		r.Resent = resent
+	for retries := 0; ; retries++ {
+		r := c.attempt(ctx, a, start)
+		r.Resent = retries
 		r.Total = time.Since(start)
-		again := r.Outcome == Refused && r.Ran == "not_run" && r.retryAfter > 0
-		if !again || resent == c.options.MaxRetries || wait.For(ctx, r.retryAfter) != nil {
+		retry := r.Outcome == Refused && r.Ran == "not_run" && r.retryAfter > 0
+		if !retry || retries == c.options.MaxRetries || wait.For(ctx, r.retryAfter) != nil {
 			return r
 		}
 	}
 }
 
-func (c *caller) try(ctx context.Context, a *arrival, start time.Time) Result {
+func (c *caller) attempt(ctx context.Context, a *arrival, start time.Time) Result {
 	r := Result{
 		RequestID:    "load-" + a.token,
 		Organisation: a.organisation.ID,
@@ -61,31 +61,31 @@
 		ScheduledAt:  a.at,
 		chat:         a.request.Chat != nil,
 	}
-	req, err := c.request(ctx, a, &r)
+	req, err := c.newRequest(ctx, a, &r)
 	if err != nil {
-		r.end(Broken, err.Error())
+		r.setOutcome(Broken, err.Error())
 		return r
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		r.end(Broken, err.Error())
+		r.setOutcome(Broken, err.Error())
 		return r
 	}
 	defer resp.Body.Close()
 	r.Executor = resp.Header.Get("X-Executor")
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		refusal(&r, resp)
+		readRefusal(&r, resp)
 	case r.chat:
 		prompt := append(c.prompts.instructions(a.organisation), c.prompts.messages(a)...)
-		newStream(&r, start, prompt, a.maxTokens).read(resp.Body)
+		newStreamChecker(&r, start, prompt, a.maxTokens).read(resp.Body)
 	default:
-		checkCall(&r, resp.Body, a.token)
+		checkServiceResponse(&r, resp.Body, a.token)
 	}
 	return r
 }
 
-func (c *caller) request(ctx context.Context, a *arrival, r *Result) (*http.Request, error) {
+func (c *caller) newRequest(ctx context.Context, a *arrival, r *Result) (*http.Request, error) {
 	path, body, err := c.prompts.body(a)
 	if err != nil {
 		return nil, err
@@ -94,9 +94,9 @@
 	if err != nil {
 		return nil, err
 	}
-	// A transport sends a request with this key again by itself when its
-	// connection breaks; without GetBody it can't. A run is to see each failure
-	// that its callers meet.
+	// http.Transport retries a request with an Idempotency-Key by itself when its
+	// connection breaks, which needs GetBody. Without it, every failure that
+	// callers would see is reported.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+a.organisation.APIKey)
@@ -120,29 +120,30 @@
 	return req, nil
 }
 
-func refusal(r *Result, resp *http.Response) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+func readRefusal(r *Result, resp *http.Response) {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		r.end(Broken, err.Error())
+		r.setOutcome(Broken, err.Error())
 		return
 	}
 	var body errorBody
 	if json.Unmarshal(data, &body) != nil {
-		r.end(Broken, fmt.Sprintf("status %d: %.80q", resp.StatusCode, data))
+		r.setOutcome(Broken, fmt.Sprintf("status %d: %.80q", resp.StatusCode, data))
 		return
 	}
-	r.refuse(Refused, body)
+	r.setError(Refused, body)
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err == nil && r.retryAfter == 0 {
 		r.retryAfter = time.Duration(seconds) * time.Second
 	}
 }
 
-// checkCall checks a plain service's answer: its own token, and one run.
-func checkCall(r *Result, body io.Reader, token string) {
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswer))
+// checkServiceResponse checks that a plain service's response has the request's
+// own token, and that a request with an idempotency key ran once.
+func checkServiceResponse(r *Result, body io.Reader, token string) {
+	data, err := io.ReadAll(io.LimitReader(body, maxResponseBytes))
 	if err != nil {
-		r.end(Cut, err.Error())
+		r.setOutcome(Cut, err.Error())
 		return
 	}
 	var got struct {
@@ -150,15 +151,15 @@
 		Run  int    `json:"run"`
 	}
 	if err := json.Unmarshal(data, &got); err != nil {
-		r.end(Wrong, err.Error())
+		r.setOutcome(Wrong, err.Error())
 		return
 	}
 	switch {
 	case got.Echo != token:
-		r.end(Wrong, fmt.Sprintf("echo %q, want %q", got.Echo, token))
+		r.setOutcome(Wrong, fmt.Sprintf("echo %q, want %q", got.Echo, token))
 	case r.IdempotencyKey != "" && got.Run > 1:
-		r.end(Wrong, fmt.Sprintf("ran %d times", got.Run))
+		r.setOutcome(Wrong, fmt.Sprintf("ran %d times", got.Run))
 	default:
-		r.end(OK, "")
+		r.setOutcome(OK, "")
 	}
 }
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -18,17 +18,17 @@
 	"skylarklead/test/kit"
 )
 
-// fakeEntry answers as a router would, with the instructions of testWorkload.
+// fakeEntry responds as the router would with the instructions of testWorkload.
 type fakeEntry struct {
-	spoil func(w http.ResponseWriter, r *http.Request, n int64) bool // true if it answered
-	n     atomic.Int64
+	intercept func(w http.ResponseWriter, r *http.Request, n int64) bool // reports whether it wrote the response
+	requests  atomic.Int64
 }
 
 func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/readyz" {
 		return
 	}
-	if n := f.n.Add(1); f.spoil != nil && f.spoil(w, r, n) {
+	if n := f.requests.Add(1); f.intercept != nil && f.intercept(w, r, n) {
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
@@ -75,7 +75,7 @@
 	}
 	w, o := testWorkload(), Options{Duration: time.Second, Seed: 5, Rate: 200}
 	if n := len(plan(&w, &o)); report.All.Outcomes[OK] != n || results != n || !report.OK() {
-		t.Errorf("%d right answers, %d results, %d arrivals: %+v", report.All.Outcomes[OK], results, n, report.All.Faults)
+		t.Errorf("%d correct answers, %d results, %d arrivals: %+v", report.All.Outcomes[OK], results, n, report.All.Faults)
 	}
 	if report.Organisations["tiny"].FirstToken.Count == 0 || report.Classes[ClassLarge].Calls.Count == 0 {
 		t.Error("empty histograms")
@@ -86,18 +86,18 @@
 	}
 }
 
-// Symptom: a system that stalls for a second shows fine tails.
-// Sequence: it holds the first answers back until later requests have come.
-// Cause: a generator that waits for answers sends fewer requests into the stall.
+// The entry holds back all responses until a number of later requests has
+// arrived. A closed-loop generator, which waits for responses, would send fewer
+// requests during such a stall and report tail latencies that are too low.
 func TestRunIsOpenLoop(t *testing.T) {
-	const held = 20
-	come := make(chan struct{})
-	entry := &fakeEntry{spoil: func(_ http.ResponseWriter, r *http.Request, n int64) bool {
-		if n == held {
-			close(come)
+	const heldRequests = 20
+	released := make(chan struct{})
+	entry := &fakeEntry{intercept: func(_ http.ResponseWriter, r *http.Request, n int64) bool {
+		if n == heldRequests {
+			close(released)
 		}
 		select {
-		case <-come:
+		case <-released:
 		case <-r.Context().Done():
 		}
 		return false
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !report.OK() || report.All.Sent < held {
+	if !report.OK() || report.All.Sent < heldRequests {
 		t.Errorf("sent %d, faults %v", report.All.Sent, report.All.Faults)
 	}
 }
@@ -125,7 +125,7 @@
 		return true
 	}
 	for _, again := range []int{0, 2} {
-		server := httptest.NewServer(&fakeEntry{spoil: refuse})
+		server := httptest.NewServer(&fakeEntry{intercept: refuse})
 		report, err := Run(t.Context(), testWorkload(), Options{
 			Entries: []string{server.URL}, Duration: time.Second, Rate: 20, MaxRetries: again,
 		})
@@ -142,21 +142,21 @@
 
 func TestBalancerTakesTurns(t *testing.T) {
 	b := newBalancer([]string{"a", "b/", "c"})
-	take := func(n int) (got string) {
+	nextN := func(n int) (got string) {
 		for range n {
 			got += b.next()
 		}
 		return got
 	}
-	if got := take(6); got != "bcabca" {
+	if got := nextN(6); got != "bcabca" {
 		t.Errorf("all ready: %s", got)
 	}
 	b.unready["b"] = true
-	if got := take(4); got != "caca" {
+	if got := nextN(4); got != "caca" {
 		t.Errorf("b not ready: %s", got)
 	}
 	b.unready["a"], b.unready["c"] = true, true
-	if got := take(3); len(got) != 3 {
+	if got := nextN(3); len(got) != 3 {
 		t.Errorf("none ready: %s", got)
 	}
 }
@@ -192,7 +192,7 @@
 	}
 	for _, test := range tests {
 		var r Result
-		newStream(&r, time.Now(), prompt, 3).read(strings.NewReader(test.body))
+		newStreamChecker(&r, time.Now(), prompt, 3).read(strings.NewReader(test.body))
 		if r.Outcome != test.want {
 			t.Errorf("%s: %s (%s), want %s", test.name, r.Outcome, r.Detail, test.want)
 		}
@@ -213,7 +213,7 @@
 	}
 	for _, test := range tests {
 		r := Result{IdempotencyKey: test.key}
-		checkCall(&r, strings.NewReader(test.body), "t1")
+		checkServiceResponse(&r, strings.NewReader(test.body), "t1")
 		if r.Outcome != test.want {
 			t.Errorf("%s: %s (%s), want %s", test.body, r.Outcome, r.Detail, test.want)
 		}
--- a/internal/standin/load/options.go
+++ b/internal/standin/load/options.go
@@ -6,51 +6,56 @@
 	"time"
 )
 
-// Options are how a run is made.
+// Options configure a run.
 type Options struct {
-	// Entries are base URLs, taken in turn.
+	// Entries are the base URLs of the entries, used in round-robin order.
 	Entries []string
-	// Rate is the arrivals a second in place of the workload's, 0 to keep that.
+	// Rate is the arrivals per second, the workload's rate if 0.
 	Rate float64
 	// Duration is how long requests arrive.
 	Duration time.Duration
-	// Warmup is how much of Duration is left out of the report.
+	// Warmup is the initial part of Duration that is left out of the report.
 	Warmup time.Duration
 	Seed   uint64
-	// Label goes into request IDs and idempotency keys. Two runs with one seed
-	// before the same fleet need two labels: a key used twice is refused.
+	// Label is part of request IDs and idempotency keys. Two runs with the same
+	// seed against the same fleet need different labels, since a reused key is
+	// refused.
 	Label string
-	// Only has the IDs or classes of the organisations that call, all if empty.
+	// Only restricts the run to organisations with these IDs or classes; empty
+	// includes all.
 	Only []string
-	// PopularityShiftAt is when each organisation's popular texts change places; 0 is never.
+	// PopularityShiftAt is when the popularity of each organisation's texts is
+	// permuted, 0 for never.
 	PopularityShiftAt time.Duration
-	// CharterChangeAt is when each organisation's first charter gets a new text; 0 is
-	// never.
+	// CharterChangeAt is when each organisation's first charter gets a new text,
+	// 0 for never.
 	CharterChangeAt time.Duration
 	Burst           Burst
 	// Timeout bounds one request, 60 s if 0.
 	Timeout time.Duration
-	// ChatDeadline is how long the callers of chats say that they will wait, in
-	// place of the workload's word, 0 to keep that.
+	// ChatDeadline is the deadline that callers send with chat requests, the
+	// workload's if 0.
 	ChatDeadline time.Duration
-	// MaxRetries is how often a request that was refused as not run, with a time
-	// to come back, is sent again after that time.
+	// MaxRetries is how often a request is retried that was refused as not run
+	// with a retry-after time. Each retry waits for that time.
 	MaxRetries int
-	// FirstTokenGoal is the time to first token that counts into goodput, 880 ms if 0.
+	// FirstTokenGoal is the time to first token up to which a chat counts towards
+	// goodput, 880 ms if 0.
 	FirstTokenGoal time.Duration
-	// HealthCheckInterval is how often the entries' readiness is asked for, as the
-	// platform's balancer does; 0 is never.
+	// HealthCheckInterval is how often the readiness of entries is checked, as the
+	// platform's load balancer does, 0 for never.
 	HealthCheckInterval time.Duration
-	// MaxInFlight bounds requests in flight, 20,000 if 0. What arrives above it
-	// is dropped and reported, and the run doesn't count as a measurement.
+	// MaxInFlight bounds requests in flight, 20,000 if 0. Requests above it are
+	// dropped and reported, and make the run invalid as a measurement.
 	MaxInFlight int
-	// Progress gets a line each second if set.
+	// Progress receives a line each second if set.
 	Progress io.Writer
-	// OnResult is called with each result, one at a time, warm-up included.
+	// OnResult is called with each result, including the warm-up's. Calls don't
+	// overlap.
 	OnResult func(Result)
 }
 
-// Burst multiplies one organisation's rate for a while.
+// Burst multiplies one organisation's rate by Factor between From and Until.
 type Burst struct {
 	Organisation string
 	Factor       float64
@@ -65,10 +70,10 @@
 
 var (
 	errNoEntries  = errors.New("load: no entries")
-	errNoDuration = errors.New("load: duration is not above the warm-up")
+	errNoDuration = errors.New("load: duration must be longer than the warm-up")
 )
 
-func (o *Options) complete() error {
+func (o *Options) applyDefaults() error {
 	if len(o.Entries) == 0 {
 		return errNoEntries
 	}
--- a/internal/standin/load/prompt.go
+++ b/internal/standin/load/prompt.go
@@ -7,7 +7,7 @@
 	"skylarklead/internal/prefix"
 )
 
-// prompts makes requests' bodies out of arrivals. Shared texts are made once.
+// prompts builds request bodies from arrivals. It caches shared texts.
 type prompts struct {
 	mu    sync.Mutex
 	texts map[Instruction]string
@@ -15,7 +15,7 @@
 
 func newPrompts() *prompts { return &prompts{texts: map[Instruction]string{}} }
 
-func (p *prompts) text(seed string, tokens int) string {
+func (p *prompts) sharedText(seed string, tokens int) string {
 	key := Instruction{seed, tokens}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,25 +27,26 @@
 	return text
 }
 
-// messages returns what the caller sends: charter, case, question.
+// messages returns the messages that the caller sends: charter, case, question.
 func (p *prompts) messages(a *arrival) []prefix.Message {
 	chat := a.request.Chat
 	var messages []prefix.Message
 	if a.charterSeed != "" {
-		messages = append(messages, prefix.Message{Role: "system", Content: p.text(a.charterSeed, chat.Charter.Tokens)})
+		messages = append(messages, prefix.Message{Role: "system", Content: p.sharedText(a.charterSeed, chat.Charter.Tokens)})
 	}
 	if a.caseSeed != "" {
-		messages = append(messages, prefix.Message{Role: "user", Content: p.text(a.caseSeed, chat.Case.Tokens)})
+		messages = append(messages, prefix.Message{Role: "user", Content: p.sharedText(a.caseSeed, chat.Case.Tokens)})
 	}
 	question := "echo:" + a.token + " " + Text(a.token, chat.QuestionTokens)
 	return append(messages, prefix.Message{Role: "user", Content: question})
 }
 
-// instructions returns what the router puts before the messages.
+// instructions returns the standing instructions that the router inserts before
+// the caller's messages.
 func (p *prompts) instructions(o *Organisation) []prefix.Message {
 	var messages []prefix.Message
 	for _, i := range o.Instructions {
-		messages = append(messages, prefix.Message{Role: "system", Content: p.text(i.Seed, i.Tokens)})
+		messages = append(messages, prefix.Message{Role: "system", Content: p.sharedText(i.Seed, i.Tokens)})
 	}
 	return messages
 }
@@ -57,7 +58,7 @@
 	Stream    bool             `json:"stream"`
 	MaxTokens int              `json:"max_tokens"`
 	Priority  int              `json:"priority,omitempty"`
-	// StreamOptions ask for the usage, which tells the cached tokens.
+	// StreamOptions request the usage, which includes the cached tokens.
 	StreamOptions streamOptions `json:"stream_options"`
 }
 
--- a/internal/standin/load/records.go
+++ b/internal/standin/load/records.go
@@ -10,7 +10,7 @@
 	"skylarklead/internal/config"
 )
 
-// recordSchema is the schema version of the records that Records makes.
+// recordSchema is the schema version of the records of ConfigRecords.
 const recordSchema = 2
 
 // organisationBody is the body of an organisation's configuration record.
@@ -31,8 +31,8 @@
 	MaxInFlight int `json:"max_in_flight"`
 }
 
-// ConfigRecords returns the configuration records that a workload needs: its own and
-// one for each of its organisations, with the same texts that its prompts have.
+// ConfigRecords returns the configuration records that a workload needs: its own
+// and one for each organisation, with the same instruction texts as its prompts.
 func ConfigRecords(w Workload) ([]config.Record, error) {
 	records := slices.Clone(w.Records)
 	for _, o := range w.Organisations {
@@ -64,15 +64,15 @@
 	}
 	for _, r := range o.Requests {
 		if r.Chat == nil {
-			body.Services = addOnce(body.Services, r.Call.Service)
+			body.Services = appendUnique(body.Services, r.Call.Service)
 		} else {
-			body.Models = addOnce(body.Models, modelName{r.Chat.Model})
+			body.Models = appendUnique(body.Models, modelName{r.Chat.Model})
 		}
 	}
 	return body
 }
 
-func addOnce[T comparable](list []T, item T) []T {
+func appendUnique[T comparable](list []T, item T) []T {
 	if slices.Contains(list, item) {
 		return list
 	}
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -10,14 +10,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what came of a run, of its requests after the warm-up.
+// Report summarizes a run's requests after the warm-up.
 type Report struct {
 	Workload string  `json:"workload"`
 	Seed     uint64  `json:"seed"`
 	Seconds  float64 `json:"seconds"`
 	GoalMS   float64 `json:"goal_ms"`
 	// Dropped is how many requests weren't sent because too many were in
-	// flight. LateP99MS is how late the generator itself was.
+	// flight. LateP99MS is the 99th percentile of the delay between a request's
+	// scheduled arrival and the time it was sent, including the warm-up.
 	Dropped       int              `json:"dropped"`
 	LateP99MS     float64          `json:"late_p99_ms"`
 	All           Group            `json:"all"`
@@ -25,32 +26,34 @@
 	Organisations map[string]Group `json:"organisations"`
 }
 
-// Group is the part of a report on one organisation, one class or all.
+// Group is the part of a report on one organisation, one class or all requests.
 type Group struct {
 	Sent     int             `json:"sent"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Refusals count by "code/ran".
+	// Refusals counts refused and failed requests by "code/ran".
 	Refusals map[string]int `json:"refusals"`
-	// Faults count by what was wrong, of wrong, cut and broken answers.
+	// Faults counts requests with the outcomes Wrong, Cut and Broken by
+	// Result.Detail.
 	Faults map[string]int `json:"faults"`
 	Resent int            `json:"resent"`
-	// AnswersPerSecond counts whole and right answers, GoodputPerSecond those
-	// of chats whose first token came within the goal.
+	// AnswersPerSecond counts complete and correct answers, GoodputPerSecond
+	// those of chats whose first token arrived within the goal.
 	AnswersPerSecond float64 `json:"answers_per_second"`
 	GoodputPerSecond float64 `json:"goodput_per_second"`
 	Tokens           int     `json:"tokens"`
-	// PromptTokens and CachedTokens are as the answers tell them.
+	// PromptTokens and CachedTokens are sums of the usage in the answers.
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
-	// FirstToken and Chat count from the scheduled arrival, BetweenTokens from
-	// the event with text before; Calls are of plain services.
+	// FirstToken, Chat and Calls, the latter of plain services, are measured from
+	// the scheduled arrival, BetweenTokens from the previous event with text.
 	FirstToken    LatencySummary `json:"first_token"`
 	BetweenTokens LatencySummary `json:"between_tokens"`
 	Chat          LatencySummary `json:"chat"`
 	Calls         LatencySummary `json:"calls"`
 }
 
-// LatencySummary summarise a histogram of right answers, in milliseconds.
+// LatencySummary summarizes a latency histogram of correct answers, in
+// milliseconds.
 type LatencySummary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -58,41 +61,43 @@
 	P95   float64 `json:"p95_ms"`
 	P99   float64 `json:"p99_ms"`
 	Max   float64 `json:"max_ms"`
-	// Histogram is the whole of it in the HdrHistogram V2 format, microseconds.
+	// Histogram is the whole histogram, in microseconds, in the HdrHistogram V2
+	// compressed format.
 	Histogram string `json:"histogram"`
 }
 
-// OK reports whether no answer was wrong, cut or broken and none was dropped.
+// OK reports whether no request was dropped and none had the outcome Wrong, Cut or
+// Broken.
 func (r *Report) OK() bool {
 	o := r.All.Outcomes
 	return r.Dropped == 0 && o[Wrong] == 0 && o[Cut] == 0 && o[Broken] == 0
 }
 
-func (t *tally) report(workload string) *Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	seconds := (t.options.Duration - t.options.Warmup).Seconds()
+func (c *resultCollector) report(workload string) *Report {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	seconds := (c.options.Duration - c.options.Warmup).Seconds()
 	r := &Report{
 		Workload:      workload,
-		Seed:          t.options.Seed,
+		Seed:          c.options.Seed,
 		Seconds:       seconds,
-		GoalMS:        float64(t.options.FirstTokenGoal.Milliseconds()),
-		Dropped:       t.dropped,
-		LateP99MS:     quantile(t.late, 99),
-		All:           t.all.summary(seconds),
+		GoalMS:        float64(c.options.FirstTokenGoal.Milliseconds()),
+		Dropped:       c.dropped,
+		LateP99MS:     quantile(c.sendDelay, 99),
+		All:           c.all.summary(seconds),
 		Classes:       map[string]Group{},
 		Organisations: map[string]Group{},
 	}
-	for name, g := range t.classes {
+	for name, g := range c.classes {
 		r.Classes[name] = g.summary(seconds)
 	}
-	for name, g := range t.groups {
+	for name, g := range c.organisations {
 		r.Organisations[name] = g.summary(seconds)
 	}
 	return r
 }
 
-func (g *group) summary(seconds float64) Group {
+func (g *groupStats) summary(seconds float64) Group {
 	return Group{
 		Sent:             g.sent,
 		Outcomes:         g.outcomes,
@@ -104,17 +109,17 @@
 		Tokens:           g.tokens,
 		PromptTokens:     g.promptTokens,
 		CachedTokens:     g.cachedTokens,
-		FirstToken:       times(g.first),
-		BetweenTokens:    times(g.between),
-		Chat:             times(g.chat),
-		Calls:            times(g.calls),
+		FirstToken:       summarize(g.firstToken),
+		BetweenTokens:    summarize(g.betweenTokens),
+		Chat:             summarize(g.chat),
+		Calls:            summarize(g.calls),
 	}
 }
 
-func times(h *hdrhistogram.Histogram) LatencySummary {
+func summarize(h *hdrhistogram.Histogram) LatencySummary {
 	encoded, err := h.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
-		encoded = nil // the summary stands without it
+		encoded = nil // the summary is useful without it
 	}
 	return LatencySummary{
 		Count:     h.TotalCount(),
@@ -127,17 +132,17 @@
 	}
 }
 
-// Table writes the report for people.
+// Table writes the report as a human-readable table.
 func (r *Report) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tsent\tok\trefused\tfailed\tcut\twrong\tbroken\thit\tfirst p50\tp95\tp99 ms\tbetween p95\tcalls p99\tgoodput/s\t")
 	for _, name := range slices.Sorted(maps.Keys(r.Organisations)) {
-		r.Organisations[name].row(t, name)
+		r.Organisations[name].writeRow(t, name)
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
-		r.Classes[name].row(t, "all "+name)
+		r.Classes[name].writeRow(t, "all "+name)
 	}
-	r.All.row(t, "all")
+	r.All.writeRow(t, "all")
 	if err := t.Flush(); err != nil {
 		return err
 	}
@@ -151,7 +156,7 @@
 	return err
 }
 
-func (g Group) row(w io.Writer, name string) {
+func (g Group) writeRow(w io.Writer, name string) {
 	hit := "-"
 	if g.PromptTokens > 0 {
 		hit = fmt.Sprintf("%.1f%%", 100*float64(g.CachedTokens)/float64(g.PromptTokens))
--- a/internal/standin/load/result.go
+++ b/internal/standin/load/result.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// Outcome is how a request ended, as its caller saw it.
+// Outcome is how a request ended from its caller's point of view.
 type Outcome string
 
 // The outcomes.
 const (
-	// OK is a whole and right answer.
+	// OK is a complete and correct answer.
 	OK Outcome = "ok"
-	// Refused is an error in the documented shape before any of the answer.
+	// Refused is an error in the documented format before any part of the answer.
 	Refused Outcome = "refused"
-	// Failed is a stream that ended in an explicit error, right so far.
+	// Failed is a stream that was correct so far and ended in an error event.
 	Failed Outcome = "failed"
-	// Cut is an answer that ended without saying so.
+	// Cut is an answer that ended without its final event, or a service's
+	// response whose body couldn't be read to its end.
 	Cut Outcome = "cut"
-	// Wrong is an answer that isn't the request's own, or not in order.
+	// Wrong is an answer that has other content than expected, or events out of
+	// order.
 	Wrong Outcome = "wrong"
-	// Broken is no answer: no connection, a timeout, or an error without the
-	// documented shape.
+	// Broken is no answer: no connection, a timeout, or an error that isn't in
+	// the documented format.
 	Broken Outcome = "broken"
 )
 
-// Result is how one request went. Times in JSON are in nanoseconds.
+// Result is the result of one request. Times in JSON are in nanoseconds.
 type Result struct {
 	RequestID      string  `json:"request_id"`
 	Organisation   string  `json:"organisation"`
@@ -30,36 +32,36 @@
 	RequestKind    string  `json:"request"`
 	IdempotencyKey string  `json:"key,omitempty"`
 	Outcome        Outcome `json:"outcome"`
-	// Code and Ran are of a refusal or failure.
+	// Code and Ran are set if the outcome is Refused or Failed.
 	Code string `json:"code,omitempty"`
 	Ran  string `json:"ran,omitempty"`
-	// Detail tells what was wrong.
+	// Detail describes the error.
 	Detail   string `json:"detail,omitempty"`
 	Executor string `json:"executor,omitempty"`
-	// ScheduledAt is the scheduled arrival since the run's start. FirstToken and Total
-	// count from it.
+	// ScheduledAt is the scheduled arrival since the start of the run. FirstToken
+	// and Total are measured from it.
 	ScheduledAt time.Duration `json:"at"`
 	FirstToken  time.Duration `json:"first_token"`
 	Total       time.Duration `json:"total"`
-	// Tokens are those received; PromptTokens and CachedTokens are what the
-	// answer says.
+	// Tokens is how many tokens were received; PromptTokens and CachedTokens are
+	// from the usage in the answer.
 	Tokens       int `json:"tokens"`
 	PromptTokens int `json:"prompt_tokens"`
 	CachedTokens int `json:"cached_tokens"`
-	// Resent is how often it was sent again after a refusal.
+	// Resent is how often the request was retried after a refusal.
 	Resent int `json:"resent,omitempty"`
 
 	chat       bool
-	gaps       []time.Duration // between events with text
+	tokenGaps  []time.Duration // between events with text
 	retryAfter time.Duration
 }
 
-func (r *Result) end(outcome Outcome, detail string) {
+func (r *Result) setOutcome(outcome Outcome, detail string) {
 	r.Outcome = outcome
 	r.Detail = detail
 }
 
-// errorBody is the documented shape of errors.
+// errorBody is the documented format of errors.
 type errorBody struct {
 	Error struct {
 		Code         string `json:"code"`
@@ -70,14 +72,15 @@
 	} `json:"error"`
 }
 
-// refuse ends r with an error in the documented shape, or says that it isn't.
-func (r *Result) refuse(outcome Outcome, body errorBody) {
+// setError sets the outcome to the given one if body is in the documented format,
+// else to Broken.
+func (r *Result) setError(outcome Outcome, body errorBody) {
 	e := body.Error
 	if e.Code == "" || (e.Ran != "not_run" && e.Ran != "unknown" && e.Ran != "done") {
-		r.end(Broken, "error without the documented shape")
+		r.setOutcome(Broken, "error without the documented shape")
 		return
 	}
-	r.end(outcome, e.Message)
+	r.setOutcome(outcome, e.Message)
 	r.Code, r.Ran = e.Code, e.Ran
 	r.retryAfter = time.Duration(e.RetryAfterMS) * time.Millisecond
 }
--- a/internal/standin/load/run.go
+++ b/internal/standin/load/run.go
@@ -8,33 +8,33 @@
 	"skylarklead/internal/wait"
 )
 
-// Run sends a workload's requests and returns what came of them, once the last
-// one has ended. A cancelled ctx ends it early with what there is.
+// Run sends a workload's requests and returns the report once the last one has
+// ended. If ctx is cancelled, it stops early and reports the results so far.
 func Run(ctx context.Context, w Workload, o Options) (*Report, error) {
-	if err := o.complete(); err != nil {
+	if err := o.applyDefaults(); err != nil {
 		return nil, err
 	}
 	arrivals := plan(&w, &o)
 	b := newBalancer(o.Entries)
 	c := newCaller(&o, b)
 	defer c.client.CloseIdleConnections()
-	t := newTally(&o)
-	watching, stop := context.WithCancel(ctx)
+	t := newResultCollector(&o)
+	backgroundCtx, stop := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	if o.HealthCheckInterval > 0 {
-		background.Go(func() { b.watch(watching, o.HealthCheckInterval) })
+		background.Go(func() { b.pollReadiness(backgroundCtx, o.HealthCheckInterval) })
 	}
 	if o.Progress != nil {
-		background.Go(func() { t.progress(watching) })
+		background.Go(func() { t.progress(backgroundCtx) })
 	}
-	send(ctx, c, t, arrivals)
+	sendAll(ctx, c, t, arrivals)
 	stop()
 	background.Wait()
 	return t.report(w.Name), nil
 }
 
-// send starts each request at its time and waits for all of them.
-func send(ctx context.Context, c *caller, t *tally, arrivals []arrival) {
+// sendAll sends each request at its scheduled time and waits for all results.
+func sendAll(ctx context.Context, c *caller, t *resultCollector, arrivals []arrival) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	start := time.Now()
@@ -44,9 +44,9 @@
 		if wait.For(ctx, time.Until(due)) != nil {
 			return
 		}
-		if !t.begin(time.Since(due)) {
+		if !t.start(time.Since(due)) {
 			continue
 		}
-		wg.Go(func() { t.end(c.call(ctx, a, due)) })
+		wg.Go(func() { t.end(c.send(ctx, a, due)) })
 	}
 }
--- a/internal/standin/load/stream.go
+++ b/internal/standin/load/stream.go
@@ -15,8 +15,8 @@
 	"skylarklead/internal/standin/answer"
 )
 
-// maxLine bounds one line of an event stream in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of an event stream.
+const maxLineBytes = 1 << 20
 
 // event is one server-sent event.
 type event struct {
@@ -28,12 +28,13 @@
 
 func newEventReader(r io.Reader) *eventReader {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	return &eventReader{lines}
 }
 
-// next returns the next whole event.
-func (e *eventReader) next() (event, error) {
+// nextEvent returns the next complete event, or io.EOF. An incomplete last event
+// is discarded.
+func (e *eventReader) nextEvent() (event, error) {
 	var ev event
 	for e.lines.Scan() {
 		line := e.lines.Bytes()
@@ -60,7 +61,7 @@
 	return ev, io.EOF
 }
 
-// chunk is the part of a chat.completion.chunk that is checked.
+// chunk has the fields of a chat.completion.chunk that are checked.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -78,46 +79,46 @@
 
 var errSequence = errors.New("event out of order")
 
-// stream checks one streamed answer against what it has to be.
-type stream struct {
-	result *Result
-	start  time.Time // scheduled arrival
-	last   time.Time // the event with text before
-	text   strings.Builder
-	want   string
-	seq    int64 // of the event before, -1 at first
+// streamChecker checks one streamed answer against the expected text.
+type streamChecker struct {
+	result   *Result
+	start    time.Time // scheduled arrival
+	lastText time.Time // the event with text before
+	text     strings.Builder
+	expected string
+	lastSeq  int64 // of the event before, -1 at first
 }
 
-func newStream(r *Result, start time.Time, prompt []prefix.Message, tokens int) *stream {
-	return &stream{result: r, start: start, seq: -1, want: answer.Expected(prompt, tokens)}
+func newStreamChecker(r *Result, start time.Time, prompt []prefix.Message, tokens int) *streamChecker {
+	return &streamChecker{result: r, start: start, lastSeq: -1, expected: answer.Expected(prompt, tokens)}
 }
 
-// read reads the answer to its end and sets the result.
-func (s *stream) read(body io.Reader) {
+// read reads the answer to its end or first error and sets the outcome.
+func (s *streamChecker) read(body io.Reader) {
 	events := newEventReader(body)
 	for {
-		ev, err := events.next()
+		ev, err := events.nextEvent()
 		if err != nil {
-			s.cut(err)
+			s.checkTruncated(err)
 			return
 		}
 		if ev.name == "error" {
-			s.failed(ev.data)
+			s.checkError(ev.data)
 			return
 		}
 		if string(ev.data) == "[DONE]" {
-			s.done(events)
+			s.checkEnd(events)
 			return
 		}
-		if err := s.take(ev); err != nil {
-			s.result.end(Wrong, err.Error())
+		if err := s.checkEvent(ev); err != nil {
+			s.result.setOutcome(Wrong, err.Error())
 			return
 		}
 	}
 }
 
-func (s *stream) take(ev event) error {
-	if err := s.sequence(ev.id); err != nil {
+func (s *streamChecker) checkEvent(ev event) error {
+	if err := s.checkSequence(ev.id); err != nil {
 		return err
 	}
 	var c chunk
@@ -135,17 +136,18 @@
 	if s.text.Len() == 0 {
 		s.result.FirstToken = now.Sub(s.start)
 	} else {
-		s.result.gaps = append(s.result.gaps, now.Sub(s.last))
+		s.result.tokenGaps = append(s.result.tokenGaps, now.Sub(s.lastText))
 	}
-	s.last = now
+	s.lastText = now
 	s.text.WriteString(c.Choices[0].Delta.Content)
 	s.result.Tokens++
 	return nil
 }
 
-// sequence checks that event IDs EXECUTOR/EPOCH/ATTEMPT/SEQ grow. An answer that
-// goes on elsewhere has another executor, but the same count.
-func (s *stream) sequence(id string) error {
+// checkSequence checks that the sequence numbers of event IDs
+// EXECUTOR/EPOCH/ATTEMPT/SEQ increase. An answer that is continued by another
+// executor continues the same numbering.
+func (s *streamChecker) checkSequence(id string) error {
 	if id == "" {
 		return nil
 	}
@@ -154,56 +156,56 @@
 	if err != nil || i < 0 {
 		return fmt.Errorf("event id %q: want EXECUTOR/EPOCH/ATTEMPT/SEQ", id)
 	}
-	if seq <= s.seq {
-		return fmt.Errorf("%w: %d after %d", errSequence, seq, s.seq)
+	if seq <= s.lastSeq {
+		return fmt.Errorf("%w: %d after %d", errSequence, seq, s.lastSeq)
 	}
-	s.seq = seq
+	s.lastSeq = seq
 	s.result.Executor, _, _ = strings.Cut(id, "/")
 	return nil
 }
 
-func (s *stream) done(events *eventReader) {
-	if ev, err := events.next(); err == nil {
-		s.result.end(Wrong, "event after [DONE]: "+string(ev.data))
+func (s *streamChecker) checkEnd(events *eventReader) {
+	if ev, err := events.nextEvent(); err == nil {
+		s.result.setOutcome(Wrong, "event after [DONE]: "+string(ev.data))
 		return
 	}
-	if got := s.text.String(); got != s.want {
-		s.result.end(Wrong, difference(got, s.want))
+	if got := s.text.String(); got != s.expected {
+		s.result.setOutcome(Wrong, describeDifference(got, s.expected))
 		return
 	}
-	s.result.end(OK, "")
+	s.result.setOutcome(OK, "")
 }
 
-// failed takes an explicit error: what came before it has to be right.
-func (s *stream) failed(data []byte) {
+// checkError handles an error event. The text before it must be correct.
+func (s *streamChecker) checkError(data []byte) {
 	got := s.text.String()
-	if !strings.HasPrefix(s.want, got) {
-		s.result.end(Wrong, difference(got, s.want))
+	if !strings.HasPrefix(s.expected, got) {
+		s.result.setOutcome(Wrong, describeDifference(got, s.expected))
 		return
 	}
 	var body errorBody
 	if err := json.Unmarshal(data, &body); err != nil {
-		s.result.end(Broken, err.Error())
+		s.result.setOutcome(Broken, err.Error())
 		return
 	}
 	outcome := Failed
 	if got == "" {
 		outcome = Refused
 	}
-	s.result.refuse(outcome, body)
+	s.result.setError(outcome, body)
 }
 
-func (s *stream) cut(err error) {
+func (s *streamChecker) checkTruncated(err error) {
 	got := s.text.String()
-	if !strings.HasPrefix(s.want, got) {
-		s.result.end(Wrong, difference(got, s.want))
+	if !strings.HasPrefix(s.expected, got) {
+		s.result.setOutcome(Wrong, describeDifference(got, s.expected))
 		return
 	}
-	s.result.end(Cut, fmt.Sprintf("%d of %d bytes: %v", len(got), len(s.want), err))
+	s.result.setOutcome(Cut, fmt.Sprintf("%d of %d bytes: %v", len(got), len(s.expected), err))
 }
 
-// difference tells where got leaves want.
-func difference(got, want string) string {
+// describeDifference describes the first difference between got and want.
+func describeDifference(got, want string) string {
 	i := 0
 	for i < len(got) && i < len(want) && got[i] == want[i] {
 		i++
--- a/internal/standin/load/tally.go
+++ b/internal/standin/load/tally.go
@@ -11,7 +11,7 @@
 	"skylarklead/internal/wait"
 )
 
-// Bounds of the histograms, in microseconds, and their digits.
+// Range of the histograms, in microseconds, and their significant digits.
 const (
 	histogramMin    = 1
 	histogramMax    = 10 * 60 * 1_000_000
@@ -22,38 +22,38 @@
 	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Clamping can't fail, where a value out of bounds would be dropped silently.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	// A value out of range would be an error and not be recorded, so it is clamped.
 	_ = h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax))
 }
 
-// group counts the results of one organisation, class or all.
-type group struct {
-	sent, inGoal                int
-	outcomes                    map[Outcome]int
-	refusals                    map[string]int // by "code/ran"
-	faults                      map[string]int // by detail, of wrong, cut and broken
-	resent, tokens              int
-	promptTokens, cachedTokens  int
-	first, between, chat, calls *hdrhistogram.Histogram
+// groupStats collects the results of one organisation, one class or all requests.
+type groupStats struct {
+	sent, inGoal                           int
+	outcomes                               map[Outcome]int
+	refusals                               map[string]int // by "code/ran"
+	faults                                 map[string]int // by detail, of wrong, cut and broken
+	resent, tokens                         int
+	promptTokens, cachedTokens             int
+	firstToken, betweenTokens, chat, calls *hdrhistogram.Histogram
 }
 
-func newGroup() *group {
-	return &group{
-		outcomes: map[Outcome]int{},
-		refusals: map[string]int{},
-		faults:   map[string]int{},
-		first:    newHistogram(),
-		between:  newHistogram(),
-		chat:     newHistogram(),
-		calls:    newHistogram(),
+func newGroupStats() *groupStats {
+	return &groupStats{
+		outcomes:      map[Outcome]int{},
+		refusals:      map[string]int{},
+		faults:        map[string]int{},
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		chat:          newHistogram(),
+		calls:         newHistogram(),
 	}
 }
 
-// maxFaults bounds the distinct details kept in a group.
+// maxFaults bounds the distinct fault details counted in a group.
 const maxFaults = 20
 
-func (g *group) add(r *Result, goal time.Duration) {
+func (g *groupStats) add(r *Result, goal time.Duration) {
 	g.sent++
 	g.outcomes[r.Outcome]++
 	g.resent += r.Resent
@@ -65,13 +65,13 @@
 			g.faults[r.Detail]++
 		}
 	case OK:
-		g.addAnswer(r, goal)
+		g.addOK(r, goal)
 	}
 }
 
-func (g *group) addAnswer(r *Result, goal time.Duration) {
+func (g *groupStats) addOK(r *Result, goal time.Duration) {
 	if !r.chat {
-		record(g.calls, r.Total)
+		recordDuration(g.calls, r.Total)
 		return
 	}
 	if r.FirstToken <= goal {
@@ -80,88 +80,88 @@
 	g.tokens += r.Tokens
 	g.promptTokens += r.PromptTokens
 	g.cachedTokens += r.CachedTokens
-	record(g.first, r.FirstToken)
-	record(g.chat, r.Total)
-	for _, gap := range r.gaps {
-		record(g.between, gap)
+	recordDuration(g.firstToken, r.FirstToken)
+	recordDuration(g.chat, r.Total)
+	for _, gap := range r.tokenGaps {
+		recordDuration(g.betweenTokens, gap)
 	}
 }
 
-// tally collects the results of a run.
-type tally struct {
+// resultCollector collects the results of a run.
+type resultCollector struct {
 	options *Options
 
-	mu       sync.Mutex
-	groups   map[string]*group // by organisation
-	classes  map[string]*group
-	all      *group
-	second   *group // since the last line of progress
-	inFlight int
-	dropped  int
-	late     *hdrhistogram.Histogram
+	mu            sync.Mutex
+	organisations map[string]*groupStats // by organisation
+	classes       map[string]*groupStats
+	all           *groupStats
+	sinceProgress *groupStats // since the last progress line
+	inFlight      int
+	dropped       int
+	sendDelay     *hdrhistogram.Histogram
 }
 
-func newTally(o *Options) *tally {
-	return &tally{
-		options: o,
-		groups:  map[string]*group{},
-		classes: map[string]*group{},
-		all:     newGroup(),
-		second:  newGroup(),
-		late:    newHistogram(),
+func newResultCollector(o *Options) *resultCollector {
+	return &resultCollector{
+		options:       o,
+		organisations: map[string]*groupStats{},
+		classes:       map[string]*groupStats{},
+		all:           newGroupStats(),
+		sinceProgress: newGroupStats(),
+		sendDelay:     newHistogram(),
 	}
 }
 
-// begin counts a request in, or says that too many are in flight. Late is how
-// long after its time it is sent.
-func (t *tally) begin(late time.Duration) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	record(t.late, late)
-	if t.inFlight >= t.options.MaxInFlight {
-		t.dropped++
+// start counts a request as in flight. It counts it as dropped and returns false
+// if too many are. delay is the time since the scheduled arrival.
+func (c *resultCollector) start(delay time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	recordDuration(c.sendDelay, delay)
+	if c.inFlight >= c.options.MaxInFlight {
+		c.dropped++
 		return false
 	}
-	t.inFlight++
+	c.inFlight++
 	return true
 }
 
-func (t *tally) end(r Result) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.inFlight--
-	t.second.add(&r, t.options.FirstTokenGoal)
-	if t.options.OnResult != nil {
-		t.options.OnResult(r)
+func (c *resultCollector) end(r Result) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight--
+	c.sinceProgress.add(&r, c.options.FirstTokenGoal)
+	if c.options.OnResult != nil {
+		c.options.OnResult(r)
 	}
-	if r.ScheduledAt < t.options.Warmup {
+	if r.ScheduledAt < c.options.Warmup {
 		return
 	}
-	of(t.groups, r.Organisation).add(&r, t.options.FirstTokenGoal)
-	of(t.classes, r.Class).add(&r, t.options.FirstTokenGoal)
-	t.all.add(&r, t.options.FirstTokenGoal)
+	groupFor(c.organisations, r.Organisation).add(&r, c.options.FirstTokenGoal)
+	groupFor(c.classes, r.Class).add(&r, c.options.FirstTokenGoal)
+	c.all.add(&r, c.options.FirstTokenGoal)
 }
 
-func of(groups map[string]*group, name string) *group {
+func groupFor(groups map[string]*groupStats, name string) *groupStats {
 	g := groups[name]
 	if g == nil {
-		g = newGroup()
+		g = newGroupStats()
 		groups[name] = g
 	}
 	return g
 }
 
-// progress writes a line each second until ctx ends.
-func (t *tally) progress(ctx context.Context) {
+// progress writes a progress line each second until ctx ends.
+func (c *resultCollector) progress(ctx context.Context) {
 	for s := 1; wait.For(ctx, time.Second) == nil; s++ {
-		t.mu.Lock()
-		g, inFlight := t.second, t.inFlight
-		t.second = newGroup()
-		t.mu.Unlock()
-		fmt.Fprintf(t.options.Progress, "%4d s  ended %d  in flight %d  ok %d  refused %d  failed %d  cut %d  wrong %d  broken %d  first token p50 %.0f p99 %.0f ms\n",
+		c.mu.Lock()
+		g, inFlight := c.sinceProgress, c.inFlight
+		c.sinceProgress = newGroupStats()
+		c.mu.Unlock()
+		fmt.Fprintf(c.options.Progress, "%4d s  ended %d  in flight %d  ok %d  refused %d  failed %d  cut %d  wrong %d  broken %d  first token p50 %.0f p99 %.0f ms\n",
 			s, g.sent, inFlight, g.outcomes[OK], g.outcomes[Refused], g.outcomes[Failed],
 			g.outcomes[Cut], g.outcomes[Wrong], g.outcomes[Broken],
-			quantile(g.first, 50), quantile(g.first, 99))
+			quantile(g.firstToken, 50), quantile(g.firstToken, 99))
 	}
 }
 
--- a/internal/standin/load/text.go
+++ b/internal/standin/load/text.go
@@ -9,7 +9,7 @@
 	"skylarklead/internal/prefix"
 )
 
-// words make up the generated texts.
+// words is the vocabulary of the generated texts.
 var words = strings.Fields(`
 	account accrual acknowledged allocation appeal approved association balance
 	beneficiary bequest board budget case charter claim committee condition deed
@@ -19,9 +19,9 @@
 	report reserve restricted schedule signed statement trust trustee unrestricted
 	verified voucher waqf year`)
 
-// Text returns a text of the given number of tokens, the same bytes for the same
-// seed on each machine. Texts of different seeds differ from their first words
-// on, so they share no cache block.
+// Text returns a text of the given number of tokens. The same seed gives the same
+// bytes on every machine. Each text begins with its seed, so texts of different
+// seeds share no cache block.
 func Text(seed string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(seed), 0))
--- a/internal/standin/load/workload.go
+++ b/internal/standin/load/workload.go
@@ -1,10 +1,10 @@
-// Package load is a seeded open-loop load generator for tests and measurements:
-// callers of several organisations whose prompts share nested prefixes. It
-// checks every answer byte by byte.
+// Package load is a seeded open-loop load generator for tests and measurements. It
+// simulates callers of several organisations whose prompts share nested prefixes,
+// and checks every answer byte by byte.
 //
-// Requests arrive by their own clock, whether earlier ones were answered or not,
-// and times are counted from the scheduled arrival: a system that stalls sees
-// its stall in every request that should have been sent meanwhile.
+// Requests are sent at their scheduled times, whether earlier ones have been
+// answered or not, and latency is measured from the scheduled arrival: a stall of
+// the system shows in every request scheduled during it.
 package load
 
 import (
@@ -15,13 +15,13 @@
 	"skylarklead/internal/strictjson"
 )
 
-// Workload is who calls, how often and with what.
+// Workload describes organisations, their requests and request rates.
 type Workload struct {
 	Name string `json:"name"`
-	// Rate is the arrivals a second of all organisations together.
+	// Rate is the arrivals per second of all organisations together.
 	Rate float64 `json:"rate"`
-	// Records are configuration records that the workload needs besides those
-	// of its organisations.
+	// Records are the configuration records that the workload needs in addition
+	// to those of its organisations.
 	Records       []config.Record `json:"records"`
 	Organisations []Organisation  `json:"organisations"`
 }
@@ -36,21 +36,21 @@
 type Organisation struct {
 	ID    string `json:"id"`
 	Class string `json:"class"`
-	// APIKey is its key in clear text; it is good for stand-ins only.
+	// APIKey is its key in clear text, for use with stand-ins only.
 	APIKey string `json:"api_key"`
-	// Share is its part of all arrivals, relative to the other shares.
+	// Share is its share of all arrivals, relative to the other shares.
 	Share float64 `json:"share"`
 	// Instructions are its standing instructions, the most widely shared first.
-	// Its configuration record carries their texts and the router puts them
+	// Their texts are in its configuration record, and the router inserts them
 	// before each prompt.
 	Instructions []Instruction `json:"instructions"`
-	// Weight and MaxInFlight go into its configuration record.
+	// Weight and MaxInFlight are copied to its configuration record.
 	Weight      float64       `json:"weight"`
 	MaxInFlight int           `json:"max_in_flight"`
 	Requests    []RequestKind `json:"requests"`
 }
 
-// Instruction is Text(Seed, Tokens).
+// Instruction is the text returned by Text(Seed, Tokens).
 type Instruction struct {
 	Seed   string `json:"seed"`
 	Tokens int    `json:"tokens"`
@@ -60,7 +60,8 @@
 // Call is set.
 type RequestKind struct {
 	Name string `json:"name"`
-	// Share is its part of the organisation's arrivals, relative to the others.
+	// Share is its share of the organisation's arrivals, relative to the other
+	// shares.
 	Share float64 `json:"share"`
 	Chat  *Chat   `json:"chat"`
 	Call  *Call   `json:"call"`
@@ -78,33 +79,34 @@
 	// MinTokens and MaxTokens bound the length of an answer, drawn uniformly.
 	MinTokens int `json:"min_tokens"`
 	MaxTokens int `json:"max_tokens"`
-	// DeadlineMS is how long the caller will wait, 0 for no word about it.
+	// DeadlineMS is the deadline that the caller sends, 0 for none.
 	DeadlineMS int `json:"deadline_ms"`
 }
 
 // SharedTexts is a set of texts that requests have in common.
 type SharedTexts struct {
-	// Tokens is the length of each; 0 leaves the level out.
+	// Tokens is the length of each text; 0 leaves this level of the prefix out.
 	Tokens int `json:"tokens"`
-	// Count is how many there are, under each text of the level above.
+	// Count is how many texts there are for each text of the level above.
 	Count int `json:"count"`
-	// Skew is the exponent of their popularity by Zipf's law; 0 makes all alike.
+	// Skew is the exponent of their Zipf distribution; 0 makes them equally
+	// popular.
 	Skew float64 `json:"skew"`
 }
 
-// Call is a call to a plain service. Its body has a field "echo", which the
-// answer has to repeat.
+// Call is a call to a plain service. Its body has a field "echo", whose value the
+// response must repeat.
 type Call struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Idempotent calls carry an Idempotency-Key of their own.
+	// Idempotent calls have a unique Idempotency-Key.
 	Idempotent bool `json:"keyed"`
-	// Tokens is the length of the rest of the body.
+	// Tokens is the length of the padding in the body.
 	Tokens     int `json:"tokens"`
 	DeadlineMS int `json:"deadline_ms"`
 }
 
-// ReadWorkload reads a workload file, JSON with comments, and checks it.
+// ReadWorkload reads and validates a workload file, JSON with comments.
 func ReadWorkload(file string) (Workload, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxBody bounds a request's body in bytes.
-const maxBody = 16 << 20
+// maxBodyBytes bounds a request's body.
+const maxBodyBytes = 16 << 20
 
-// pause waits ms milliseconds; false means that the caller has gone.
+// pause waits ms milliseconds. It returns false if the caller disconnects first.
 func pause(r *http.Request, ms int) bool {
 	if ms <= 0 {
 		return true
@@ -29,10 +29,10 @@
 	return fallback
 }
 
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(into)
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return false
 	}
 	return true
@@ -41,9 +41,9 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has disconnected
 }
 
-func fail(w http.ResponseWriter, status int, message string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	writeJSON(w, status, map[string]any{"error": map[string]string{"message": message}})
 }
--- a/internal/standin/platform/instances.go
+++ b/internal/standin/platform/instances.go
@@ -8,79 +8,81 @@
 	client "skylarklead/internal/platform"
 )
 
-// version is a true list and since when it is true.
-type version struct {
+// listVersion is a version of the instance list and the time of its change.
+type listVersion struct {
 	since time.Time
 	list  []client.Instance
 }
 
-// instances is the list of instances: the truth's history, of which callers are
-// shown what was true a lag ago.
-type instances struct {
+// instanceList holds the versions of the instance list. Callers see the version
+// that was current LagMS ago.
+type instanceList struct {
 	mu       sync.Mutex
-	versions []version // oldest first; versions[0] is the one shown last
+	versions []listVersion // oldest first; versions[0] is the visible one
 	frozen   bool
 	now      func() time.Time
 }
 
-func newInstances(now func() time.Time, list []client.Instance) *instances {
-	return &instances{now: now, versions: []version{{list: append([]client.Instance{}, list...)}}}
+func newInstanceList(now func() time.Time, list []client.Instance) *instanceList {
+	return &instanceList{now: now, versions: []listVersion{{list: append([]client.Instance{}, list...)}}}
 }
 
-// set replaces the truth; at once, also what is shown.
-func (i *instances) set(list []client.Instance, atOnce bool) {
-	i.change(atOnce, func([]client.Instance) []client.Instance { return list })
+// set replaces the current list. If immediate is set, the change is visible at
+// once, here and in put and remove.
+func (l *instanceList) set(list []client.Instance, immediate bool) {
+	l.update(immediate, func([]client.Instance) []client.Instance { return list })
 }
 
-// put adds or replaces one instance of the truth.
-func (i *instances) put(instance client.Instance, atOnce bool) {
-	i.change(atOnce, func(list []client.Instance) []client.Instance {
+// put adds or replaces one instance in the current list.
+func (l *instanceList) put(instance client.Instance, immediate bool) {
+	l.update(immediate, func(list []client.Instance) []client.Instance {
 		return append(without(list, instance.ID), instance)
 	})
 }
 
-// remove takes one instance out of the truth.
-func (i *instances) remove(id string, atOnce bool) {
-	i.change(atOnce, func(list []client.Instance) []client.Instance { return without(list, id) })
+// remove removes one instance from the current list.
+func (l *instanceList) remove(id string, immediate bool) {
+	l.update(immediate, func(list []client.Instance) []client.Instance { return without(list, id) })
 }
 
 func without(list []client.Instance, id string) []client.Instance {
 	return slices.DeleteFunc(slices.Clone(list), func(i client.Instance) bool { return i.ID == id })
 }
 
-func (i *instances) change(atOnce bool, f func([]client.Instance) []client.Instance) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	truth := i.versions[len(i.versions)-1].list
-	next := version{since: i.now(), list: f(truth)}
-	if atOnce {
-		i.versions = nil
+func (l *instanceList) update(immediate bool, modify func([]client.Instance) []client.Instance) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	current := l.versions[len(l.versions)-1].list
+	next := listVersion{since: l.now(), list: modify(current)}
+	if immediate {
+		l.versions = nil
 	}
-	i.versions = append(i.versions, next)
+	l.versions = append(l.versions, next)
 }
 
-// shown returns the list as it was lag ago, or as it was when it froze.
-func (i *instances) shown(lag time.Duration) []client.Instance {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.advance(lag)
-	return i.versions[0].list
+// visible returns the list that was current lag ago, or that was visible when the
+// list was frozen.
+func (l *instanceList) visible(lag time.Duration) []client.Instance {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.advance(lag)
+	return l.versions[0].list
 }
 
-// freeze stops the list that is shown from changing, or lets it go on.
-func (i *instances) freeze(frozen bool, lag time.Duration) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.advance(lag)
-	i.frozen = frozen
+// freeze stops changes from becoming visible, or resumes them.
+func (l *instanceList) freeze(frozen bool, lag time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.advance(lag)
+	l.frozen = frozen
 }
 
-func (i *instances) advance(lag time.Duration) {
-	if i.frozen {
+func (l *instanceList) advance(lag time.Duration) {
+	if l.frozen {
 		return
 	}
-	seen := i.now().Add(-lag)
-	for len(i.versions) > 1 && !i.versions[1].since.After(seen) {
-		i.versions = i.versions[1:]
+	visibleAt := l.now().Add(-lag)
+	for len(l.versions) > 1 && !l.versions[1].since.After(visibleAt) {
+		l.versions = l.versions[1:]
 	}
 }
--- a/internal/standin/platform/log.go
+++ b/internal/standin/platform/log.go
@@ -8,20 +8,20 @@
 	client "skylarklead/internal/platform"
 )
 
-// errRetained is a read past retention.
-var errRetained = errors.New("past retention")
+// errExpired means that the offset to read from is past retention.
+var errExpired = errors.New("past retention")
 
-// retention bounds what a stream keeps; zero is no bound.
+// retention limits the records that a stream keeps; zero is no limit.
 type retention struct {
 	age   time.Duration
 	count int
 }
 
-// stream is one sequence of records. Its first offset is 1.
+// stream is an append-only sequence of records with consecutive offsets from 1.
 type stream struct {
-	records []timedRecord // in offset order, the oldest kept first
-	next    uint64
-	grown   chan struct{} // closed at the next append
+	records  []timedRecord // in offset order, the oldest kept first
+	next     uint64
+	appended chan struct{} // closed at the next append
 }
 
 type timedRecord struct {
@@ -29,55 +29,55 @@
 	at time.Time
 }
 
-// records is the log: all streams.
-type records struct {
+// recordLog is the append-only log with all its streams.
+type recordLog struct {
 	mu      sync.Mutex
 	streams map[string]*stream
 	now     func() time.Time
 }
 
-func newRecords(now func() time.Time) *records {
-	return &records{streams: map[string]*stream{}, now: now}
+func newRecordLog(now func() time.Time) *recordLog {
+	return &recordLog{streams: map[string]*stream{}, now: now}
 }
 
-func (r *records) stream(name string) *stream {
-	s := r.streams[name]
+func (l *recordLog) stream(name string) *stream {
+	s := l.streams[name]
 	if s == nil {
-		s = &stream{next: 1, grown: make(chan struct{})}
-		r.streams[name] = s
+		s = &stream{next: 1, appended: make(chan struct{})}
+		l.streams[name] = s
 	}
 	return s
 }
 
-// append puts data on a stream and returns the first and last offsets.
-func (r *records) append(name string, data [][]byte) (first, last uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.stream(name)
+// append appends records to a stream and returns the first and last offsets.
+func (l *recordLog) append(name string, data [][]byte) (first, last uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.stream(name)
 	first = s.next
 	for _, d := range data {
-		s.records = append(s.records, timedRecord{client.Record{Offset: s.next, Data: d}, r.now()})
+		s.records = append(s.records, timedRecord{client.Record{Offset: s.next, Data: d}, l.now()})
 		s.next++
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return first, s.next - 1
 }
 
-// read returns a page from an offset on, and a channel closed once the stream
-// has grown. The error is errRetained, with only the page's Oldest set.
-func (r *records) read(name string, from uint64, limit int, keep retention) (client.Page, <-chan struct{}, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.stream(name)
-	s.drop(keep, r.now())
+// read returns a page from an offset on, and a channel that is closed at the next
+// append. The only error is errExpired, with only the page's Oldest set.
+func (l *recordLog) read(name string, from uint64, limit int, keep retention) (client.Page, <-chan struct{}, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.stream(name)
+	s.dropExpired(keep, l.now())
 	oldest := s.next - uint64(len(s.records))
 	if from < oldest {
-		return client.Page{Oldest: oldest}, nil, errRetained
+		return client.Page{Oldest: oldest}, nil, errExpired
 	}
 	page := client.Page{Records: []client.Record{}, Oldest: oldest, Next: from}
 	if from >= s.next {
-		return page, s.grown, nil
+		return page, s.appended, nil
 	}
 	for _, t := range s.records[from-oldest:] {
 		if len(page.Records) == limit {
@@ -86,30 +86,30 @@
 		page.Records = append(page.Records, t.Record)
 	}
 	page.Next = from + uint64(len(page.Records))
-	return page, s.grown, nil
+	return page, s.appended, nil
 }
 
-// drop forgets what is past retention.
-func (s *stream) drop(keep retention, now time.Time) {
-	gone := 0
+// dropExpired drops the records that are past retention.
+func (s *stream) dropExpired(keep retention, now time.Time) {
+	expired := 0
 	if keep.count > 0 {
-		gone = max(0, len(s.records)-keep.count)
+		expired = max(0, len(s.records)-keep.count)
 	}
 	if keep.age > 0 {
-		for gone < len(s.records) && now.Sub(s.records[gone].at) > keep.age {
-			gone++
+		for expired < len(s.records) && now.Sub(s.records[expired].at) > keep.age {
+			expired++
 		}
 	}
-	s.records = s.records[gone:]
+	s.records = s.records[expired:]
 }
 
-// dump returns what every stream keeps.
-func (r *records) dump(keep retention) map[string]client.Page {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	all := make(map[string]client.Page, len(r.streams))
-	for name, s := range r.streams {
-		s.drop(keep, r.now())
+// dump returns the records that each stream keeps.
+func (l *recordLog) dump(keep retention) map[string]client.Page {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	all := make(map[string]client.Page, len(l.streams))
+	for name, s := range l.streams {
+		s.dropExpired(keep, l.now())
 		page := client.Page{
 			Records: make([]client.Record, 0, len(s.records)),
 			Oldest:  s.next - uint64(len(s.records)),
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -11,7 +11,7 @@
 	client "skylarklead/internal/platform"
 )
 
-// clock is a clock that a test moves.
+// clock is a clock that the test sets.
 type clock struct{ t time.Time }
 
 func newClock() *clock { return &clock{time.Unix(1000, 0)} }
@@ -20,7 +20,7 @@
 
 func TestRetentionByAge(t *testing.T) {
 	c := newClock()
-	r := newRecords(c.now)
+	r := newRecordLog(c.now)
 	keep := retention{age: time.Minute}
 	r.append("s", [][]byte{[]byte("a")})
 	c.t = c.t.Add(40 * time.Second)
@@ -29,7 +29,7 @@
 		t.Errorf("before: %+v, %v", page, err)
 	}
 	c.t = c.t.Add(40 * time.Second)
-	if page, _, err := r.read("s", 1, 10, keep); err != errRetained || page.Oldest != 2 {
+	if page, _, err := r.read("s", 1, 10, keep); err != errExpired || page.Oldest != 2 {
 		t.Errorf("after: %+v, %v", page, err)
 	}
 	c.t = c.t.Add(40 * time.Second)
@@ -38,12 +38,12 @@
 	}
 }
 
-// Whatever is appended, kept and read, a reader that follows the pages gets every
-// record once and in order, or is told what the oldest one is.
+// With any sequence of appends, expiry and reads, a reader that follows the pages
+// gets every record once and in order, or an error with the oldest offset.
 func TestReadersMissNothingSilently(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
-		r := newRecords(c.now)
+		r := newRecordLog(c.now)
 		keep := retention{
 			age:   time.Duration(rapid.IntRange(0, 5).Draw(t, "age")) * time.Second,
 			count: rapid.IntRange(0, 8).Draw(t, "count"),
@@ -61,33 +61,34 @@
 			case 1:
 				c.t = c.t.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			case 2:
-				next = follow(t, r, keep, next, written)
+				next = readOnePage(t, r, keep, next, written)
 			}
 		}
 	})
 }
 
-// follow reads one page as a reader at next would, and returns where it goes on.
-func follow(t *rapid.T, r *records, keep retention, next uint64, written [][]byte) uint64 {
+// readOnePage reads and checks the page at offset next, and returns the offset at
+// which the reader continues.
+func readOnePage(t *rapid.T, r *recordLog, keep retention, next uint64, written [][]byte) uint64 {
 	limit := rapid.IntRange(1, 5).Draw(t, "limit")
 	page, _, err := r.read("s", next, limit, keep)
 	if err != nil {
 		if page.Oldest <= next || page.Oldest > uint64(len(written))+1 {
-			t.Fatalf("read %d: told that %d is the oldest", next, page.Oldest)
+			t.Fatalf("read at offset %d: expired, with oldest offset %d", next, page.Oldest)
 		}
 		return page.Oldest
 	}
 	for _, record := range page.Records {
 		if record.Offset != next || !bytes.Equal(record.Data, written[next-1]) {
-			t.Fatalf("read %+v in place of %d", record, next)
+			t.Fatalf("read %+v, want offset %d", record, next)
 		}
 		next++
 	}
 	if page.Next != next || len(page.Records) > limit {
-		t.Fatalf("page of %d goes on at %d, not %d", len(page.Records), page.Next, next)
+		t.Fatalf("page of %d records has next offset %d, want %d", len(page.Records), page.Next, next)
 	}
 	if len(page.Records) == 0 && next != uint64(len(written))+1 {
-		t.Fatalf("empty page at %d of %d", next, len(written))
+		t.Fatalf("empty page at offset %d of %d", next, len(written))
 	}
 	return next
 }
@@ -95,30 +96,30 @@
 func TestListLagsAndFreezes(t *testing.T) {
 	c := newClock()
 	const lag = 10 * time.Second
-	i := newInstances(c.now, []client.Instance{{ID: "a"}})
-	shows := func(when, want string) {
+	i := newInstanceList(c.now, []client.Instance{{ID: "a"}})
+	expect := func(when, want string) {
 		t.Helper()
 		got := ""
-		for _, instance := range i.shown(lag) {
+		for _, instance := range i.visible(lag) {
 			got += instance.ID
 		}
 		if got != want {
 			t.Errorf("%s: shows %q, want %q", when, got, want)
 		}
 	}
-	shows("at the start", "a")
+	expect("at the start", "a")
 	i.put(client.Instance{ID: "b"}, false)
-	shows("before the lag", "a")
+	expect("before the lag", "a")
 	c.t = c.t.Add(lag)
-	shows("after the lag", "ab")
+	expect("after the lag", "ab")
 	i.remove("a", false)
 	i.freeze(true, lag)
 	c.t = c.t.Add(lag)
-	shows("frozen", "ab")
+	expect("frozen", "ab")
 	i.freeze(false, lag)
-	shows("thawed", "b")
+	expect("thawed", "b")
 	i.set(nil, true)
-	shows("at once", "")
+	expect("at once", "")
 }
 
 func TestWeightsSlowDownPastTheBound(t *testing.T) {
@@ -128,22 +129,22 @@
 	}{{1, time.Second}, {3, time.Second}, {6, 2 * time.Second}}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
-			var w weights
+			var w weightStore
 			start := time.Now()
 			for range test.fetches {
 				go w.fetch(t.Context(), time.Second, 3)
 			}
 			synctest.Wait()
-			if n := w.fetching.Load(); n != int64(test.fetches) {
-				t.Fatalf("%d fetches go on", n)
+			if n := w.active.Load(); n != int64(test.fetches) {
+				t.Fatalf("%d fetches in progress", n)
 			}
 			time.Sleep(test.want - time.Millisecond)
-			if n := w.fetching.Load(); n != int64(test.fetches) {
-				t.Errorf("%d of %d go on just before %v", n, test.fetches, test.want)
+			if n := w.active.Load(); n != int64(test.fetches) {
+				t.Errorf("%d of %d in progress just before %v", n, test.fetches, test.want)
 			}
 			time.Sleep(100 * time.Millisecond)
-			if n := w.fetching.Load(); n != 0 {
-				t.Errorf("%d of %d go on at %v", n, test.fetches, time.Since(start))
+			if n := w.active.Load(); n != 0 {
+				t.Errorf("%d of %d in progress at %v", n, test.fetches, time.Since(start))
 			}
 		})
 	}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -1,12 +1,11 @@
-// Package platform stands in for the platform in tests and demonstrations: the
-// append-only log, the lagging instance list and the weight store of
-// docs/INTERFACE.md, section 4, with faults that a control endpoint switches. It
-// keeps all in memory.
+// Package platform is a stand-in for the platform in tests and demonstrations. It
+// implements the append-only log, the lagging instance list and the weight store
+// of docs/INTERFACE.md, section 4, in memory, and injects faults on request.
 //
-// The control endpoint: POST /control merges fields of Control and answers with
-// all of them; PUT /control/instances, PUT and DELETE /control/instances/{id}
-// change the true list of instances (with ?now=1 also what is shown at once);
-// GET /control/log tells what every stream keeps.
+// POST /control merges fields of Control and responds with all of them. PUT
+// /control/instances and PUT and DELETE /control/instances/{id} change the
+// instance list; the change is visible at once with ?now=1, otherwise after the
+// lag. GET /control/log returns the records that each stream keeps.
 package platform
 
 import (
@@ -26,11 +25,11 @@
 	client "skylarklead/internal/platform"
 )
 
-// Options are what a stand-in starts with.
+// Options configure a Server.
 type Options struct {
 	Control   Control
 	Instances []client.Instance
-	// Seed is of the faults that come by chance.
+	// Seed is the seed of random faults.
 	Seed uint64
 	// Now is the clock, time.Now if nil.
 	Now func() time.Time
@@ -39,15 +38,15 @@
 // Server is the stand-in as an http.Handler.
 type Server struct {
 	http.Handler
-	records   *records
-	instances *instances
-	weights   weights
+	log       *recordLog
+	instances *instanceList
+	weights   weightStore
 
-	mu      sync.Mutex
-	control Control
-	appends *rate.Limiter
-	changed chan struct{} // closed when control changes
-	random  *rand.Rand
+	mu            sync.Mutex
+	control       Control
+	appendLimiter *rate.Limiter
+	changed       chan struct{} // closed when control changes
+	random        *rand.Rand
 }
 
 // New returns a stand-in.
@@ -56,8 +55,8 @@
 		o.Now = time.Now
 	}
 	s := &Server{
-		records:   newRecords(o.Now),
-		instances: newInstances(o.Now, o.Instances),
+		log:       newRecordLog(o.Now),
+		instances: newInstanceList(o.Now, o.Instances),
 		changed:   make(chan struct{}),
 		random:    rand.New(rand.NewPCG(o.Seed, 0)),
 	}
@@ -76,8 +75,9 @@
 	return s
 }
 
-// snapshot returns the control now, and a channel closed when it changes.
-func (s *Server) snapshot() (Control, <-chan struct{}) {
+// currentControl returns the current Control and a channel that is closed when it
+// changes.
+func (s *Server) currentControl() (Control, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.control, s.changed
@@ -86,8 +86,8 @@
 func (s *Server) setControl(c Control) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.appends == nil || c.AppendsPerSecond != s.control.AppendsPerSecond || c.AppendBurst != s.control.AppendBurst {
-		s.appends = newLimiter(c)
+	if s.appendLimiter == nil || c.AppendsPerSecond != s.control.AppendsPerSecond || c.AppendBurst != s.control.AppendBurst {
+		s.appendLimiter = newAppendLimiter(c)
 	}
 	s.instances.freeze(c.ListFrozen, milliseconds(s.control.LagMS))
 	s.control = c
@@ -95,7 +95,7 @@
 	s.changed = make(chan struct{})
 }
 
-func newLimiter(c Control) *rate.Limiter {
+func newAppendLimiter(c Control) *rate.Limiter {
 	if c.AppendsPerSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -105,11 +105,11 @@
 func (s *Server) allowsAppend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.appends.Allow()
+	return s.appendLimiter.Allow()
 }
 
-// loses tells whether the answer to an append gets lost.
-func (s *Server) loses() bool {
+// losesResponse reports whether the response to an append is to be lost.
+func (s *Server) losesResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.control.LoseNextAnswers > 0 {
@@ -123,30 +123,30 @@
 	var body struct {
 		Records [][]byte `json:"records"`
 	}
-	if !readJSON(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
 	if len(body.Records) == 0 {
-		fail(w, http.StatusBadRequest, "no records")
+		writeError(w, http.StatusBadRequest, "no records")
 		return
 	}
-	control, _ := s.snapshot()
+	control, _ := s.currentControl()
 	if !pause(r, control.SlowMS) {
 		return
 	}
-	control, _ = s.snapshot()
+	control, _ = s.currentControl()
 	if control.LogDown || control.AppendDown {
-		fail(w, http.StatusServiceUnavailable, "log is down")
+		writeError(w, http.StatusServiceUnavailable, "log is down")
 		return
 	}
 	if !s.allowsAppend() {
 		w.Header().Set("Retry-After", "1")
-		fail(w, http.StatusTooManyRequests, "over the append limit")
+		writeError(w, http.StatusTooManyRequests, "over the append limit")
 		return
 	}
-	first, last := s.records.append(mux.Vars(r)["stream"], body.Records)
+	first, last := s.log.append(mux.Vars(r)["stream"], body.Records)
 	pause(r, control.SlowAnswerMS)
-	if s.loses() {
+	if s.losesResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, map[string]uint64{"first": first, "last": last})
@@ -157,36 +157,36 @@
 	limit, err2 := strconv.Atoi(queryOr(r, "max", strconv.Itoa(client.MaxPageRecords)))
 	wait, err3 := strconv.Atoi(queryOr(r, "wait_ms", "0"))
 	if err != nil || err2 != nil || err3 != nil || limit < 1 {
-		fail(w, http.StatusBadRequest, "from, max and wait_ms are numbers")
+		writeError(w, http.StatusBadRequest, "from, max and wait_ms must be numbers, and max at least 1")
 		return
 	}
 	limit = min(limit, client.MaxPageRecords)
-	control, _ := s.snapshot()
+	control, _ := s.currentControl()
 	if !pause(r, control.SlowMS) {
 		return
 	}
 	deadline := time.NewTimer(milliseconds(wait))
 	defer deadline.Stop()
-	for late := wait == 0; ; {
-		control, changed := s.snapshot()
+	for timedOut := wait == 0; ; {
+		control, changed := s.currentControl()
 		if control.LogDown || control.ReadDown {
-			fail(w, http.StatusServiceUnavailable, "log is down")
+			writeError(w, http.StatusServiceUnavailable, "log is down")
 			return
 		}
-		page, grown, err := s.records.read(mux.Vars(r)["stream"], from, limit, control.retention())
+		page, appended, err := s.log.read(mux.Vars(r)["stream"], from, limit, control.retention())
 		if err != nil {
 			writeJSON(w, http.StatusGone, map[string]uint64{"oldest": page.Oldest})
 			return
 		}
-		if len(page.Records) > 0 || late {
+		if len(page.Records) > 0 || timedOut {
 			writeJSON(w, http.StatusOK, page)
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-changed:
 		case <-deadline.C:
-			late = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
@@ -194,37 +194,37 @@
 }
 
 func (s *Server) handleDump(w http.ResponseWriter, _ *http.Request) {
-	control, _ := s.snapshot()
-	writeJSON(w, http.StatusOK, s.records.dump(control.retention()))
+	control, _ := s.currentControl()
+	writeJSON(w, http.StatusOK, s.log.dump(control.retention()))
 }
 
 func (s *Server) handleInstances(w http.ResponseWriter, r *http.Request) {
-	control, _ := s.snapshot()
+	control, _ := s.currentControl()
 	if control.ListDown {
-		fail(w, http.StatusServiceUnavailable, "list is down")
+		writeError(w, http.StatusServiceUnavailable, "list is down")
 		return
 	}
-	list := client.InstanceList{Instances: s.instances.shown(milliseconds(control.LagMS))}
-	tag := listTag(list)
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	list := client.InstanceList{Instances: s.instances.visible(milliseconds(control.LagMS))}
+	etag := listETag(list)
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	writeJSON(w, http.StatusOK, list)
 }
 
-// listTag changes with the list as shown.
-func listTag(list client.InstanceList) string {
+// listETag returns the ETag of a visible list.
+func listETag(list client.InstanceList) string {
 	data, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // plain strings can be encoded
+		panic(err) // a struct of strings can always be encoded
 	}
 	return fmt.Sprintf("\"%016x\"", xxhash.Sum64(data))
 }
 
 func (s *Server) handleWeights(w http.ResponseWriter, r *http.Request) {
-	control, _ := s.snapshot()
+	control, _ := s.currentControl()
 	if s.weights.fetch(r.Context(), milliseconds(control.WeightsMS), control.WeightsBound) != nil {
 		return
 	}
@@ -233,14 +233,14 @@
 }
 
 func (s *Server) handleControl(w http.ResponseWriter, r *http.Request) {
-	control, _ := s.snapshot()
+	control, _ := s.currentControl()
 	if r.Method == http.MethodPost {
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err == nil {
 			control, err = control.merge(data)
 		}
 		if err != nil {
-			fail(w, http.StatusBadRequest, err.Error())
+			writeError(w, http.StatusBadRequest, err.Error())
 			return
 		}
 		s.setControl(control)
@@ -250,7 +250,7 @@
 
 func (s *Server) handleSetInstances(w http.ResponseWriter, r *http.Request) {
 	var body client.InstanceList
-	if !readJSON(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
 	s.instances.set(body.Instances, r.URL.Query().Has("now"))
@@ -259,7 +259,7 @@
 
 func (s *Server) handlePutInstance(w http.ResponseWriter, r *http.Request) {
 	var body client.Instance
-	if !readJSON(w, r, &body) {
+	if !decodeBody(w, r, &body) {
 		return
 	}
 	body.ID = mux.Vars(r)["id"]
--- a/internal/standin/platform/weights.go
+++ b/internal/standin/platform/weights.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// weightSteps is in how many steps a fetch of weights goes on.
+// weightSteps is the number of steps of a fetch of weights.
 const weightSteps = 20
 
-// weights is the rate-limited weight store: bound fetches go on at full speed,
-// and more share that speed.
-type weights struct {
-	fetching atomic.Int64
+// weightStore is a weight store with limited throughput: up to bound concurrent
+// fetches run at full speed, more share the throughput of bound.
+type weightStore struct {
+	active atomic.Int64
 }
 
-// fetch returns when a fetch that takes d alone is through.
-func (w *weights) fetch(ctx context.Context, d time.Duration, bound int) error {
-	w.fetching.Add(1)
-	defer w.fetching.Add(-1)
+// fetch takes as long as a fetch of weights that needs d at full speed.
+func (w *weightStore) fetch(ctx context.Context, d time.Duration, bound int) error {
+	w.active.Add(1)
+	defer w.active.Add(-1)
 	tick := time.NewTicker(max(d/weightSteps, time.Millisecond))
 	defer tick.Stop()
-	for left := float64(weightSteps); left > 0; {
+	for remaining := float64(weightSteps); remaining > 0; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
 		}
-		left -= min(1, float64(bound)/float64(w.fetching.Load()))
+		remaining -= min(1, float64(bound)/float64(w.active.Load()))
 	}
 	return nil
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,8 +1,8 @@
-// Package service is a stand-in for a plain service: it counts how often each
-// request ran, and fails on demand.
+// Package service is a stand-in for a plain service. It counts how often each
+// request ran, and injects faults on request.
 //
-// GET /control/runs tells the counts, POST /control merges Faults, and any other
-// path runs the request.
+// GET /control/runs returns the counts, POST /control merges Faults, and a request
+// to any other path is counted as a run.
 package service
 
 import (
@@ -21,23 +21,24 @@
 	"skylarklead/internal/engine"
 )
 
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
-// Faults are what POST /control merges: a field that is left out stays.
+// Faults are the faults to inject. POST /control merges them: a field that is left
+// out keeps its value.
 type Faults struct {
 	// DelayMs is how long each run takes.
 	DelayMs int64 `json:"delay_ms"`
-	// Crash ends the process at once, without an answer.
+	// Crash ends the process at once, without a response.
 	Crash bool `json:"crash"`
-	// CrashAfterRun ends the process right after the next run is counted.
+	// CrashAfterRun ends the process after the next run is counted and logged.
 	CrashAfterRun bool `json:"crash_after_run"`
-	// LoseAnswer runs requests and then drops their connections.
+	// LoseAnswer closes the connection of each request after it ran.
 	LoseAnswer bool `json:"lose_answer"`
-	// ErrorStatus, if set, is the status of each answer, after the run.
+	// ErrorStatus, if not 0, is the status of each response, after the run.
 	ErrorStatus int `json:"error_status"`
 }
 
-// Runs are how often requests ran, by X-Request-Id and by Idempotency-Key.
+// Runs has the number of runs by X-Request-Id and by Idempotency-Key.
 type Runs struct {
 	ByRequest        map[string]int `json:"by_request"`
 	ByIdempotencyKey map[string]int `json:"by_key"`
@@ -46,10 +47,11 @@
 
 // Response is the body of a run's answer.
 type Response struct {
-	// Echo is the request body's field "echo", or the path if it has none.
+	// Echo is the field "echo" of the request body, or the path if there is none.
 	Echo string `json:"echo"`
 	Path string `json:"path"`
-	// Run counts the runs of this request ID, or of this key if there is one.
+	// Run is the number of runs so far of this idempotency key, or of this request
+	// ID if there is no key.
 	Run int `json:"run"`
 }
 
@@ -62,7 +64,7 @@
 	runs   Runs
 }
 
-// New returns a service without faults. A crash ends the process.
+// New returns a service without faults.
 func New() *Service {
 	return &Service{
 		exit: os.Exit,
@@ -73,13 +75,13 @@
 // Handler serves the service and its control paths.
 func (s *Service) Handler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc("/control", s.control).Methods(http.MethodPost)
-	router.HandleFunc("/control/runs", s.report).Methods(http.MethodGet)
-	router.PathPrefix("/").HandlerFunc(s.run)
+	router.HandleFunc("/control", s.handleControl).Methods(http.MethodPost)
+	router.HandleFunc("/control/runs", s.handleRuns).Methods(http.MethodGet)
+	router.PathPrefix("/").HandlerFunc(s.handleRequest)
 	return router
 }
 
-func (s *Service) control(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleControl(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.faults
@@ -94,16 +96,17 @@
 	writeJSON(w, http.StatusOK, next)
 }
 
-func (s *Service) report(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleRuns(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	runs := Runs{ByRequest: maps.Clone(s.runs.ByRequest), ByIdempotencyKey: maps.Clone(s.runs.ByIdempotencyKey), Total: s.runs.Total}
 	s.mu.Unlock()
 	writeJSON(w, http.StatusOK, runs)
 }
 
-// run reads the whole body first: a request that is cut off doesn't run.
-func (s *Service) run(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+// handleRequest reads the whole body before it counts the run: a request whose
+// body is truncated doesn't run.
+func (s *Service) handleRequest(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		http.Error(w, "body too large", http.StatusRequestEntityTooLarge)
@@ -112,8 +115,8 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	count, faults := s.count(r.Header)
-	// The log is the account that outlives a crash of the process.
+	count, faults := s.countRun(r.Header)
+	// Unlike the counts, the log survives a crash of the process.
 	slog.Info("run", "request", r.Header.Get(engine.HeaderRequestID))
 	if faults.CrashAfterRun {
 		s.exit(1)
@@ -126,10 +129,10 @@
 	if faults.ErrorStatus != 0 {
 		status = faults.ErrorStatus
 	}
-	writeJSON(w, status, Response{Echo: echo(body, r.URL.Path), Path: r.URL.Path, Run: count})
+	writeJSON(w, status, Response{Echo: echoField(body, r.URL.Path), Path: r.URL.Path, Run: count})
 }
 
-func (s *Service) count(header http.Header) (int, Faults) {
+func (s *Service) countRun(header http.Header) (int, Faults) {
 	id := header.Get(engine.HeaderRequestID)
 	key := header.Get(engine.HeaderIdempotencyKey)
 	s.mu.Lock()
@@ -143,7 +146,7 @@
 	return s.runs.ByIdempotencyKey[key], s.faults
 }
 
-func echo(body []byte, path string) string {
+func echoField(body []byte, path string) string {
 	var fields struct {
 		Echo string `json:"echo"`
 	}
