--- a/cmd/skylark-standin/engine.go
+++ b/cmd/skylark-standin/engine.go
@@ -12,7 +12,7 @@
 	"skylarklead/internal/standin/engine"
 )
 
-// engineCommand runs the model engine's stand-in.
+// engineCommand runs the stand-in for a model engine.
 func engineCommand() *cli.Command {
 	d := engine.DefaultSettings()
 	return &cli.Command{
@@ -21,24 +21,24 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`IP:PORT`"},
 			&cli.StringFlag{Name: "model", Value: "ledger-llm", Usage: "model loaded at the start"},
-			&cli.StringFlag{Name: "version", Value: "v1", Usage: "its weights version"},
+			&cli.StringFlag{Name: "version", Value: "v1", Usage: "weights version loaded at the start"},
 			&cli.StringFlag{Name: "role", Value: "mixed", Usage: "role at the start"},
-			&cli.StringFlag{Name: "platform", Usage: "`URL` of the weight store, empty for none"},
+			&cli.StringFlag{Name: "platform", Usage: "base `URL` of the weight store, empty for none"},
 			&cli.Float64Flag{Name: "prefill-tokens-per-second", Value: d.PrefillTokensPerSecond, Usage: "speed of prefill"},
-			&cli.Float64Flag{Name: "step-ms", Value: d.StepMs, Usage: "time of a decode step"},
-			&cli.Float64Flag{Name: "step-per-request-ms", Value: d.StepPerRequestMs, Usage: "more of it for each running request"},
+			&cli.Float64Flag{Name: "step-ms", Value: d.StepMs, Usage: "base time of a decode step"},
+			&cli.Float64Flag{Name: "step-per-request-ms", Value: d.StepPerRequestMs, Usage: "additional time of a decode step for each decoding request"},
 			&cli.IntFlag{Name: "prefill-chunk", Value: d.PrefillChunk, Usage: "prompt tokens prefilled in one step"},
 			&cli.IntFlag{Name: "max-batch", Value: d.MaxBatch, Usage: "requests running at once"},
 			&cli.IntFlag{Name: "cache-tokens", Value: d.CacheTokens, Usage: "KV memory, prefix cache and running requests together"},
-			&cli.Int64Flag{Name: "evict-after-ms", Value: d.EvictAfterMs, Usage: "evict blocks unused for so long, 0 for never"},
-			&cli.Int64Flag{Name: "resume-ms", Value: d.ResumeMs, Usage: "how long a stream goes on without a connection"},
-			&cli.Int64Flag{Name: "event-delay-ms", Value: d.EventDelayMs, Usage: "how late cache events come"},
-			&cli.Float64Flag{Name: "event-drop", Value: d.EventDrop, Usage: "share of cache events lost, 0 to 1"},
-			&cli.Int64Flag{Name: "load-lag-ms", Value: d.LoadLagMs, Usage: "how old load reports are"},
+			&cli.Int64Flag{Name: "evict-after-ms", Value: d.EvictAfterMs, Usage: "after how long to evict idle blocks, 0 for never"},
+			&cli.Int64Flag{Name: "resume-ms", Value: d.ResumeMs, Usage: "how long a stream continues without a connection"},
+			&cli.Int64Flag{Name: "event-delay-ms", Value: d.EventDelayMs, Usage: "delay of cache events"},
+			&cli.Float64Flag{Name: "event-drop", Value: d.EventDrop, Usage: "probability that a cache event is lost, 0 to 1"},
+			&cli.Int64Flag{Name: "load-lag-ms", Value: d.LoadLagMs, Usage: "age of load reports"},
 			&cli.BoolFlag{Name: "check-fencing", Usage: "refuse orders with an old fencing number"},
 			&cli.Int64Flag{Name: "load-ms", Value: d.LoadMs, Usage: "time to load weights once fetched"},
-			&cli.StringFlag{Name: "control", Usage: "any other settings, as `JSON` like a POST to /control"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of faults by chance"},
+			&cli.StringFlag{Name: "control", Usage: "other settings, as `JSON` in the format of POST /control"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of random faults"},
 		},
 		Action: runEngine,
 	}
--- a/cmd/skylark-standin/load.go
+++ b/cmd/skylark-standin/load.go
@@ -15,39 +15,39 @@
 )
 
 // exitFaults is the exit code of a run with a wrong, cut or missing answer, or
-// with requests that weren't sent.
+// with dropped requests.
 const exitFaults = 3
 
 // loadCommand runs the load generator.
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "load",
-		Usage:     "callers of several organisations, arriving by their own clock",
+		Usage:     "open-loop load of callers of several organisations",
 		ArgsUsage: "WORKLOAD-FILE",
-		Description: "Progress goes to stderr each second, a table to stdout at the end. The exit\n" +
-			"code is 3 if an answer was wrong, cut or missing.",
+		Description: "Writes progress to stderr each second and a table to stdout at the end. The exit\n" +
+			"code is 3 if an answer was wrong, cut or missing, or a request was dropped.",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: "print-records", Usage: "only print the workload's configuration records, one a line"},
-			&cli.StringSliceFlag{Name: "entry", Usage: "base `URL` of an entry, again for each"},
-			&cli.Float64Flag{Name: "rate", Usage: "arrivals a second in place of the workload's"},
+			&cli.BoolFlag{Name: "print-records", Usage: "only print the workload's configuration records, one per line"},
+			&cli.StringSliceFlag{Name: "entry", Usage: "base `URL` of an entry, repeatable"},
+			&cli.Float64Flag{Name: "rate", Usage: "arrivals per second, the workload's rate if 0"},
 			&cli.DurationFlag{Name: "duration", Value: 30 * time.Second, Usage: "how long requests arrive"},
-			&cli.DurationFlag{Name: "warmup", Usage: "how much of it is left out of the report"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of arrivals and prompts"},
-			&cli.StringFlag{Name: "label", Usage: "`TEXT` in request IDs and idempotency keys, another for each run before the same fleet"},
-			&cli.StringSliceFlag{Name: "only", Usage: "`ORGANISATION` or class that calls, again for each"},
-			&cli.DurationFlag{Name: "shift-at", Usage: "when popular texts change places"},
-			&cli.DurationFlag{Name: "change-at", Usage: "when each organisation's first charter gets a new text"},
-			&cli.StringFlag{Name: "burst", Usage: "`ORGANISATION` whose rate is multiplied"},
-			&cli.Float64Flag{Name: "burst-factor", Value: 10, Usage: "by what"},
-			&cli.DurationFlag{Name: "burst-from", Usage: "from when"},
-			&cli.DurationFlag{Name: "burst-until", Usage: "until when, the end if 0"},
-			&cli.DurationFlag{Name: "deadline", Usage: "how long callers of chats say that they will wait, the workload's word if 0"},
-			&cli.IntFlag{Name: "retry-after", Usage: "how often a request refused as not run is sent again when it may come back"},
-			&cli.DurationFlag{Name: "timeout", Value: time.Minute, Usage: "of one request"},
-			&cli.DurationFlag{Name: "goal", Value: 880 * time.Millisecond, Usage: "time to first token that counts into goodput"},
-			&cli.DurationFlag{Name: "health-every", Value: 200 * time.Millisecond, Usage: "how often entries are asked whether they are ready, 0 for never"},
+			&cli.DurationFlag{Name: "warmup", Usage: "initial part of the duration that is left out of the report"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of arrivals and prompts"},
+			&cli.StringFlag{Name: "label", Usage: "`TEXT` in request IDs and idempotency keys, different for each run against the same fleet"},
+			&cli.StringSliceFlag{Name: "only", Usage: "`ORGANISATION` or class that calls, repeatable, all if empty"},
+			&cli.DurationFlag{Name: "shift-at", Usage: "when the popularity of each organisation's texts is permuted, 0 for never"},
+			&cli.DurationFlag{Name: "change-at", Usage: "when each organisation's first charter gets a new text, 0 for never"},
+			&cli.StringFlag{Name: "burst", Usage: "`ORGANISATION` whose rate is multiplied during the burst"},
+			&cli.Float64Flag{Name: "burst-factor", Value: 10, Usage: "factor of the burst"},
+			&cli.DurationFlag{Name: "burst-from", Usage: "start of the burst"},
+			&cli.DurationFlag{Name: "burst-until", Usage: "end of the burst, the end of the run if 0"},
+			&cli.DurationFlag{Name: "deadline", Usage: "deadline that callers send with chat requests, the workload's if 0"},
+			&cli.IntFlag{Name: "retry-after", Usage: "how often a request refused as not run is retried after its retry-after time"},
+			&cli.DurationFlag{Name: "timeout", Value: time.Minute, Usage: "timeout of one request"},
+			&cli.DurationFlag{Name: "goal", Value: 880 * time.Millisecond, Usage: "time to first token up to which a chat counts towards goodput"},
+			&cli.DurationFlag{Name: "health-every", Value: 200 * time.Millisecond, Usage: "how often the readiness of entries is checked, 0 for never"},
 			&cli.StringFlag{Name: "json", Usage: "`FILE` for the report"},
-			&cli.StringFlag{Name: "trace", Usage: "`FILE` for each request's result, one JSON object a line"},
+			&cli.StringFlag{Name: "trace", Usage: "`FILE` for each request's result, one JSON object per line"},
 		},
 		Action: runLoad,
 	}
@@ -62,7 +62,7 @@
 		return printRecords(os.Stdout, w)
 	}
 	options := loadOptions(c)
-	closeTrace, err := trace(c.String("trace"), &options)
+	closeTrace, err := openTrace(c.String("trace"), &options)
 	if err != nil {
 		return err
 	}
@@ -106,8 +106,9 @@
 	return o
 }
 
-// trace sends results to a file; the function it returns closes it.
-func trace(file string, o *load.Options) (func() error, error) {
+// openTrace makes the run write each result to a file. The function that it
+// returns flushes and closes the file.
+func openTrace(file string, o *load.Options) (func() error, error) {
 	if file == "" {
 		return func() error { return nil }, nil
 	}
@@ -117,7 +118,7 @@
 	}
 	buffered := bufio.NewWriter(f)
 	encoder := json.NewEncoder(buffered)
-	// A failed write stays in the buffer's writer, and Flush returns it.
+	// The buffered writer keeps the error of a failed write, and Flush returns it.
 	o.OnResult = func(r load.Result) { _ = encoder.Encode(r) }
 	return func() error {
 		if err := buffered.Flush(); err != nil {
--- a/cmd/skylark-standin/main.go
+++ b/cmd/skylark-standin/main.go
@@ -1,4 +1,5 @@
-// Command skylark-standin stands in for what surrounds the daemons, in tests and
+// Command skylark-standin runs stand-ins for the systems around the daemons: the
+// platform, model engines, plain services and callers. It is for tests and
 // demonstrations only.
 package main
 
@@ -13,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// subcommands are what the program can stand in for.
+// subcommands has one command for each stand-in.
 var subcommands = []*cli.Command{
 	platformCommand(),
 	engineCommand(),
--- a/cmd/skylark-standin/platform.go
+++ b/cmd/skylark-standin/platform.go
@@ -17,7 +17,7 @@
 	"skylarklead/internal/standin/platform"
 )
 
-// platformCommand runs the platform's stand-in.
+// platformCommand runs the stand-in for the platform.
 func platformCommand() *cli.Command {
 	d := platform.DefaultControl()
 	return &cli.Command{
@@ -25,24 +25,24 @@
 		Usage: "append-only log, lagging instance list, weight store",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7000", Usage: "`IP:PORT`"},
-			&cli.StringFlag{Name: "instances", Usage: "`FILE` with the first instance list, shown at once"},
-			&cli.Float64Flag{Name: "appends-per-second", Value: d.AppendsPerSecond, Usage: "limit over all streams, 0 for none"},
-			&cli.IntFlag{Name: "append-burst", Value: d.AppendBurst, Usage: "appends above the limit at once"},
-			&cli.DurationFlag{Name: "retention", Usage: "how long a record is kept, 0 for ever"},
-			&cli.IntFlag{Name: "retention-count", Usage: "how many records a stream keeps, 0 for all"},
-			&cli.DurationFlag{Name: "slow", Usage: "pause before each effect and read"},
-			&cli.DurationFlag{Name: "slow-answer", Usage: "pause after the effect, before the answer"},
-			&cli.Float64Flag{Name: "lose-answers", Usage: "probability that an append's answer is lost after the effect"},
-			&cli.DurationFlag{Name: "lag", Value: ms(d.LagMS), Usage: "how far the instance list is behind"},
-			&cli.DurationFlag{Name: "weights", Value: ms(d.WeightsMS), Usage: "how long a fetch of weights takes"},
-			&cli.IntFlag{Name: "weights-bound", Value: d.WeightsBound, Usage: "fetches at full speed"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of faults by chance"},
+			&cli.StringFlag{Name: "instances", Usage: "`FILE` with the initial instance list, visible at once"},
+			&cli.Float64Flag{Name: "appends-per-second", Value: d.AppendsPerSecond, Usage: "rate limit of appends to all streams together, 0 for none"},
+			&cli.IntFlag{Name: "append-burst", Value: d.AppendBurst, Usage: "burst of the rate limit"},
+			&cli.DurationFlag{Name: "retention", Usage: "how long a record is kept, 0 for no limit"},
+			&cli.IntFlag{Name: "retention-count", Usage: "how many records a stream keeps, 0 for no limit"},
+			&cli.DurationFlag{Name: "slow", Usage: "delay before an append takes effect and before a read"},
+			&cli.DurationFlag{Name: "slow-answer", Usage: "delay of the response after an append has taken effect"},
+			&cli.Float64Flag{Name: "lose-answers", Usage: "probability that the response to an append is lost after it has taken effect"},
+			&cli.DurationFlag{Name: "lag", Value: milliseconds(d.LagMS), Usage: "delay after which a change is visible in the instance list"},
+			&cli.DurationFlag{Name: "weights", Value: milliseconds(d.WeightsMS), Usage: "how long a fetch of weights takes at full speed"},
+			&cli.IntFlag{Name: "weights-bound", Value: d.WeightsBound, Usage: "concurrent fetches of weights at full speed"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of random faults"},
 		},
 		Action: runPlatform,
 	}
 }
 
-func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 func runPlatform(ctx context.Context, c *cli.Command) error {
 	list, err := readInstances(c.String("instances"))
--- a/cmd/skylark-standin/service.go
+++ b/cmd/skylark-standin/service.go
@@ -8,7 +8,7 @@
 	"skylarklead/internal/standin/service"
 )
 
-// serviceCommand runs the plain service's stand-in.
+// serviceCommand runs the stand-in for a plain service.
 func serviceCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "service",
