--- a/cmd/skylark-measure/days.go
+++ b/cmd/skylark-measure/days.go
@@ -8,12 +8,12 @@
 	"skylarklead/internal/measure"
 )
 
-// days is the command that makes the table of played days.
-func days() *cli.Command {
+// daysCommand writes the table of played days.
+func daysCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "days",
-		Usage: "the newest score of each site in the journal, as a table",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "journal", Value: "journal", Usage: "`FOLDER` of the entries"}},
+		Usage: "write a table of the newest score of each site in the journal",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "journal", Value: "journal", Usage: "`FOLDER` of the journal's entries"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			return measure.PlayedDays(c.Root().Writer, c.String("journal"))
 		},
--- a/cmd/skylark-measure/idle.go
+++ b/cmd/skylark-measure/idle.go
@@ -11,18 +11,18 @@
 	"skylarklead/internal/measure"
 )
 
-// quietLoad is the load average up to which the figures of a run may be quoted.
+// quietLoad is the load average below which the results of a run may be quoted.
 const quietLoad = 3
 
-// idle measures what entry and endpoint process add to a request that waits for
-// no other.
-func idle() *cli.Command {
+// idleCommand measures the latency that entry and endpoint process add to a request
+// while there are no others.
+func idleCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "idle",
-		Usage: "measure the time that entry and endpoint process add on an idle path",
+		Usage: "measure the latency that entry and endpoint process add on an idle path",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "requests", Value: 400, Usage: "requests straight to the engine, and as many through"},
-			&cli.BoolFlag{Name: "keep", Usage: "leave settings and logs in the folder for temporary files"},
+			&cli.IntFlag{Name: "requests", Value: 400, Usage: "number of requests directly to the engine, and of requests through entry and endpoint"},
+			&cli.BoolFlag{Name: "keep", Usage: "keep settings and logs in the folder for temporary files"},
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "folder of the programs"},
 			&cli.StringFlag{Name: "out", Value: "docs/measurements", Usage: "folder of the results"},
 		},
@@ -44,7 +44,7 @@
 	return measure.SaveSlopes(c.String("out"), "idle", result)
 }
 
-func printIdle(r *measure.Idle) error {
+func printIdle(r *measure.IdleResult) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "first token, ms\tp50\tp95\tp99\t")
 	for _, row := range []struct {
--- a/cmd/skylark-measure/main.go
+++ b/cmd/skylark-measure/main.go
@@ -1,5 +1,5 @@
-// Command skylark-measure runs the deployments of the brief on this machine with
-// stand-ins and writes the table of measurements. Development only.
+// Command skylark-measure runs deployments on this machine with stand-ins and
+// writes tables of measurements. It is for development only.
 package main
 
 import (
@@ -31,26 +31,26 @@
 		Name:  "skylark-measure",
 		Usage: "measure routing policies with real processes on loopback",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "deployment", Usage: "`NAME`s; all if left out"},
-			&cli.StringSliceFlag{Name: "scenario", Usage: "`NAME`s; all if left out"},
-			&cli.StringSliceFlag{Name: "policy", Usage: "`NAME`s; all if left out"},
-			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "runs of each, of which the median is taken"},
-			&cli.DurationFlag{Name: "duration", Value: 30 * time.Second, Usage: "of each run's load"},
-			&cli.DurationFlag{Name: "warmup", Value: 8 * time.Second, Usage: "of it that isn't counted"},
-			&cli.IntFlag{Name: "at-once", Value: 1, Usage: "runs side by side; they share the machine"},
-			&cli.FloatFlag{Name: "transfer", Usage: "tokens a second that endpoints take an import of KV cache to move; 0 for none"},
-			&cli.BoolFlag{Name: "keep", Usage: "leave each run's settings and logs in the folder for temporary files"},
+			&cli.StringSliceFlag{Name: "deployment", Usage: "`NAME`s of deployments, all if empty"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "`NAME`s of scenarios, all if empty"},
+			&cli.StringSliceFlag{Name: "policy", Usage: "`NAME`s of policies, all if empty"},
+			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "number of runs of each, of which the median is taken"},
+			&cli.DurationFlag{Name: "duration", Value: 30 * time.Second, Usage: "duration of each run's load"},
+			&cli.DurationFlag{Name: "warmup", Value: 8 * time.Second, Usage: "initial part of the duration that isn't measured"},
+			&cli.IntFlag{Name: "at-once", Value: 1, Usage: "number of concurrent runs, which share the machine"},
+			&cli.FloatFlag{Name: "transfer", Usage: "KV cache transfer rate in tokens per second that endpoints assume for imports, 0 for no imports"},
+			&cli.BoolFlag{Name: "keep", Usage: "keep each run's settings and logs in the folder for temporary files"},
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "folder of the programs"},
-			&cli.BoolFlag{Name: "append", Usage: "add to the runs that the folder of the results has"},
+			&cli.BoolFlag{Name: "append", Usage: "add the runs to those in the folder of the results"},
 			&cli.StringFlag{Name: "out", Value: "docs/measurements", Usage: "folder of the results"},
 		},
-		Commands: []*cli.Command{slopes(), table(), idle(), days()},
+		Commands: []*cli.Command{slopesCommand(), tableCommand(), idleCommand(), daysCommand()},
 		Action:   run,
 	}
 }
 
-// job is one run to make.
-type job struct {
+// plannedRun is one run to be made.
+type plannedRun struct {
 	deployment measure.Deployment
 	scenario   measure.Scenario
 	policy     string
@@ -58,22 +58,22 @@
 }
 
 func run(ctx context.Context, c *cli.Command) error {
-	jobs, err := plan(c)
+	jobs, err := planRuns(c)
 	if err != nil {
 		return err
 	}
 	o := measure.Options{
 		Bin: c.String("bin"), Duration: c.Duration("duration"), Warmup: c.Duration("warmup"), Keep: c.Bool("keep"),
-		Transfer: c.Float("transfer"),
+		TransferTokensPerSecond: c.Float("transfer"),
 	}
-	var before []*measure.Run
+	var previous []*measure.Run
 	if c.Bool("append") {
-		if before, err = measure.LoadRuns(c.String("out")); err != nil {
+		if previous, err = measure.LoadRuns(c.String("out")); err != nil {
 			return err
 		}
 	}
 	runs, failed := runAll(ctx, jobs, o, max(1, c.Int("at-once")))
-	runs = append(before, runs...)
+	runs = append(previous, runs...)
 	if len(runs) > 0 {
 		if err := measure.Save(c.String("out"), runs); err != nil {
 			return err
@@ -88,46 +88,46 @@
 	return nil
 }
 
-func plan(c *cli.Command) ([]job, error) {
+func planRuns(c *cli.Command) ([]plannedRun, error) {
 	policies := c.StringSlice("policy")
 	if len(policies) == 0 {
 		policies = measure.Policies
 	}
-	wanted := func(flag, name string) bool {
+	selected := func(flag, name string) bool {
 		return len(c.StringSlice(flag)) == 0 || slices.Contains(c.StringSlice(flag), name)
 	}
-	var jobs []job
+	var jobs []plannedRun
 	for _, d := range measure.Deployments {
 		for _, s := range measure.Scenarios {
-			if !wanted("deployment", d.Name) || !wanted("scenario", s.Name) {
+			if !selected("deployment", d.Name) || !selected("scenario", s.Name) {
 				continue
 			}
 			for _, p := range policies {
 				for seed := range c.Int("seeds") {
-					jobs = append(jobs, job{d, s, p, uint64(seed + 1)})
+					jobs = append(jobs, plannedRun{d, s, p, uint64(seed + 1)})
 				}
 			}
 		}
 	}
 	if len(jobs) == 0 {
-		return nil, fmt.Errorf("no such deployment or scenario")
+		return nil, fmt.Errorf("no deployment and scenario with these names")
 	}
 	return jobs, nil
 }
 
-// runAll makes the runs, some side by side, and returns those that succeeded in
-// the order of jobs.
-func runAll(ctx context.Context, jobs []job, o measure.Options, atOnce int) (runs []*measure.Run, failed int) {
+// runAll makes the runs, up to concurrency at the same time. It returns those that
+// succeeded, in the order of jobs, and how many failed.
+func runAll(ctx context.Context, jobs []plannedRun, o measure.Options, concurrency int) (runs []*measure.Run, failed int) {
 	results := make([]*measure.Run, len(jobs))
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, concurrency)
 	var wg sync.WaitGroup
-	for i, j := range jobs {
+	for i, job := range jobs {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			r, err := measure.Measure(ctx, j.deployment, j.scenario, j.policy, j.seed, o)
+			r, err := measure.MeasureScenario(ctx, job.deployment, job.scenario, job.policy, job.seed, o)
 			if err != nil {
-				fmt.Fprintf(os.Stderr, "%s %s %s seed %d: %v\n", j.deployment.Name, j.scenario.Name, j.policy, j.seed, err)
+				fmt.Fprintf(os.Stderr, "%s %s %s seed %d: %v\n", job.deployment.Name, job.scenario.Name, job.policy, job.seed, err)
 				return
 			}
 			fmt.Fprintf(os.Stderr, "%s %s %s seed %d: hit %.1f%% wasted %d of %d, small p99 %.0f ms, all p99 %.0f ms, %v, imports %v\n",
--- a/cmd/skylark-measure/slopes.go
+++ b/cmd/skylark-measure/slopes.go
@@ -13,23 +13,23 @@
 	"skylarklead/internal/measure"
 )
 
-// slopes are the figures that docs/CAPACITY.md is worked out from.
-func slopes() *cli.Command {
+// slopesCommand measures the slopes from which docs/CAPACITY.md is derived.
+func slopesCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "slopes",
-		Usage:     "measure how a daemon's use grows with one thing at a time",
+		Usage:     "measure how a daemon's resource usage grows with one quantity at a time",
 		ArgsUsage: "group|request|stream|token|configuration|platform|claims|start|session|spread ...",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: "sizes", Value: []int{3, 6, 9, 16, 32}, Usage: "members of a group"},
-			&cli.IntSliceFlag{Name: "sessions", Value: []int{50, 100, 200, 400}, Usage: "sessions to one daemon"},
-			&cli.IntSliceFlag{Name: "streams", Value: []int{8, 16, 33, 66}, Usage: "streams of one engine"},
-			&cli.IntSliceFlag{Name: "daemons", Value: []int{10, 30, 100, 300}, Usage: "daemons that a change spreads over"},
-			&cli.FloatFlag{Name: "rate", Value: 2.2, Usage: "requests a second for each member"},
+			&cli.IntSliceFlag{Name: "sizes", Value: []int{3, 6, 9, 16, 32}, Usage: "numbers of members of a group"},
+			&cli.IntSliceFlag{Name: "sessions", Value: []int{50, 100, 200, 400}, Usage: "numbers of sessions to one daemon"},
+			&cli.IntSliceFlag{Name: "streams", Value: []int{8, 16, 33, 66}, Usage: "numbers of concurrent streams of one engine"},
+			&cli.IntSliceFlag{Name: "daemons", Value: []int{10, 30, 100, 300}, Usage: "numbers of daemons to which a change is propagated"},
+			&cli.FloatFlag{Name: "rate", Value: 2.2, Usage: "requests per second for each member"},
 			&cli.IntFlag{Name: "repeats", Value: 2, Usage: "how often each point is measured"},
 			&cli.DurationFlag{Name: "window", Value: 20 * time.Second, Usage: "how long each point is measured"},
-			&cli.DurationFlag{Name: "warmup", Value: 5 * time.Second, Usage: "how long it runs before"},
-			&cli.StringFlag{Name: "lock", Usage: "`FILE` to lock during each point, so that measurements take turns"},
-			&cli.BoolFlag{Name: "keep", Usage: "leave settings and logs in the folder for temporary files"},
+			&cli.DurationFlag{Name: "warmup", Value: 5 * time.Second, Usage: "how long each point runs before it is measured"},
+			&cli.StringFlag{Name: "lock", Usage: "`FILE` to lock during each point, so that concurrent processes don't measure at the same time"},
+			&cli.BoolFlag{Name: "keep", Usage: "keep settings and logs in the folder for temporary files"},
 			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "folder of the programs"},
 			&cli.StringFlag{Name: "out", Value: "docs/capacity", Usage: "folder of the results"},
 		},
@@ -37,11 +37,11 @@
 	}
 }
 
-// table writes what docs/CAPACITY.md quotes.
-func table() *cli.Command {
+// tableCommand writes the table that docs/CAPACITY.md quotes.
+func tableCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "table",
-		Usage: "fit the slopes that were measured and write them to table.md",
+		Usage: "fit lines to the measured points and write them to table.md",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "out", Value: "docs/capacity", Usage: "folder of the results"},
 		},
@@ -54,7 +54,7 @@
 		Bin: c.String("bin"), Window: c.Duration("window"), Warmup: c.Duration("warmup"), Keep: c.Bool("keep"), Lock: c.String("lock"),
 	}
 	repeats, progress := c.Int("repeats"), os.Stderr
-	kinds := map[string]func() (any, error){
+	measurements := map[string]func() (any, error){
 		"group": func() (any, error) {
 			return measure.GroupSlopes(ctx, c.IntSlice("sizes"), c.Float("rate"), repeats, progress, o)
 		},
@@ -62,7 +62,7 @@
 		"stream":        func() (any, error) { return measure.StreamSlopes(ctx, repeats, progress, o) },
 		"configuration": func() (any, error) { return measure.ConfigurationSlopes(ctx, progress, o) },
 		"token":         func() (any, error) { return measure.TokenSlopes(ctx, c.IntSlice("streams"), progress, o) },
-		"spread":        func() (any, error) { return measure.SpreadSlopes(ctx, c.IntSlice("daemons"), progress, o) },
+		"spread":        func() (any, error) { return measure.PropagationSlopes(ctx, c.IntSlice("daemons"), progress, o) },
 		"platform":      func() (any, error) { return measure.PlatformSlopes(ctx, progress, o) },
 		"claims":        func() (any, error) { return measure.ClaimSlopes(ctx, progress, o) },
 		"start":         func() (any, error) { return measure.StartSlopes(ctx, progress, o) },
@@ -70,16 +70,16 @@
 	}
 	args := c.Args().Slice()
 	if len(args) == 0 {
-		return fmt.Errorf("which slopes: %s", c.ArgsUsage)
+		return fmt.Errorf("no slopes named, want any of %s", c.ArgsUsage)
 	}
 	for _, kind := range args {
-		if kinds[kind] == nil {
-			return fmt.Errorf("no slopes of %q, only %s", kind, c.ArgsUsage)
+		if measurements[kind] == nil {
+			return fmt.Errorf("unknown slopes %q, want any of %s", kind, c.ArgsUsage)
 		}
 	}
 	for _, kind := range slices.Compact(args) {
-		// Points that were measured before a failure are saved too.
-		points, err := kinds[kind]()
+		// Points measured before a failure are saved too.
+		points, err := measurements[kind]()
 		if err := errors.Join(err, measure.SaveSlopes(c.String("out"), kind, points)); err != nil {
 			return fmt.Errorf("slopes of %s: %w", kind, err)
 		}
--- a/internal/measure/crossing.go
+++ b/internal/measure/crossing.go
@@ -11,30 +11,30 @@
 	"skylarklead/internal/platform"
 )
 
-// crossing gives each failure domain its own view of the instance list, in which
-// the addresses of instances of other domains lead through proxies that delay
-// every byte by the time of a crossing.
-type crossing struct {
-	delay time.Duration
-	list  string
+// latencyProxies emulates the latency between failure domains. It serves each
+// domain its own instance list, in which the addresses of instances of other
+// domains are those of proxies that delay all traffic by the one-way latency.
+type latencyProxies struct {
+	delay   time.Duration
+	listURL string
 
 	mu      sync.Mutex
 	proxies map[string]*faultproxy.Proxy // by address
 	servers []*http.Server
 }
 
-func newCrossing(list string, delay time.Duration) *crossing {
-	return &crossing{delay: delay, list: list, proxies: map[string]*faultproxy.Proxy{}}
+func newLatencyProxies(listURL string, delay time.Duration) *latencyProxies {
+	return &latencyProxies{delay: delay, listURL: listURL, proxies: map[string]*faultproxy.Proxy{}}
 }
 
-// view serves the instance list as seen from domain and returns its base URL.
-func (c *crossing) view(domain string) (string, error) {
+// serveView serves the instance list as seen from domain and returns its base URL.
+func (c *latencyProxies) serveView(domain string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{
-		Handler:           http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { c.serve(w, domain) }),
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { c.serveList(w, domain) }),
 		ReadHeaderTimeout: httpTimeout,
 	}
 	go server.Serve(l)
@@ -44,9 +44,9 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-func (c *crossing) serve(w http.ResponseWriter, domain string) {
+func (c *latencyProxies) serveList(w http.ResponseWriter, domain string) {
 	var list platform.InstanceList
-	if err := getJSON(c.list+"/v1/instances", &list); err != nil {
+	if err := getJSON(c.listURL+"/v1/instances", &list); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -63,11 +63,11 @@
 		instance.Address = p.Address()
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(list) // the reader has gone
+	_ = json.NewEncoder(w).Encode(list) // fails only if the reader has disconnected
 }
 
-// proxy returns the delaying way to address.
-func (c *crossing) proxy(address string) (*faultproxy.Proxy, error) {
+// proxy returns the delaying proxy for address, and starts it at the first call.
+func (c *latencyProxies) proxy(address string) (*faultproxy.Proxy, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.proxies[address]; p != nil {
@@ -83,7 +83,7 @@
 	return p, nil
 }
 
-func (c *crossing) close() {
+func (c *latencyProxies) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.servers {
--- a/internal/measure/days.go
+++ b/internal/measure/days.go
@@ -16,7 +16,8 @@
 // ErrJournal is wrapped by errors about journal entries that can't be read.
 var ErrJournal = errors.New("measure: journal")
 
-// playedRun is one entry of the journal of played days.
+// playedRun is one entry of the journal of played days. Only finished runs with the
+// command "score" have a score.
 type playedRun struct {
 	ID    string      `json:"id"`
 	At    []string    `json:"at"`
@@ -30,21 +31,21 @@
 
 type playedDay struct {
 	Name string `json:"name"`
-	// G is the day's worth, less prices.
-	G       float64        `json:"G"`
+	// Worth is the value of the day after deducting Prices.
+	Worth   float64        `json:"G"`
 	Served  float64        `json:"served"`
 	Refused float64        `json:"refused"`
 	Failed  float64        `json:"failed"`
 	Rules   map[string]int `json:"rules"`
-	// Prices are rows of name, amount and what it takes off the worth.
+	// Prices are rows of name, amount and cost, which is deducted from the worth.
 	Prices [][]any `json:"prices"`
 }
 
-// PlayedDays writes a table of the newest whole score of each site in a journal's
-// folder: rules broken, worth, what was served, and the three largest prices of
-// each day.
+// PlayedDays writes a table of the newest successful score of each site in a
+// journal's folder. It has the broken rules, worth, shares served, refused and
+// failed, and the three largest prices of each day.
 func PlayedDays(w io.Writer, folder string) error {
-	runs, err := newestScores(folder)
+	runs, err := newestRuns(folder)
 	if err != nil {
 		return err
 	}
@@ -55,19 +56,19 @@
 		fmt.Fprintln(w, "|---|---|---|---|---|---|---|")
 		for _, d := range r.Days {
 			fmt.Fprintf(w, "| %s | %s | %.3f | %.3f | %.3f | %.3f | %s |\n",
-				d.Name, d.rules(), d.G, d.Served, d.Refused, d.Failed, d.largest(3))
+				d.Name, d.brokenRules(), d.Worth, d.Served, d.Refused, d.Failed, d.largestPrices(3))
 		}
 	}
 	return nil
 }
 
-// newestScores returns the newest finished score of each site.
-func newestScores(folder string) (map[string]*playedRun, error) {
+// newestRuns returns the newest successful run of each site that has a score.
+func newestRuns(folder string) (map[string]*playedRun, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrJournal, err)
 	}
-	slices.Sort(paths) // names begin with the time
+	slices.Sort(paths) // file names begin with the time
 	newest := make(map[string]*playedRun)
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
@@ -85,7 +86,7 @@
 	return newest, nil
 }
 
-func (d *playedDay) rules() string {
+func (d *playedDay) brokenRules() string {
 	if len(d.Rules) == 0 {
 		return "none"
 	}
@@ -96,8 +97,8 @@
 	return strings.Join(list, ", ")
 }
 
-// largest lists the prices that take most off the day's worth.
-func (d *playedDay) largest(n int) string {
+// largestPrices lists the n prices with the highest cost.
+func (d *playedDay) largestPrices(n int) string {
 	type price struct {
 		name string
 		cost float64
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -16,56 +16,57 @@
 	"skylarklead/internal/standin/load"
 )
 
-// fleetKey is good for measurements only.
+// fleetKey is the fleet key, for measurements only.
 const fleetKey = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
-// weightsVersion is what the engines have loaded at the start.
+// weightsVersion is the version that the engines have loaded at the start.
 const weightsVersion = "v1"
 
-// FleetOptions say how a deployment is run.
+// FleetOptions configure how a deployment is run.
 type FleetOptions struct {
-	// Bin is the folder of the programs, Dir where settings and logs go.
+	// Bin is the folder of the programs, Dir that of settings files and logs.
 	Bin, Dir string
 	Policy   string
-	// Engine are settings of the stand-in engines, in the form of POST /control.
+	// Engine has settings of the stand-in engines, in the format of POST /control.
 	Engine map[string]any
-	// Transfer is the endpoints' TransferTokensPerSecond.
-	Transfer float64
-	// Prepare, if set, is called once the platform has the workload's records and
-	// before the first daemon starts.
+	// TransferTokensPerSecond is the setting of the endpoints of that name.
+	TransferTokensPerSecond float64
+	// Prepare, if set, is called after the workload's records are published and
+	// before the first daemon is started.
 	Prepare func(ctx context.Context, f *Fleet) error
-	// Settings, if set, changes each daemon's settings before its start.
+	// Settings, if set, changes each daemon's settings before it is started.
 	Settings func(*settings.Settings)
 }
 
-// node is a daemon, with its back end if it is an endpoint.
+// node is a daemon and, if it is an endpoint, its back end.
 type node struct {
 	id      string
 	daemon  *process
 	backend *process
-	// address is the back end's; metrics the daemon's metrics page.
-	address, metrics string
-	settings         *settings.Settings
+	// address is the address of the back end, metricsURL the base URL of the
+	// daemon's metrics page.
+	address, metricsURL string
+	settings            *settings.Settings
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
-	deployment Deployment
-	options    FleetOptions
-	platform   *process
-	base       string // the platform's URL
-	crossing   *crossing
-	views      map[string]string
-	Engines    []*node
-	Services   []*node
-	Entries    []*node
-	started    []*process
+	deployment  Deployment
+	options     FleetOptions
+	platform    *process
+	platformURL string
+	latency     *latencyProxies
+	listURLs    map[string]string
+	Engines     []*node
+	Services    []*node
+	Entries     []*node
+	processes   []*process
 }
 
 // StartFleet starts a deployment with the records of a workload, and waits until
-// it serves.
+// it is ready to serve.
 func StartFleet(ctx context.Context, d Deployment, w load.Workload, o FleetOptions) (*Fleet, error) {
-	f := &Fleet{deployment: d, options: o, views: map[string]string{}}
+	f := &Fleet{deployment: d, options: o, listURLs: map[string]string{}}
 	if err := f.startAll(ctx, w); err != nil {
 		f.Close()
 		return nil, err
@@ -114,18 +115,18 @@
 	if err != nil {
 		return err
 	}
-	f.platform, err = f.spawn("skylark-standin", "platform", "platform", "--listen", address, "--lag", "0s",
-		"--weights-bound", strconv.Itoa(f.deployment.LoadsAtOnce))
+	f.platform, err = f.startProcess("skylark-standin", "platform", "platform", "--listen", address, "--lag", "0s",
+		"--weights-bound", strconv.Itoa(f.deployment.ConcurrentLoads))
 	if err != nil {
 		return err
 	}
-	f.base = "http://" + address
-	if err := await(ctx, "the platform", func() bool { return listens(address) }); err != nil {
+	f.platformURL = "http://" + address
+	if err := waitUntil(ctx, "the platform", func() bool { return isListening(address) }); err != nil {
 		return err
 	}
-	f.crossing = newCrossing(f.base, f.deployment.Crossing)
+	f.latency = newLatencyProxies(f.platformURL, f.deployment.DomainLatency)
 	for _, domain := range f.deployment.Domains {
-		if f.views[domain], err = f.crossing.view(domain); err != nil {
+		if f.listURLs[domain], err = f.latency.serveView(domain); err != nil {
 			return fmt.Errorf("measure: view of %s: %w", domain, err)
 		}
 	}
@@ -137,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	log := platform.NewLog(f.base)
+	log := platform.NewLog(f.platformURL)
 	defer log.Close()
 	for _, r := range records {
 		data, err := json.Marshal(r)
@@ -166,9 +167,9 @@
 			return nil, fmt.Errorf("measure: engine settings: %w", err)
 		}
 		args = append(args, "--model", f.deployment.Model, "--version", weightsVersion,
-			"--platform", f.base, "--control", string(control), "--seed", strconv.Itoa(i+1))
+			"--platform", f.platformURL, "--control", string(control), "--seed", strconv.Itoa(i+1))
 	}
-	if n.backend, err = f.spawn("skylark-standin", kind+"-"+n.id, args...); err != nil {
+	if n.backend, err = f.startProcess("skylark-standin", kind+"-"+n.id, args...); err != nil {
 		return nil, err
 	}
 	n.settings.Endpoint = &settings.Endpoint{
@@ -182,7 +183,7 @@
 		PrefillTokensPerSecond: settings.DefaultPrefillRate,
 		DecodeTokenTime:        settings.DefaultDecodeTime,
 
-		TransferTokensPerSecond: f.options.Transfer,
+		TransferTokensPerSecond: f.options.TransferTokensPerSecond,
 		TransferWait:            settings.DefaultTransferWait,
 
 		CacheTokens:  settings.DefaultCacheTokens,
@@ -223,7 +224,7 @@
 		return nil, err
 	}
 	domain := f.deployment.Domains[i%len(f.deployment.Domains)]
-	return &node{id: id, metrics: "http://" + metrics, settings: &settings.Settings{
+	return &node{id: id, metricsURL: "http://" + metrics, settings: &settings.Settings{
 		ID:            id,
 		Role:          role,
 		FailureDomain: domain,
@@ -233,8 +234,8 @@
 		FleetKey:      fleetKey,
 		LogLevel:      "warn",
 		Platform: settings.Platform{
-			Log:       f.base,
-			Instances: f.views[domain],
+			Log:       f.platformURL,
+			Instances: f.listURLs[domain],
 			Retention: settings.DefaultRetention,
 		},
 	}}, nil
@@ -255,7 +256,7 @@
 	if err := f.register(n, group); err != nil {
 		return err
 	}
-	n.daemon, err = f.spawn("skylarkd", n.id, "--config", file)
+	n.daemon, err = f.startProcess("skylarkd", n.id, "--config", file)
 	return err
 }
 
@@ -267,14 +268,14 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, f.base+"/control/instances/"+n.id, bytes.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, f.platformURL+"/control/instances/"+n.id, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	return do(req)
+	return doRequest(req)
 }
 
-// Control posts faults to a back end or to the platform.
+// Control posts faults to the control endpoint of a back end or the platform.
 func (f *Fleet) Control(base string, faults map[string]any) error {
 	body, err := json.Marshal(faults)
 	if err != nil {
@@ -284,10 +285,10 @@
 	if err != nil {
 		return err
 	}
-	return do(req)
+	return doRequest(req)
 }
 
-func do(req *http.Request) error {
+func doRequest(req *http.Request) error {
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
 	if err != nil {
@@ -302,17 +303,18 @@
 
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	for _, n := range append(append([]*node{}, f.Engines...), f.Services...) {
-		if err := await(ctx, n.id, func() bool { return listens(n.settings.Listen) }); err != nil {
+		if err := waitUntil(ctx, n.id, func() bool { return isListening(n.settings.Listen) }); err != nil {
 			return err
 		}
 	}
 	for _, n := range f.Entries {
 		url := "http://" + n.settings.Entry.Listen + "/readyz"
-		if err := await(ctx, n.id, func() bool { return isOK(url) }); err != nil {
+		if err := waitUntil(ctx, n.id, func() bool { return respondsOK(url) }); err != nil {
 			return err
 		}
 	}
-	// A heartbeat interval or two more, so that each group knows itself.
+	// Two more heartbeat intervals, so that the members of each group discover one
+	// another.
 	select {
 	case <-time.After(2 * settings.DefaultHeartbeat.D()):
 		return nil
@@ -321,7 +323,7 @@
 	}
 }
 
-func isOK(url string) bool {
+func respondsOK(url string) bool {
 	resp, err := client.Get(url)
 	if err != nil {
 		return false
@@ -330,15 +332,15 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (f *Fleet) spawn(program, name string, args ...string) (*process, error) {
-	p, err := spawn(filepath.Join(f.options.Bin, program), f.options.Dir, name, args...)
+func (f *Fleet) startProcess(program, name string, args ...string) (*process, error) {
+	p, err := startProcess(filepath.Join(f.options.Bin, program), f.options.Dir, name, args...)
 	if err == nil {
-		f.started = append(f.started, p)
+		f.processes = append(f.processes, p)
 	}
 	return p, err
 }
 
-// EntryURLs are the callers' base URLs.
+// EntryURLs returns the base URLs that callers use.
 func (f *Fleet) EntryURLs() []string {
 	urls := make([]string, len(f.Entries))
 	for i, n := range f.Entries {
@@ -347,19 +349,19 @@
 	return urls
 }
 
-// daemons returns all daemons.
+// daemons returns all daemons: engines' endpoints, services' endpoints, entries.
 func (f *Fleet) daemons() []*node {
 	all := append([]*node{}, f.Engines...)
 	all = append(all, f.Services...)
 	return append(all, f.Entries...)
 }
 
-// Close stops everything, the daemons first.
+// Close stops all processes in the reverse order of their start, and the proxies.
 func (f *Fleet) Close() {
-	for i := len(f.started) - 1; i >= 0; i-- {
-		f.started[i].kill()
+	for i := len(f.processes) - 1; i >= 0; i-- {
+		f.processes[i].kill()
 	}
-	if f.crossing != nil {
-		f.crossing.close()
+	if f.latency != nil {
+		f.latency.closeAll()
 	}
 }
--- a/internal/measure/idle.go
+++ b/internal/measure/idle.go
@@ -19,56 +19,59 @@
 )
 
 const (
-	// idleWarmup is how many pairs are sent before those that count.
+	// idleWarmup is how many pairs are sent before those that are measured.
 	idleWarmup = 20
 	idleTokens = 4
 	idleStepMs = 1
 )
 
-// IdleOptions say how the idle path is measured.
+// IdleOptions configure MeasureIdle.
 type IdleOptions struct {
 	// Bin is the folder of the programs.
 	Bin string
-	// Requests is how many are sent each way.
+	// Requests is how many requests are sent on each path.
 	Requests int
 	Keep     bool
 }
 
-// Quantiles of times in milliseconds.
+// Quantiles has quantiles of times in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// Idle is the time to the first token of one warm prompt, one request at a time,
-// straight from the engine and through entry and endpoint process.
-type Idle struct {
+// IdleResult has the time to first token of a cached prompt, with one request at
+// a time: Straight for requests sent directly to the engine, Through for those
+// sent through an entry and an endpoint process.
+type IdleResult struct {
 	Requests int `json:"requests"`
-	// PromptTokens of each request, CachedTokens of them from the engine's cache.
+	// PromptTokens is the prompt length of each request, CachedTokens how many of
+	// them were in the engine's cache.
 	PromptTokens int       `json:"prompt_tokens"`
 	CachedTokens int       `json:"cached_tokens"`
 	Straight     Quantiles `json:"straight"`
 	Through      Quantiles `json:"through"`
-	// Added is of the differences within each pair of neighbouring requests.
+	// Added has the quantiles of the difference within each pair of consecutive
+	// requests, one on each path.
 	Added Quantiles `json:"added"`
 	// LoadBefore and LoadAfter are the machine's load average over one minute.
 	LoadBefore float64 `json:"load_average_before"`
 	LoadAfter  float64 `json:"load_average_after"`
 }
 
-// MeasureIdle starts one engine, endpoint process and entry, without delays
-// between them, and sends requests either way in turn.
-func MeasureIdle(ctx context.Context, o IdleOptions) (*Idle, error) {
+// MeasureIdle starts one engine, one endpoint process and one entry, without
+// emulated latency, and sends pairs of requests, one on each path.
+func MeasureIdle(ctx context.Context, o IdleOptions) (*IdleResult, error) {
 	dir, remove, err := tempDir(o.Keep)
 	if err != nil {
 		return nil, err
 	}
 	defer remove()
 	s := slopeFleet{members: 1, entries: 1, answerTokens: idleTokens, stepMs: idleStepMs}
-	result := &Idle{Requests: o.Requests, LoadBefore: loadAverage()}
+	result := &IdleResult{Requests: o.Requests, LoadBefore: loadAverage()}
 	f, err := StartFleet(ctx, s.deployment(), s.workload(), FleetOptions{
-		Bin: o.Bin, Dir: dir, Policy: PolicyOwner, Engine: s.engine(),
+		Bin: o.Bin, Dir: dir, Policy: PolicyOwner, Engine: s.engineSettings(),
 	})
 	if err != nil {
 		return nil, err
@@ -81,10 +84,10 @@
 	return result, nil
 }
 
-func (r *Idle) measure(ctx context.Context, p idlePaths) error {
+func (r *IdleResult) measure(ctx context.Context, p idlePaths) error {
 	var straight, through, added []float64
 	for i := range idleWarmup + r.Requests {
-		pair, err := p.pair(ctx, i)
+		pair, err := p.sendPair(ctx, i)
 		if err != nil {
 			return fmt.Errorf("measure: idle request %d: %w", i, err)
 		}
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// idlePaths are the two ways to the engine.
+// idlePaths has the two paths to the engine and the prompt to send.
 type idlePaths struct {
 	engine, entry string
 	salt          string
@@ -123,21 +126,21 @@
 	return p
 }
 
-// idlePair is one request each way.
+// idlePair has the answers to one request on each path.
 type idlePair struct{ straight, through timedAnswer }
 
-// pair sends the two in turns of order, so that neither always finds the caches
-// of processor and engine as the other has left them.
-func (p idlePaths) pair(ctx context.Context, i int) (pair idlePair, err error) {
-	ways := []func() error{
+// sendPair sends one request on each path. The order alternates, so that neither
+// path always runs with the processor's and engine's caches warmed by the other.
+func (p idlePaths) sendPair(ctx context.Context, i int) (pair idlePair, err error) {
+	sends := []func() error{
 		func() (err error) { pair.straight, err = p.straight(ctx, i); return err },
 		func() (err error) { pair.through, err = p.through(ctx, i); return err },
 	}
 	if i%2 == 1 {
-		slices.Reverse(ways)
+		slices.Reverse(sends)
 	}
-	for _, way := range ways {
-		if err := way(); err != nil {
+	for _, send := range sends {
+		if err := send(); err != nil {
 			return pair, err
 		}
 	}
@@ -161,8 +164,8 @@
 	}
 }
 
-// send makes one request and checks its answer, for the time of a wrong one means
-// nothing.
+// send sends one request and checks its answer, since the latency of a wrong
+// answer is meaningless.
 func (p idlePaths) send(ctx context.Context, base string, header http.Header, body engine.Completion) (timedAnswer, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -186,7 +189,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// quantilesOf takes the nearest rank.
+// quantilesOf computes quantiles by the nearest-rank method.
 func quantilesOf(values []float64) Quantiles {
 	sorted := slices.Sorted(slices.Values(values))
 	rank := func(q float64) float64 {
@@ -198,7 +201,8 @@
 	return Quantiles{P50: rank(0.5), P95: rank(0.95), P99: rank(0.99)}
 }
 
-// loadAverage is the machine's over the last minute, -1 if it can't be read.
+// loadAverage returns the machine's load average over the last minute, -1 if it
+// can't be read.
 func loadAverage() float64 {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/measure/idle_answer.go
+++ b/internal/measure/idle_answer.go
@@ -12,21 +12,21 @@
 	"skylarklead/internal/engine"
 )
 
-// timedAnswer is a streamed answer and the time from the request to its first text.
+// timedAnswer is a streamed answer with times since the start of the request.
 type timedAnswer struct {
 	firstToken time.Duration
-	// arrivals are the times of all pieces of text.
+	// arrivals has the time of each event with text.
 	arrivals []time.Duration
 	text     string
 	usage    engine.Usage
 }
 
-var errNoEnd = errors.New("measure: stream without its end")
+var errNoEnd = errors.New("measure: stream ended without [DONE]")
 
-// timeAnswer makes a request and reads its stream to the end, so that its
-// connection can be used again.
+// timeAnswer sends a request and reads its stream to the end, so that the
+// connection can be reused.
 func timeAnswer(req *http.Request) (got timedAnswer, err error) {
-	began := time.Now()
+	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
 		return got, fmt.Errorf("measure: %w", err)
@@ -44,7 +44,7 @@
 		case data == "[DONE]":
 			ended = true
 		default:
-			if err := got.take(data, began); err != nil {
+			if err := got.addEvent(data, start); err != nil {
 				return got, err
 			}
 		}
@@ -58,7 +58,7 @@
 	return got, nil
 }
 
-func (a *timedAnswer) take(data string, began time.Time) error {
+func (a *timedAnswer) addEvent(data string, start time.Time) error {
 	var chunk engine.CompletionChunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 		return fmt.Errorf("measure: event: %w", err)
@@ -68,7 +68,7 @@
 	}
 	for _, choice := range chunk.Choices {
 		if choice.Delta.Content != "" {
-			a.arrivals = append(a.arrivals, time.Since(began))
+			a.arrivals = append(a.arrivals, time.Since(start))
 			a.firstToken = a.arrivals[0]
 		}
 		a.text += choice.Delta.Content
--- a/internal/measure/journal.go
+++ b/internal/measure/journal.go
@@ -11,23 +11,24 @@
 	"skylarklead/internal/standin/engine"
 )
 
-// Waste is what the engines' journals tell of a run, in tokens. Only whole
-// cache blocks are counted.
+// Waste counts tokens that were computed more than once, by the engines' journals.
+// Only whole cache blocks are counted.
 type Waste struct {
-	// Recomputed were computed while some other engine of the group held them.
+	// Recomputed counts tokens computed while another engine of the group had them
+	// in its cache.
 	Recomputed int
-	// Again were computed before by any engine: Recomputed, and what had been
-	// evicted or lost everywhere.
-	Again int
+	// Repeated counts tokens that any engine had computed before: those of
+	// Recomputed, and those that were evicted or lost by all engines meanwhile.
+	Repeated int
 }
 
-// change is a journal entry with its engine's index.
-type change struct {
+// engineChange is a journal entry with its engine's index.
+type engineChange struct {
 	engine.JournalEntry
 	engine int
 }
 
-// readJournal reads an engine's journal.
+// readJournal reads the journal of the stand-in engine at a base URL.
 func readJournal(base string) ([]engine.JournalEntry, error) {
 	resp, err := client.Get(base + "/control/journal")
 	if err != nil {
@@ -48,12 +49,13 @@
 	}
 }
 
-// tally replays the journals in the order of time and counts waste from a point
-// in time on. The engines are at most 64.
-func tally(journals [][]engine.JournalEntry, fromUs int64) Waste {
-	var w Waste
+// countWaste replays the journals in order of time and counts the waste from
+// fromUs on, in microseconds of wall-clock time. It supports at most 64 engines,
+// since it represents the set of engines that hold a block as a 64-bit mask.
+func countWaste(journals [][]engine.JournalEntry, fromUs int64) Waste {
+	var waste Waste
 	holders := map[prefix.Hash]uint64{}
-	for _, c := range merge(journals) {
+	for _, c := range mergeByTime(journals) {
 		bit := uint64(1) << c.engine
 		if c.Kind == engine.JournalCleared {
 			for h := range holders {
@@ -62,36 +64,36 @@
 			continue
 		}
 		for _, h := range c.Hashes {
-			held, known := holders[h]
+			holderBits, known := holders[h]
 			if c.Kind == engine.JournalRemoved {
-				holders[h] = held &^ bit
+				holders[h] = holderBits &^ bit
 				continue
 			}
 			if c.Kind == engine.JournalComputed && c.TimeUs >= fromUs {
-				w.count(known, held&^bit != 0)
+				waste.add(known, holderBits&^bit != 0)
 			}
-			holders[h] = held | bit
+			holders[h] = holderBits | bit
 		}
 	}
-	return w
+	return waste
 }
 
-func (w *Waste) count(known, held bool) {
+func (w *Waste) add(known, held bool) {
 	if known {
-		w.Again += prefix.BlockTokens
+		w.Repeated += prefix.BlockTokens
 	}
 	if held {
 		w.Recomputed += prefix.BlockTokens
 	}
 }
 
-func merge(journals [][]engine.JournalEntry) []change {
-	var all []change
+func mergeByTime(journals [][]engine.JournalEntry) []engineChange {
+	var all []engineChange
 	for i, entries := range journals {
 		for _, entry := range entries {
-			all = append(all, change{JournalEntry: entry, engine: i})
+			all = append(all, engineChange{JournalEntry: entry, engine: i})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b change) int { return int(a.TimeUs - b.TimeUs) })
+	slices.SortStableFunc(all, func(a, b engineChange) int { return int(a.TimeUs - b.TimeUs) })
 	return all
 }
--- a/internal/measure/logline.go
+++ b/internal/measure/logline.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// logLine is a line of a daemon's log, as far as it is read here.
+// logLine has the fields of a daemon's log line that this package uses.
 type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -15,11 +15,11 @@
 	Source  string    `json:"source"`
 }
 
-// logged returns the first line of a process's log since a moment that matches.
-// Times in the log are of this machine's clock, so that they tell when something
-// happened without a question that would disturb it.
-func (p *process) logged(since time.Time, match func(logLine) bool) (logLine, bool) {
-	data, err := os.ReadFile(p.log)
+// findLogLine returns the first matching line of a process's log since a time.
+// Log times are of this machine's clock, so an event can be timed without polling
+// the process, which would disturb it.
+func (p *process) findLogLine(since time.Time, match func(logLine) bool) (logLine, bool) {
+	data, err := os.ReadFile(p.logFile)
 	if err != nil {
 		return logLine{}, false
 	}
@@ -32,10 +32,11 @@
 	return logLine{}, false
 }
 
-// inForce matches the line that tells of a configuration at or after offset.
-func inForce(offset uint64) func(logLine) bool {
+// configInForce matches the line logged when a configuration at or after offset is
+// in force.
+func configInForce(offset uint64) func(logLine) bool {
 	return func(l logLine) bool { return l.Message == "configuration in force" && l.Offset >= offset }
 }
 
-// serving matches the line that tells that an entry takes callers.
-func serving(l logLine) bool { return l.Message == "serving" }
+// isServing matches the line logged when an entry begins to accept requests.
+func isServing(l logLine) bool { return l.Message == "serving" }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -16,24 +16,24 @@
 	journals := [][]engine.JournalEntry{
 		{entry(1, engine.JournalComputed, 1, 2), entry(5, engine.JournalRemoved, 2), entry(9, engine.JournalCleared)},
 		{
-			entry(2, engine.JournalComputed, 1),    // held by the first, before the count starts
-			entry(4, engine.JournalComputed, 2),    // held by the first
-			entry(7, engine.JournalRemoved, 2),     // now nobody holds it
-			entry(8, engine.JournalComputed, 2, 3), // again, and new
+			entry(2, engine.JournalComputed, 1),    // held by the first engine, before counting starts
+			entry(4, engine.JournalComputed, 2),    // held by the first engine
+			entry(7, engine.JournalRemoved, 2),     // now no engine holds it
+			entry(8, engine.JournalComputed, 2, 3), // 2 is repeated, 3 is new
 			entry(10, engine.JournalRemoved, 1),
-			entry(11, engine.JournalComputed, 1), // the first was cleared
+			entry(11, engine.JournalComputed, 1), // the first engine's cache was cleared
 		},
 	}
-	got := tally(journals, 3)
-	want := Waste{Recomputed: 1 * prefix.BlockTokens, Again: 3 * prefix.BlockTokens}
+	got := countWaste(journals, 3)
+	want := Waste{Recomputed: 1 * prefix.BlockTokens, Repeated: 3 * prefix.BlockTokens}
 	if got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
 func TestRecovery(t *testing.T) {
-	series := func(rates ...int) *hitSeries {
-		h := &hitSeries{}
+	series := func(rates ...int) *hitRateSeries {
+		h := &hitRateSeries{}
 		for second, cached := range rates {
 			h.add(load.Result{ScheduledAt: time.Duration(second) * time.Second, PromptTokens: 100, CachedTokens: cached})
 		}
@@ -49,7 +49,7 @@
 		{"never", []int{0, 80, 80, 0, 0, 0, 0, 0}, -time.Millisecond},
 	}
 	for _, tt := range tests {
-		if got := series(tt.rates...).recovery(time.Second, 3*time.Second); got != tt.want {
+		if got := series(tt.rates...).recoveryTime(time.Second, 3*time.Second); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/internal/measure/plot.go
+++ b/internal/measure/plot.go
@@ -14,26 +14,26 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	barsWidth  = 48 // points for all bars of a scenario
+	barsWidth  = 48 // total width of a scenario's bars in points
 )
 
-// figure is one measure that is plotted over scenarios and policies.
-type figure struct {
+// chart is a bar chart of one measure by scenario and policy.
+type chart struct {
 	file, title, unit string
 	value             func(Row) float64
 }
 
-var figures = []figure{
+var charts = []chart{
 	{"hit-rate", "Prefix hit rate, by the engines' accounts", "% of prompt tokens", func(r Row) float64 { return 100 * r.HitRate }},
 	{"first-token-small-p99", "Time to first token of small organisations, p99", "ms", func(r Row) float64 { return r.SmallP99 }},
 	{"first-token-p99", "Time to first token, p99", "ms", func(r Row) float64 { return r.AllP99 }},
 	{"wasted", "Computed while another engine held it", "% of prompt tokens", func(r Row) float64 { return 100 * r.Wasted }},
 }
 
-// plots draws each figure for each deployment as a PNG in dir.
-func plots(dir string, rows []Row) error {
+// saveCharts draws each chart for each deployment as a PNG file in dir.
+func saveCharts(dir string, rows []Row) error {
 	for _, deployment := range distinct(rows, func(r Row) string { return r.Deployment }) {
-		for _, f := range figures {
+		for _, f := range charts {
 			file := filepath.Join(dir, fmt.Sprintf("%s-%s.png", deployment, f.file))
 			if err := f.draw(file, deployment, rows); err != nil {
 				return fmt.Errorf("measure: %s: %w", file, err)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (f figure) draw(file, deployment string, rows []Row) error {
+func (f chart) draw(file, deployment string, rows []Row) error {
 	rows = slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Deployment != deployment })
 	scenarios := distinct(rows, func(r Row) string { return r.Scenario })
 	policies := distinct(rows, func(r Row) string { return r.Policy })
@@ -66,7 +66,7 @@
 			return err
 		}
 		bars.LineStyle.Width = 0
-		bars.Color = shade(i, len(policies))
+		bars.Color = barColor(i, len(policies))
 		bars.Offset = width * vg.Length(float64(i)-float64(len(policies)-1)/2)
 		p.Add(bars)
 		p.Legend.Add(policy, bars)
@@ -74,19 +74,20 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// shade gives ours, the first, a colour and the baselines greys.
-func shade(i, n int) color.Color {
+// barColor returns a colour for the first policy, which is the measured one, and
+// greys for the baselines.
+func barColor(i, n int) color.Color {
 	if i == 0 {
 		return color.RGBA{R: 200, G: 60, B: 40, A: 255}
 	}
 	return color.Gray{Y: uint8(60 + 160*i/n)}
 }
 
-func distinct(rows []Row, of func(Row) string) []string {
+func distinct(rows []Row, name func(Row) string) []string {
 	var names []string
 	for _, r := range rows {
-		if name := of(r); !slices.Contains(names, name) {
-			names = append(names, name)
+		if value := name(r); !slices.Contains(names, value) {
+			names = append(names, value)
 		}
 	}
 	return names
--- a/internal/measure/process.go
+++ b/internal/measure/process.go
@@ -16,27 +16,27 @@
 
 const (
 	startTimeout = 20 * time.Second
-	pollEvery    = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 	httpTimeout  = 10 * time.Second
 )
 
-// process is a program that this package has started.
+// process is a process started by this package.
 type process struct {
-	name string
-	args []string
-	log  string
-	cmd  *exec.Cmd
-	done chan struct{}
+	name    string
+	args    []string
+	logFile string
+	cmd     *exec.Cmd
+	done    chan struct{}
 }
 
-// spawn starts bin with args; its output goes to a file in dir.
-func spawn(bin, dir, name string, args ...string) (*process, error) {
-	p := &process{name: name, args: append([]string{bin}, args...), log: filepath.Join(dir, name+".log")}
+// startProcess starts bin with args. Its output is appended to a file in dir.
+func startProcess(bin, dir, name string, args ...string) (*process, error) {
+	p := &process{name: name, args: append([]string{bin}, args...), logFile: filepath.Join(dir, name+".log")}
 	return p, p.start()
 }
 
 func (p *process) start() error {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("measure: %w", err)
 	}
@@ -48,15 +48,15 @@
 	}
 	p.done = make(chan struct{})
 	go func(cmd *exec.Cmd, done chan struct{}) {
-		_ = cmd.Wait() // killed on purpose
+		_ = cmd.Wait() // the error says only that it was killed
 		close(done)
 	}(p.cmd, p.done)
 	return nil
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for it to exit.
 func (p *process) kill() {
-	_ = p.cmd.Process.Signal(syscall.SIGKILL) // it may have ended already
+	_ = p.cmd.Process.Signal(syscall.SIGKILL) // fails if it has already exited
 	<-p.done
 }
 
@@ -65,29 +65,31 @@
 	return p.start()
 }
 
-// ports hands out free ports of a loopback host, each once. The host is this
-// process's own: outgoing connections come from 127.0.0.1, so that none of them
-// takes a port before the process that it was found for listens on it.
-type ports struct {
+// portAllocator allocates free ports of a loopback address, each once. The address
+// is used by this process only, while outgoing connections use 127.0.0.1. So no
+// outgoing connection can occupy a port before the process that it was allocated
+// for listens on it.
+type portAllocator struct {
 	mu   sync.Mutex
 	used map[int]bool
 }
 
-// freeAddresses is shared by all fleets of this process, since their host is.
-var freeAddresses = ports{used: map[int]bool{}}
+// freeAddresses is shared by all fleets of this process, since they share the
+// loopback address.
+var freeAddresses = portAllocator{used: map[int]bool{}}
 
-const octet = 256
+const octetValues = 256
 
-func host() string {
+func loopbackHost() string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.1", 1+pid/octet%(octet-1), pid%octet)
+	return fmt.Sprintf("127.%d.%d.1", 1+pid/octetValues%(octetValues-1), pid%octetValues)
 }
 
-func (p *ports) next() (string, error) {
+func (p *portAllocator) next() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		l, err := net.Listen("tcp", host()+":0")
+		l, err := net.Listen("tcp", loopbackHost()+":0")
 		if err != nil {
 			return "", fmt.Errorf("measure: free port: %w", err)
 		}
@@ -100,21 +102,22 @@
 	}
 }
 
-// await polls until condition holds.
-func await(ctx context.Context, what string, condition func() bool) error {
+// waitUntil polls until condition holds, at most startTimeout. The error names
+// what it waited for.
+func waitUntil(ctx context.Context, what string, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for !condition() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("measure: waiting for %s: %w", what, ctx.Err())
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-func listens(address string) bool {
+func isListening(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
--- a/internal/measure/recovery.go
+++ b/internal/measure/recovery.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// recoveredShare is the part of the hit rate before a disturbance at which
-	// it counts as recovered.
+	// recoveredShare is the fraction of the hit rate before a disturbance at which
+	// the hit rate counts as recovered.
 	recoveredShare = 0.9
-	// hitWindow is over how many seconds a hit rate is taken.
-	hitWindow = 2
+	// hitRateWindow is the window of a hit rate in seconds.
+	hitRateWindow = 2
 )
 
-// hitSeries is the hit rate of the callers' answers, second by second.
-type hitSeries struct {
+// hitRateSeries has the prompt tokens and cached tokens of the callers' answers by
+// second of the scheduled arrival.
+type hitRateSeries struct {
 	mu             sync.Mutex
 	prompt, cached []int
 }
 
-func (h *hitSeries) add(r load.Result) {
+func (h *hitRateSeries) add(r load.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	second := int(r.ScheduledAt / time.Second)
@@ -33,7 +34,7 @@
 	h.cached[second] += r.CachedTokens
 }
 
-func (h *hitSeries) rate(from, until int) float64 {
+func (h *hitRateSeries) rate(from, until int) float64 {
 	prompt, cached := 0, 0
 	for i := max(from, 0); i < min(until, len(h.prompt)); i++ {
 		prompt += h.prompt[i]
@@ -42,16 +43,16 @@
 	return ratio(cached, prompt)
 }
 
-// recovery returns how long after the disturbance the hit rate was back, as the
-// end of the first window that had it, or -1 ms if it never was.
-func (h *hitSeries) recovery(warmup, disturbed time.Duration) time.Duration {
+// recoveryTime returns the time from the disturbance to the end of the first
+// window in which the hit rate had recovered, or -1 ms if it never did.
+func (h *hitRateSeries) recoveryTime(warmup, disturbed time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at := int(disturbed / time.Second)
-	goal := recoveredShare * h.rate(int(warmup/time.Second), at)
-	for from := at; from+hitWindow <= len(h.prompt); from++ {
-		if h.rate(from, from+hitWindow) >= goal {
-			return time.Duration(from+hitWindow-at) * time.Second
+	disturbedSecond := int(disturbed / time.Second)
+	target := recoveredShare * h.rate(int(warmup/time.Second), disturbedSecond)
+	for from := disturbedSecond; from+hitRateWindow <= len(h.prompt); from++ {
+		if h.rate(from, from+hitRateWindow) >= target {
+			return time.Duration(from+hitRateWindow-disturbedSecond) * time.Second
 		}
 	}
 	return -time.Millisecond
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -15,33 +15,36 @@
 	"skylarklead/internal/wait"
 )
 
-// Options are what all runs of a table share.
+// Options are the options that all runs of a table share.
 type Options struct {
 	// Bin is the folder of the programs.
 	Bin string
-	// Duration is how long each run's load lasts, Warmup how much of it isn't
-	// counted.
+	// Duration is the duration of each run's load, Warmup the initial part of it
+	// that isn't measured.
 	Duration, Warmup time.Duration
-	// Keep leaves the folder with settings and logs of each run.
+	// Keep keeps the folder with settings and logs of each run.
 	Keep bool
-	// Transfer is the endpoints' TransferTokensPerSecond.
-	Transfer float64
+	// TransferTokensPerSecond is the setting of the endpoints of that name.
+	TransferTokensPerSecond float64
 }
 
-// Run is the figures of one run.
+// Run has the results of one run.
 type Run struct {
 	Deployment string `json:"deployment"`
 	Scenario   string `json:"scenario"`
 	Policy     string `json:"policy"`
 	Seed       uint64 `json:"seed"`
-	// HitRate is prompt tokens served from cache, by the engines' accounts;
-	// IdealHitRate is that of one infinite cache before the same requests.
+	// HitRate is the fraction of prompt tokens served from cache, by the engines'
+	// statistics. IdealHitRate is the hit rate of a single cache of unlimited size
+	// for the same requests.
 	HitRate      float64 `json:"hit_rate"`
 	IdealHitRate float64 `json:"ideal_hit_rate"`
-	// Tokens of prompts, and those computed while another engine held them.
+	// WastedTokens is how many of PromptTokens were computed while another engine
+	// had them in its cache.
 	PromptTokens int `json:"prompt_tokens"`
 	WastedTokens int `json:"wasted_tokens"`
-	// FirstToken is by class, BetweenTokens over all.
+	// FirstToken is by class, and "all" for all requests; BetweenTokens is for all
+	// requests.
 	FirstToken    map[string]load.LatencySummary `json:"first_token"`
 	BetweenTokens load.LatencySummary            `json:"between_tokens"`
 	Outcomes      map[load.Outcome]int           `json:"outcomes"`
@@ -52,23 +55,25 @@
 	Retries       int                             `json:"retries"`
 	Hedges        int                             `json:"hedges"`
 	// RecoveryMs is how long after the middle of the run the hit rate of the
-	// callers' answers was back at 90 % of what it was before; -1 if never.
+	// callers' answers was back at 90 % of its previous value, -1 if never.
 	RecoveryMs int64 `json:"recovery_ms"`
-	// Control is the worst daemon's control traffic, bytes a second, sent and
-	// received; CPU the worst daemon's share of a core.
+	// Control is the highest control traffic of a daemon, in bytes per second sent
+	// and received. EntryCPU and EngineCPU are the highest CPU usage of an entry
+	// and of an endpoint process, as a fraction of a core.
 	Control   float64 `json:"control_bytes_per_second"`
 	EntryCPU  float64 `json:"entry_cpu"`
 	EngineCPU float64 `json:"endpoint_cpu"`
 	// Imports are the counters of KV cache imports, over all endpoints.
 	Imports map[string]int `json:"imports,omitempty"`
-	// LateMs is how late the generator itself was, 99th percentile.
+	// LateMs is the 99th percentile of the delay between a request's scheduled
+	// arrival and the time at which the load generator sent it.
 	LateMs float64 `json:"generator_late_p99_ms"`
-	// Valid is unset when requests were dropped by the generator.
+	// Valid is false if the load generator dropped requests.
 	Valid bool `json:"valid"`
 }
 
-// sample is what the engines and daemons have counted up to a moment.
-type sample struct {
+// snapshot has the counters of engines and daemons at a point in time.
+type snapshot struct {
 	at      time.Time
 	prompt  int
 	cached  int
@@ -79,8 +84,8 @@
 	imports map[string]int
 }
 
-// Measure starts a deployment, runs one scenario on it and stops it.
-func Measure(ctx context.Context, d Deployment, s Scenario, policy string, seed uint64, o Options) (*Run, error) {
+// MeasureScenario starts a deployment, runs one scenario on it and stops it.
+func MeasureScenario(ctx context.Context, d Deployment, s Scenario, policy string, seed uint64, o Options) (*Run, error) {
 	w, err := load.ReadWorkload(d.Workload)
 	if err != nil {
 		return nil, err
@@ -94,67 +99,67 @@
 	}
 	engines := map[string]any{"journal": true, "crash_mode": "reset"}
 	maps.Copy(engines, s.Engine)
-	f, err := StartFleet(ctx, d, w, FleetOptions{Bin: o.Bin, Dir: dir, Policy: policy, Engine: engines, Transfer: o.Transfer})
+	f, err := StartFleet(ctx, d, w, FleetOptions{Bin: o.Bin, Dir: dir, Policy: policy, Engine: engines, TransferTokensPerSecond: o.TransferTokensPerSecond})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	return f.run(ctx, w, s, policy, seed, o)
+	return f.runScenario(ctx, w, s, policy, seed, o)
 }
 
-func (f *Fleet) run(ctx context.Context, w load.Workload, s Scenario, policy string, seed uint64, o Options) (*Run, error) {
-	hits := &hitSeries{}
+func (f *Fleet) runScenario(ctx context.Context, w load.Workload, s Scenario, policy string, seed uint64, o Options) (*Run, error) {
+	hitRates := &hitRateSeries{}
 	options := load.Options{
 		Entries: f.EntryURLs(), Duration: o.Duration, Warmup: o.Warmup, Seed: seed,
-		Rate: w.Rate * rateFactor(s.Rate), OnResult: hits.add, HealthCheckInterval: time.Second,
+		Rate: w.Rate * orOne(s.Rate), OnResult: hitRates.add, HealthCheckInterval: time.Second,
 	}
-	if s.Load != nil {
-		s.Load(&options, w)
+	if s.AdjustLoad != nil {
+		s.AdjustLoad(&options, w)
 	}
-	var before sample
-	var fault error
+	var before snapshot
+	var faultErr error
 	var wg sync.WaitGroup
-	timed := func(after time.Duration, do func() error) {
+	schedule := func(after time.Duration, do func() error) {
 		wg.Go(func() {
 			if err := wait.For(ctx, after); err == nil {
 				err = do()
 				if err != nil {
-					fault = err
+					faultErr = err
 				}
 			}
 		})
 	}
-	timed(o.Warmup, func() (err error) { before, err = f.sample(); return err })
+	schedule(o.Warmup, func() (err error) { before, err = f.snapshot(); return err })
 	for _, x := range s.Faults {
-		timed(share(o.Duration, x.At), func() error { return x.Do(f) })
+		schedule(fraction(o.Duration, x.AtShare), func() error { return x.Inject(f) })
 	}
 	report, err := load.Run(ctx, w, options)
 	wg.Wait()
 	if err != nil {
 		return nil, err
 	}
-	if fault != nil {
-		return nil, fault
+	if faultErr != nil {
+		return nil, faultErr
 	}
-	after, err := f.sample()
+	after, err := f.snapshot()
 	if err != nil {
 		return nil, err
 	}
 	r := &Run{Deployment: f.deployment.Name, Scenario: s.Name, Policy: policy, Seed: seed}
-	r.fill(report, before, after)
-	r.RecoveryMs = hits.recovery(o.Warmup, share(o.Duration, middle)).Milliseconds()
-	return r, f.fillWaste(r, before, after)
+	r.fillCounts(report, before, after)
+	r.RecoveryMs = hitRates.recoveryTime(o.Warmup, fraction(o.Duration, midRun)).Milliseconds()
+	return r, f.fillUsageAndWaste(r, before, after)
 }
 
-// rateFactor makes 1 of a scenario's rate that isn't given.
-func rateFactor(rate float64) float64 {
+// orOne returns a scenario's rate factor, 1 if it isn't set.
+func orOne(rate float64) float64 {
 	if rate == 0 {
 		return 1
 	}
 	return rate
 }
 
-func (r *Run) fill(report *load.Report, before, after sample) {
+func (r *Run) fillCounts(report *load.Report, before, after snapshot) {
 	r.PromptTokens = after.prompt - before.prompt
 	r.HitRate = ratio(after.cached-before.cached, r.PromptTokens)
 	r.FirstToken = map[string]load.LatencySummary{}
@@ -178,7 +183,7 @@
 	r.Valid = report.Dropped == 0
 }
 
-func (f *Fleet) fillWaste(r *Run, before, after sample) error {
+func (f *Fleet) fillUsageAndWaste(r *Run, before, after snapshot) error {
 	seconds := after.at.Sub(before.at).Seconds()
 	for _, n := range f.daemons() {
 		r.Control = max(r.Control, (after.control[n.id]-before.control[n.id])/seconds)
@@ -196,10 +201,10 @@
 			return err
 		}
 	}
-	waste := tally(journals, before.at.UnixMicro())
+	waste := countWaste(journals, before.at.UnixMicro())
 	r.WastedTokens = waste.Recomputed
 	cached := after.cached - before.cached
-	r.IdealHitRate = ratio(cached+waste.Again, r.PromptTokens)
+	r.IdealHitRate = ratio(cached+waste.Repeated, r.PromptTokens)
 	return nil
 }
 
@@ -210,37 +215,38 @@
 	return float64(part) / float64(whole)
 }
 
-// sample reads all accounts and metrics pages.
-func (f *Fleet) sample() (sample, error) {
-	s := sample{at: time.Now(), cpu: map[string]float64{}, control: map[string]float64{}, imports: map[string]int{}}
+// snapshot reads the statistics of all engines and the metrics of all daemons.
+func (f *Fleet) snapshot() (snapshot, error) {
+	s := snapshot{at: time.Now(), cpu: map[string]float64{}, control: map[string]float64{}, imports: map[string]int{}}
 	for _, n := range f.Engines {
-		var account engine.Stats
-		if err := getJSON("http://"+n.address+"/control/account", &account); err != nil {
+		var stats engine.Stats
+		if err := getJSON("http://"+n.address+"/control/account", &stats); err != nil {
 			return s, err
 		}
-		s.prompt += account.Totals.PromptTokens
-		s.cached += account.Totals.CachedTokens
+		s.prompt += stats.Totals.PromptTokens
+		s.cached += stats.Totals.CachedTokens
 	}
 	for _, n := range f.daemons() {
 		var page telemetry.Page
-		if err := getJSON(n.metrics+"/metrics.json", &page); err != nil {
+		if err := getJSON(n.metricsURL+"/metrics.json", &page); err != nil {
 			return s, err
 		}
-		s.cpu[n.id] = value(page, "cpu_seconds")
-		s.control[n.id] = value(page, "control_bytes_sent") + value(page, "control_bytes_received")
-		s.retries += value(page, "retries")
-		s.hedges += value(page, "hedges")
+		s.cpu[n.id] = metricValue(page, "cpu_seconds")
+		s.control[n.id] = metricValue(page, "control_bytes_sent") + metricValue(page, "control_bytes_received")
+		s.retries += metricValue(page, "retries")
+		s.hedges += metricValue(page, "hedges")
 		for name := range page.Metrics {
 			if strings.HasPrefix(name, "kv_") {
-				s.imports[name] += int(value(page, name))
+				s.imports[name] += int(metricValue(page, name))
 			}
 		}
 	}
 	return s, nil
 }
 
-// value reads a counter or gauge of a metrics page.
-func value(page telemetry.Page, name string) float64 {
+// metricValue returns the value of a counter or gauge of a metrics page, 0 if there
+// is none.
+func metricValue(page telemetry.Page, name string) float64 {
 	m := page.Metrics[name]
 	for _, field := range []string{"value", "count"} {
 		if v, ok := m[field].(float64); ok {
--- a/internal/measure/scenario.go
+++ b/internal/measure/scenario.go
@@ -6,77 +6,79 @@
 	"skylarklead/internal/standin/load"
 )
 
-// Policies are the rows of a table: ours first, then the baselines.
+// Policies are the policies of a table: the measured one first, then the baselines.
 var Policies = []string{
 	PolicyOwner, "random", "round_robin", "least_loaded", "rendezvous_prompt", "rendezvous_bounded", "prefix_tables",
 }
 
-// PolicyOwner is the policy that is measured against the others.
+// PolicyOwner is the policy that is compared with the others.
 const PolicyOwner = "owner"
 
-// Fault is something that goes wrong during a run.
+// Fault is a fault that is injected during a run.
 type Fault struct {
-	// At is when, as a share of the whole duration.
-	At float64
-	Do func(*Fleet) error
+	// AtShare is the time of the fault as a fraction of the run's duration.
+	AtShare float64
+	Inject  func(*Fleet) error
 }
 
-// Scenario is what happens in a run.
+// Scenario describes the load and faults of a run.
 type Scenario struct {
 	Name string
-	// Rate multiplies the workload's rate; 0 is 1.
+	// Rate is the factor by which the workload's rate is multiplied, 1 if 0.
 	Rate float64
-	// Load changes the load's options, whose Duration is set.
-	Load func(*load.Options, load.Workload)
-	// Engine are settings of the stand-in engines.
+	// AdjustLoad, if set, changes the options of the load. Their Duration is set.
+	AdjustLoad func(*load.Options, load.Workload)
+	// Engine has settings of the stand-in engines.
 	Engine map[string]any
 	Faults []Fault
-	// Hot marks the scenarios whose load is uneven.
-	Hot bool
+	// UnevenLoad marks scenarios in which the load is concentrated on one
+	// organisation or on few texts.
+	UnevenLoad bool
 }
 
-// middle is when things happen, as a share of a run.
-const middle = 0.5
+// midRun is the time of faults and changes of load as a fraction of a run.
+const midRun = 0.5
 
-// Rates that come near and pass what the engines can decode, as multiples of a
-// workload's own, and how long callers then wait for an answer.
+// nearSaturation and pastSaturation are rates just below and above the engines'
+// decode capacity, as multiples of a workload's rate. overloadDeadline is the
+// deadline of callers at these rates.
 const (
-	nearSaturation = 5
-	pastSaturation = 7
-	patience       = 3 * time.Second
+	nearSaturation   = 5
+	pastSaturation   = 7
+	overloadDeadline = 3 * time.Second
 )
 
-func impatient(o *load.Options, _ load.Workload) { o.ChatDeadline = patience }
+func withOverloadDeadline(o *load.Options, _ load.Workload) { o.ChatDeadline = overloadDeadline }
 
-// eventLoss is the share of cache events lost in the scenario of that name.
+// eventLoss is the fraction of cache events lost in the scenario "events_lost".
 const eventLoss = 0.2
 
-// Scenarios are the situations of the users' brief.
+// Scenarios are the scenarios in which policies are compared.
 var Scenarios = []Scenario{
 	{Name: "steady"},
-	{Name: "alone", Load: func(o *load.Options, _ load.Workload) { o.Only = []string{load.ClassSmall} }},
-	{Name: "tenfold", Hot: true, Load: func(o *load.Options, w load.Workload) {
-		o.Burst = load.Burst{Organisation: largest(w), Factor: 10, Until: o.Duration}
+	{Name: "alone", AdjustLoad: func(o *load.Options, _ load.Workload) { o.Only = []string{load.ClassSmall} }},
+	{Name: "tenfold", UnevenLoad: true, AdjustLoad: func(o *load.Options, w load.Workload) {
+		o.Burst = load.Burst{Organisation: largestOrganisation(w), Factor: 10, Until: o.Duration}
 	}},
-	{Name: "shift", Hot: true, Load: func(o *load.Options, _ load.Workload) { o.PopularityShiftAt = share(o.Duration, middle) }},
-	{Name: "charter", Hot: true, Load: func(o *load.Options, _ load.Workload) { o.CharterChangeAt = share(o.Duration, middle) }},
-	{Name: "crash", Faults: []Fault{{At: middle, Do: crashEngines(1)}}},
-	{Name: "half_restart", Faults: []Fault{{At: middle, Do: func(f *Fleet) error {
+	{Name: "shift", UnevenLoad: true, AdjustLoad: func(o *load.Options, _ load.Workload) { o.PopularityShiftAt = fraction(o.Duration, midRun) }},
+	{Name: "charter", UnevenLoad: true, AdjustLoad: func(o *load.Options, _ load.Workload) { o.CharterChangeAt = fraction(o.Duration, midRun) }},
+	{Name: "crash", Faults: []Fault{{AtShare: midRun, Inject: crashEngines(1)}}},
+	{Name: "half_restart", Faults: []Fault{{AtShare: midRun, Inject: func(f *Fleet) error {
 		return crashEngines(len(f.Engines) / 2)(f)
 	}}}},
-	{Name: "log_outage", Faults: []Fault{{At: middle, Do: func(f *Fleet) error {
-		return f.Control(f.base, map[string]any{"log_down": true})
+	{Name: "log_outage", Faults: []Fault{{AtShare: midRun, Inject: func(f *Fleet) error {
+		return f.Control(f.platformURL, map[string]any{"log_down": true})
 	}}}},
 	{Name: "events_lost", Engine: map[string]any{"event_drop": eventLoss}},
-	{Name: "entries_restart", Faults: []Fault{{At: middle, Do: restartEntries}}},
-	{Name: "near_saturation", Rate: nearSaturation, Load: impatient},
-	{Name: "past_saturation", Rate: pastSaturation, Load: impatient},
-	{Name: "twice_saturation", Rate: 2 * pastSaturation, Load: impatient},
+	{Name: "entries_restart", Faults: []Fault{{AtShare: midRun, Inject: restartEntries}}},
+	{Name: "near_saturation", Rate: nearSaturation, AdjustLoad: withOverloadDeadline},
+	{Name: "past_saturation", Rate: pastSaturation, AdjustLoad: withOverloadDeadline},
+	{Name: "twice_saturation", Rate: 2 * pastSaturation, AdjustLoad: withOverloadDeadline},
 }
 
-func share(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
+func fraction(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
-func largest(w load.Workload) string {
+func largestOrganisation(w load.Workload) string {
 	top := w.Organisations[0]
 	for _, o := range w.Organisations {
 		if o.Share > top.Share {
@@ -86,12 +88,12 @@
 	return top.ID
 }
 
-// crashEngines crashes the first n engines, which come back empty within their
-// processes so that their accounts last.
+// crashEngines crashes the first n engines. They restart with an empty cache in
+// the same process, so that their statistics are kept.
 func crashEngines(n int) func(*Fleet) error {
 	return func(f *Fleet) error {
 		for _, engine := range f.Engines[:n] {
-			// The answer goes down with the engine's connections.
+			// The response is lost, since the crash drops all connections.
 			_ = f.Control("http://"+engine.address, map[string]any{"crash": true})
 		}
 		return nil
--- a/internal/measure/slopes.go
+++ b/internal/measure/slopes.go
@@ -15,93 +15,96 @@
 	"skylarklead/internal/wait"
 )
 
-// Spread sums up one figure over the daemons of a role.
-type Spread struct {
+// Summary summarizes one measure over the daemons of a role.
+type Summary struct {
 	Mean   float64 `json:"mean"`
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
 	Max    float64 `json:"max"`
 }
 
-func spreadOf(values []float64) Spread {
+func summarize(values []float64) Summary {
 	if len(values) == 0 {
-		return Spread{}
+		return Summary{}
 	}
 	slices.SortFunc(values, cmp.Compare[float64])
 	sum := 0.0
 	for _, v := range values {
 		sum += v
 	}
-	return Spread{
+	return Summary{
 		Mean: sum / float64(len(values)), Median: values[len(values)/2], Min: values[0], Max: values[len(values)-1],
 	}
 }
 
-// RoleUse is what the daemons of a role used in one window.
-type RoleUse struct {
-	// CPU is a share of one core, user and system.
-	CPU Spread `json:"cpu"`
-	// ControlSent and ControlReceived are bytes a second of control messages, as
-	// the daemons count their frames; Data is both ways together.
-	ControlSent     Spread `json:"control_sent"`
-	ControlReceived Spread `json:"control_received"`
-	Data            Spread `json:"data"`
-	// Sessions and Platform are bytes a second on the wire, both ways, with
-	// headers of TCP and IP, by the kernel's account of the sockets that are
-	// open at both ends of the window.
-	Sessions Spread `json:"sessions_wire"`
-	Platform Spread `json:"platform_wire"`
-	// Sockets is how many connections to and from peers are open.
-	Sockets Spread `json:"sockets"`
-	// RSS is resident memory at the end of the window in bytes.
-	RSS Spread `json:"rss"`
+// RoleUsage is the resource usage of the daemons of a role in one window.
+type RoleUsage struct {
+	// CPU is user and system time as a fraction of one core.
+	CPU Summary `json:"cpu"`
+	// ControlSent and ControlReceived are the bytes per second of control message
+	// frames by the daemons' metrics, Data those of data frames sent and received.
+	ControlSent     Summary `json:"control_sent"`
+	ControlReceived Summary `json:"control_received"`
+	Data            Summary `json:"data"`
+	// Sessions and Platform are the bytes per second on the wire of sessions with
+	// peers and of connections to the platform, sent and received, including TCP
+	// and IP headers. They are from the kernel's statistics of the sockets that
+	// are open both at the start and at the end of the window.
+	Sessions Summary `json:"sessions_wire"`
+	Platform Summary `json:"platform_wire"`
+	// Sockets is the number of open connections to and from peers.
+	Sockets Summary `json:"sockets"`
+	// RSS is the resident memory at the end of the window in bytes.
+	RSS Summary `json:"rss"`
 }
 
-// SlopePoint is one window of one small fleet.
+// SlopePoint is a measurement of one fleet over one window.
 type SlopePoint struct {
 	Members int     `json:"members"`
 	Entries int     `json:"entries"`
 	Rate    float64 `json:"rate"`
-	// AnswerTokens is the length of each answer that was asked for.
+	// AnswerTokens is the requested length of each answer.
 	AnswerTokens int     `json:"answer_tokens"`
 	Repeat       int     `json:"repeat"`
 	Seconds      float64 `json:"seconds"`
-	// Requests and Tokens are what the entries count in the window; InFlight is
-	// at its end.
+	// Requests and Tokens are counted by the entries during the window; InFlight
+	// is the number of requests in flight at its end.
 	Requests float64 `json:"requests"`
 	Tokens   float64 `json:"tokens"`
 	InFlight float64 `json:"in_flight"`
-	// Running and Waiting are the engines' own account at the window's end,
-	// EngineTokens what they produced in it.
+	// Running and Waiting are the engines' running and waiting requests at the end
+	// of the window, EngineTokens the tokens that they generated during it.
 	Running      int                  `json:"engines_running"`
 	Waiting      int                  `json:"engines_waiting"`
 	EngineTokens int                  `json:"engines_tokens"`
 	CacheTokens  int                  `json:"cache_tokens,omitempty"`
 	Outcomes     map[load.Outcome]int `json:"outcomes,omitempty"`
-	Endpoint     RoleUse              `json:"endpoint"`
-	Entry        RoleUse              `json:"entry"`
+	Endpoint     RoleUsage            `json:"endpoint"`
+	Entry        RoleUsage            `json:"entry"`
 }
 
-// SlopeOptions are what all points of a run share.
+// SlopeOptions are the options that all points of a run share.
 type SlopeOptions struct {
 	// Bin is the folder of the programs.
 	Bin string
-	// Window is how long each point is measured, Warmup how long it runs before.
+	// Window is how long each point is measured, Warmup how long it runs before
+	// that.
 	Window, Warmup time.Duration
 	Keep           bool
-	// Lock is a file that is locked during each point, so that measurements of
-	// several processes take turns; empty for none.
+	// Lock is a file that is locked during each point, so that concurrent processes
+	// don't measure at the same time; empty for none.
 	Lock string
 }
 
-// slopeFleet is the shape and load of one point.
+// slopeFleet describes the fleet and load of one point.
 type slopeFleet struct {
 	members, entries int
 	rate             float64
 	answerTokens     int
-	// stepMs is the engines' time for one token of all running requests.
+	// stepMs is the engines' time for a decode step, regardless of the batch size.
 	stepMs float64
-	// cacheTokens is the room of engines and admission; 0 for their defaults.
+	// cacheTokens is the cache size of engines and of the endpoints' admission, 0
+	// for their defaults.
 	cacheTokens int
 }
 
@@ -109,8 +112,8 @@
 	slopeGroup    = "slopes"
 	slopeServices = "slopes-calls"
 	slopeKey      = "key-slopes-00"
-	// slopeCharters and slopeCases are the shared texts below the standing
-	// instructions, as many as keep a group's caches turning over.
+	// slopeCharters and slopeCases are the numbers of shared texts below the
+	// standing instructions, enough to cause steady eviction in a group's caches.
 	slopeCharters = 8
 	slopeCases    = 40
 )
@@ -118,11 +121,12 @@
 func (s slopeFleet) deployment() Deployment {
 	return Deployment{
 		Name: "slopes", Domains: []string{"domain-a"}, Group: slopeGroup, Model: slopeGroup,
-		Engines: s.members, ServiceGroup: slopeServices, Entries: s.entries, LoadsAtOnce: 3,
+		Engines: s.members, ServiceGroup: slopeServices, Entries: s.entries, ConcurrentLoads: 3,
 	}
 }
 
-// workload has prompts of about 1,500 tokens on three shared levels.
+// workload returns a workload with prompts of about 1,500 tokens that share three
+// levels of prefixes.
 func (s slopeFleet) workload() load.Workload {
 	group := json.RawMessage(`{"load_permits":3}`)
 	model := json.RawMessage(`{"group":"slopes","versions":["v1"],"version":"v1","max_tokens":4096}`)
@@ -145,8 +149,9 @@
 	}
 }
 
-// engine makes stand-in engines that are never the bottleneck.
-func (s slopeFleet) engine() map[string]any {
+// engineSettings returns settings with which stand-in engines are never the
+// bottleneck.
+func (s slopeFleet) engineSettings() map[string]any {
 	control := map[string]any{
 		"prefill_tokens_per_second": 2_000_000, "prefill_chunk": 100_000,
 		"step_ms": s.stepMs, "step_per_request_ms": 0, "max_batch": 1024,
@@ -157,8 +162,9 @@
 	return control
 }
 
-// room lets an endpoint run whatever the slopes ask of it.
-func (s slopeFleet) room(to *settings.Settings) {
+// raiseLimits raises an endpoint's limits so that it admits all requests of a
+// measurement.
+func (s slopeFleet) raiseLimits(to *settings.Settings) {
 	if to.Endpoint == nil {
 		return
 	}
@@ -168,29 +174,29 @@
 	}
 }
 
-// fleet are the options of a fleet of this shape.
-func (s slopeFleet) fleet(dir string, o SlopeOptions) FleetOptions {
-	return FleetOptions{Bin: o.Bin, Dir: dir, Policy: PolicyOwner, Engine: s.engine(), Settings: s.room}
+// fleetOptions returns the options of the fleet.
+func (s slopeFleet) fleetOptions(dir string, o SlopeOptions) FleetOptions {
+	return FleetOptions{Bin: o.Bin, Dir: dir, Policy: PolicyOwner, Engine: s.engineSettings(), Settings: s.raiseLimits}
 }
 
-// measurePoint runs one small fleet and measures one window of it.
+// measurePoint starts a fleet and measures it over one window.
 func measurePoint(ctx context.Context, s slopeFleet, o SlopeOptions) (p SlopePoint, err error) {
 	dir, remove, err := tempDir(o.Keep)
 	if err != nil {
 		return p, err
 	}
 	defer remove()
-	f, err := StartFleet(ctx, s.deployment(), s.workload(), s.fleet(dir, o))
+	f, err := StartFleet(ctx, s.deployment(), s.workload(), s.fleetOptions(dir, o))
 	if err != nil {
 		return p, err
 	}
 	defer f.Close()
-	return f.window(ctx, s, o)
+	return f.measureWindow(ctx, s, o)
 }
 
-// window loads the fleet, if it is to be loaded, and reads its use before and
-// after.
-func (f *Fleet) window(ctx context.Context, s slopeFleet, o SlopeOptions) (p SlopePoint, err error) {
+// measureWindow runs the load on the fleet, if its rate isn't 0, and measures the
+// usage over the window after the warm-up.
+func (f *Fleet) measureWindow(ctx context.Context, s slopeFleet, o SlopeOptions) (p SlopePoint, err error) {
 	loaded := make(chan error, 1)
 	var report *load.Report
 	go func() {
@@ -207,21 +213,21 @@
 	if err := wait.For(ctx, o.Warmup); err != nil {
 		return p, err
 	}
-	before, enginesBefore, err := f.uses()
+	before, enginesBefore, err := f.readUsage()
 	if err != nil {
 		return p, err
 	}
 	if err := wait.For(ctx, o.Window); err != nil {
 		return p, err
 	}
-	after, engines, err := f.uses()
+	after, engines, err := f.readUsage()
 	if err != nil {
 		return p, err
 	}
 	if err := <-loaded; err != nil {
 		return p, err
 	}
-	p = f.point(s, before, after)
+	p = f.newPoint(s, before, after)
 	p.Running, p.Waiting = engines.Running, engines.Waiting
 	p.EngineTokens = engines.Totals.CompletionTokens - enginesBefore.Totals.CompletionTokens
 	if report != nil {
@@ -230,69 +236,70 @@
 	return p, nil
 }
 
-func (f *Fleet) point(s slopeFleet, before, after map[string]use) SlopePoint {
+func (f *Fleet) newPoint(s slopeFleet, before, after map[string]usage) SlopePoint {
 	p := SlopePoint{Members: s.members, Entries: s.entries, Rate: s.rate, AnswerTokens: s.answerTokens, CacheTokens: s.cacheTokens}
-	p.Endpoint = roleUse(f.Engines, before, after)
-	p.Entry = roleUse(f.Entries, before, after)
+	p.Endpoint = newRoleUsage(f.Engines, before, after)
+	p.Entry = newRoleUsage(f.Entries, before, after)
 	for _, n := range f.Entries {
 		a, b := after[n.id], before[n.id]
 		p.Seconds = a.at.Sub(b.at).Seconds()
-		p.Requests += value(a.page, "requests") - value(b.page, "requests")
-		p.Tokens += value(a.page, "tokens_generated") - value(b.page, "tokens_generated")
-		p.InFlight += value(a.page, "requests") - value(a.page, "completed")
+		p.Requests += metricValue(a.page, "requests") - metricValue(b.page, "requests")
+		p.Tokens += metricValue(a.page, "tokens_generated") - metricValue(b.page, "tokens_generated")
+		p.InFlight += metricValue(a.page, "requests") - metricValue(a.page, "completed")
 	}
 	return p
 }
 
-// uses reads all daemons, and the sum of the engines' accounts.
-func (f *Fleet) uses() (map[string]use, engine.Stats, error) {
+// readUsage returns the usage of all daemons, and the engines' running and waiting
+// requests and generated tokens, summed over all engines.
+func (f *Fleet) readUsage() (map[string]usage, engine.Stats, error) {
 	var sum engine.Stats
 	for _, n := range f.Engines {
-		var account engine.Stats
-		if err := getJSON("http://"+n.address+"/control/account", &account); err != nil {
+		var stats engine.Stats
+		if err := getJSON("http://"+n.address+"/control/account", &stats); err != nil {
 			return nil, sum, err
 		}
-		sum.Running += account.Running
-		sum.Waiting += account.Waiting
-		sum.Totals.CompletionTokens += account.Totals.CompletionTokens
+		sum.Running += stats.Running
+		sum.Waiting += stats.Waiting
+		sum.Totals.CompletionTokens += stats.Totals.CompletionTokens
 	}
-	daemons, err := f.use()
+	daemons, err := f.daemonUsage()
 	return daemons, sum, err
 }
 
-// use is what one daemon has used up to a moment.
-type use struct {
+// usage has one daemon's cumulative resource usage at a point in time.
+type usage struct {
 	at      time.Time
 	page    telemetry.Page
 	rss     float64
 	sockets map[string]socket
 }
 
-func roleUse(nodes []*node, before, after map[string]use) (r RoleUse) {
-	collect := func(figure func(b, a use, seconds float64) float64) Spread {
+func newRoleUsage(nodes []*node, before, after map[string]usage) (r RoleUsage) {
+	collect := func(value func(b, a usage, seconds float64) float64) Summary {
 		var values []float64
 		for _, n := range nodes {
 			b, a := before[n.id], after[n.id]
-			values = append(values, figure(b, a, a.at.Sub(b.at).Seconds()))
+			values = append(values, value(b, a, a.at.Sub(b.at).Seconds()))
 		}
-		return spreadOf(values)
+		return summarize(values)
 	}
-	rate := func(names ...string) Spread {
-		return collect(func(b, a use, seconds float64) (sum float64) {
+	rate := func(names ...string) Summary {
+		return collect(func(b, a usage, seconds float64) (sum float64) {
 			for _, name := range names {
-				sum += value(a.page, name) - value(b.page, name)
+				sum += metricValue(a.page, name) - metricValue(b.page, name)
 			}
 			return sum / seconds
 		})
 	}
-	wire := func(k socketKind) Spread {
-		return collect(func(b, a use, seconds float64) float64 { return wireBytes(b.sockets, a.sockets, k) / seconds })
+	wire := func(k socketKind) Summary {
+		return collect(func(b, a usage, seconds float64) float64 { return wireBytes(b.sockets, a.sockets, k) / seconds })
 	}
 	r.CPU = rate("cpu_seconds")
 	r.ControlSent, r.ControlReceived = rate("control_bytes_sent"), rate("control_bytes_received")
 	r.Data = rate("data_bytes_sent", "data_bytes_received")
 	r.Sessions, r.Platform = wire(socketPeer), wire(socketPlatform)
-	r.Sockets = collect(func(_, a use, _ float64) float64 { return float64(countSockets(a.sockets, socketPeer)) })
-	r.RSS = collect(func(_, a use, _ float64) float64 { return a.rss })
+	r.Sockets = collect(func(_, a usage, _ float64) float64 { return float64(countSockets(a.sockets, socketPeer)) })
+	r.RSS = collect(func(_, a usage, _ float64) float64 { return a.rss })
 	return r
 }
--- a/internal/measure/slopes_claims.go
+++ b/internal/measure/slopes_claims.go
@@ -16,36 +16,38 @@
 	"skylarklead/internal/wait"
 )
 
-// ClaimPoint is what idempotency keys cost the log at one rate.
+// ClaimPoint measures the cost of idempotency keys at one rate of calls.
 type ClaimPoint struct {
 	Replicas int     `json:"replicas"`
 	Rate     float64 `json:"rate"`
 	Seconds  float64 `json:"seconds"`
-	// Answered is how many calls were answered, Claims and Settles how many
-	// stand on the log in Records, one an append, of Bytes together.
+	// Answered is the number of calls answered. Claims and Settles are the numbers
+	// of claims and settlements on the log. They are in Records records, each
+	// appended separately, of Bytes bytes in all.
 	Answered int                  `json:"answered"`
 	Outcomes map[load.Outcome]int `json:"outcomes"`
 	Records  int                  `json:"records"`
 	Claims   int                  `json:"claims"`
 	Settles  int                  `json:"settles"`
 	Bytes    int                  `json:"bytes"`
-	// Calls are the callers' times for a whole answer.
+	// Calls has the latency of whole responses, measured by the callers.
 	Calls load.LatencySummary `json:"calls"`
-	// CPU is the replicas' share of a core, Platform their reads of it on the wire.
-	Endpoint RoleUse `json:"endpoint"`
-	Entry    RoleUse `json:"entry"`
+	// Endpoint is the usage of the replicas; its Platform includes their reads of
+	// the log. Entry is the usage of the entries.
+	Endpoint RoleUsage `json:"endpoint"`
+	Entry    RoleUsage `json:"entry"`
 }
 
-// claimReplicas is the size of the group that claims are measured in.
+// claimReplicas is the size of the group in which claims are measured.
 const claimReplicas = 16
 
-// ClaimSlopes measures calls with idempotency keys: at the rates that are 1, 5,
-// 12 and 25 in a hundred of the target's requests, over one group.
+// ClaimSlopes measures calls with idempotency keys to one group, at rates of 1, 5,
+// 12 and 25 percent of the target's requests.
 func ClaimSlopes(ctx context.Context, progress io.Writer, o SlopeOptions) ([]ClaimPoint, error) {
 	var points []ClaimPoint
 	for _, rate := range []float64{13, 65, 156, 325} {
 		var p ClaimPoint
-		err := o.exclusively(ctx, func() (err error) { p, err = claimPoint(ctx, claimReplicas, rate, o); return err })
+		err := o.withLock(ctx, func() (err error) { p, err = claimPoint(ctx, claimReplicas, rate, o); return err })
 		if err != nil {
 			return points, err
 		}
@@ -83,12 +85,12 @@
 	s := slopeFleet{members: 0, entries: 2}
 	d := s.deployment()
 	d.Services = replicas
-	f, err := StartFleet(ctx, d, claimWorkload(), s.fleet(dir, o))
+	f, err := StartFleet(ctx, d, claimWorkload(), s.fleetOptions(dir, o))
 	if err != nil {
 		return p, err
 	}
 	defer f.Close()
-	before, err := f.use()
+	before, err := f.daemonUsage()
 	if err != nil {
 		return p, err
 	}
@@ -96,21 +98,21 @@
 	if err != nil {
 		return p, err
 	}
-	if err := wait.For(ctx, time.Second); err != nil { // the last settles
+	if err := wait.For(ctx, time.Second); err != nil { // until the last settlements are appended
 		return p, err
 	}
-	after, err := f.use()
+	after, err := f.daemonUsage()
 	if err != nil {
 		return p, err
 	}
 	p = ClaimPoint{Replicas: replicas, Rate: rate, Seconds: o.Window.Seconds(),
 		Outcomes: report.All.Outcomes, Calls: report.All.Calls, Answered: int(report.All.Calls.Count)}
-	p.Endpoint, p.Entry = roleUse(f.Services, before, after), roleUse(f.Entries, before, after)
+	p.Endpoint, p.Entry = newRoleUsage(f.Services, before, after), newRoleUsage(f.Entries, before, after)
 	return p, f.readClaims(ctx, &p)
 }
 
 func (f *Fleet) readClaims(ctx context.Context, p *ClaimPoint) error {
-	log := platform.NewLog(f.base)
+	log := platform.NewLog(f.platformURL)
 	defer log.Close()
 	for from := uint64(1); ; {
 		page, err := log.Read(ctx, "claims."+slopeServices, from, platform.MaxPageRecords, 0)
@@ -134,7 +136,8 @@
 	}
 }
 
-// tempDir makes a folder for settings and logs.
+// tempDir creates a folder for settings and logs. remove removes it unless keep is
+// set.
 func tempDir(keep bool) (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "skylark-slopes-")
 	if err != nil {
@@ -146,8 +149,8 @@
 	return dir, func() { os.RemoveAll(dir) }, nil
 }
 
-// processSeconds is the processor time that this process has used.
-func processSeconds() float64 {
+// processCPUSeconds returns the CPU time that this process has used.
+func processCPUSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
--- a/internal/measure/slopes_configuration.go
+++ b/internal/measure/slopes_configuration.go
@@ -12,21 +12,23 @@
 	"skylarklead/internal/standin/load"
 )
 
-// ConfigurationPoint is the cost of a configuration of so many organisations.
+// ConfigurationPoint measures the cost of a configuration with a number of
+// organisations.
 type ConfigurationPoint struct {
 	Organisations int `json:"organisations"`
-	// Instructions is the bytes of each one's standing instructions.
+	// Instructions is the size of each organisation's standing instructions.
 	Instructions int `json:"instruction_bytes"`
-	// RecordBytes is all records as they stand on the log.
+	// RecordBytes is the size of all records on the log.
 	RecordBytes int `json:"record_bytes"`
-	// StateBytes is what the state adds to the heap.
+	// StateBytes is the heap size of the state.
 	StateBytes int64 `json:"state_heap_bytes"`
-	// Encoded is the whole state as it goes between processes and into a
-	// snapshot, compressed; Change is one changed record as it goes to a peer.
+	// Encoded is the size of the whole state, compressed, as sent between
+	// processes and stored in a snapshot; Change that of one changed record as
+	// sent to a peer.
 	Encoded int `json:"encoded_bytes"`
 	Change  int `json:"change_bytes"`
-	// Times of one processor: to apply all records from the log, to encode the
-	// state, to decode it, to apply one more record, and to encode one change.
+	// The times on one core to apply all records from the log, to encode the state,
+	// to decode it, to apply one more record, and to encode one change.
 	ApplyAll     float64 `json:"apply_all_seconds"`
 	Encode       float64 `json:"encode_seconds"`
 	Decode       float64 `json:"decode_seconds"`
@@ -36,22 +38,22 @@
 	Failed string `json:"failed,omitempty"`
 }
 
-// targetOrganisations is the number of letter 1.
+// targetOrganisations is the number of organisations of the target size.
 const targetOrganisations = 11_000
 
-// configurationSizes are four counts of organisations, and the last one with
-// shorter and longer instructions, in bytes.
+// configurationSizes are four numbers of organisations, and the last of them also
+// with shorter and longer instructions, in bytes.
 var configurationSizes = []struct{ organisations, instructions int }{
 	{100, 4 << 10}, {1000, 4 << 10}, {4000, 4 << 10}, {targetOrganisations, 4 << 10},
 	{targetOrganisations, 1 << 10}, {targetOrganisations, 16 << 10},
 }
 
-// ConfigurationSlopes measures states of several sizes in this process.
+// ConfigurationSlopes measures configurations of several sizes in this process.
 func ConfigurationSlopes(ctx context.Context, progress io.Writer, o SlopeOptions) ([]ConfigurationPoint, error) {
 	var points []ConfigurationPoint
 	for _, size := range configurationSizes {
 		var p ConfigurationPoint
-		err := o.exclusively(ctx, func() (err error) { p, err = configurationPoint(size.organisations, size.instructions); return err })
+		err := o.withLock(ctx, func() (err error) { p, err = configurationPoint(size.organisations, size.instructions); return err })
 		if err != nil {
 			return points, err
 		}
@@ -74,22 +76,22 @@
 	}
 	before := heapBytes()
 	var state *config.State
-	p.ApplyAll = timed(func() { state, _ = config.NewState().ApplyAll(entries) })
-	// The records themselves are part of the state: it keeps them whole.
+	p.ApplyAll = timeSeconds(func() { state, _ = config.NewState().ApplyAll(entries) })
+	// The state retains the records, which were allocated before.
 	p.StateBytes = heapBytes() - before + int64(p.RecordBytes)
 	if len(state.Organisations) != organisations {
 		return p, fmt.Errorf("measure: %d of %d records accepted", len(state.Organisations), organisations)
 	}
-	p.change(state, instructions)
+	p.measureChange(state, instructions)
 	var encoded []byte
 	var err error
-	p.Encode = timed(func() { encoded, err = config.EncodeState(state) })
+	p.Encode = timeSeconds(func() { encoded, err = config.EncodeState(state) })
 	p.Encoded = len(encoded)
 	if err != nil {
 		p.Failed = err.Error()
 		return p, nil
 	}
-	p.Decode = timed(func() { _, err = config.DecodeState(encoded) })
+	p.Decode = timeSeconds(func() { _, err = config.DecodeState(encoded) })
 	if err != nil {
 		p.Failed = err.Error()
 	}
@@ -97,24 +99,25 @@
 	return p, nil
 }
 
-func (p *ConfigurationPoint) change(state *config.State, instructions int) {
+func (p *ConfigurationPoint) measureChange(state *config.State, instructions int) {
 	data, err := organisationRecord(0, 1, instructions)
 	if err != nil {
 		p.Failed = err.Error()
 		return
 	}
 	var next *config.State
-	p.ApplyOne = timed(func() { next, _ = state.Apply(state.Offset+1, data) })
+	p.ApplyOne = timeSeconds(func() { next, _ = state.Apply(state.Offset+1, data) })
 	var encoded []byte
-	p.EncodeChange = timed(func() { encoded, err = config.EncodeSince(next, state.Offset) })
+	p.EncodeChange = timeSeconds(func() { encoded, err = config.EncodeSince(next, state.Offset) })
 	if err != nil {
 		p.Failed = err.Error()
 	}
 	p.Change = len(encoded)
 }
 
-// organisationRecord is a record of schema 2 with generated instructions: a
-// quarter shared by all of a firm's customers, the rest its own.
+// organisationRecord returns a record of schema 2 with generated instructions. A
+// quarter of their text is shared by all organisations, the rest is the
+// organisation's own.
 func organisationRecord(i int, base uint64, instructions int) ([]byte, error) {
 	const tokenBytes = 4
 	id := fmt.Sprintf("organisation-%05d", i)
@@ -134,7 +137,7 @@
 	return r.Encode()
 }
 
-func timed(f func()) float64 {
+func timeSeconds(f func()) float64 {
 	start := time.Now()
 	f()
 	return time.Since(start).Seconds()
--- a/internal/measure/slopes_fleet.go
+++ b/internal/measure/slopes_fleet.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// GroupSlopes measures groups of the given sizes, idle and under a rate of
-// requests that grows with the group, each so often.
+// GroupSlopes measures groups of the given sizes, both idle and with a request
+// rate proportional to the size. Each is measured repeats times.
 func GroupSlopes(ctx context.Context, sizes []int, ratePerMember float64, repeats int, progress io.Writer, o SlopeOptions) ([]SlopePoint, error) {
 	var fleets []slopeFleet
 	for _, n := range sizes {
@@ -20,8 +20,8 @@
 	return measurePoints(ctx, fleets, repeats, progress, o)
 }
 
-// RequestSlopes measures processor time against requests and tokens: short
-// answers at several rates, then one rate with longer answers.
+// RequestSlopes measures CPU time by the number of requests and of tokens: with
+// short answers at several rates, then at one rate with longer answers.
 func RequestSlopes(ctx context.Context, repeats int, progress io.Writer, o SlopeOptions) ([]SlopePoint, error) {
 	const members, entries = 4, 1
 	var fleets []slopeFleet
@@ -35,21 +35,23 @@
 }
 
 const (
-	// streamTokens and streamStepMs make an answer of 5 s.
+	// An answer of streamTokens takes 5 s at streamStepMs.
 	streamTokens = 200
 	streamStepMs = 25
-	// streamWarmup is until as many end as begin.
+	// streamWarmup is longer than an answer, so that as many streams end as begin.
 	streamWarmup = 6 * time.Second
-	// streamRoom holds the prompts and answers of all streams of a point.
-	streamRoom = 4_000_000
+	// streamCacheTokens is large enough for the prompts and answers of all streams
+	// of a point.
+	streamCacheTokens = 4_000_000
 )
 
-// StreamSlopes measures memory against streams in flight: long answers of slow
-// engines, so that about rate × answer time are open. The last point has answers
-// twice as long and the default room of engine and admission: streams queue there.
+// StreamSlopes measures memory by the number of streams in flight. Answers are
+// long and engines slow, so that about rate × answer time streams are open. The
+// last point has answers twice as long and the default cache size of engines and
+// admission, which makes streams queue.
 func StreamSlopes(ctx context.Context, repeats int, progress io.Writer, o SlopeOptions) ([]SlopePoint, error) {
 	o.Warmup = max(o.Warmup, streamWarmup)
-	long := slopeFleet{members: 4, entries: 1, answerTokens: streamTokens, stepMs: streamStepMs, cacheTokens: streamRoom}
+	long := slopeFleet{members: 4, entries: 1, answerTokens: streamTokens, stepMs: streamStepMs, cacheTokens: streamCacheTokens}
 	var fleets []slopeFleet
 	for _, rate := range []float64{2, 10, 20, 40} {
 		s := long
@@ -65,7 +67,7 @@
 	for repeat := range repeats {
 		for _, s := range fleets {
 			var p SlopePoint
-			err := o.exclusively(ctx, func() (err error) { p, err = measurePoint(ctx, s, o); return err })
+			err := o.withLock(ctx, func() (err error) { p, err = measurePoint(ctx, s, o); return err })
 			if err != nil {
 				return points, err
 			}
@@ -73,14 +75,14 @@
 			points = append(points, p)
 			fmt.Fprintf(progress, "members %d rate %.0f answer %d: %.0f requests %.0f tokens %.0f in flight in %.1f s, engines %d running %d waiting %d tokens, outcomes %v\n",
 				p.Members, p.Rate, p.AnswerTokens, p.Requests, p.Tokens, p.InFlight, p.Seconds, p.Running, p.Waiting, p.EngineTokens, p.Outcomes)
-			writeUse(progress, "endpoint", p.Endpoint)
-			writeUse(progress, "entry", p.Entry)
+			writeUsage(progress, "endpoint", p.Endpoint)
+			writeUsage(progress, "entry", p.Entry)
 		}
 	}
 	return points, nil
 }
 
-func writeUse(w io.Writer, role string, u RoleUse) {
+func writeUsage(w io.Writer, role string, u RoleUsage) {
 	const mega = 1 << 20
 	fmt.Fprintf(w, "  %-8s cpu %.4f control %.0f+%.0f B/s data %.0f B/s sessions %.0f B/s platform %.0f B/s sockets %.0f rss %.1f MB\n",
 		role, u.CPU.Mean, u.ControlSent.Mean, u.ControlReceived.Mean, u.Data.Mean,
--- a/internal/measure/slopes_lines.go
+++ b/internal/measure/slopes_lines.go
@@ -6,34 +6,35 @@
 	"skylarklead/internal/member"
 )
 
-// Units of the table.
+// Factors from base units to those of the table.
 const (
-	micro = 1e6 // microseconds, or millionths of a core, of seconds or cores
+	micro = 1e6 // seconds to microseconds, or cores to millionths of a core
 	milli = 1e3
 	kilo  = 1e-3
 )
 
-// sources are all slopes that docs/CAPACITY.md uses, by file.
-var sources = []source{
-	linesOf("group", groupLines...),
-	linesOf("request", requestLines...),
-	linesOf("stream", streamLines...),
-	linesOf("token", tokenLines...),
-	linesOf("session", sessionLines...),
-	linesOf("configuration", configurationLines...),
-	linesOf("start", startLines...),
-	linesOf("platform", platformLines...),
-	linesOf("claims", claimLines...),
-	linesOf("spread", spreadLines...),
-}
-
-// idleGroup picks a figure of the members of groups without load.
+// pointsFiles has the lines for docs/CAPACITY.md, by file.
+var pointsFiles = []pointsFile{
+	newPointsFile("group", groupLines...),
+	newPointsFile("request", requestLines...),
+	newPointsFile("stream", streamLines...),
+	newPointsFile("token", tokenLines...),
+	newPointsFile("session", sessionLines...),
+	newPointsFile("configuration", configurationLines...),
+	newPointsFile("start", startLines...),
+	newPointsFile("platform", platformLines...),
+	newPointsFile("claims", claimLines...),
+	newPointsFile("spread", spreadLines...),
+}
+
+// idleGroup picks y by the number of peers, for groups without load.
 func idleGroup(y func(SlopePoint) float64) func(SlopePoint) (float64, float64, bool) {
 	return func(p SlopePoint) (float64, float64, bool) { return float64(p.Members - 1), y(p), p.Rate == 0 }
 }
 
-// perHeartbeat picks the same against the heartbeats that a member sends, and
-// hears, in a second: one to each peer, but no more in larger groups.
+// perHeartbeat picks y by the number of heartbeats that a member sends and receives
+// per second, for groups without load. A member sends one to each peer, up to
+// PeersPerInterval.
 func perHeartbeat(y func(SlopePoint) float64) func(SlopePoint) (float64, float64, bool) {
 	pick := idleGroup(y)
 	return func(p SlopePoint) (float64, float64, bool) {
@@ -42,7 +43,7 @@
 	}
 }
 
-var groupLines = []line[SlopePoint]{
+var groupLines = []lineSpec[SlopePoint]{
 	{"endpoint, sessions, wire", "B/s", "heartbeat/s each way", perHeartbeat(func(p SlopePoint) float64 { return p.Endpoint.Sessions.Mean })},
 	{"endpoint, control frames", "B/s", "heartbeat/s each way", perHeartbeat(func(p SlopePoint) float64 {
 		return p.Endpoint.ControlSent.Mean + p.Endpoint.ControlReceived.Mean
@@ -54,8 +55,8 @@
 	}},
 }
 
-// shortAnswers picks the points that differ in requests, longAnswers those that
-// differ in tokens.
+// shortAnswers picks y by the request rate, for the points that differ in it;
+// longAnswers picks y by the token rate, for the points that differ in that.
 func shortAnswers(y func(SlopePoint) float64) func(SlopePoint) (float64, float64, bool) {
 	return func(p SlopePoint) (float64, float64, bool) { return p.Requests / p.Seconds, y(p), p.AnswerTokens == 4 }
 }
@@ -64,25 +65,25 @@
 	return func(p SlopePoint) (float64, float64, bool) { return p.Tokens / p.Seconds, y(p), p.AnswerTokens > 4 }
 }
 
-func entryMicros(p SlopePoint) float64 { return micro * p.Entry.CPU.Mean }
+func entryCPUMicros(p SlopePoint) float64 { return micro * p.Entry.CPU.Mean }
 
-func endpointMicros(p SlopePoint) float64 { return micro * p.Endpoint.CPU.Mean * float64(p.Members) }
+func endpointCPUMicros(p SlopePoint) float64 { return micro * p.Endpoint.CPU.Mean * float64(p.Members) }
 
-var requestLines = []line[SlopePoint]{
-	{"entry, processor, answers of 4 tokens", "µs", "request", shortAnswers(entryMicros)},
-	{"endpoints, processor, answers of 4 tokens", "µs", "request", shortAnswers(endpointMicros)},
-	{"entry, processor", "µs", "token", longAnswers(entryMicros)},
-	{"endpoints, processor", "µs", "token", longAnswers(endpointMicros)},
+var requestLines = []lineSpec[SlopePoint]{
+	{"entry, processor, answers of 4 tokens", "µs", "request", shortAnswers(entryCPUMicros)},
+	{"endpoints, processor, answers of 4 tokens", "µs", "request", shortAnswers(endpointCPUMicros)},
+	{"entry, processor", "µs", "token", longAnswers(entryCPUMicros)},
+	{"endpoints, processor", "µs", "token", longAnswers(endpointCPUMicros)},
 	{"entry, sessions, wire", "B", "token", longAnswers(func(p SlopePoint) float64 { return p.Entry.Sessions.Mean })},
 }
 
-func roomyStreams(y func(SlopePoint) float64) func(SlopePoint) (float64, float64, bool) {
+func unqueuedStreams(y func(SlopePoint) float64) func(SlopePoint) (float64, float64, bool) {
 	return func(p SlopePoint) (float64, float64, bool) { return p.InFlight, y(p), p.CacheTokens > 0 }
 }
 
-var streamLines = []line[SlopePoint]{
-	{"entry, RSS", "KB", "open stream", roomyStreams(func(p SlopePoint) float64 { return kilo * p.Entry.RSS.Mean })},
-	{"endpoints, RSS of all four", "KB", "open stream", roomyStreams(func(p SlopePoint) float64 {
+var streamLines = []lineSpec[SlopePoint]{
+	{"entry, RSS", "KB", "open stream", unqueuedStreams(func(p SlopePoint) float64 { return kilo * p.Entry.RSS.Mean })},
+	{"endpoints, RSS of all four", "KB", "open stream", unqueuedStreams(func(p SlopePoint) float64 {
 		return kilo * p.Endpoint.RSS.Mean * float64(p.Members)
 	})},
 }
@@ -91,7 +92,7 @@
 	return func(p TokenPoint) (float64, float64, bool) { return float64(p.Tokens) / p.Seconds, y(p), true }
 }
 
-var tokenLines = []line[TokenPoint]{
+var tokenLines = []lineSpec[TokenPoint]{
 	{"entry, processor", "µs", "token", perToken(func(p TokenPoint) float64 { return micro * p.EntryCPU })},
 	{"endpoint, processor", "µs", "token", perToken(func(p TokenPoint) float64 { return micro * p.EndpointCPU })},
 	{"entry, sessions, wire", "B", "token", perToken(func(p TokenPoint) float64 { return p.Sessions })},
@@ -101,7 +102,7 @@
 	return func(p SessionPoint) (float64, float64, bool) { return float64(p.Sessions), y(p), p.Awaited == awaited }
 }
 
-var sessionLines = []line[SessionPoint]{
+var sessionLines = []lineSpec[SessionPoint]{
 	{"accepting side, RSS", "KB", "session", perSession(false, func(p SessionPoint) float64 { return kilo * p.RSS })},
 	{"opening, wire", "B", "session", perSession(false, func(p SessionPoint) float64 { return p.OpenBytes * float64(p.Sessions) })},
 	{"opening, processor of the accepting side", "µs", "session", perSession(false, func(p SessionPoint) float64 {
@@ -112,8 +113,8 @@
 	{"awaited, wire", "B/s", "session", perSession(true, func(p SessionPoint) float64 { return p.Idle * float64(p.Sessions) })},
 }
 
-// slopeInstructions is the length of instructions, in bytes, at which slopes per
-// organisation are taken.
+// slopeInstructions is the size of instructions, in bytes, of the points to which
+// lines by organisations are fitted.
 const slopeInstructions = 4 << 10
 
 func perOrganisation(y func(ConfigurationPoint) float64) func(ConfigurationPoint) (float64, float64, bool) {
@@ -122,7 +123,7 @@
 	}
 }
 
-var configurationLines = []line[ConfigurationPoint]{
+var configurationLines = []lineSpec[ConfigurationPoint]{
 	{"heap", "B", "organisation", perOrganisation(func(p ConfigurationPoint) float64 { return float64(p.StateBytes) })},
 	{"encoded", "B", "organisation", perOrganisation(func(p ConfigurationPoint) float64 { return float64(p.Encoded) })},
 	{"apply all, time", "µs", "organisation", perOrganisation(func(p ConfigurationPoint) float64 { return micro * p.ApplyAll })},
@@ -148,7 +149,7 @@
 	return mean
 }
 
-var startLines = []line[StartPoint]{
+var startLines = []lineSpec[StartPoint]{
 	{"entry after a start, RSS", "B", "organisation", perStart(func(p StartPoint) float64 { return p.EntryRSS })},
 	{"endpoint after a start, RSS", "B", "organisation", perStart(func(p StartPoint) float64 { return p.EndpointRSS })},
 	{"entry, start from the log, processor", "µs", "organisation", perStart(func(p StartPoint) float64 { return micro * p.EntryCPUSeconds })},
@@ -165,7 +166,7 @@
 	return func(p PlatformPoint) (float64, float64, bool) { return float64(p.Instances), y(p), true }
 }
 
-var platformLines = []line[PlatformPoint]{
+var platformLines = []lineSpec[PlatformPoint]{
 	{"list, changed, wire", "B", "instance", perInstance(func(p PlatformPoint) float64 { return p.ListBytes })},
 	{"list, unchanged, wire", "B", "instance", perInstance(func(p PlatformPoint) float64 { return p.ListUnchanged })},
 	{"list, changed, processor", "µs", "instance", perInstance(func(p PlatformPoint) float64 { return micro * p.ListSeconds })},
@@ -177,42 +178,43 @@
 	return func(p ClaimPoint) (float64, float64, bool) { return p.Rate, y(p), true }
 }
 
-var claimLines = []line[ClaimPoint]{
+var claimLines = []lineSpec[ClaimPoint]{
 	{"appends", "1/s", "key/s", perKey(func(p ClaimPoint) float64 { return float64(p.Records) / p.Seconds })},
 	{"bytes on the log", "B/s", "key/s", perKey(func(p ClaimPoint) float64 { return float64(p.Bytes) / p.Seconds })},
 	{"reads of each member, wire", "B/s", "key/s", perKey(func(p ClaimPoint) float64 { return p.Endpoint.Platform.Median })},
 	{"processor of each member", "µs/s", "key/s", perKey(func(p ClaimPoint) float64 { return micro * p.Endpoint.CPU.Median })},
 }
 
-// perDaemons picks a mean of repeats against the number of daemons; x is its
-// logarithm where what is fitted spreads from process to process.
-func perDaemons[T any](of func(SpreadPoint) []T, y func(T) float64) func(SpreadPoint) (float64, float64, bool) {
-	return func(p SpreadPoint) (float64, float64, bool) {
+// perDaemons picks the mean y of repeated measurements by the number of daemons.
+// logDaemons picks it by the binary logarithm of that number, for propagation from
+// peer to peer.
+func perDaemons[T any](of func(PropagationPoint) []T, y func(T) float64) func(PropagationPoint) (float64, float64, bool) {
+	return func(p PropagationPoint) (float64, float64, bool) {
 		return float64(p.Daemons), meanOf(of(p), y), p.Failed == ""
 	}
 }
 
-func logDaemons[T any](of func(SpreadPoint) []T, y func(T) float64) func(SpreadPoint) (float64, float64, bool) {
+func logDaemons[T any](of func(PropagationPoint) []T, y func(T) float64) func(PropagationPoint) (float64, float64, bool) {
 	pick := perDaemons(of, y)
-	return func(p SpreadPoint) (float64, float64, bool) {
+	return func(p PropagationPoint) (float64, float64, bool) {
 		x, y, ok := pick(p)
 		return math.Log2(x), y, ok
 	}
 }
 
-func byLog(p SpreadPoint) []Spreading   { return p.Log }
-func byPeers(p SpreadPoint) []Spreading { return p.Peers }
-func herds(p SpreadPoint) []Herd        { return p.Herd }
-func herdsCut(p SpreadPoint) []Herd     { return p.HerdCut }
-
-var spreadLines = []line[SpreadPoint]{
-	{"a change in force at all, by the log (wall)", "ms", "daemon", perDaemons(byLog, func(s Spreading) float64 { return milli * s.All })},
-	{"a change, wire bytes of each", "B", "daemon", perDaemons(byLog, func(s Spreading) float64 { return s.Bytes })},
-	{"a change in force at all, by peers (wall)", "ms", "doubling of daemons", logDaemons(byPeers, func(s Spreading) float64 { return milli * s.All })},
-	{"a change by peers, wire bytes of each", "B", "doubling of daemons", logDaemons(byPeers, func(s Spreading) float64 { return s.Bytes })},
-	{"a quarter restarted, all serve (wall)", "ms", "daemon", perDaemons(herds, func(h Herd) float64 { return milli * h.All })},
-	{"a quarter restarted, wire from the log, each", "B", "daemon", perDaemons(herds, func(h Herd) float64 { return h.Platform })},
-	{"a quarter restarted, wire with peers, each", "B", "daemon", perDaemons(herds, func(h Herd) float64 { return h.Peers })},
-	{"the same without the log, all serve (wall)", "ms", "daemon", perDaemons(herdsCut, func(h Herd) float64 { return milli * h.All })},
-	{"the same without the log, wire with peers, each", "B", "daemon", perDaemons(herdsCut, func(h Herd) float64 { return h.Peers })},
+func byLog(p PropagationPoint) []Propagation    { return p.Log }
+func byPeers(p PropagationPoint) []Propagation  { return p.Peers }
+func herdsWithLog(p PropagationPoint) []Herd    { return p.Herd }
+func herdsWithoutLog(p PropagationPoint) []Herd { return p.HerdCut }
+
+var spreadLines = []lineSpec[PropagationPoint]{
+	{"a change in force at all, by the log (wall)", "ms", "daemon", perDaemons(byLog, func(s Propagation) float64 { return milli * s.All })},
+	{"a change, wire bytes of each", "B", "daemon", perDaemons(byLog, func(s Propagation) float64 { return s.Bytes })},
+	{"a change in force at all, by peers (wall)", "ms", "doubling of daemons", logDaemons(byPeers, func(s Propagation) float64 { return milli * s.All })},
+	{"a change by peers, wire bytes of each", "B", "doubling of daemons", logDaemons(byPeers, func(s Propagation) float64 { return s.Bytes })},
+	{"a quarter restarted, all serve (wall)", "ms", "daemon", perDaemons(herdsWithLog, func(h Herd) float64 { return milli * h.All })},
+	{"a quarter restarted, wire from the log, each", "B", "daemon", perDaemons(herdsWithLog, func(h Herd) float64 { return h.Platform })},
+	{"a quarter restarted, wire with peers, each", "B", "daemon", perDaemons(herdsWithLog, func(h Herd) float64 { return h.Peers })},
+	{"the same without the log, all serve (wall)", "ms", "daemon", perDaemons(herdsWithoutLog, func(h Herd) float64 { return milli * h.All })},
+	{"the same without the log, wire with peers, each", "B", "daemon", perDaemons(herdsWithoutLog, func(h Herd) float64 { return h.Peers })},
 }
--- a/internal/measure/slopes_platform.go
+++ b/internal/measure/slopes_platform.go
@@ -14,38 +14,40 @@
 	"skylarklead/internal/wait"
 )
 
-// PlatformPoint is what reads of the platform cost a daemon and the platform.
+// PlatformPoint measures the cost of reads of the platform.
 type PlatformPoint struct {
 	Instances int `json:"instances"`
-	// ListBytes is one poll of the instance list, request and answer, that
-	// brings the list; ListUnchanged one that finds it unchanged. The seconds are
-	// the client's processor time for each.
+	// ListBytes is the size of request and response of a poll that returns the
+	// instance list, ListUnchanged that of a poll that finds it unchanged.
+	// ListSeconds and ListUnchangedSeconds are this process's CPU time for each.
 	ListBytes            float64 `json:"list_bytes"`
 	ListSeconds          float64 `json:"list_cpu_seconds"`
 	ListUnchanged        float64 `json:"list_unchanged_bytes"`
 	ListUnchangedSeconds float64 `json:"list_unchanged_cpu_seconds"`
-	// PollBytes is one long poll of a log stream that brings nothing.
+	// PollBytes is the size of a long poll of a log stream that returns no records.
 	PollBytes float64 `json:"idle_poll_bytes"`
-	// RecordBytes is what a reader gets for one record of Record bytes.
+	// RecordBytes is the size of a read that returns one record of Record bytes.
 	Record      int     `json:"record"`
 	RecordBytes float64 `json:"record_poll_bytes"`
-	// AppendBytes is one append of such a record, with its connection.
+	// AppendBytes is the size of an append of such a record.
 	AppendBytes float64 `json:"append_bytes"`
-	// Followers long-poll together; all had a new record after Spread at most.
+	// Followers is the number of concurrent long polls, Spread the time until the
+	// last of them returned a new record.
 	Followers int     `json:"followers"`
 	Spread    float64 `json:"spread_seconds"`
 }
 
 const (
-	targetDaemons    = 1010
-	platformReads    = 20
-	changeRecord     = 4 << 10
-	slopesStream     = "slopes"
-	idlePollWait     = 200 * time.Millisecond
-	followerPatience = 20 * time.Second
+	targetDaemons       = 1010
+	platformReads       = 20
+	platformRecordBytes = 4 << 10
+	slopesStream        = "slopes"
+	idlePollWait        = 200 * time.Millisecond
+	followerTimeout     = 20 * time.Second
 )
 
-// PlatformSlopes measures reads of a stand-in platform by this process.
+// PlatformSlopes measures reads by this process of the platform's stand-in, with
+// instance lists of several sizes.
 func PlatformSlopes(ctx context.Context, progress io.Writer, o SlopeOptions) ([]PlatformPoint, error) {
 	dir, remove, err := tempDir(o.Keep)
 	if err != nil {
@@ -53,9 +55,9 @@
 	}
 	defer remove()
 	f := &Fleet{
-		deployment: Deployment{Domains: []string{"domain-a"}, LoadsAtOnce: 3},
+		deployment: Deployment{Domains: []string{"domain-a"}, ConcurrentLoads: 3},
 		options:    FleetOptions{Bin: o.Bin, Dir: dir},
-		views:      map[string]string{},
+		listURLs:   map[string]string{},
 	}
 	defer f.Close()
 	if err := f.startPlatform(ctx); err != nil {
@@ -70,7 +72,7 @@
 			}
 		}
 		var p PlatformPoint
-		err := o.exclusively(ctx, func() (err error) { p, err = f.platformPoint(ctx, n); return err })
+		err := o.withLock(ctx, func() (err error) { p, err = f.platformPoint(ctx, n); return err })
 		if err != nil {
 			return points, err
 		}
@@ -88,41 +90,41 @@
 }
 
 func (f *Fleet) platformPoint(ctx context.Context, n int) (p PlatformPoint, err error) {
-	p.Instances, p.Record, p.Followers = n, changeRecord, n
-	relay, err := newRelay(f.base)
+	p.Instances, p.Record, p.Followers = n, platformRecordBytes, n
+	relay, err := newCountingRelay(f.platformURL)
 	if err != nil {
 		return p, err
 	}
 	defer relay.close()
-	if err := p.list(ctx, relay); err != nil {
+	if err := p.measureList(ctx, relay); err != nil {
 		return p, err
 	}
-	if err := p.log(ctx, relay); err != nil {
+	if err := p.measureLog(ctx, relay); err != nil {
 		return p, err
 	}
-	p.Spread, err = f.followAll(ctx, n)
+	p.Spread, err = f.measureNotification(ctx, n)
 	return p, err
 }
 
-func (p *PlatformPoint) list(ctx context.Context, r *relay) error {
-	before, cpu := r.bytes(), processSeconds()
+func (p *PlatformPoint) measureList(ctx context.Context, r *countingRelay) error {
+	before, cpu := r.bytes(), processCPUSeconds()
 	for range platformReads {
 		if err := p.readList(ctx, platform.NewInstances(r.url()), 1); err != nil {
 			return err
 		}
 	}
 	p.ListBytes = (r.bytes() - before) / platformReads
-	p.ListSeconds = (processSeconds() - cpu) / platformReads
-	before, cpu = r.bytes(), processSeconds()
+	p.ListSeconds = (processCPUSeconds() - cpu) / platformReads
+	before, cpu = r.bytes(), processCPUSeconds()
 	if err := p.readList(ctx, platform.NewInstances(r.url()), platformReads+1); err != nil {
 		return err
 	}
 	p.ListUnchanged = (r.bytes() - before - p.ListBytes) / platformReads
-	p.ListUnchangedSeconds = (processSeconds() - cpu - p.ListSeconds) / platformReads
+	p.ListUnchangedSeconds = (processCPUSeconds() - cpu - p.ListSeconds) / platformReads
 	return nil
 }
 
-// readList reads the list so often with one client.
+// readList reads the instance list the given number of times with one client.
 func (p *PlatformPoint) readList(ctx context.Context, client *platform.Instances, times int) error {
 	defer client.Close()
 	for range times {
@@ -137,11 +139,11 @@
 	return nil
 }
 
-func (p *PlatformPoint) log(ctx context.Context, r *relay) error {
+func (p *PlatformPoint) measureLog(ctx context.Context, r *countingRelay) error {
 	log := platform.NewLog(r.url())
 	defer log.Close()
 	before := r.bytes()
-	offset, err := log.Append(ctx, slopesStream, [][]byte{make([]byte, changeRecord)})
+	offset, err := log.Append(ctx, slopesStream, [][]byte{make([]byte, platformRecordBytes)})
 	if err != nil {
 		return err
 	}
@@ -162,10 +164,10 @@
 	return nil
 }
 
-// followAll has n clients wait for one record and returns how long after its
-// append the last of them had it.
-func (f *Fleet) followAll(ctx context.Context, n int) (float64, error) {
-	log := platform.NewLog(f.base)
+// measureNotification lets n clients wait for one record and returns the seconds
+// from its append until the last of them has received it.
+func (f *Fleet) measureNotification(ctx context.Context, n int) (float64, error) {
+	log := platform.NewLog(f.platformURL)
 	defer log.Close()
 	const stream = "slopes-follow"
 	last, err := log.Append(ctx, stream, [][]byte{{0}})
@@ -177,12 +179,12 @@
 	reading.Add(n)
 	for range n {
 		go func() {
-			follower := platform.NewLog(f.base)
+			follower := platform.NewLog(f.platformURL)
 			defer follower.Close()
 			_, err := follower.Read(ctx, stream, last, 1, 0)
 			reading.Done()
 			if err == nil {
-				_, err = follower.Read(ctx, stream, last+1, 1, followerPatience)
+				_, err = follower.Read(ctx, stream, last+1, 1, followerTimeout)
 			}
 			errs <- err
 		}()
@@ -192,7 +194,7 @@
 		return 0, err
 	}
 	start := time.Now()
-	if _, err := log.Append(ctx, stream, [][]byte{make([]byte, changeRecord)}); err != nil {
+	if _, err := log.Append(ctx, stream, [][]byte{make([]byte, platformRecordBytes)}); err != nil {
 		return 0, err
 	}
 	for range n {
@@ -203,40 +205,40 @@
 	return time.Since(start).Seconds(), nil
 }
 
-// relay counts the bytes of connections to the platform.
-type relay struct {
+// countingRelay forwards connections to the platform and counts their bytes.
+type countingRelay struct {
 	listener net.Listener
 	server   string
 	total    atomic.Int64
 }
 
-func newRelay(base string) (*relay, error) {
+func newCountingRelay(base string) (*countingRelay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("measure: %w", err)
 	}
-	r := &relay{listener: l, server: base[len("http://"):]}
+	r := &countingRelay{listener: l, server: base[len("http://"):]}
 	go r.serve()
 	return r, nil
 }
 
-func (r *relay) serve() {
+func (r *countingRelay) serve() {
 	for {
-		near, err := r.listener.Accept()
+		clientConn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.server)
+		serverConn, err := net.Dial("tcp", r.server)
 		if err != nil {
-			near.Close()
+			clientConn.Close()
 			continue
 		}
-		go r.copy(far, near)
-		go r.copy(near, far)
+		go r.copy(serverConn, clientConn)
+		go r.copy(clientConn, serverConn)
 	}
 }
 
-func (r *relay) copy(to, from net.Conn) {
+func (r *countingRelay) copy(to, from net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 64<<10)
 	for {
@@ -251,6 +253,6 @@
 	}
 }
 
-func (r *relay) url() string    { return "http://" + r.listener.Addr().String() }
-func (r *relay) bytes() float64 { return float64(r.total.Load()) }
-func (r *relay) close()         { r.listener.Close() }
+func (r *countingRelay) url() string    { return "http://" + r.listener.Addr().String() }
+func (r *countingRelay) bytes() float64 { return float64(r.total.Load()) }
+func (r *countingRelay) close()         { r.listener.Close() }
--- a/internal/measure/slopes_save.go
+++ b/internal/measure/slopes_save.go
@@ -12,21 +12,22 @@
 	"time"
 )
 
-// Saved is a file of results.
-type Saved struct {
-	// Date is when the run ended, Commit the working tree's revision then.
+// SavedResults is the content of a file of results.
+type SavedResults struct {
+	// Date is when the results were saved, Commit the working tree's revision at
+	// that time.
 	Date   string          `json:"date"`
 	Commit string          `json:"commit"`
 	Points json.RawMessage `json:"points"`
 }
 
-// SaveSlopes writes points, or whatever a run gave, as JSON.
+// SaveSlopes writes the results of a run, usually points, to a JSON file.
 func SaveSlopes(dir, name string, points any) error {
 	raw, err := json.Marshal(points)
 	if err != nil {
 		return fmt.Errorf("measure: %w", err)
 	}
-	saved := Saved{Date: time.Now().UTC().Format("2006-01-02 15:04"), Commit: commit(), Points: raw}
+	saved := SavedResults{Date: time.Now().UTC().Format("2006-01-02 15:04"), Commit: revision(), Points: raw}
 	data, err := json.MarshalIndent(saved, "", " ")
 	if err != nil {
 		return fmt.Errorf("measure: %w", err)
@@ -40,8 +41,8 @@
 	return nil
 }
 
-// loadSlopes reads what SaveSlopes wrote; the points stay encoded.
-func loadSlopes(dir, name string) (s Saved, err error) {
+// loadSlopes reads a file written by SaveSlopes. The points stay encoded.
+func loadSlopes(dir, name string) (s SavedResults, err error) {
 	data, err := os.ReadFile(filepath.Join(dir, name+".json"))
 	if err != nil {
 		return s, fmt.Errorf("measure: %w", err)
@@ -52,8 +53,9 @@
 	return s, nil
 }
 
-// commit names the revision of the working tree, with "-dirty" if it was changed.
-func commit() string {
+// revision returns the revision of the working tree, with the suffix "-dirty" if
+// it has changes, or "unknown".
+func revision() string {
 	out, err := exec.Command("git", "describe", "--always", "--dirty", "--exclude=*").Output()
 	if err != nil {
 		return "unknown"
@@ -61,10 +63,10 @@
 	return strings.TrimSpace(string(out))
 }
 
-// exclusively does one point while it holds the lock, if there is one.
-func (o SlopeOptions) exclusively(ctx context.Context, do func() error) error {
+// withLock calls measure while it holds the lock on o.Lock, if set.
+func (o SlopeOptions) withLock(ctx context.Context, measure func() error) error {
 	if o.Lock == "" {
-		return do()
+		return measure()
 	}
 	file, err := os.OpenFile(o.Lock, os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
@@ -74,12 +76,12 @@
 	go func() { locked <- syscall.Flock(int(file.Fd()), syscall.LOCK_EX) }()
 	select {
 	case err = <-locked:
-	case <-ctx.Done(): // the goroutine goes on waiting until this process ends
+	case <-ctx.Done(): // the goroutine waits for the lock until this process exits
 		return ctx.Err()
 	}
-	defer file.Close() // lets go of the lock
+	defer file.Close() // releases the lock
 	if err != nil {
 		return fmt.Errorf("measure: lock: %w", err)
 	}
-	return do()
+	return measure()
 }
--- a/internal/measure/slopes_session.go
+++ b/internal/measure/slopes_session.go
@@ -11,29 +11,31 @@
 	"skylarklead/internal/wire"
 )
 
-// SessionPoint is what so many sessions to one daemon cost it.
+// SessionPoint measures the cost of a number of sessions for one daemon.
 type SessionPoint struct {
 	Sessions int `json:"sessions"`
-	// Awaited sessions carry a stream, so that the dialer pings faster.
+	// Awaited sessions are held as if they carried a stream, which makes the dialer
+	// send pings more often.
 	Awaited bool `json:"awaited"`
-	// OpenBytes and OpenCPU are one opening, on the wire and of the daemon's
-	// processor; CloseBytes aren't counted.
+	// OpenBytes and OpenCPU are the bytes on the wire and the daemon's CPU time to
+	// open one session. Closing it isn't included.
 	OpenBytes float64 `json:"open_wire_bytes"`
 	OpenCPU   float64 `json:"open_cpu_seconds"`
-	// Idle is the bytes a second on the wire of one session on which nothing is
-	// said; CPU the daemon's share of a core for all of them and all else.
+	// Idle is the bytes per second on the wire of one session without messages. CPU
+	// is the daemon's total CPU usage as a fraction of a core.
 	Idle float64 `json:"idle_wire_bytes_per_second"`
 	CPU  float64 `json:"cpu"`
 	RSS  float64 `json:"rss"`
 }
 
-// SessionSlopes measures counts of sessions between this process and one endpoint daemon.
+// SessionSlopes measures several numbers of sessions from this process to one
+// endpoint daemon.
 func SessionSlopes(ctx context.Context, counts []int, progress io.Writer, o SlopeOptions) ([]SessionPoint, error) {
 	var points []SessionPoint
 	for _, awaited := range []bool{false, true} {
 		for _, n := range counts {
 			var p SessionPoint
-			err := o.exclusively(ctx, func() (err error) { p, err = sessionPoint(ctx, n, awaited, o); return err })
+			err := o.withLock(ctx, func() (err error) { p, err = sessionPoint(ctx, n, awaited, o); return err })
 			if err != nil {
 				return points, err
 			}
@@ -52,13 +54,13 @@
 	}
 	defer remove()
 	s := slopeFleet{members: 1, entries: 1, answerTokens: 4, stepMs: 5}
-	f, err := StartFleet(ctx, s.deployment(), s.workload(), s.fleet(dir, o))
+	f, err := StartFleet(ctx, s.deployment(), s.workload(), s.fleetOptions(dir, o))
 	if err != nil {
 		return p, err
 	}
 	defer f.Close()
 	node := f.Engines[0]
-	before, err := f.use()
+	before, err := f.daemonUsage()
 	if err != nil {
 		return p, err
 	}
@@ -67,14 +69,14 @@
 	if err != nil {
 		return p, err
 	}
-	opened, err := f.use()
+	opened, err := f.daemonUsage()
 	if err != nil {
 		return p, err
 	}
 	if err := wait.For(ctx, o.Window); err != nil {
 		return p, err
 	}
-	after, err := f.use()
+	after, err := f.daemonUsage()
 	if err != nil {
 		return p, err
 	}
@@ -82,8 +84,8 @@
 	return p, nil
 }
 
-func (p *SessionPoint) fill(before, opened, after use) {
-	cpu := func(u use) float64 { return value(u.page, "cpu_seconds") }
+func (p *SessionPoint) fill(before, opened, after usage) {
+	cpu := func(u usage) float64 { return metricValue(u.page, "cpu_seconds") }
 	seconds := after.at.Sub(opened.at).Seconds()
 	p.CPU, p.RSS = (cpu(after)-cpu(opened))/seconds, after.rss
 	if p.Sessions == 0 {
@@ -93,7 +95,7 @@
 	for key := range before.sockets {
 		delete(opened.sockets, key)
 	}
-	p.OpenBytes = wireBytes(zeroed(opened.sockets), opened.sockets, socketPeer) / n
+	p.OpenBytes = wireBytes(zeroBaseline(opened.sockets), opened.sockets, socketPeer) / n
 	p.OpenCPU = (cpu(opened) - cpu(before)) / n
 	p.Idle = wireBytes(opened.sockets, after.sockets, socketPeer) / seconds / n
 }
@@ -110,7 +112,7 @@
 			Self: func() protocol.Identity {
 				return protocol.Identity{ID: id, Role: protocol.RoleEntry, Epoch: protocol.Epoch(i + 1)}
 			},
-			Handler: ignore{},
+			Handler: ignoreMessages{},
 		})
 		if err != nil {
 			return sessions, err
--- a/internal/measure/slopes_spread.go
+++ b/internal/measure/slopes_spread.go
@@ -13,43 +13,45 @@
 	"skylarklead/internal/wait"
 )
 
-// SpreadPoint is what so many real daemons, entries but for one endpoint, make of
-// changes and of restarts. There is no load, so that no request tells an entry of
-// a newer configuration.
-type SpreadPoint struct {
+// PropagationPoint measures how configuration changes propagate to a number of
+// daemons, one endpoint and otherwise entries, and how these restart. There is no
+// load, so that entries don't learn of a newer configuration from requests.
+type PropagationPoint struct {
 	Daemons       int `json:"daemons"`
 	Organisations int `json:"organisations"`
 	Instructions  int `json:"instruction_bytes"`
-	// Log are changes that all read from the log, Peers changes while one daemon
-	// alone reaches the log.
-	Log   []Spreading `json:"log"`
-	Peers []Spreading `json:"peers"`
-	// Herd are restarts of all of a failure domain, a quarter of the daemons, with
-	// the log; HerdCut those without.
+	// Log has changes that all daemons can read from the log, Peers changes while
+	// only one daemon can reach the log.
+	Log   []Propagation `json:"log"`
+	Peers []Propagation `json:"peers"`
+	// Herd has restarts of a whole failure domain, a quarter of the daemons, while
+	// all daemons can reach the log; HerdCut those while only one can.
 	Herd    []Herd `json:"herd"`
 	HerdCut []Herd `json:"herd_log_down"`
 	Failed  string `json:"failed,omitempty"`
 }
 
-// Spreading is the times from before the append of a change until it is in force
-// at so many of the daemons, in seconds, by their logs.
-type Spreading struct {
+// Propagation has the times in seconds from before the append of a change until it
+// is in force at half, 95 percent and all of the daemons, by their logs. Bytes is
+// the average number of bytes on the wire of each daemon.
+type Propagation struct {
 	Half  float64 `json:"half_seconds"`
 	Most  float64 `json:"95_in_100_seconds"`
 	All   float64 `json:"all_seconds"`
 	Bytes float64 `json:"wire_bytes_each"`
 }
 
-// Herd is the restart of several daemons at once.
+// Herd measures the restart of several daemons at the same time.
 type Herd struct {
 	Restarted int `json:"restarted"`
-	// First and All serve so long after the first start; Whole is until all have
-	// the newest configuration.
+	// First and All are the times from the first start until the first daemon and
+	// all daemons serve; Whole is the time until all have the newest configuration.
 	First float64 `json:"first_serves_seconds"`
 	All   float64 `json:"all_serve_seconds"`
 	Whole float64 `json:"all_whole_seconds"`
-	// FromPeer of them had their first configuration from a peer. Platform and
-	// Peers are wire bytes, both ways, and CPU seconds of each, on average.
+	// FromPeer is how many of them got their first configuration from a peer.
+	// Platform and Peers are the bytes on the wire, sent and received, and CPU the
+	// CPU seconds, each an average over the daemons.
 	FromPeer int     `json:"first_from_peer"`
 	Platform float64 `json:"platform_bytes_each"`
 	Peers    float64 `json:"peer_bytes_each"`
@@ -57,21 +59,21 @@
 }
 
 const (
-	spreadRepeats       = 3
-	spreadOrganisations = 1000
-	spreadInstructions  = 1 << 10
-	// spreadPatience bounds one change; without the log it takes many questions
-	// between peers.
-	spreadPatience = 60 * time.Second
-	herdDomain     = "domain-b"
+	propagationRepeats       = 3
+	propagationOrganisations = 1000
+	propagationInstructions  = 1 << 10
+	// propagationTimeout bounds the propagation of one change, which without the
+	// log takes many requests between peers.
+	propagationTimeout = 60 * time.Second
+	herdDomain         = "domain-b"
 )
 
-// SpreadSlopes measures fleets of so many daemons.
-func SpreadSlopes(ctx context.Context, sizes []int, progress io.Writer, o SlopeOptions) ([]SpreadPoint, error) {
-	var points []SpreadPoint
+// PropagationSlopes measures fleets with the given numbers of daemons.
+func PropagationSlopes(ctx context.Context, sizes []int, progress io.Writer, o SlopeOptions) ([]PropagationPoint, error) {
+	var points []PropagationPoint
 	for _, n := range sizes {
-		p := SpreadPoint{Daemons: n, Organisations: spreadOrganisations, Instructions: spreadInstructions}
-		if err := o.exclusively(ctx, func() error { return p.measure(ctx, o) }); err != nil {
+		p := PropagationPoint{Daemons: n, Organisations: propagationOrganisations, Instructions: propagationInstructions}
+		if err := o.withLock(ctx, func() error { return p.measure(ctx, o) }); err != nil {
 			p.Failed = err.Error()
 		}
 		points = append(points, p)
@@ -80,37 +82,38 @@
 	return points, ctx.Err()
 }
 
-// crowd is a fleet whose daemons, but for the first entry, reach the log through
-// a proxy that can cut them off.
-type crowd struct {
+// partitionableFleet is a fleet whose daemons except the first entry reach the log
+// through a proxy that can disconnect them.
+type partitionableFleet struct {
 	*Fleet
-	log *platform.Log
-	way *faultproxy.Proxy
-	// base is the newest record of the organisation that is changed.
-	base uint64
+	log      *platform.Log
+	logProxy *faultproxy.Proxy
+	// baseOffset is the offset of the newest record of the organisation that is
+	// changed.
+	baseOffset uint64
 }
 
-func (p *SpreadPoint) measure(ctx context.Context, o SlopeOptions) error {
+func (p *PropagationPoint) measure(ctx context.Context, o SlopeOptions) error {
 	dir, remove, err := tempDir(o.Keep)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	c := &crowd{}
+	c := &partitionableFleet{}
 	defer c.close()
 	if err := c.start(ctx, p, dir, o); err != nil {
 		return err
 	}
 	steps := []func() error{
 		func() error {
-			return repeated(&p.Log, func() (Spreading, error) { return c.change(ctx, p.Instructions) })
+			return repeatN(&p.Log, func() (Propagation, error) { return c.measureChange(ctx, p.Instructions) })
 		},
-		func() error { return repeated(&p.Herd, func() (Herd, error) { return c.herd(ctx) }) },
-		c.cut,
+		func() error { return repeatN(&p.Herd, func() (Herd, error) { return c.restartDomain(ctx) }) },
+		c.partition,
 		func() error {
-			return repeated(&p.Peers, func() (Spreading, error) { return c.change(ctx, p.Instructions) })
+			return repeatN(&p.Peers, func() (Propagation, error) { return c.measureChange(ctx, p.Instructions) })
 		},
-		func() error { return repeated(&p.HerdCut, func() (Herd, error) { return c.herd(ctx) }) },
+		func() error { return repeatN(&p.HerdCut, func() (Herd, error) { return c.restartDomain(ctx) }) },
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -120,8 +123,8 @@
 	return nil
 }
 
-func repeated[T any](into *[]T, do func() (T, error)) error {
-	for range spreadRepeats {
+func repeatN[T any](into *[]T, do func() (T, error)) error {
+	for range propagationRepeats {
 		result, err := do()
 		if err != nil {
 			return err
@@ -131,107 +134,108 @@
 	return nil
 }
 
-func (c *crowd) start(ctx context.Context, p *SpreadPoint, dir string, o SlopeOptions) (err error) {
+func (c *partitionableFleet) start(ctx context.Context, p *PropagationPoint, dir string, o SlopeOptions) (err error) {
 	s := slopeFleet{members: 1, entries: p.Daemons - 1, answerTokens: 4, stepMs: 5}
 	d := s.deployment()
 	d.Domains = []string{"domain-a", herdDomain, "domain-c", "domain-d"}
-	options := s.fleet(dir, o)
+	options := s.fleetOptions(dir, o)
 	options.Prepare = func(ctx context.Context, f *Fleet) (err error) {
-		c.log = platform.NewLog(f.base)
-		if c.base, _, err = publishOrganisations(ctx, c.log, p.Organisations, p.Instructions); err != nil {
+		c.log = platform.NewLog(f.platformURL)
+		if c.baseOffset, _, err = publishOrganisations(ctx, c.log, p.Organisations, p.Instructions); err != nil {
 			return err
 		}
-		c.way, err = faultproxy.Listen("127.0.0.1:0", f.base[len("http://"):])
+		c.logProxy, err = faultproxy.Listen("127.0.0.1:0", f.platformURL[len("http://"):])
 		return err
 	}
-	direct := ""
+	unproxied := ""
 	options.Settings = func(to *settings.Settings) {
-		s.room(to)
+		s.raiseLimits(to)
 		to.LogLevel, to.Platform.Instances = "info", to.Platform.Log
-		if to.Entry != nil && direct == "" {
-			direct = to.ID
+		if to.Entry != nil && unproxied == "" {
+			unproxied = to.ID
 			return
 		}
-		to.Platform.Log = "http://" + c.way.Address()
+		to.Platform.Log = "http://" + c.logProxy.Address()
 	}
 	c.Fleet, err = StartFleet(ctx, d, s.workload(), options)
 	return err
 }
 
-func (c *crowd) close() {
+func (c *partitionableFleet) close() {
 	if c.Fleet != nil {
 		c.Fleet.Close()
 	}
-	if c.way != nil {
-		c.way.Close()
+	if c.logProxy != nil {
+		c.logProxy.Close()
 	}
 	if c.log != nil {
 		c.log.Close()
 	}
 }
 
-// cut takes the log from all daemons but one.
-func (c *crowd) cut() error {
-	c.way.Refuse(true)
-	c.way.Cut()
+// partition disconnects all daemons but one from the log.
+func (c *partitionableFleet) partition() error {
+	c.logProxy.Refuse(true)
+	c.logProxy.Cut()
 	return nil
 }
 
-// change publishes a change and waits until all have it in force.
-func (c *crowd) change(ctx context.Context, instructions int) (s Spreading, err error) {
-	data, err := organisationRecord(0, c.base, instructions)
+// measureChange publishes a change and waits until it is in force at all daemons.
+func (c *partitionableFleet) measureChange(ctx context.Context, instructions int) (result Propagation, err error) {
+	data, err := organisationRecord(0, c.baseOffset, instructions)
 	if err != nil {
-		return s, err
+		return result, err
 	}
-	before, err := c.use()
+	before, err := c.daemonUsage()
 	if err != nil {
-		return s, err
+		return result, err
 	}
-	begun := time.Now()
-	if c.base, err = c.log.Append(ctx, "config", [][]byte{data}); err != nil {
-		return s, err
+	start := time.Now()
+	if c.baseOffset, err = c.log.Append(ctx, "config", [][]byte{data}); err != nil {
+		return result, err
 	}
-	times, err := c.times(ctx, c.daemons(), begun, inForce(c.base))
+	times, err := c.logTimes(ctx, c.daemons(), start, configInForce(c.baseOffset))
 	if err != nil {
-		return s, err
+		return result, err
 	}
-	after, err := c.use()
+	after, err := c.daemonUsage()
 	if err != nil {
-		return s, err
+		return result, err
 	}
 	last := len(times) - 1
-	s = Spreading{Half: times[last/2], Most: times[last*95/100], All: times[last]}
+	result = Propagation{Half: times[last/2], Most: times[last*95/100], All: times[last]}
 	for id, a := range after {
-		known := zeroed(a.sockets)
+		known := zeroBaseline(a.sockets)
 		for key, b := range before[id].sockets {
 			known[key] = b
 		}
-		s.Bytes += (wireBytes(known, a.sockets, socketPlatform) + wireBytes(known, a.sockets, socketPeer)) / float64(len(after))
+		result.Bytes += (wireBytes(known, a.sockets, socketPlatform) + wireBytes(known, a.sockets, socketPeer)) / float64(len(after))
 	}
-	return s, nil
+	return result, nil
 }
 
-// times waits until all nodes have logged a line and returns how long after begun,
-// in order.
-func (c *crowd) times(ctx context.Context, nodes []*node, begun time.Time, match func(logLine) bool) ([]float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, spreadPatience)
+// logTimes waits until all nodes have logged a matching line since start, and
+// returns the times of these lines in seconds after start, in ascending order.
+func (c *partitionableFleet) logTimes(ctx context.Context, nodes []*node, start time.Time, match func(logLine) bool) ([]float64, error) {
+	ctx, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	var times []float64
 	for _, n := range nodes {
-		line, ok := n.daemon.logged(begun, match)
-		for ; !ok; line, ok = n.daemon.logged(begun, match) {
-			if err := wait.For(ctx, pollEvery); err != nil {
-				return nil, fmt.Errorf("measure: %s after %v: %w", n.id, time.Since(begun), err)
+		line, ok := n.daemon.findLogLine(start, match)
+		for ; !ok; line, ok = n.daemon.findLogLine(start, match) {
+			if err := wait.For(ctx, pollInterval); err != nil {
+				return nil, fmt.Errorf("measure: %s after %v: %w", n.id, time.Since(start), err)
 			}
 		}
-		times = append(times, line.Time.Sub(begun).Seconds())
+		times = append(times, line.Time.Sub(start).Seconds())
 	}
 	slices.Sort(times)
 	return times, nil
 }
 
-// herd kills and starts again all of a failure domain.
-func (c *crowd) herd(ctx context.Context) (h Herd, err error) {
+// restartDomain kills all entries of one failure domain and starts them again at
+// the same time.
+func (c *partitionableFleet) restartDomain(ctx context.Context) (result Herd, err error) {
 	var nodes []*node
 	for _, n := range c.Entries {
 		if n.settings.FailureDomain == herdDomain {
@@ -239,34 +243,34 @@
 			n.daemon.kill()
 		}
 	}
-	begun := time.Now()
+	start := time.Now()
 	for _, n := range nodes {
 		if err := n.daemon.start(); err != nil {
-			return h, err
+			return result, err
 		}
 	}
-	serve, err := c.times(ctx, nodes, begun, serving)
+	servingTimes, err := c.logTimes(ctx, nodes, start, isServing)
 	if err != nil {
-		return h, err
+		return result, err
 	}
-	whole, err := c.times(ctx, nodes, begun, inForce(c.base))
+	currentTimes, err := c.logTimes(ctx, nodes, start, configInForce(c.baseOffset))
 	if err != nil {
-		return h, err
+		return result, err
 	}
 	last := len(nodes) - 1
-	h = Herd{Restarted: len(nodes), First: serve[0], All: serve[last], Whole: whole[last]}
-	uses, err := c.use()
+	result = Herd{Restarted: len(nodes), First: servingTimes[0], All: servingTimes[last], Whole: currentTimes[last]}
+	uses, err := c.daemonUsage()
 	if err != nil {
-		return h, err
+		return result, err
 	}
 	for _, n := range nodes {
-		if first, _ := n.daemon.logged(begun, inForce(1)); first.Source == "peer" {
-			h.FromPeer++
+		if first, _ := n.daemon.findLogLine(start, configInForce(1)); first.Source == "peer" {
+			result.FromPeer++
 		}
 		u, each := uses[n.id], float64(len(nodes))
-		h.Platform += wireBytes(zeroed(u.sockets), u.sockets, socketPlatform) / each
-		h.Peers += wireBytes(zeroed(u.sockets), u.sockets, socketPeer) / each
-		h.CPU += value(u.page, "cpu_seconds") / each
+		result.Platform += wireBytes(zeroBaseline(u.sockets), u.sockets, socketPlatform) / each
+		result.Peers += wireBytes(zeroBaseline(u.sockets), u.sockets, socketPeer) / each
+		result.CPU += metricValue(u.page, "cpu_seconds") / each
 	}
-	return h, nil
+	return result, nil
 }
--- a/internal/measure/slopes_table.go
+++ b/internal/measure/slopes_table.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// minSizes is how many sizes a fit has to stand on.
+	// minSizes is the minimum number of sizes for a fit.
 	minSizes       = 4
 	benchmarksFile = "benchmarks.txt"
 	tableFile      = "table.md"
 )
 
-// WriteTable fits the slopes of the files in dir and writes them to table.md there.
+// WriteTable fits lines to the points of the files in dir and writes them to
+// table.md there.
 func WriteTable(dir string) error {
 	out, err := os.Create(filepath.Join(dir, tableFile))
 	if err != nil {
@@ -39,7 +40,7 @@
 		"by least squares; the residual is the largest distance of a point from it. \"(wall)\" is\n"+
 		"time on a clock, on a machine that does other work besides; the rest are bytes, counts\n"+
 		"and processor time.\n")
-	for _, s := range sources {
+	for _, s := range pointsFiles {
 		saved, err := loadSlopes(dir, s.kind)
 		if errors.Is(err, fs.ErrNotExist) {
 			fmt.Fprintf(w, "\n## %s\n\nNot measured.\n", s.kind)
@@ -61,16 +62,16 @@
 	return nil
 }
 
-func (l fitted) row() string {
+func (l fittedLine) row() string {
 	if l.Sizes < minSizes {
-		return fmt.Sprintf("| %s | | not fitted: %d sizes | | | |", l.what, l.Sizes)
+		return fmt.Sprintf("| %s | | not fitted: %d sizes | | | |", l.name, l.Sizes)
 	}
 	return fmt.Sprintf("| %s | %s %s | %s %s a %s | %s | %.3f | %s to %s, %d, %d |",
-		l.what, digits(l.Intercept), l.unit, digits(l.Slope), l.unit, l.per, digits(l.Residual), l.R2,
+		l.name, digits(l.Intercept), l.unit, digits(l.Slope), l.unit, l.per, digits(l.Residual), l.R2,
 		digits(l.from), digits(l.to), l.Sizes, l.Points)
 }
 
-// digits writes three significant ones, without an exponent.
+// digits formats v with three significant digits, without an exponent.
 func digits(v float64) string {
 	if v == 0 || math.IsInf(v, 0) {
 		return "0"
@@ -79,14 +80,14 @@
 	return strconv.FormatFloat(v, 'f', max(decimals, 0), 64)
 }
 
-// benchmark is the results of one of Go's benchmarks, by unit.
+// benchmark has the results of one Go benchmark by unit.
 type benchmark struct {
 	name   string
 	values map[string][]float64
 }
 
-// writeBenchmarks writes the units that the page uses, lowest to highest of the
-// runs in benchmarks.txt.
+// writeBenchmarks writes a table of the lowest and highest results of each
+// benchmark in benchmarks.txt, for time and custom units.
 func writeBenchmarks(w io.Writer, dir string) error {
 	data, err := os.ReadFile(filepath.Join(dir, benchmarksFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -126,7 +127,7 @@
 		}
 		name := strings.TrimPrefix(fields[0], "Benchmark")
 		if i := strings.LastIndex(name, "-"); i > 0 {
-			name = name[:i] // the number of processors
+			name = name[:i] // without the GOMAXPROCS suffix
 		}
 		if _, known := at[name]; !known {
 			at[name] = len(all)
--- a/internal/measure/slopes_test.go
+++ b/internal/measure/slopes_test.go
@@ -31,15 +31,15 @@
 	}
 }
 
-// Each file's points have to be of the type that its lines pick from.
+// The points of each file must decode into the type from which its lines pick.
 func TestLinesTakeTheirPoints(t *testing.T) {
-	for _, s := range sources {
+	for _, s := range pointsFiles {
 		lines, err := s.fit(json.RawMessage(`[{},{}]`))
 		if err != nil || len(lines) == 0 {
 			t.Errorf("%s: %d lines, %v", s.kind, len(lines), err)
 		}
 	}
-	many := linesOf("many", line[float64]{"what", "B", "thing", func(p float64) (float64, float64, bool) { return p, 2*p + 1, p > 0 }})
+	many := newPointsFile("many", lineSpec[float64]{"what", "B", "thing", func(p float64) (float64, float64, bool) { return p, 2*p + 1, p > 0 }})
 	lines, err := many.fit(json.RawMessage(`[-1, 1, 2, 3, 400]`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/measure/slopes_token.go
+++ b/internal/measure/slopes_token.go
@@ -7,21 +7,25 @@
 	"sync"
 )
 
-// TokenPoint is so many streams at once of one engine at the target's rate, first
-// straight from the engine and then through one entry and one endpoint process.
+// TokenPoint measures a number of concurrent streams of one engine at the target's
+// token rate: first sent directly to the engine ("straight"), then through one
+// entry and one endpoint process ("through").
 type TokenPoint struct {
 	Streams int     `json:"streams"`
 	Repeat  int     `json:"repeat"`
 	Tokens  int     `json:"tokens"`
 	Seconds float64 `json:"seconds"`
-	// EngineTokens is what the engine says that it produced for those through.
+	// EngineTokens is how many tokens the engine generated for the streams through
+	// the entry, by its statistics.
 	EngineTokens int `json:"engine_tokens"`
-	// CPU is a share of a core while the streams go through, Sessions the entry's
-	// bytes a second on its sessions.
+	// EndpointCPU and EntryCPU are CPU usage as a fraction of a core, and Sessions
+	// is the entry's bytes per second on the wire of its sessions, during the
+	// streams through the entry.
 	EndpointCPU float64 `json:"endpoint_cpu"`
 	EntryCPU    float64 `json:"entry_cpu"`
 	Sessions    float64 `json:"entry_sessions_wire"`
-	// Gaps are the times between tokens of a stream, First those to the first.
+	// Gaps are the times between the tokens of a stream, First those to its first
+	// token.
 	GapsStraight  Quantiles `json:"gaps_straight"`
 	GapsThrough   Quantiles `json:"gaps_through"`
 	FirstStraight Quantiles `json:"first_token_straight"`
@@ -29,18 +33,20 @@
 }
 
 const (
-	// tokenAnswer is the length of each answer; at streamStepMs it takes 4 s.
-	tokenAnswer  = 160
-	tokenRepeats = 3
+	// tokenAnswerLength is the length of each answer, which takes 4 s at
+	// streamStepMs.
+	tokenAnswerLength = 160
+	tokenRepeats      = 3
 )
 
-// TokenSlopes measures the path of tokens of so many streams. All streams of a point begin together,
-// and the engine produces the tokens of all at once, so that they come in bursts.
+// TokenSlopes measures the path of tokens for several numbers of streams. All
+// streams of a point begin at the same time, and the engine generates the tokens of
+// all of them in the same step, so that they arrive in bursts.
 func TokenSlopes(ctx context.Context, streams []int, progress io.Writer, o SlopeOptions) ([]TokenPoint, error) {
 	var points []TokenPoint
 	for _, n := range streams {
 		var measured []TokenPoint
-		err := o.exclusively(ctx, func() (err error) { measured, err = tokenPoints(ctx, n, o); return err })
+		err := o.withLock(ctx, func() (err error) { measured, err = tokenPoints(ctx, n, o); return err })
 		if err != nil {
 			return points, err
 		}
@@ -58,14 +64,14 @@
 		return nil, err
 	}
 	defer remove()
-	s := slopeFleet{members: 1, entries: 1, answerTokens: tokenAnswer, stepMs: streamStepMs, cacheTokens: streamRoom}
-	f, err := StartFleet(ctx, s.deployment(), s.workload(), s.fleet(dir, o))
+	s := slopeFleet{members: 1, entries: 1, answerTokens: tokenAnswerLength, stepMs: streamStepMs, cacheTokens: streamCacheTokens}
+	f, err := StartFleet(ctx, s.deployment(), s.workload(), s.fleetOptions(dir, o))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	paths := newIdlePaths(f, s)
-	if _, err := paths.pair(ctx, 0); err != nil { // fills the caches
+	if _, err := paths.sendPair(ctx, 0); err != nil { // fills the caches
 		return nil, err
 	}
 	var points []TokenPoint
@@ -80,22 +86,22 @@
 }
 
 func (p *TokenPoint) measure(ctx context.Context, f *Fleet, paths idlePaths) (err error) {
-	first := 1 + (p.Repeat-1)*p.Streams // of the request IDs
-	if p.FirstStraight, p.GapsStraight, err = p.together(ctx, first, paths.straight); err != nil {
+	first := 1 + (p.Repeat-1)*p.Streams // number of the first request ID
+	if p.FirstStraight, p.GapsStraight, err = p.sendTogether(ctx, first, paths.straight); err != nil {
 		return err
 	}
-	before, engineBefore, err := f.uses()
+	before, engineBefore, err := f.readUsage()
 	if err != nil {
 		return err
 	}
-	if p.FirstThrough, p.GapsThrough, err = p.together(ctx, first, paths.through); err != nil {
+	if p.FirstThrough, p.GapsThrough, err = p.sendTogether(ctx, first, paths.through); err != nil {
 		return err
 	}
-	after, engine, err := f.uses()
+	after, engine, err := f.readUsage()
 	if err != nil {
 		return err
 	}
-	point := f.point(slopeFleet{}, before, after)
+	point := f.newPoint(slopeFleet{}, before, after)
 	p.Seconds = point.Seconds
 	p.Tokens = p.Streams * paths.tokens
 	p.EngineTokens = engine.Totals.CompletionTokens - engineBefore.Totals.CompletionTokens
@@ -103,8 +109,9 @@
 	return nil
 }
 
-// together sends all requests at once and waits for their ends.
-func (p *TokenPoint) together(ctx context.Context, first int, send func(context.Context, int) (timedAnswer, error)) (tokens, gaps Quantiles, err error) {
+// sendTogether sends all requests at the same time and waits until all answers have
+// ended. It returns the times to first token and between tokens.
+func (p *TokenPoint) sendTogether(ctx context.Context, first int, send func(context.Context, int) (timedAnswer, error)) (tokens, gaps Quantiles, err error) {
 	answers, errs := make([]timedAnswer, p.Streams), make([]error, p.Streams)
 	var sending sync.WaitGroup
 	for i := range p.Streams {
--- a/internal/measure/slopes_use.go
+++ b/internal/measure/slopes_use.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// use reads all daemons.
-func (f *Fleet) use() (map[string]use, error) {
+// daemonUsage returns the usage of all daemons by ID.
+func (f *Fleet) daemonUsage() (map[string]usage, error) {
 	sockets, err := readSockets()
 	if err != nil {
 		return nil, err
 	}
-	uses := map[string]use{}
+	uses := map[string]usage{}
 	for _, n := range f.daemons() {
-		u := use{at: time.Now(), sockets: map[string]socket{}}
-		if err := getJSON(n.metrics+"/metrics.json", &u.page); err != nil {
+		u := usage{at: time.Now(), sockets: map[string]socket{}}
+		if err := getJSON(n.metricsURL+"/metrics.json", &u.page); err != nil {
 			return nil, err
 		}
 		pid := n.daemon.cmd.Process.Pid
@@ -28,7 +28,7 @@
 			return nil, err
 		}
 		for _, s := range sockets[pid] {
-			s.kind = kindOf(n, s)
+			s.kind = classifySocket(n, s)
 			u.sockets[s.local+" "+s.remote] = s
 		}
 		uses[n.id] = u
@@ -36,14 +36,14 @@
 	return uses, nil
 }
 
-func kindOf(n *node, s socket) socketKind {
+func classifySocket(n *node, s socket) socketKind {
 	switch {
 	case s.remote == strings.TrimPrefix(n.settings.Platform.Log, "http://"),
 		s.remote == strings.TrimPrefix(n.settings.Platform.Instances, "http://"):
 		return socketPlatform
 	case n.address != "" && s.remote == n.address:
 		return socketOther
-	case s.local == strings.TrimPrefix(n.metrics, "http://"):
+	case s.local == strings.TrimPrefix(n.metricsURL, "http://"):
 		return socketOther
 	case n.settings.Entry != nil && s.local == n.settings.Entry.Listen:
 		return socketOther
@@ -55,31 +55,34 @@
 
 const (
 	socketOther socketKind = iota
-	// socketPeer carries sessions, socketPlatform reads of log and list.
+	// socketPeer is a session with a peer, socketPlatform a connection to the log
+	// or the instance list.
 	socketPeer
 	socketPlatform
 )
 
-// socket is the kernel's account of one open TCP connection.
+// socket has the kernel's statistics of one open TCP connection.
 type socket struct {
-	kind                  socketKind
-	local, remote         string
-	bytesOut, bytesIn     float64
-	segmentsOut, segments float64
+	kind                    socketKind
+	local, remote           string
+	bytesOut, bytesIn       float64
+	segmentsOut, segmentsIn float64
 }
 
-// headerBytes are those of IP and TCP with timestamps on each segment.
-const headerBytes = 52
+// segmentHeaderBytes is the size of the IP and TCP headers of a segment, with TCP
+// timestamps.
+const segmentHeaderBytes = 52
 
-func (s socket) wire() float64 {
-	return s.bytesOut + s.bytesIn + headerBytes*(s.segmentsOut+s.segments)
+func (s socket) wireBytes() float64 {
+	return s.bytesOut + s.bytesIn + segmentHeaderBytes*(s.segmentsOut+s.segmentsIn)
 }
 
-// wireBytes is the growth over the sockets that are open at both moments.
+// wireBytes returns the growth in bytes on the wire of the sockets of a kind that
+// are in both before and after.
 func wireBytes(before, after map[string]socket, kind socketKind) (sum float64) {
 	for key, a := range after {
 		if b, ok := before[key]; ok && a.kind == kind {
-			sum += a.wire() - b.wire()
+			sum += a.wireBytes() - b.wireBytes()
 		}
 	}
 	return sum
@@ -94,8 +97,9 @@
 	return n
 }
 
-// readSockets asks ss, of iproute2, for the loopback's open connections, by
-// process ID. The daemons count frames only, without handshakes and headers.
+// readSockets returns the open connections on loopback by process ID, from the
+// command ss of iproute2. The daemons' own metrics count frames only, without
+// handshakes and headers.
 func readSockets() (map[int][]socket, error) {
 	out, err := exec.Command("ss", "-tinpHO", "state", "established", "src", "127.0.0.0/8").Output()
 	if err != nil {
@@ -139,7 +143,7 @@
 		case "segs_out":
 			s.segmentsOut = n
 		case "segs_in":
-			s.segments = n
+			s.segmentsIn = n
 		}
 	}
 	if len(addresses) != 2 || pid == 0 {
@@ -149,7 +153,7 @@
 	return pid, s, true
 }
 
-// residentBytes is a process's resident memory.
+// residentBytes returns a process's resident memory.
 func residentBytes(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/internal/measure/table.go
+++ b/internal/measure/table.go
@@ -14,20 +14,21 @@
 	"skylarklead/internal/standin/load"
 )
 
-// runsFile has the runs that a table was made of.
+// runsFile has the runs from which a table was made.
 const runsFile = "runs.json"
 
-// Row is the median of a policy's runs of one scenario over the seeds.
+// Row has the medians over the seeds of a policy's runs of one scenario.
 type Row struct {
 	Deployment, Scenario, Policy string
 	Seeds                        int
 	HitRate, IdealHitRate        float64
-	// Wasted is wasted tokens as a share of the prompts'.
+	// Wasted is wasted tokens as a fraction of prompt tokens.
 	Wasted float64
-	// First token of small and of all organisations, in milliseconds.
+	// Times to first token of small and of all organisations, and the 95th
+	// percentile of the time between tokens, in milliseconds.
 	SmallP50, SmallP95, SmallP99 float64
 	AllP50, AllP95, AllP99       float64
-	Between                      float64
+	BetweenTokensP95             float64
 	Goodput                      float64
 	Refused, Failed              float64
 	Retries                      float64
@@ -36,7 +37,7 @@
 	Valid                        bool
 }
 
-// Rows takes the medians of runs, in the order of the runs.
+// Rows returns the medians of runs, in the order of the runs.
 func Rows(runs []*Run) []Row {
 	type key struct{ deployment, scenario, policy string }
 	groups := map[key][]*Run{}
@@ -70,9 +71,9 @@
 		Wasted:       of(func(r *Run) float64 { return ratio(r.WastedTokens, r.PromptTokens) }),
 		SmallP50:     first(load.ClassSmall, p50), SmallP95: first(load.ClassSmall, p95), SmallP99: first(load.ClassSmall, p99),
 		AllP50: first("all", p50), AllP95: first("all", p95), AllP99: first("all", p99),
-		Between: of(func(r *Run) float64 { return r.BetweenTokens.P95 }),
-		Goodput: of(func(r *Run) float64 { return r.Goodput }),
-		Refused: of(func(r *Run) float64 { return float64(r.Outcomes[load.Refused]) }),
+		BetweenTokensP95: of(func(r *Run) float64 { return r.BetweenTokens.P95 }),
+		Goodput:          of(func(r *Run) float64 { return r.Goodput }),
+		Refused:          of(func(r *Run) float64 { return float64(r.Outcomes[load.Refused]) }),
 		Failed: of(func(r *Run) float64 {
 			o := r.Outcomes
 			return float64(o[load.Failed] + o[load.Cut] + o[load.Wrong] + o[load.Broken])
@@ -99,7 +100,7 @@
 	return (values[middle-1] + values[middle]) / 2
 }
 
-// Table writes rows for people, in Markdown.
+// Table writes rows as a Markdown table.
 func Table(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(t, "| deployment\t| scenario\t| policy\t| seeds\t| hit %\t| ideal %\t| wasted %\t| small p50\t| small p95\t| small p99 ms\t| all p50\t| all p95\t| all p99 ms\t| between p95 ms\t| goodput/s\t| refused\t| failed\t| retries\t| recovery s\t| control B/s\t| CPU entry %\t| CPU endpoint %\t|")
@@ -111,7 +112,7 @@
 		}
 		fmt.Fprintf(t, "| %s\t| %s\t| %s\t| %d\t| %.1f\t| %.1f\t| %.2f\t| %.0f\t| %.0f\t| %.0f\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.1f\t| %.0f\t| %.0f\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.1f\t|\n",
 			r.Deployment, r.Scenario, policy, r.Seeds, 100*r.HitRate, 100*r.IdealHitRate, 100*r.Wasted,
-			r.SmallP50, r.SmallP95, r.SmallP99, r.AllP50, r.AllP95, r.AllP99, r.Between, r.Goodput,
+			r.SmallP50, r.SmallP95, r.SmallP99, r.AllP50, r.AllP95, r.AllP99, r.BetweenTokensP95, r.Goodput,
 			r.Refused, r.Failed, r.Retries, r.Recovery/1000, r.Control, 100*r.EntryCPU, 100*r.EngineCPU)
 	}
 	return t.Flush()
@@ -141,10 +142,10 @@
 	if err != nil {
 		return fmt.Errorf("measure: %w", err)
 	}
-	return plots(dir, rows)
+	return saveCharts(dir, rows)
 }
 
-// LoadRuns reads the runs that Save wrote into dir, none if it has none.
+// LoadRuns reads the runs that Save wrote into dir, none if there are none.
 func LoadRuns(dir string) ([]*Run, error) {
 	data, err := os.ReadFile(filepath.Join(dir, runsFile))
 	if errors.Is(err, os.ErrNotExist) {
@@ -160,9 +161,10 @@
 	return runs, nil
 }
 
-// withoutHistograms leaves out the encoded histograms, some kilobytes each.
+// withoutHistograms returns copies of runs without the encoded histograms, which
+// are several kilobytes each.
 func withoutHistograms(runs []*Run) []*Run {
-	slim := make([]*Run, len(runs))
+	copies := make([]*Run, len(runs))
 	for i, r := range runs {
 		c := *r
 		c.FirstToken = map[string]load.LatencySummary{}
@@ -171,7 +173,7 @@
 			c.FirstToken[class] = t
 		}
 		c.BetweenTokens.Histogram = ""
-		slim[i] = &c
+		copies[i] = &c
 	}
-	return slim
+	return copies
 }
--- a/internal/standin/engine/events_test.go
+++ b/internal/standin/engine/events_test.go
@@ -39,14 +39,14 @@
 	for i := range 8 {
 		r.complete(completionRequest(fmt.Sprint(i), "huon", prompt(fmt.Sprintf("charter%d", i%4), "q"), 1))
 	}
-	account := r.stats()
+	stats := r.stats()
 	r.engine.mu.Lock()
 	last := int(r.engine.events.lastSeq)
 	r.engine.mu.Unlock()
 	resident := map[prefix.Hash]bool{}
 	removals := 0
 	for i, event := range r.readCacheEvents(1, last) {
-		if event.Seq != uint64(i+1) || event.Incarnation != account.Incarnation || event.Weights != "v1" {
+		if event.Seq != uint64(i+1) || event.Incarnation != stats.Incarnation || event.Weights != "v1" {
 			t.Fatalf("event %d is %+v", i, event)
 		}
 		for _, h := range event.Hashes {
@@ -58,10 +58,10 @@
 			}
 		}
 	}
-	if len(resident) != account.ResidentBlocks || removals == 0 {
-		t.Errorf("%d blocks resident by events, %d in the cache, %d removals", len(resident), account.ResidentBlocks, removals)
+	if len(resident) != stats.ResidentBlocks || removals == 0 {
+		t.Errorf("%d blocks resident by events, %d in the cache, %d removals", len(resident), stats.ResidentBlocks, removals)
 	}
-	for _, h := range account.ResidentHashes {
+	for _, h := range stats.ResidentHashes {
 		if !resident[h] {
 			t.Errorf("resident block %016x is missing from the events", h)
 		}
