--- a/internal/standin/load/plan_test.go
+++ b/internal/standin/load/plan_test.go
@@ -16,33 +16,33 @@
 	chat := func(count int) *Chat {
 		return &Chat{
 			Model:          "m",
-			Charter:        Shared{Tokens: 64, Count: count, Skew: 1},
-			Case:           Shared{Tokens: 32, Count: 3},
+			Charter:        SharedTexts{Tokens: 64, Count: count, Skew: 1},
+			Case:           SharedTexts{Tokens: 32, Count: 3},
 			QuestionTokens: 8, MinTokens: 2, MaxTokens: 6,
 		}
 	}
 	return Workload{Name: "test", Rate: 100, Organisations: []Organisation{
-		{ID: "big", Class: ClassLarge, APIKey: "kb", Share: 4, Requests: []Request{
+		{ID: "big", Class: ClassLarge, APIKey: "kb", Share: 4, Requests: []RequestKind{
 			{Name: "chat", Share: 3, Chat: chat(5)},
-			{Name: "pay", Share: 1, Call: &Call{Service: "portal", Path: "payments", Keyed: true, Tokens: 4}},
+			{Name: "pay", Share: 1, Call: &Call{Service: "portal", Path: "payments", Idempotent: true, Tokens: 4}},
 		}},
 		{ID: "tiny", Class: ClassSmall, APIKey: "kt", Share: 1,
 			Instructions: []Instruction{{"rules", 40}, {"tiny", 20}},
-			Requests:     []Request{{Name: "chat", Share: 1, Chat: chat(2)}}},
+			Requests:     []RequestKind{{Name: "chat", Share: 1, Chat: chat(2)}}},
 	}}
 }
 
-func ofOrganisation(all []arrival, organisation string) []arrival {
-	var mine []arrival
+func arrivalsOf(all []arrival, organisation string) []arrival {
+	var arrivals []arrival
 	for _, a := range all {
 		if a.organisation.ID == organisation {
-			mine = append(mine, a)
+			arrivals = append(arrivals, a)
 		}
 	}
-	return mine
+	return arrivals
 }
 
-func tokens(all []arrival) []string {
+func describe(all []arrival) []string {
 	var lines []string
 	for _, a := range all {
 		lines = append(lines, fmt.Sprintln(a.at, a.token, a.charterSeed, a.caseSeed, a.maxTokens))
@@ -53,12 +53,12 @@
 func TestPlanIsSeeded(t *testing.T) {
 	w := testWorkload()
 	o := Options{Seed: 7, Duration: 20 * time.Second}
-	first, again := tokens(plan(&w, &o)), tokens(plan(&w, &o))
+	first, again := describe(plan(&w, &o)), describe(plan(&w, &o))
 	if !reflect.DeepEqual(first, again) {
 		t.Error("two plans of one seed differ")
 	}
 	o.Seed = 8
-	if reflect.DeepEqual(first, tokens(plan(&w, &o))) {
+	if reflect.DeepEqual(first, describe(plan(&w, &o))) {
 		t.Error("plans of two seeds are the same")
 	}
 }
@@ -69,7 +69,7 @@
 	o.Burst = Burst{Organisation: "big", Factor: 5, From: 20 * time.Second, Until: 40 * time.Second}
 	all := plan(&w, &o)
 	count := func(organisation string, from, until time.Duration) (n int) {
-		for _, a := range ofOrganisation(all, organisation) {
+		for _, a := range arrivalsOf(all, organisation) {
 			if a.at >= from && a.at < until {
 				n++
 			}
@@ -95,32 +95,31 @@
 	}
 }
 
-// Symptom: small organisations seem slower beside a large one's burst though the
-// router treats them alike.
-// Sequence: one run with the burst and one without are compared.
-// Cause: all organisations draw from one source, so the burst changes the small
-// ones' arrivals and prompts as well.
+// Runs with and without a large organisation's burst are compared to see whether
+// it slows down small organisations. If all organisations shared one random
+// source, the burst would change the small ones' arrivals and prompts too, and
+// they could appear slower although the router treats them alike.
 func TestPlanKeepsOthersRequests(t *testing.T) {
 	w := testWorkload()
 	o := Options{Seed: 1, Duration: 20 * time.Second}
-	want := tokens(ofOrganisation(plan(&w, &o), "tiny"))
+	want := describe(arrivalsOf(plan(&w, &o), "tiny"))
 	o.Burst = Burst{Organisation: "big", Factor: 10, Until: o.Duration}
-	if !reflect.DeepEqual(tokens(ofOrganisation(plan(&w, &o), "tiny")), want) {
-		t.Error("a burst of another changes its requests")
+	if !reflect.DeepEqual(describe(arrivalsOf(plan(&w, &o), "tiny")), want) {
+		t.Error("another organisation's burst changes its requests")
 	}
 	o.Only = []string{ClassSmall}
-	if !reflect.DeepEqual(tokens(plan(&w, &o)), want) {
-		t.Error("the absence of another changes its requests")
+	if !reflect.DeepEqual(describe(plan(&w, &o)), want) {
+		t.Error("another organisation's absence changes its requests")
 	}
 }
 
 func TestPlanShiftsAndChanges(t *testing.T) {
 	w := testWorkload()
-	o := Options{Seed: 3, Duration: 40 * time.Second, ShiftAt: 20 * time.Second}
+	o := Options{Seed: 3, Duration: 40 * time.Second, PopularityShiftAt: 20 * time.Second}
 	popular := func(all []arrival, from, until time.Duration) string {
 		counts := map[string]int{}
 		best := ""
-		for _, a := range ofOrganisation(all, "big") {
+		for _, a := range arrivalsOf(all, "big") {
 			if a.charterSeed != "" && a.at >= from && a.at < until {
 				counts[a.charterSeed]++
 				if counts[a.charterSeed] > counts[best] {
@@ -131,16 +130,17 @@
 		return best
 	}
 	all := plan(&w, &o)
-	if before, after := popular(all, 0, o.ShiftAt), popular(all, o.ShiftAt, o.Duration); before != "big/charter-0" || after == before {
+	if before, after := popular(all, 0, o.PopularityShiftAt), popular(all, o.PopularityShiftAt, o.Duration); before != "big/charter-0" || after == before {
 		t.Errorf("most popular before %q, after %q", before, after)
 	}
-	o.ShiftAt, o.ChangeAt = 0, 20*time.Second
-	if after := popular(plan(&w, &o), o.ChangeAt, o.Duration); after != "big/charter-0-revised" {
+	o.PopularityShiftAt, o.CharterChangeAt = 0, 20*time.Second
+	if after := popular(plan(&w, &o), o.CharterChangeAt, o.Duration); after != "big/charter-0-revised" {
 		t.Errorf("most popular after the change %q", after)
 	}
 }
 
-// Another program makes the configuration records from the same texts.
+// Text must return the same bytes in every program and version: configuration
+// records with the same texts are generated by another program.
 func TestTextIsFixed(t *testing.T) {
 	text := Text("derwent-foodbank", 400)
 	if len(text) != 400*prefix.BytesPerToken || !strings.HasPrefix(text, "derwent-foodbank ") {
--- a/test/harness/control.go
+++ b/test/harness/control.go
@@ -66,8 +66,8 @@
 }
 
 // Account returns an engine's account of the requests and orders that it has run.
-func (c *Cluster) Account(b *Backend) engine.Account {
-	return get[engine.Account](c, b, "/control/account")
+func (c *Cluster) Account(b *Backend) engine.Stats {
+	return get[engine.Stats](c, b, "/control/account")
 }
 
 // get returns a stand-in's decoded answer to a GET of path.
--- a/test/harness/fleet.go
+++ b/test/harness/fleet.go
@@ -65,7 +65,7 @@
 	return Chat{
 		Model:     Model,
 		MaxTokens: maxTokens,
-		Messages:  []prefix.Message{{Role: "user", Content: "How do the two ledgers reconcile? " + answer.EchoMark + token}},
+		Messages:  []prefix.Message{{Role: "user", Content: "How do the two ledgers reconcile? " + answer.EchoMarker + token}},
 	}
 }
 
