--- a/internal/standin/load/collector.go
+++ b/internal/standin/load/collector.go
@@ -92,7 +92,7 @@
 	options *Options
 
 	mu            sync.Mutex
-	organisations map[string]*groupStats // by organisation
+	organisations map[string]*groupStats // by ID
 	classes       map[string]*groupStats
 	all           *groupStats
 	sinceProgress *groupStats // since the last progress line
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -116,7 +116,7 @@
 }
 
 func TestRunSendsAgainWhenToldTo(t *testing.T) {
-	refuse := func(w http.ResponseWriter, _ *http.Request, n int64) bool {
+	refuseFirst := func(w http.ResponseWriter, _ *http.Request, n int64) bool {
 		if n > 1 {
 			return false
 		}
@@ -124,18 +124,18 @@
 		io.WriteString(w, `{"error":{"code":"overloaded","ran":"not_run","retry_after_ms":5}}`)
 		return true
 	}
-	for _, again := range []int{0, 2} {
-		server := httptest.NewServer(&fakeEntry{intercept: refuse})
+	for _, maxRetries := range []int{0, 2} {
+		server := httptest.NewServer(&fakeEntry{intercept: refuseFirst})
 		report, err := Run(t.Context(), testWorkload(), Options{
-			Entries: []string{server.URL}, Duration: time.Second, Rate: 20, MaxRetries: again,
+			Entries: []string{server.URL}, Duration: time.Second, Rate: 20, MaxRetries: maxRetries,
 		})
 		server.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
 		refused, resent := report.All.Refusals["overloaded/not_run"], report.All.Resent
-		if again == 0 && (refused != 1 || resent != 0) || again > 0 && (refused != 0 || resent != 1) {
-			t.Errorf("retry-after %d: refused %d, resent %d", again, refused, resent)
+		if maxRetries == 0 && (refused != 1 || resent != 0) || maxRetries > 0 && (refused != 0 || resent != 1) {
+			t.Errorf("retry-after %d: refused %d, resent %d", maxRetries, refused, resent)
 		}
 	}
 }
