--- a/internal/platform/instances.go
+++ b/internal/platform/instances.go
@@ -59,13 +59,13 @@
 	base   string
 	client *http.Client
 
-	mu   sync.Mutex
-	last taggedList
+	mu     sync.Mutex
+	cached cachedList
 }
 
-// taggedList is the last list that came with an ETag.
-type taggedList struct {
-	tag  string
+// cachedList is the last list that came with an ETag.
+type cachedList struct {
+	etag string
 	list []Instance
 }
 
@@ -86,15 +86,15 @@
 func (i *Instances) List(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	last := i.lastTagged()
-	resp, err := i.request(ctx, last.tag)
+	cached := i.cachedCopy()
+	resp, err := i.fetch(ctx, cached.etag)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer resp.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotModified && last.tag != "":
-		return slices.Clone(last.list), nil
+	case resp.StatusCode == http.StatusNotModified && cached.etag != "":
+		return slices.Clone(cached.list), nil
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("%w: instance list answered %s", ErrUnavailable, resp.Status)
 	}
@@ -102,44 +102,44 @@
 	if err := decode(resp, &list); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	i.keep(taggedList{tag: resp.Header.Get("ETag"), list: list.Instances})
+	i.setCached(cachedList{etag: resp.Header.Get("ETag"), list: list.Instances})
 	return slices.Clone(list.Instances), nil
 }
 
-func (i *Instances) request(ctx context.Context, tag string) (*http.Response, error) {
+func (i *Instances) fetch(ctx context.Context, etag string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, i.base+"/v1/instances", nil)
 	if err != nil {
 		return nil, err
 	}
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	return i.client.Do(req)
 }
 
-func (i *Instances) lastTagged() taggedList {
+func (i *Instances) cachedCopy() cachedList {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.last
+	return i.cached
 }
 
-func (i *Instances) keep(l taggedList) {
+func (i *Instances) setCached(l cachedList) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.last = l
+	i.cached = l
 }
 
 // Poll calls f with the list, or the error in its place, at once and then about
 // every so often until ctx ends. The period is jittered by a tenth, so that
 // processes that started together don't poll together for ever.
-func (i *Instances) Poll(ctx context.Context, every time.Duration, f func([]Instance, error)) {
+func (i *Instances) Poll(ctx context.Context, interval time.Duration, onList func([]Instance, error)) {
 	for {
 		list, err := i.List(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		f(list, err)
-		pause := every - every/10 + rand.N(every/5+1)
+		onList(list, err)
+		pause := interval - interval/10 + rand.N(interval/5+1)
 		if wait.For(ctx, pause) != nil {
 			return
 		}
--- a/internal/platform/instances_test.go
+++ b/internal/platform/instances_test.go
@@ -13,13 +13,13 @@
 	"skylarklead/test/kit"
 )
 
-// counted counts the bytes of a server's answers.
-type counted struct {
+// countingWriter counts the bytes of a server's answers.
+type countingWriter struct {
 	http.ResponseWriter
 	bytes *atomic.Int64
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingWriter) Write(p []byte) (int, error) {
 	c.bytes.Add(int64(len(p)))
 	return c.ResponseWriter.Write(p)
 }
@@ -39,7 +39,7 @@
 			if !tagged {
 				r.Header.Del("If-None-Match")
 			}
-			stand.ServeHTTP(counted{w, &sent}, r)
+			stand.ServeHTTP(countingWriter{w, &sent}, r)
 		}))
 		t.Cleanup(server.Close)
 		client := platform.NewInstances(server.URL)
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -24,10 +24,10 @@
 const (
 	// MaxPageRecords is the most records that one read asks for.
 	MaxPageRecords = 1000
-	// maxAnswer bounds an answer's body in bytes.
-	maxAnswer = 64 << 20
-	// readGrace is how long a long poll's answer may take beyond its wait.
-	readGrace = 5 * time.Second
+	// maxResponseBytes bounds an answer's body in bytes.
+	maxResponseBytes = 64 << 20
+	// readTimeoutMargin is how long a long poll's answer may take beyond its wait.
+	readTimeoutMargin = 5 * time.Second
 	// defaultRetryAfter stands in when a refusal doesn't say when to come back.
 	defaultRetryAfter = time.Second
 )
@@ -97,11 +97,11 @@
 	l.reads.CloseIdleConnections()
 }
 
-type appendBody struct {
+type appendRequest struct {
 	Records [][]byte `json:"records"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	First uint64 `json:"first"`
 	Last  uint64 `json:"last"`
 }
@@ -113,7 +113,7 @@
 	if len(records) == 0 {
 		return 0, fmt.Errorf("%w: no records", ErrNotAppended)
 	}
-	body, err := json.Marshal(appendBody{Records: records})
+	body, err := json.Marshal(appendRequest{Records: records})
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
@@ -134,10 +134,10 @@
 		return 0, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
 	defer resp.Body.Close()
-	return appendResult(resp, len(records))
+	return decodeAppendResult(resp, len(records))
 }
 
-func appendResult(resp *http.Response, n int) (uint64, error) {
+func decodeAppendResult(resp *http.Response, n int) (uint64, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 	case resp.StatusCode == http.StatusTooManyRequests:
@@ -147,22 +147,22 @@
 	default:
 		return 0, fmt.Errorf("%w: log answered %s", ErrAppendUnknown, resp.Status)
 	}
-	var answer appendAnswer
-	if err := decode(resp, &answer); err != nil {
+	var response appendResponse
+	if err := decode(resp, &response); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrAppendUnknown, err)
 	}
-	if answer.First == 0 || answer.Last != answer.First+uint64(n)-1 {
+	if response.First == 0 || response.Last != response.First+uint64(n)-1 {
 		return 0, fmt.Errorf("%w: log answered offsets %d to %d for %d records",
-			ErrAppendUnknown, answer.First, answer.Last, n)
+			ErrAppendUnknown, response.First, response.Last, n)
 	}
-	return answer.First, nil
+	return response.First, nil
 }
 
 // Read returns at most limit records of a stream from an offset on. With none
 // there yet it waits for the first one up to wait; zero asks for an answer at
 // once. Its errors are a *RetainedError, or match ErrUnavailable.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readGrace)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
 	query := url.Values{
 		"from":    {strconv.FormatUint(from, 10)},
@@ -170,16 +170,16 @@
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	var page Page
-	if err := get(ctx, l.reads, l.streamURL(stream)+"?"+query.Encode(), &page); err != nil {
+	if err := getJSON(ctx, l.reads, l.streamURL(stream)+"?"+query.Encode(), &page); err != nil {
 		return Page{}, err
 	}
-	return page, page.check(from)
+	return page, page.validate(from)
 }
 
-// check refuses a page that would let a reader skip or repeat a record. A gap
+// validate refuses a page that would let a reader skip or repeat a record. A gap
 // would be a claim or configuration record that this reader alone never sees;
 // it is better seen as an unavailable log.
-func (p Page) check(from uint64) error {
+func (p Page) validate(from uint64) error {
 	want := from
 	for _, r := range p.Records {
 		if r.Offset != want {
@@ -197,8 +197,8 @@
 	return l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
 
-// get fetches a JSON answer.
-func get(ctx context.Context, client *http.Client, address string, into any) error {
+// getJSON fetches a JSON answer.
+func getJSON(ctx context.Context, client *http.Client, address string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -211,7 +211,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusGone:
-		return goneError(resp)
+		return decodeGone(resp)
 	case http.StatusTooManyRequests:
 		return &RateLimitedError{RetryAfter: retryAfter(resp)}
 	default:
@@ -223,7 +223,7 @@
 	return nil
 }
 
-func goneError(resp *http.Response) error {
+func decodeGone(resp *http.Response) error {
 	var body struct {
 		Oldest uint64 `json:"oldest"`
 	}
@@ -233,15 +233,15 @@
 	return &OffsetExpiredError{Oldest: body.Oldest}
 }
 
-var errTooLong = errors.New("answer is too long")
+var errResponseTooLarge = errors.New("answer is too long")
 
 func decode(resp *http.Response, into any) error {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > maxAnswer {
-		return errTooLong
+	if len(data) > maxResponseBytes {
+		return errResponseTooLarge
 	}
 	return json.Unmarshal(data, into)
 }
