--- a/internal/platform/instances.go
+++ b/internal/platform/instances.go
@@ -13,7 +13,7 @@
 	"skylarklead/internal/wait"
 )
 
-// Roles and states of instances, as the platform's list gives them.
+// Roles and states of instances in the platform's list.
 const (
 	RoleEntry    = "entry"
 	RoleEndpoint = "endpoint"
@@ -25,8 +25,8 @@
 // listTimeout bounds one fetch of the instance list.
 const listTimeout = 5 * time.Second
 
-// Instance is one line of the platform's list of instances. The list lags: it
-// proposes peers, and heartbeats decide.
+// Instance is an entry of the platform's list of instances. The list lags behind, so
+// that it serves only to discover peers; heartbeats tell whether an instance is alive.
 type Instance struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
@@ -37,7 +37,7 @@
 	State string `json:"state"`
 }
 
-// OtherAddresses returns the addresses of all instances but self.
+// OtherAddresses returns the addresses of all instances except the one with the ID self.
 func OtherAddresses(list []Instance, self string) []string {
 	var addresses []string
 	for _, i := range list {
@@ -48,7 +48,7 @@
 	return addresses
 }
 
-// InstanceList is the list's shape on the wire.
+// InstanceList is the JSON body of the list.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
@@ -63,13 +63,14 @@
 	cached cachedList
 }
 
-// cachedList is the last list that came with an ETag.
+// cachedList is the last list received with its ETag, which is empty if the platform
+// sent none.
 type cachedList struct {
 	etag string
 	list []Instance
 }
 
-// NewInstances returns a client of the list at base, "http://ip:port".
+// NewInstances returns a client of the list at the base URL, "http://ip:port".
 func NewInstances(base string) *Instances {
 	return &Instances{base: strings.TrimSuffix(base, "/"), client: newReadClient()}
 }
@@ -77,12 +78,11 @@
 // Close closes idle connections.
 func (i *Instances) Close() { i.client.CloseIdleConnections() }
 
-// List returns the list as the platform shows it now. Its errors match
-// ErrUnavailable.
+// List returns the platform's current list. Its errors match ErrUnavailable.
 //
-// Every process reads the list every few seconds, and at a thousand instances it
-// is longer than all other control traffic together. A platform that tags its
-// answers is asked for a changed list only.
+// Every process reads the list every few seconds, and at a thousand instances the list
+// is larger than all other control traffic together. If the platform sends ETags, an
+// unchanged list is therefore not transferred again.
 func (i *Instances) List(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -96,7 +96,7 @@
 	case resp.StatusCode == http.StatusNotModified && cached.etag != "":
 		return slices.Clone(cached.list), nil
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("%w: instance list answered %s", ErrUnavailable, resp.Status)
+		return nil, fmt.Errorf("%w: instance list: status %s", ErrUnavailable, resp.Status)
 	}
 	var list InstanceList
 	if err := decode(resp, &list); err != nil {
@@ -129,9 +129,9 @@
 	i.cached = l
 }
 
-// Poll calls f with the list, or the error in its place, at once and then about
-// every so often until ctx ends. The period is jittered by a tenth, so that
-// processes that started together don't poll together for ever.
+// Poll calls onList with the list or the error, at once and then about once per
+// interval until ctx ends. The interval is jittered by a tenth, so that processes that
+// started together don't keep polling at the same moments.
 func (i *Instances) Poll(ctx context.Context, interval time.Duration, onList func([]Instance, error)) {
 	for {
 		list, err := i.List(ctx)
--- a/internal/platform/instances_test.go
+++ b/internal/platform/instances_test.go
@@ -13,7 +13,7 @@
 	"skylarklead/test/kit"
 )
 
-// countingWriter counts the bytes of a server's answers.
+// countingWriter counts the bytes of a server's response bodies.
 type countingWriter struct {
 	http.ResponseWriter
 	bytes *atomic.Int64
@@ -24,9 +24,9 @@
 	return c.ResponseWriter.Write(p)
 }
 
-// Symptom: reading the instance list costs each daemon more than all that its
-// control traffic may be. Sequence: a thousand instances, a poll every two
-// seconds. Cause: a list that has not changed is sent whole each time.
+// Guards against transferring an unchanged instance list on every poll: with a thousand
+// instances and a poll every two seconds that exceeds the whole budget of a daemon's
+// control traffic.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	list := []platform.Instance{
 		{ID: "a", Role: platform.RoleEndpoint, Address: "127.0.0.1:1", Group: "g", State: platform.StateLive},
@@ -50,7 +50,7 @@
 			if err != nil || !reflect.DeepEqual(got, want) {
 				t.Fatalf("tagged %v: list %v, %v, want %v", tagged, got, err, want)
 			}
-			got[0].ID = "written to by the caller"
+			got[0].ID = "changed by the caller"
 			return sent.Load() - before
 		}
 		first := read(list)
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -1,6 +1,6 @@
-// Package platform has the clients for what the platform runs: the append-only
-// log and the instance list (docs/INTERFACE.md, section 4). Its errors tell an
-// append that had no effect from one that may have had it.
+// Package platform has clients of the platform's append-only log and instance list
+// (docs/INTERFACE.md, section 4). Its errors distinguish an append that had no effect
+// from one that may have taken effect.
 package platform
 
 import (
@@ -22,30 +22,29 @@
 )
 
 const (
-	// MaxPageRecords is the most records that one read asks for.
-	MaxPageRecords = 1000
-	// maxResponseBytes bounds an answer's body in bytes.
+	// MaxPageRecords is the most records that callers ask for in one read.
+	MaxPageRecords   = 1000
 	maxResponseBytes = 64 << 20
-	// readTimeoutMargin is how long a long poll's answer may take beyond its wait.
+	// readTimeoutMargin is how long a long poll's response may take beyond its wait.
 	readTimeoutMargin = 5 * time.Second
-	// defaultRetryAfter stands in when a refusal doesn't say when to come back.
+	// defaultRetryAfter is used for a refusal without a valid Retry-After header.
 	defaultRetryAfter = time.Second
 )
 
 // Record is one record of a stream.
 type Record struct {
-	// Offset is its place in its stream, from 1.
+	// Offset is the record's position in its stream, counted from 1.
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Page is the answer to a read.
+// Page is the result of a read.
 type Page struct {
-	// Records are in offset order; none means that the reader has caught up.
+	// Records are in offset order; an empty list means that the reader has caught up.
 	Records []Record `json:"records"`
-	// Oldest is the lowest offset that the log still keeps.
+	// Oldest is the lowest retained offset.
 	Oldest uint64 `json:"oldest"`
-	// Next is where the next read goes on.
+	// Next is the offset that the next read continues from.
 	Next uint64 `json:"next"`
 }
 
@@ -56,7 +55,7 @@
 	reads   *http.Client
 }
 
-// NewLog returns a client of the log at base, "http://ip:port". It makes no
+// NewLog returns a client of the log at the base URL, "http://ip:port". It makes no
 // connection yet.
 func NewLog(base string) *Log {
 	return &Log{
@@ -68,13 +67,12 @@
 
 // newAppendClient returns a client that sends each request at most once.
 //
-// A transport that reuses connections sends some requests again by itself when
-// a reused connection breaks, and one that follows redirects sends the body
-// again. A lost answer would then put the same records on the log twice, seen
-// as two offsets for one append. A connection for each append rules the first
-// out (nothing is ever reused), and tells "never connected" from "answer lost".
-// The log takes a few hundred appends a second from the whole fleet, so the
-// handshakes are few.
+// A transport that reuses connections may retry a request by itself when a reused
+// connection breaks, and one that follows redirects sends the body again. After a
+// lost response the same records would then be on the log twice, at two offsets.
+// With a new connection for each append no connection is reused, and "never
+// connected" can be told from "response lost". The log takes a few hundred appends
+// a second from the whole fleet, so that the handshakes cost little.
 func newAppendClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
@@ -106,9 +104,9 @@
 	Last  uint64 `json:"last"`
 }
 
-// Append puts records on a stream, all or none, and returns the first one's
-// offset; the others follow it. Its errors match ErrNotAppended (a
-// *RateLimitedError among them) or ErrAppendUnknown, never both.
+// Append appends records to a stream atomically and returns the offset of the first;
+// the others follow it without gaps. Its errors match either ErrNotAppended (which
+// includes *RateLimitedError) or ErrAppendUnknown, never both.
 func (l *Log) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	if len(records) == 0 {
 		return 0, fmt.Errorf("%w: no records", ErrNotAppended)
@@ -124,7 +122,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
-	req.GetBody = nil // the body can't be sent a second time
+	req.GetBody = nil // without it the transport can't retry the request by itself
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := l.appends.Do(req)
 	if err != nil {
@@ -143,24 +141,24 @@
 	case resp.StatusCode == http.StatusTooManyRequests:
 		return 0, &RateLimitedError{RetryAfter: retryAfter(resp)}
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode/100 == 4:
-		return 0, fmt.Errorf("%w: log answered %s", ErrNotAppended, resp.Status)
+		return 0, fmt.Errorf("%w: status %s", ErrNotAppended, resp.Status)
 	default:
-		return 0, fmt.Errorf("%w: log answered %s", ErrAppendUnknown, resp.Status)
+		return 0, fmt.Errorf("%w: status %s", ErrAppendUnknown, resp.Status)
 	}
 	var response appendResponse
 	if err := decode(resp, &response); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrAppendUnknown, err)
 	}
 	if response.First == 0 || response.Last != response.First+uint64(n)-1 {
-		return 0, fmt.Errorf("%w: log answered offsets %d to %d for %d records",
+		return 0, fmt.Errorf("%w: response has offsets %d to %d for %d records",
 			ErrAppendUnknown, response.First, response.Last, n)
 	}
 	return response.First, nil
 }
 
-// Read returns at most limit records of a stream from an offset on. With none
-// there yet it waits for the first one up to wait; zero asks for an answer at
-// once. Its errors are a *RetainedError, or match ErrUnavailable.
+// Read returns at most limit records of a stream from an offset on. If there are none
+// yet it waits up to wait for the first one; zero returns at once. Its errors are an
+// *OffsetExpiredError or match ErrUnavailable.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
@@ -176,19 +174,19 @@
 	return page, page.validate(from)
 }
 
-// validate refuses a page that would let a reader skip or repeat a record. A gap
-// would be a claim or configuration record that this reader alone never sees;
-// it is better seen as an unavailable log.
+// validate rejects a page that would make the reader skip or repeat a record. After a
+// gap this reader alone would miss a claim or configuration record; an unavailable log
+// is the lesser failure.
 func (p Page) validate(from uint64) error {
 	want := from
 	for _, r := range p.Records {
 		if r.Offset != want {
-			return fmt.Errorf("%w: log answered offset %d in place of %d", ErrUnavailable, r.Offset, want)
+			return fmt.Errorf("%w: page has offset %d, want %d", ErrUnavailable, r.Offset, want)
 		}
 		want++
 	}
 	if p.Next != want {
-		return fmt.Errorf("%w: log goes on at %d in place of %d", ErrUnavailable, p.Next, want)
+		return fmt.Errorf("%w: page continues at offset %d, want %d", ErrUnavailable, p.Next, want)
 	}
 	return nil
 }
@@ -197,7 +195,7 @@
 	return l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
 
-// getJSON fetches a JSON answer.
+// getJSON fetches and decodes a JSON response.
 func getJSON(ctx context.Context, client *http.Client, address string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -215,7 +213,7 @@
 	case http.StatusTooManyRequests:
 		return &RateLimitedError{RetryAfter: retryAfter(resp)}
 	default:
-		return fmt.Errorf("%w: %s answered %s", ErrUnavailable, req.URL.Path, resp.Status)
+		return fmt.Errorf("%w: %s: status %s", ErrUnavailable, req.URL.Path, resp.Status)
 	}
 	if err := decode(resp, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -233,7 +231,7 @@
 	return &OffsetExpiredError{Oldest: body.Oldest}
 }
 
-var errResponseTooLarge = errors.New("answer is too long")
+var errResponseTooLarge = errors.New("response is too large")
 
 func decode(resp *http.Response, into any) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
@@ -246,7 +244,7 @@
 	return json.Unmarshal(data, into)
 }
 
-// retryAfter is when the log wants the next call.
+// retryAfter returns how long the log asks to wait before the next call.
 func retryAfter(resp *http.Response) time.Duration {
 	if after, ok := retryafter.Parse(resp.Header.Get("Retry-After")); ok {
 		return after
--- a/internal/platform/log_test.go
+++ b/internal/platform/log_test.go
@@ -15,12 +15,12 @@
 	"skylarklead/test/kit"
 )
 
-// fixture is a stand-in behind a client.
+// fixture is a log client with a stand-in server.
 type fixture struct {
 	*platform.Log
 	t      *testing.T
 	url    string
-	opened atomic.Int64 // connections
+	opened atomic.Int64 // connections accepted by the server
 }
 
 func newFixture(t *testing.T, control standin.Control) *fixture {
@@ -82,29 +82,27 @@
 	}
 }
 
-// Symptom: a claim stands on the log twice, and its second copy is taken for
-// another process's.
-// Sequence: an append succeeds and leaves a warm connection; the next one takes
-// effect, and its connection is closed before the answer.
-// Cause: an HTTP transport sends a request again by itself when a reused
-// connection breaks.
+// Guards against a claim that is on the log twice, where the second copy is taken for
+// another process's: the HTTP transport retries a request by itself when a reused
+// connection breaks. An append succeeds; the next one takes effect, and its connection
+// is closed before the response.
 func TestAppendLostAnswerIsSentOnce(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	f.mustAppend("before")
 	f.control(`{"lose_next_answers":1}`)
 	_, err := f.Append(t.Context(), "config", byteSlices([]string{"lost"}))
 	if !errors.Is(err, platform.ErrAppendUnknown) || errors.Is(err, platform.ErrNotAppended) {
-		t.Errorf("lost answer: %v", err)
+		t.Errorf("append with a lost response: %v", err)
 	}
 	page, err := f.Read(t.Context(), "config", 1, 10, 0)
 	if err != nil || len(page.Records) != 2 {
-		t.Errorf("log has %+v, %v", page, err)
+		t.Errorf("log contains %+v, %v", page, err)
 	}
 }
 
-// Symptom: an append whose answer was lost is told as "not appended".
-// Sequence: the log closes an idle connection while an append goes out on it.
-// Cause: on a reused connection nobody can tell whether the request arrived.
+// Guards against an append whose response was lost being reported as not appended: if
+// the log closes an idle connection while an append is sent on it, it is not known
+// whether the request arrived.
 func TestAppendNeverReusesAConnection(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	for range 3 {
@@ -192,9 +190,9 @@
 	}
 }
 
-// Symptom: a follower's state lacks one accepted record for ever.
-// Sequence: the log answers with a page that starts past the offset asked for.
-// Cause: a reader that trusts the page's own offsets steps over the gap.
+// Guards against a follower that permanently misses an accepted record: the log returns
+// a page that starts after the requested offset, and a reader that trusts the page's
+// offsets skips the gap.
 func TestReadRefusesGaps(t *testing.T) {
 	for _, body := range []string{
 		`{"records":[{"offset":6}],"oldest":1,"next":7}`,
--- a/internal/platform/pacer.go
+++ b/internal/platform/pacer.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// minPause and defaultMaxPause bound the pause after a failed read, before jitter.
+	// minPause and defaultMaxBackoff bound the backoff after a failed read, before jitter.
 	minPause          = 100 * time.Millisecond
 	defaultMaxBackoff = 3 * time.Second
 )
 
-// Pacer spaces the reads of one who follows a stream, and logs one line when its
-// log stops answering and one when it answers again, however many reads fail
-// between. Its zero value is of a reader that hasn't read yet and logs nothing. It
-// belongs to one goroutine.
+// Pacer spaces the reads of a stream's follower. It logs one line when reads begin to
+// fail and one at the first success, at the start and after each outage, however many
+// reads fail in between. Its zero value is ready for use and logs nothing. It is not
+// safe for concurrent use.
 type Pacer struct {
-	// Logger gets the lines; nil for none.
+	// Logger is nil for no logging.
 	Logger *slog.Logger
 	Stream string
-	// MaxBackoff bounds the pause after a failed read, 3 s if 0.
+	// MaxBackoff bounds the backoff after a failed read, before jitter; 3 s if 0.
 	MaxBackoff time.Duration
 
 	backoff time.Duration
-	// failingSince is since when the log doesn't answer, zero while it does.
+	// failingSince is when reads began to fail, zero while they succeed.
 	failingSince time.Time
-	reached      bool
+	// reached is whether the last read succeeded.
+	reached bool
 }
 
-// AfterFailure waits before the next read, after one that err says failed: twice as long
-// each time, with jitter, and no shorter than a rate limit's own word. Without
-// jitter a whole fleet that saw the same outage begin would come back at the same
-// moments and keep the log over its limit.
+// AfterFailure waits before the next read after one that failed with err: exponential
+// backoff with jitter, added to the Retry-After of a rate limit. Without jitter a fleet
+// that sees the same outage would retry at the same moments and keep the log over its
+// limit.
 func (p *Pacer) AfterFailure(ctx context.Context, err error) {
 	if p.failingSince.IsZero() {
 		p.failingSince = time.Now()
@@ -50,19 +51,19 @@
 	if errors.As(err, &limited) {
 		delay += limited.RetryAfter
 	}
-	_ = wait.For(ctx, delay) // who waits looks at ctx next
+	_ = wait.For(ctx, delay) // the caller checks ctx next
 }
 
-// AfterSuccess takes a read that was answered with so many records. One that was to wait for longer and came
-// back at once with nothing is followed by a pause: a log that doesn't hold long
-// polls would be asked in a tight loop, seen as a busy core on each side.
+// AfterSuccess records a read that returned a number of records. A long poll that
+// returned at once without records is followed by a pause: a log that doesn't hold long
+// polls would be read in a tight loop, which keeps a core busy on each side.
 func (p *Pacer) AfterSuccess(ctx context.Context, records int, requestedWait, took time.Duration) {
 	if !p.reached {
 		p.log(slog.LevelInfo, "log reached", "after_ms", p.outageDuration().Milliseconds())
 	}
 	p.reached, p.failingSince, p.backoff = true, time.Time{}, 0
 	if records == 0 && requestedWait >= minPause && took < minPause {
-		_ = wait.For(ctx, minPause) // who waits looks at ctx next
+		_ = wait.For(ctx, minPause) // the caller checks ctx next
 	}
 }
 
--- a/internal/platform/pacer_test.go
+++ b/internal/platform/pacer_test.go
@@ -12,9 +12,8 @@
 	"skylarklead/internal/platform"
 )
 
-// Symptom: followers and log are busy with nothing, a core each.
-// Sequence: a log that doesn't hold long polls answers each at once, empty.
-// Cause: the next read follows an answered one without a pause.
+// Guards against followers that read in a tight loop, which costs a core on both sides:
+// a log that doesn't hold long polls returns each read at once without records.
 func TestPacerSlowsReadsOfALogThatDoesNotWait(t *testing.T) {
 	var p platform.Pacer
 	began := time.Now()
@@ -22,7 +21,7 @@
 		p.AfterSuccess(t.Context(), 0, 10*time.Second, time.Millisecond)
 	}
 	if took := time.Since(began); took < 300*time.Millisecond {
-		t.Errorf("three empty answers in %v", took)
+		t.Errorf("three empty reads in %v, want a pause of 100 ms after each", took)
 	}
 }
 
@@ -30,7 +29,7 @@
 	var lines bytes.Buffer
 	p := platform.Pacer{Logger: slog.New(slog.NewTextHandler(&lines, nil)), Stream: "config"}
 	ended, cancel := context.WithCancel(t.Context())
-	cancel() // no pause
+	cancel() // the pacer doesn't wait
 	for range 2 {
 		for range 3 {
 			p.AfterFailure(ended, errors.New("out"))
@@ -41,6 +40,6 @@
 	}
 	text := lines.String()
 	if strings.Count(text, "log not read") != 2 || strings.Count(text, "log reached") != 2 || !strings.Contains(text, "stream=config") {
-		t.Errorf("lines of two outages:\n%s", text)
+		t.Errorf("log lines of two outages:\n%s", text)
 	}
 }
