--- a/internal/platform/instances.go
+++ b/internal/platform/instances.go
@@ -13,7 +13,7 @@
 	"skylarklead/internal/wait"
 )
 
-// Roles and states of instances, as the platform's list gives them.
+// Roles and states of instances in the platform's list.
 const (
 	RoleEntry    = "entry"
 	RoleEndpoint = "endpoint"
@@ -25,8 +25,8 @@
 // listTimeout bounds one fetch of the instance list.
 const listTimeout = 5 * time.Second
 
-// Instance is one line of the platform's list of instances. The list lags: it
-// proposes peers, and heartbeats decide.
+// Instance is an entry of the platform's list of instances. The list lags behind, so
+// that it serves only to discover peers; heartbeats tell whether an instance is alive.
 type Instance struct {
 	ID            string `json:"id"`
 	Role          string `json:"role"`
@@ -37,7 +37,7 @@
 	State string `json:"state"`
 }
 
-// OtherAddresses returns the addresses of all instances but self.
+// OtherAddresses returns the addresses of all instances except the one with the ID self.
 func OtherAddresses(list []Instance, self string) []string {
 	var addresses []string
 	for _, i := range list {
@@ -48,7 +48,7 @@
 	return addresses
 }
 
-// InstanceList is the list's shape on the wire.
+// InstanceList is the JSON body of the list.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
@@ -59,17 +59,18 @@
 	base   string
 	client *http.Client
 
-	mu   sync.Mutex
-	last taggedList
+	mu     sync.Mutex
+	cached cachedList
 }
 
-// taggedList is the last list that came with an ETag.
-type taggedList struct {
-	tag  string
+// cachedList is the last list received with its ETag, which is empty if the platform
+// sent none.
+type cachedList struct {
+	etag string
 	list []Instance
 }
 
-// NewInstances returns a client of the list at base, "http://ip:port".
+// NewInstances returns a client of the list at the base URL, "http://ip:port".
 func NewInstances(base string) *Instances {
 	return &Instances{base: strings.TrimSuffix(base, "/"), client: newReadClient()}
 }
@@ -77,69 +78,68 @@
 // Close closes idle connections.
 func (i *Instances) Close() { i.client.CloseIdleConnections() }
 
-// List returns the list as the platform shows it now. Its errors match
-// ErrUnavailable.
+// List returns the platform's current list. Its errors match ErrUnavailable.
 //
-// Every process reads the list every few seconds, and at a thousand instances it
-// is longer than all other control traffic together. A platform that tags its
-// answers is asked for a changed list only.
+// Every process reads the list every few seconds, and at a thousand instances the list
+// is larger than all other control traffic together. If the platform sends ETags, an
+// unchanged list is therefore not transferred again.
 func (i *Instances) List(ctx context.Context) ([]Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	last := i.lastTagged()
-	resp, err := i.request(ctx, last.tag)
+	cached := i.cachedCopy()
+	resp, err := i.fetch(ctx, cached.etag)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer resp.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotModified && last.tag != "":
-		return slices.Clone(last.list), nil
+	case resp.StatusCode == http.StatusNotModified && cached.etag != "":
+		return slices.Clone(cached.list), nil
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("%w: instance list answered %s", ErrUnavailable, resp.Status)
+		return nil, fmt.Errorf("%w: instance list: status %s", ErrUnavailable, resp.Status)
 	}
 	var list InstanceList
 	if err := decode(resp, &list); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	i.keep(taggedList{tag: resp.Header.Get("ETag"), list: list.Instances})
+	i.setCached(cachedList{etag: resp.Header.Get("ETag"), list: list.Instances})
 	return slices.Clone(list.Instances), nil
 }
 
-func (i *Instances) request(ctx context.Context, tag string) (*http.Response, error) {
+func (i *Instances) fetch(ctx context.Context, etag string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, i.base+"/v1/instances", nil)
 	if err != nil {
 		return nil, err
 	}
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	return i.client.Do(req)
 }
 
-func (i *Instances) lastTagged() taggedList {
+func (i *Instances) cachedCopy() cachedList {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.last
+	return i.cached
 }
 
-func (i *Instances) keep(l taggedList) {
+func (i *Instances) setCached(l cachedList) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.last = l
+	i.cached = l
 }
 
-// Poll calls f with the list, or the error in its place, at once and then about
-// every so often until ctx ends. The period is jittered by a tenth, so that
-// processes that started together don't poll together for ever.
-func (i *Instances) Poll(ctx context.Context, every time.Duration, f func([]Instance, error)) {
+// Poll calls onList with the list or the error, at once and then about once per
+// interval until ctx ends. The interval is jittered by a tenth, so that processes that
+// started together don't keep polling at the same moments.
+func (i *Instances) Poll(ctx context.Context, interval time.Duration, onList func([]Instance, error)) {
 	for {
 		list, err := i.List(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		f(list, err)
-		pause := every - every/10 + rand.N(every/5+1)
+		onList(list, err)
+		pause := interval - interval/10 + rand.N(interval/5+1)
 		if wait.For(ctx, pause) != nil {
 			return
 		}
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -1,6 +1,6 @@
-// Package platform has the clients for what the platform runs: the append-only
-// log and the instance list (docs/INTERFACE.md, section 4). Its errors tell an
-// append that had no effect from one that may have had it.
+// Package platform has clients of the platform's append-only log and instance list
+// (docs/INTERFACE.md, section 4). Its errors distinguish an append that had no effect
+// from one that may have taken effect.
 package platform
 
 import (
@@ -22,30 +22,29 @@
 )
 
 const (
-	// MaxPageRecords is the most records that one read asks for.
-	MaxPageRecords = 1000
-	// maxAnswer bounds an answer's body in bytes.
-	maxAnswer = 64 << 20
-	// readGrace is how long a long poll's answer may take beyond its wait.
-	readGrace = 5 * time.Second
-	// defaultRetryAfter stands in when a refusal doesn't say when to come back.
+	// MaxPageRecords is the most records that callers ask for in one read.
+	MaxPageRecords   = 1000
+	maxResponseBytes = 64 << 20
+	// readTimeoutMargin is how long a long poll's response may take beyond its wait.
+	readTimeoutMargin = 5 * time.Second
+	// defaultRetryAfter is used for a refusal without a valid Retry-After header.
 	defaultRetryAfter = time.Second
 )
 
 // Record is one record of a stream.
 type Record struct {
-	// Offset is its place in its stream, from 1.
+	// Offset is the record's position in its stream, counted from 1.
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// Page is the answer to a read.
+// Page is the result of a read.
 type Page struct {
-	// Records are in offset order; none means that the reader has caught up.
+	// Records are in offset order; an empty list means that the reader has caught up.
 	Records []Record `json:"records"`
-	// Oldest is the lowest offset that the log still keeps.
+	// Oldest is the lowest retained offset.
 	Oldest uint64 `json:"oldest"`
-	// Next is where the next read goes on.
+	// Next is the offset that the next read continues from.
 	Next uint64 `json:"next"`
 }
 
@@ -56,7 +55,7 @@
 	reads   *http.Client
 }
 
-// NewLog returns a client of the log at base, "http://ip:port". It makes no
+// NewLog returns a client of the log at the base URL, "http://ip:port". It makes no
 // connection yet.
 func NewLog(base string) *Log {
 	return &Log{
@@ -68,13 +67,12 @@
 
 // newAppendClient returns a client that sends each request at most once.
 //
-// A transport that reuses connections sends some requests again by itself when
-// a reused connection breaks, and one that follows redirects sends the body
-// again. A lost answer would then put the same records on the log twice, seen
-// as two offsets for one append. A connection for each append rules the first
-// out (nothing is ever reused), and tells "never connected" from "answer lost".
-// The log takes a few hundred appends a second from the whole fleet, so the
-// handshakes are few.
+// A transport that reuses connections may retry a request by itself when a reused
+// connection breaks, and one that follows redirects sends the body again. After a
+// lost response the same records would then be on the log twice, at two offsets.
+// With a new connection for each append no connection is reused, and "never
+// connected" can be told from "response lost". The log takes a few hundred appends
+// a second from the whole fleet, so that the handshakes cost little.
 func newAppendClient() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
@@ -97,23 +95,23 @@
 	l.reads.CloseIdleConnections()
 }
 
-type appendBody struct {
+type appendRequest struct {
 	Records [][]byte `json:"records"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	First uint64 `json:"first"`
 	Last  uint64 `json:"last"`
 }
 
-// Append puts records on a stream, all or none, and returns the first one's
-// offset; the others follow it. Its errors match ErrNotAppended (a
-// *RateLimitedError among them) or ErrAppendUnknown, never both.
+// Append appends records to a stream atomically and returns the offset of the first;
+// the others follow it without gaps. Its errors match either ErrNotAppended (which
+// includes *RateLimitedError) or ErrAppendUnknown, never both.
 func (l *Log) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	if len(records) == 0 {
 		return 0, fmt.Errorf("%w: no records", ErrNotAppended)
 	}
-	body, err := json.Marshal(appendBody{Records: records})
+	body, err := json.Marshal(appendRequest{Records: records})
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
@@ -124,7 +122,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
-	req.GetBody = nil // the body can't be sent a second time
+	req.GetBody = nil // without it the transport can't retry the request by itself
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := l.appends.Do(req)
 	if err != nil {
@@ -134,35 +132,35 @@
 		return 0, fmt.Errorf("%w: %w", ErrNotAppended, err)
 	}
 	defer resp.Body.Close()
-	return appendResult(resp, len(records))
+	return decodeAppendResult(resp, len(records))
 }
 
-func appendResult(resp *http.Response, n int) (uint64, error) {
+func decodeAppendResult(resp *http.Response, n int) (uint64, error) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 	case resp.StatusCode == http.StatusTooManyRequests:
 		return 0, &RateLimitedError{RetryAfter: retryAfter(resp)}
 	case resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode/100 == 4:
-		return 0, fmt.Errorf("%w: log answered %s", ErrNotAppended, resp.Status)
+		return 0, fmt.Errorf("%w: status %s", ErrNotAppended, resp.Status)
 	default:
-		return 0, fmt.Errorf("%w: log answered %s", ErrAppendUnknown, resp.Status)
+		return 0, fmt.Errorf("%w: status %s", ErrAppendUnknown, resp.Status)
 	}
-	var answer appendAnswer
-	if err := decode(resp, &answer); err != nil {
+	var response appendResponse
+	if err := decode(resp, &response); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrAppendUnknown, err)
 	}
-	if answer.First == 0 || answer.Last != answer.First+uint64(n)-1 {
-		return 0, fmt.Errorf("%w: log answered offsets %d to %d for %d records",
-			ErrAppendUnknown, answer.First, answer.Last, n)
+	if response.First == 0 || response.Last != response.First+uint64(n)-1 {
+		return 0, fmt.Errorf("%w: response has offsets %d to %d for %d records",
+			ErrAppendUnknown, response.First, response.Last, n)
 	}
-	return answer.First, nil
+	return response.First, nil
 }
 
-// Read returns at most limit records of a stream from an offset on. With none
-// there yet it waits for the first one up to wait; zero asks for an answer at
-// once. Its errors are a *RetainedError, or match ErrUnavailable.
+// Read returns at most limit records of a stream from an offset on. If there are none
+// yet it waits up to wait for the first one; zero returns at once. Its errors are an
+// *OffsetExpiredError or match ErrUnavailable.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readGrace)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
 	query := url.Values{
 		"from":    {strconv.FormatUint(from, 10)},
@@ -170,25 +168,25 @@
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
 	var page Page
-	if err := get(ctx, l.reads, l.streamURL(stream)+"?"+query.Encode(), &page); err != nil {
+	if err := getJSON(ctx, l.reads, l.streamURL(stream)+"?"+query.Encode(), &page); err != nil {
 		return Page{}, err
 	}
-	return page, page.check(from)
+	return page, page.validate(from)
 }
 
-// check refuses a page that would let a reader skip or repeat a record. A gap
-// would be a claim or configuration record that this reader alone never sees;
-// it is better seen as an unavailable log.
-func (p Page) check(from uint64) error {
+// validate rejects a page that would make the reader skip or repeat a record. After a
+// gap this reader alone would miss a claim or configuration record; an unavailable log
+// is the lesser failure.
+func (p Page) validate(from uint64) error {
 	want := from
 	for _, r := range p.Records {
 		if r.Offset != want {
-			return fmt.Errorf("%w: log answered offset %d in place of %d", ErrUnavailable, r.Offset, want)
+			return fmt.Errorf("%w: page has offset %d, want %d", ErrUnavailable, r.Offset, want)
 		}
 		want++
 	}
 	if p.Next != want {
-		return fmt.Errorf("%w: log goes on at %d in place of %d", ErrUnavailable, p.Next, want)
+		return fmt.Errorf("%w: page continues at offset %d, want %d", ErrUnavailable, p.Next, want)
 	}
 	return nil
 }
@@ -197,8 +195,8 @@
 	return l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
 
-// get fetches a JSON answer.
-func get(ctx context.Context, client *http.Client, address string, into any) error {
+// getJSON fetches and decodes a JSON response.
+func getJSON(ctx context.Context, client *http.Client, address string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -211,11 +209,11 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusGone:
-		return goneError(resp)
+		return decodeGone(resp)
 	case http.StatusTooManyRequests:
 		return &RateLimitedError{RetryAfter: retryAfter(resp)}
 	default:
-		return fmt.Errorf("%w: %s answered %s", ErrUnavailable, req.URL.Path, resp.Status)
+		return fmt.Errorf("%w: %s: status %s", ErrUnavailable, req.URL.Path, resp.Status)
 	}
 	if err := decode(resp, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -223,7 +221,7 @@
 	return nil
 }
 
-func goneError(resp *http.Response) error {
+func decodeGone(resp *http.Response) error {
 	var body struct {
 		Oldest uint64 `json:"oldest"`
 	}
@@ -233,20 +231,20 @@
 	return &OffsetExpiredError{Oldest: body.Oldest}
 }
 
-var errTooLong = errors.New("answer is too long")
+var errResponseTooLarge = errors.New("response is too large")
 
 func decode(resp *http.Response, into any) error {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > maxAnswer {
-		return errTooLong
+	if len(data) > maxResponseBytes {
+		return errResponseTooLarge
 	}
 	return json.Unmarshal(data, into)
 }
 
-// retryAfter is when the log wants the next call.
+// retryAfter returns how long the log asks to wait before the next call.
 func retryAfter(resp *http.Response) time.Duration {
 	if after, ok := retryafter.Parse(resp.Header.Get("Retry-After")); ok {
 		return after
