--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -12,8 +12,8 @@
 const (
 	// ReasonInForce: accepted and in force.
 	ReasonInForce Reason = "in_force"
-	// ReasonKept: accepted but of a schema version that this build doesn't know.
-	ReasonKept Reason = "kept_unknown_schema"
+	// ReasonUnknownSchema: accepted but of a schema version that this build doesn't know.
+	ReasonUnknownSchema Reason = "kept_unknown_schema"
 	// ReasonSnapshot: a part of a snapshot, which changes nothing.
 	ReasonSnapshot Reason = "snapshot"
 	// ReasonMalformed: not a record; no effect at all.
@@ -43,8 +43,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Entry is a record's bytes at their place on the log.
-type Entry struct {
+// LogEntry is a record's bytes at their place on the log.
+type LogEntry struct {
 	Offset uint64 `cbor:"1,keyasint" json:"offset"`
 	Data   []byte `cbor:"2,keyasint" json:"data,omitempty"`
 }
@@ -65,13 +65,13 @@
 // References may dangle: an organisation's models and services, a model's and a
 // service's group. Requests for what isn't there are refused as unknown.
 func (s *State) Apply(offset uint64, data []byte) (*State, Verdict) {
-	next, verdicts := s.ApplyAll([]Entry{{Offset: offset, Data: data}})
+	next, verdicts := s.ApplyAll([]LogEntry{{Offset: offset, Data: data}})
 	return next, verdicts[0]
 }
 
 // ApplyAll applies entries in order. It copies each map that changes once, which
 // is what makes reading a long log cheap.
-func (s *State) ApplyAll(entries []Entry) (*State, []Verdict) {
+func (s *State) ApplyAll(entries []LogEntry) (*State, []Verdict) {
 	b := newBuilder(s)
 	verdicts := make([]Verdict, len(entries))
 	for i, e := range entries {
@@ -80,13 +80,13 @@
 	return b.state, verdicts
 }
 
-func (b *builder) apply(e Entry) Verdict {
+func (b *builder) apply(e LogEntry) Verdict {
 	if e.Offset <= b.state.Offset {
 		return Verdict{Reason: ReasonOldOffset, Detail: fmt.Sprintf("offset %d is not after %d", e.Offset, b.state.Offset)}
 	}
 	b.moveTo(e.Offset)
 	r, err := parseRecord(e.Data, fmt.Sprintf("offset %d", e.Offset), b.state.maxSchema)
-	if errors.Is(err, ErrEnvelope) {
+	if errors.Is(err, ErrMalformedEnvelope) {
 		return Verdict{Reason: ReasonMalformed, Detail: err.Error()}
 	}
 	if r.Kind == KindSnapshot {
@@ -100,7 +100,7 @@
 }
 
 // take gives the key's revision to r, whose base is right.
-func (b *builder) take(e Entry, r Record, invalid error) Verdict {
+func (b *builder) take(e LogEntry, r Record, invalid error) Verdict {
 	v := Verdict{Record: r, Revision: e.Offset}
 	switch {
 	case r.Delete:
@@ -110,7 +110,7 @@
 		v.Reason, v.Detail = ReasonInvalid, invalid.Error()
 		b.void(r.Name(), e.Offset)
 	case r.Schema > b.state.maxSchema:
-		v.Accepted, v.Reason = true, ReasonKept
+		v.Accepted, v.Reason = true, ReasonUnknownSchema
 		v.Detail = fmt.Sprintf("schema %d is newer than %d; what was in force stays", r.Schema, b.state.maxSchema)
 		b.keepOpaque(r, e)
 	default:
@@ -120,7 +120,7 @@
 }
 
 // put brings r into force unless one of its API keys is another's.
-func (b *builder) put(r Record, e Entry) Verdict {
+func (b *builder) put(r Record, e LogEntry) Verdict {
 	v := Verdict{Record: r, Revision: e.Offset}
 	if o, ok := r.parsed.(*Organisation); ok {
 		if other := b.keyOwner(o); other != "" {
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -20,12 +20,12 @@
 }
 
 // log reads the revisions that bases refer to from a state kept alongside.
-func (d draft) log(t *rapid.T) []Entry {
+func (d draft) log(t *rapid.T) []LogEntry {
 	n := rapid.IntRange(1, 40).Draw(t, "records")
-	entries := make([]Entry, 0, n)
+	entries := make([]LogEntry, 0, n)
 	s := NewState()
 	for i := range n {
-		e := Entry{Offset: uint64(i + 1), Data: d.record(t, s)}
+		e := LogEntry{Offset: uint64(i + 1), Data: d.record(t, s)}
 		entries = append(entries, e)
 		s, _ = s.Apply(e.Offset, e.Data)
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func replay(s *State, entries []Entry) *State {
+func replay(s *State, entries []LogEntry) *State {
 	for _, e := range entries {
 		s, _ = s.Apply(e.Offset, e.Data)
 	}
@@ -207,7 +207,7 @@
 // A newer build that starts from an older one's snapshot has what it would have
 // had from the log.
 func TestUpgradeFromOlderSnapshot(t *testing.T) {
-	log := []Entry{
+	log := []LogEntry{
 		{1, []byte(`{"schema":1,"kind":"model","key":"m","base":0,"body":{"group":"g","version":"v1"}}`)},
 		{2, []byte(`{"schema":2,"kind":"model","key":"m","base":1,"body":{"group":"g","versions":["v1","v2"],"version":"v2"}}`)},
 		{3, []byte(`{"schema":2,"kind":"group","key":"g","base":0,"body":{"load_permits":0}}`)},
@@ -234,7 +234,7 @@
 		{`{"schema":1,"kind":"organisation","key":"huon","base":0,"body":{}}`, ReasonStaleBase},
 		{`{"schema":2,"kind":"organisation","key":"other","base":0,"body":{"key_digests":["` + digest + `"]}}`, ReasonKeyTaken},
 		{`{"schema":2,"kind":"organisation","key":"other","base":3,"body":{"weight":0}}`, ReasonInvalid},
-		{`{"schema":7,"kind":"organisation","key":"other","base":4,"new":1,"body":[]}`, ReasonKept},
+		{`{"schema":7,"kind":"organisation","key":"other","base":4,"new":1,"body":[]}`, ReasonUnknownSchema},
 		{`{"schema":2,"kind":"organisation","key":"other","base":5,"body":{}}`, ReasonInForce},
 		{`{"kind":"organisation"}`, ReasonMalformed},
 		{`{"schema":2,"kind":"organisation","key":"huon","base":1,"delete":true}`, ReasonInForce},
@@ -249,7 +249,7 @@
 			t.Errorf("record %d: got %+v, want %s", i+1, v, step.want)
 		}
 	}
-	if o := s.OrganisationByKey(digest); o == nil || o.ID != "third" {
+	if o := s.OrganisationByKeyDigest(digest); o == nil || o.ID != "third" {
 		t.Errorf("the API key belongs to %+v", o)
 	}
 	if _, v := s.Apply(3, []byte(steps[0].record)); v.Reason != ReasonOldOffset {
@@ -268,10 +268,10 @@
 		return fmt.Appendf(nil, `{"schema":1,"kind":"organisation","key":%q,"base":%d,"body":{"key_digests":[%s]}}`, key, base, digests)
 	}
 	moving := `"` + strings.Repeat("d", 64) + `"`
-	log := []Entry{{1, with("old", 0, moving)}, {2, with("old", 1, "")}, {3, with("new", 0, moving)}, {4, with("old", 2, "")}}
+	log := []LogEntry{{1, with("old", 0, moving)}, {2, with("old", 1, "")}, {3, with("new", 0, moving)}, {4, with("old", 2, "")}}
 	changes := kit.Must(EncodeSince(replay(NewState(), log), 1))(t)
 	s := kit.Must(replay(NewState(), log[:1]).Merge(changes))(t)
-	if o := s.OrganisationByKey(strings.Repeat("d", 64)); o == nil || o.ID != "new" {
+	if o := s.OrganisationByKeyDigest(strings.Repeat("d", 64)); o == nil || o.ID != "new" {
 		t.Errorf("the key belongs to %+v", o)
 	}
 }
--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -45,15 +45,15 @@
 // void records that the record at offset took the revision of the key named n
 // without coming into force.
 func (b *builder) void(n string, offset uint64) {
-	own(b, &b.state.Void)[n] = offset
+	own(b, &b.state.Invalid)[n] = offset
 }
 
-func (b *builder) keepOpaque(r Record, e Entry) {
+func (b *builder) keepOpaque(r Record, e LogEntry) {
 	n := r.Name()
 	last, ok := b.state.Opaque[n]
-	var earlier []Entry
+	var earlier []LogEntry
 	if ok {
-		earlier = append(slices.Clone(last.Earlier), Entry{Offset: last.Offset, Data: last.Data})
+		earlier = append(slices.Clone(last.Earlier), LogEntry{Offset: last.Offset, Data: last.Data})
 		earlier = earlier[max(0, len(earlier)-maxEarlier):]
 	}
 	b.settle(n, e.Offset)
@@ -63,15 +63,15 @@
 // settle forgets what stood between the key's revision and what is in force, now
 // that a record at offset replaces both.
 func (b *builder) settle(n string, offset uint64) {
-	if void, ok := b.state.Void[n]; ok && void < offset {
-		delete(own(b, &b.state.Void), n)
+	if void, ok := b.state.Invalid[n]; ok && void < offset {
+		delete(own(b, &b.state.Invalid), n)
 	}
 	if _, ok := b.state.Opaque[n]; ok {
 		delete(own(b, &b.state.Opaque), n)
 	}
 }
 
-func (b *builder) set(r Record, e Entry) {
+func (b *builder) set(r Record, e LogEntry) {
 	offset := e.Offset
 	b.settle(r.Name(), offset)
 	own(b, &b.state.records)[r.Name()] = e
--- a/internal/config/dangling.go
+++ b/internal/config/dangling.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Dangling lists, in words, the references to what isn't in force. They are
+// DanglingReferences lists, in words, the references to what isn't in force. They are
 // allowed: two operators may publish the two ends in either order.
-func (s *State) Dangling() []string {
+func (s *State) DanglingReferences() []string {
 	var all []string
 	missing := func(kind Kind, key string, refers Kind, to string) {
 		all = append(all, fmt.Sprintf("%s refers to %s, which isn't in force", name(kind, key), name(refers, to)))
--- a/internal/config/encode.go
+++ b/internal/config/encode.go
@@ -21,8 +21,8 @@
 	maxStateBytes = 128 << 20
 )
 
-// ErrState is wrapped by errors about an encoded state that can't be used.
-var ErrState = errors.New("config: not an encoded state")
+// ErrMalformedState is wrapped by errors about an encoded state that can't be used.
+var ErrMalformedState = errors.New("config: not an encoded state")
 
 // encodedState is what is compressed: a header and the encoded contents.
 type encodedState struct {
@@ -42,7 +42,7 @@
 // be lost without a sign, and a record half-applied.
 type contents struct {
 	// Entries are records in force or kept, in order of offset.
-	Entries []Entry `cbor:"1,keyasint"`
+	Entries []LogEntry `cbor:"1,keyasint"`
 	// Deletions are those after which nothing came into force.
 	Deletions []mark `cbor:"2,keyasint"`
 	// Void are the records that took a revision without coming into force. Their
@@ -89,7 +89,7 @@
 
 func (s *State) contentsSince(after uint64) contents {
 	var c contents
-	add := func(e Entry) {
+	add := func(e LogEntry) {
 		if e.Offset > after {
 			c.Entries = append(c.Entries, e)
 		}
@@ -98,14 +98,14 @@
 		add(e)
 	}
 	for _, o := range s.Opaque {
-		add(Entry{Offset: o.Offset, Data: o.Data})
+		add(LogEntry{Offset: o.Offset, Data: o.Data})
 		for _, e := range o.Earlier {
 			add(e)
 		}
 	}
-	slices.SortFunc(c.Entries, func(a, b Entry) int { return cmp.Compare(a.Offset, b.Offset) })
+	slices.SortFunc(c.Entries, func(a, b LogEntry) int { return cmp.Compare(a.Offset, b.Offset) })
 	c.Deletions = marksSince(s.Deleted, after)
-	c.Void = marksSince(s.Void, after)
+	c.Void = marksSince(s.Invalid, after)
 	return c
 }
 
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -18,24 +18,24 @@
 func (s *State) Merge(data []byte) (*State, error) {
 	whole, err := expand(data)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrState, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformedState, err)
 	}
 	var e encodedState
 	if err := cbor.Unmarshal(whole, &e); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrState, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformedState, err)
 	}
 	if e.Format != stateFormat {
-		return nil, fmt.Errorf("%w: format %d, want %d", ErrState, e.Format, stateFormat)
+		return nil, fmt.Errorf("%w: format %d, want %d", ErrMalformedState, e.Format, stateFormat)
 	}
 	if !bytes.Equal(digestOf(e.Contents), e.Digest) {
-		return nil, fmt.Errorf("%w: the digest doesn't match", ErrState)
+		return nil, fmt.Errorf("%w: the digest doesn't match", ErrMalformedState)
 	}
 	var c contents
 	if err := cbor.Unmarshal(e.Contents, &c); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrState, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformedState, err)
 	}
 	if e.After > s.Offset {
-		return nil, fmt.Errorf("%w: changes after %d don't fit a state at %d", ErrState, e.After, s.Offset)
+		return nil, fmt.Errorf("%w: changes after %d don't fit a state at %d", ErrMalformedState, e.After, s.Offset)
 	}
 	if e.Offset <= s.Offset {
 		return s, nil
@@ -45,7 +45,7 @@
 
 // arrival is a record of another process's state.
 type arrival struct {
-	entry   Entry
+	entry   LogEntry
 	record  Record
 	invalid error
 }
@@ -76,15 +76,15 @@
 	return b.state, nil
 }
 
-func (b *builder) parse(entries []Entry) ([]arrival, error) {
+func (b *builder) parse(entries []LogEntry) ([]arrival, error) {
 	arrivals := make([]arrival, len(entries))
 	for i, e := range entries {
 		r, err := parseRecord(e.Data, fmt.Sprintf("offset %d", e.Offset), b.state.maxSchema)
-		if errors.Is(err, ErrEnvelope) || r.Delete || r.Kind == KindSnapshot || e.Offset > b.state.Offset {
-			return nil, fmt.Errorf("%w: the record at offset %d: %v", ErrState, e.Offset, err)
+		if errors.Is(err, ErrMalformedEnvelope) || r.Delete || r.Kind == KindSnapshot || e.Offset > b.state.Offset {
+			return nil, fmt.Errorf("%w: the record at offset %d: %v", ErrMalformedState, e.Offset, err)
 		}
 		if i > 0 && e.Offset <= entries[i-1].Offset {
-			return nil, fmt.Errorf("%w: offset %d is out of order", ErrState, e.Offset)
+			return nil, fmt.Errorf("%w: offset %d is out of order", ErrMalformedState, e.Offset)
 		}
 		arrivals[i] = arrival{entry: e, record: r, invalid: err}
 	}
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -30,13 +30,13 @@
 	// published schema version means is never changed afterwards: builds that
 	// judge the same record differently would drift apart.
 	MaxSchema = 2
-	// MaxRecord bounds a record's size in bytes.
-	MaxRecord = 512 << 10
+	// MaxRecordBytes bounds a record's size in bytes.
+	MaxRecordBytes = 512 << 10
 )
 
-// ErrEnvelope is wrapped by errors about a record whose schema, kind, key or
+// ErrMalformedEnvelope is wrapped by errors about a record whose schema, kind, key or
 // base can't be read. Such a record has no effect at all.
-var ErrEnvelope = errors.New("config: not a configuration record")
+var ErrMalformedEnvelope = errors.New("config: not a configuration record")
 
 // Record is an operator's change of one key. Schema, Kind, Key, Base and Delete
 // are the envelope: every build reads them alike, whatever the schema version.
@@ -63,8 +63,8 @@
 
 func name(kind Kind, key string) string { return string(kind) + "/" + key }
 
-// Understood reports whether this build knows the record's schema version.
-func (r *Record) Understood() bool { return r.Schema <= MaxSchema }
+// KnownSchema reports whether this build knows the record's schema version.
+func (r *Record) KnownSchema() bool { return r.Schema <= MaxSchema }
 
 // Encode returns the record as it goes onto the log.
 func (r *Record) Encode() ([]byte, error) {
@@ -75,8 +75,8 @@
 		return nil, fmt.Errorf("config: encode %s: %w", r.Name(), err)
 	}
 	data := bytes.TrimSuffix(buf.Bytes(), []byte{'\n'})
-	if len(data) > MaxRecord {
-		return nil, fmt.Errorf("config: %s has %d bytes, more than %d", r.Name(), len(data), MaxRecord)
+	if len(data) > MaxRecordBytes {
+		return nil, fmt.Errorf("config: %s has %d bytes, more than %d", r.Name(), len(data), MaxRecordBytes)
 	}
 	return data, nil
 }
@@ -91,8 +91,8 @@
 
 // parseRecord is ParseRecord for a build that knows schemas up to maxSchema.
 func parseRecord(data []byte, file string, maxSchema int) (Record, error) {
-	if len(data) > MaxRecord {
-		return Record{}, fmt.Errorf("%w: %s: %d bytes, more than %d", ErrEnvelope, file, len(data), MaxRecord)
+	if len(data) > MaxRecordBytes {
+		return Record{}, fmt.Errorf("%w: %s: %d bytes, more than %d", ErrMalformedEnvelope, file, len(data), MaxRecordBytes)
 	}
 	var r Record
 	doc := strictjson.Decode(data, file, &r)
@@ -100,7 +100,7 @@
 	if !doc.OK() {
 		// Unknown fields are no fault of a newer schema's envelope.
 		r = Record{}
-		envelope = strictjson.DecodeKnown(data, file, &r)
+		envelope = strictjson.DecodeLenient(data, file, &r)
 	}
 	checkEnvelope(envelope, &r)
 	if err := envelope.Err(); err != nil {
@@ -117,7 +117,7 @@
 type envelopeError struct{ problems error }
 
 func (e *envelopeError) Error() string   { return e.problems.Error() }
-func (e *envelopeError) Unwrap() []error { return []error{ErrEnvelope, e.problems} }
+func (e *envelopeError) Unwrap() []error { return []error{ErrMalformedEnvelope, e.problems} }
 
 var (
 	keyPattern  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
--- a/internal/config/record_test.go
+++ b/internal/config/record_test.go
@@ -64,7 +64,7 @@
 		if v.Accepted && err != nil && !r.Delete {
 			t.Fatalf("accepted with error %v", err)
 		}
-		if errors.Is(err, ErrEnvelope) && v.Reason != ReasonMalformed {
+		if errors.Is(err, ErrMalformedEnvelope) && v.Reason != ReasonMalformed {
 			t.Fatalf("no envelope but %+v", v)
 		}
 		kit.Must(DecodeState(encoded(t, s)))(t)
--- a/internal/config/schedule.go
+++ b/internal/config/schedule.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// CaughtUp notes that the log ended at offset at the time at.
-func (c *SnapshotSchedule) CaughtUp(offset uint64, at time.Duration) {
+// ObserveLogEnd notes that the log ended at offset at the time at.
+func (c *SnapshotSchedule) ObserveLogEnd(offset uint64, at time.Duration) {
 	if n := len(c.samples); n > 0 && at-c.samples[n-1].at < c.retention/sampleShare {
 		return
 	}
@@ -59,10 +59,10 @@
 	}
 }
 
-// Saw notes a whole snapshot on the log. It counts by the age of the first
+// ObserveSnapshot notes a whole snapshot on the log. It counts by the age of the first
 // record after AsOf, which a reader needs beside it: a snapshot may be written
 // long after its state was taken, by a process that was stopped between.
-func (c *SnapshotSchedule) Saw(asOf uint64) {
+func (c *SnapshotSchedule) ObserveSnapshot(asOf uint64) {
 	for i := len(c.samples) - 1; i >= 0; i-- {
 		if s := c.samples[i]; s.offset <= asOf {
 			c.cover(s.at + c.retention/2)
@@ -71,29 +71,29 @@
 	}
 }
 
-// Told takes a peer's word that the newest snapshot is young enough for another
+// ObservePeer takes a peer's word that the newest snapshot is young enough for another
 // left. A process that was just started can't tell the age of what it finds, and
 // each would write a snapshot of its own although its peers have met one.
-func (c *SnapshotSchedule) Told(left, now time.Duration) {
+func (c *SnapshotSchedule) ObservePeer(left, now time.Duration) {
 	if left > 0 {
 		c.cover(now + min(left, c.retention/2))
 	}
 }
 
-// Left returns for how long from now the newest snapshot known of is young enough,
+// FreshFor returns for how long from now the newest snapshot known of is young enough,
 // 0 if it isn't or none is known. Ranks are no part of it, so it can be passed on
 // from process to process.
-func (c *SnapshotSchedule) Left(now time.Duration) time.Duration { return max(0, c.covered-now) }
+func (c *SnapshotSchedule) FreshFor(now time.Duration) time.Duration { return max(0, c.covered-now) }
 
 func (c *SnapshotSchedule) cover(until time.Duration) {
 	c.covered = max(c.covered, until)
 	c.due = max(c.due, c.covered+c.spread)
 }
 
-// Wrote puts the next try off, in case the snapshot isn't seen on the log.
-func (c *SnapshotSchedule) Wrote(at time.Duration) {
+// RecordWrite puts the next try off, in case the snapshot isn't seen on the log.
+func (c *SnapshotSchedule) RecordWrite(at time.Duration) {
 	c.due = max(c.due, at+c.retention/sampleShare)
 }
 
-// Due returns when to write.
-func (c *SnapshotSchedule) Due() time.Duration { return c.due }
+// NextWrite returns when to write.
+func (c *SnapshotSchedule) NextWrite() time.Duration { return c.due }
--- a/internal/config/schedule_test.go
+++ b/internal/config/schedule_test.go
@@ -23,14 +23,14 @@
 			c := NewSnapshotSchedule(retention, start, rapid.Float64Range(0, 1).Draw(t, "rank"))
 			if before != nil && rapid.Bool().Draw(t, "told") {
 				// The word of a process that ended meanwhile took a while.
-				c.Told(before.Left(now), now+time.Minute)
+				c.ObservePeer(before.FreshFor(now), now+time.Minute)
 			}
 			before = c
 			for ; now < start+life; now += retention / 200 {
-				c.CaughtUp(offset, now)
-				if now >= c.Due() {
-					c.Wrote(now)
-					c.Saw(offset)
+				c.ObserveLogEnd(offset, now)
+				if now >= c.NextWrite() {
+					c.RecordWrite(now)
+					c.ObserveSnapshot(offset)
 					needed = now
 					offset++
 				}
@@ -46,16 +46,16 @@
 // ago, doesn't put the next one off for half a retention from now.
 func TestScheduleDistrustsLateSnapshots(t *testing.T) {
 	c := NewSnapshotSchedule(64*time.Hour, 0, 0)
-	due := c.Due()
-	c.CaughtUp(10, 0)
-	c.Saw(9)
-	if c.Due() != due {
-		t.Errorf("a snapshot of unknown age moved the next one to %v", c.Due())
+	due := c.NextWrite()
+	c.ObserveLogEnd(10, 0)
+	c.ObserveSnapshot(9)
+	if c.NextWrite() != due {
+		t.Errorf("a snapshot of unknown age moved the next one to %v", c.NextWrite())
 	}
-	c.CaughtUp(20, 20*time.Hour)
-	c.Saw(10)
-	if want := 32 * time.Hour; c.Due() != want {
-		t.Errorf("due at %v, want %v", c.Due(), want)
+	c.ObserveLogEnd(20, 20*time.Hour)
+	c.ObserveSnapshot(10)
+	if want := 32 * time.Hour; c.NextWrite() != want {
+		t.Errorf("due at %v, want %v", c.NextWrite(), want)
 	}
 }
 
@@ -80,23 +80,23 @@
 		offset, written := uint64(1), 0
 		for now := time.Duration(0); now < 10*retention; now += step {
 			if rng.IntN(20000) < replaced {
-				left := all[rng.IntN(processes)].Left(now)
+				left := all[rng.IntN(processes)].FreshFor(now)
 				i := rng.IntN(processes)
 				all[i] = NewSnapshotSchedule(retention, now, float64(i)/processes)
-				all[i].Told(left, now)
+				all[i].ObservePeer(left, now)
 			}
 			end := offset // what all of them see at this step
 			for _, c := range all {
-				c.CaughtUp(end, now)
-				if now >= c.Due() {
-					c.Wrote(now)
+				c.ObserveLogEnd(end, now)
+				if now >= c.NextWrite() {
+					c.RecordWrite(now)
 					written++
 					offset++
 				}
 			}
 			if offset > end {
 				for _, c := range all {
-					c.Saw(end)
+					c.ObserveSnapshot(end)
 				}
 			}
 		}
@@ -109,14 +109,14 @@
 // A peer's word is worth no more than a snapshot that was written just now.
 func TestScheduleBoundsWhatItIsTold(t *testing.T) {
 	c := NewSnapshotSchedule(48*time.Hour, 0, 0)
-	due := c.Due()
-	c.Told(0, time.Hour)
-	c.Told(-time.Hour, time.Hour)
-	if c.Due() != due {
-		t.Errorf("told of no snapshot, due at %v", c.Due())
+	due := c.NextWrite()
+	c.ObservePeer(0, time.Hour)
+	c.ObservePeer(-time.Hour, time.Hour)
+	if c.NextWrite() != due {
+		t.Errorf("told of no snapshot, due at %v", c.NextWrite())
 	}
-	c.Told(1000*time.Hour, time.Hour)
-	if want := 25 * time.Hour; c.Due() != want || c.Left(2*time.Hour) != want-2*time.Hour {
-		t.Errorf("due at %v with %v left, want %v", c.Due(), c.Left(2*time.Hour), want)
+	c.ObservePeer(1000*time.Hour, time.Hour)
+	if want := 25 * time.Hour; c.NextWrite() != want || c.FreshFor(2*time.Hour) != want-2*time.Hour {
+		t.Errorf("due at %v with %v left, want %v", c.NextWrite(), c.FreshFor(2*time.Hour), want)
 	}
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -105,15 +105,15 @@
 	return r.Encode()
 }
 
-// SnapshotMark tells those who follow the configuration that all parts of a
+// SnapshotMarker tells those who follow the configuration that all parts of a
 // snapshot are on the snapshots' own stream, so that they needn't read it.
-type SnapshotMark struct {
+type SnapshotMarker struct {
 	AsOf uint64 `json:"as_of"`
 	ID   string `json:"id"`
 }
 
 // Encode returns the mark's record.
-func (m SnapshotMark) Encode() ([]byte, error) {
+func (m SnapshotMarker) Encode() ([]byte, error) {
 	body, err := json.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("config: encode snapshot mark: %w", err)
@@ -121,17 +121,17 @@
 	return encodeSnapshot(snapshotMarkKey, body)
 }
 
-func parseSnapshotMark(doc *strictjson.Document) *SnapshotMark {
-	var mark SnapshotMark
+func parseSnapshotMark(doc *strictjson.Document) *SnapshotMarker {
+	var mark SnapshotMarker
 	doc.DecodeField("body", &mark)
 	return &mark
 }
 
-// SnapshotMark returns the mark that a record is, if it is one.
-func (r *Record) SnapshotMark() (SnapshotMark, bool) {
-	mark, ok := r.parsed.(*SnapshotMark)
+// SnapshotMarker returns the mark that a record is, if it is one.
+func (r *Record) SnapshotMarker() (SnapshotMarker, bool) {
+	mark, ok := r.parsed.(*SnapshotMarker)
 	if !ok {
-		return SnapshotMark{}, false
+		return SnapshotMarker{}, false
 	}
 	return *mark, true
 }
@@ -160,7 +160,7 @@
 		return nil, err
 	}
 	if s.Offset != p.AsOf {
-		return nil, fmt.Errorf("%w: a snapshot as of %d of a state at %d", ErrState, p.AsOf, s.Offset)
+		return nil, fmt.Errorf("%w: a snapshot as of %d of a state at %d", ErrMalformedState, p.AsOf, s.Offset)
 	}
 	return s, nil
 }
@@ -174,7 +174,7 @@
 	}
 	o := a.opened(part)
 	if o.asOf != part.AsOf || len(o.parts) != part.Parts {
-		return nil, fmt.Errorf("%w: parts of snapshot %.40q don't agree", ErrState, part.ID)
+		return nil, fmt.Errorf("%w: parts of snapshot %.40q don't agree", ErrMalformedState, part.ID)
 	}
 	if o.parts[part.Part] == nil {
 		o.parts[part.Part] = part.Data
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -27,16 +27,16 @@
 
 // organisations returns the log of n organisations, each with instructions of
 // the given length.
-func organisations(tb testing.TB, n, length int) []Entry {
+func organisations(tb testing.TB, n, length int) []LogEntry {
 	tb.Helper()
 	r := rand.New(rand.NewPCG(1, 2))
-	entries := make([]Entry, n)
+	entries := make([]LogEntry, n)
 	for i := range n {
 		digest := sha256.Sum256(fmt.Append(nil, i))
 		data := fmt.Appendf(nil, `{"schema":2,"kind":"organisation","key":"org-%05d","base":0,"operator":"ada","nonce":"%016x",`+
 			`"body":{"key_digests":[%q],"models":[{"name":"ledger-7b","versions":["v1"]}],"services":["portal"],"instructions":[%q],"weight":1}}`,
 			i, i, hex.EncodeToString(digest[:]), words(r, length))
-		entries[i] = Entry{Offset: uint64(i + 1), Data: data}
+		entries[i] = LogEntry{Offset: uint64(i + 1), Data: data}
 	}
 	return entries
 }
@@ -96,7 +96,7 @@
 		if err == nil && !bytes.Equal(encoded(t, got), data) {
 			t.Fatalf("byte %d changed the state unnoticed", i)
 		}
-		if err != nil && !errors.Is(err, ErrState) {
+		if err != nil && !errors.Is(err, ErrMalformedState) {
 			t.Fatalf("byte %d: %v", i, err)
 		}
 	}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -74,16 +74,16 @@
 	// Opaque keeps accepted records of newer schema versions whole, by key, so
 	// that a process that can't read them doesn't lose them in a snapshot.
 	Opaque map[string]Opaque `json:"opaque"`
-	// Void has the offsets of records, by key, that took the key's revision
+	// Invalid has the offsets of records, by key, that took the key's revision
 	// without coming into force (see Apply).
-	Void map[string]uint64 `json:"void,omitempty"`
+	Invalid map[string]uint64 `json:"void,omitempty"`
 	// Deleted has the offsets of deletions, by key, until a record for the key is
 	// in force again.
 	Deleted map[string]uint64 `json:"deleted,omitempty"`
 
 	byKey map[string]*Organisation
 	// records has the records in force, whole, by kind and key.
-	records map[string]Entry
+	records map[string]LogEntry
 	// maxSchema is the newest schema understood; only tests of builds of
 	// different age set it to other than MaxSchema.
 	maxSchema int
@@ -98,7 +98,7 @@
 	// Earlier are the kept records that this one replaced, oldest first: should
 	// this one prove invalid to a build that knows its schema, the last valid
 	// one of them is in force there.
-	Earlier []Entry `json:"earlier,omitempty"`
+	Earlier []LogEntry `json:"earlier,omitempty"`
 }
 
 // NewState returns the state before the log's first record.
@@ -109,10 +109,10 @@
 		Services:      map[string]*Service{},
 		Groups:        map[string]*Group{},
 		Opaque:        map[string]Opaque{},
-		Void:          map[string]uint64{},
+		Invalid:       map[string]uint64{},
 		Deleted:       map[string]uint64{},
 		byKey:         map[string]*Organisation{},
-		records:       map[string]Entry{},
+		records:       map[string]LogEntry{},
 		maxSchema:     MaxSchema,
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 func (s *State) revision(n string) uint64 {
-	return max(s.records[n].Offset, s.Opaque[n].Offset, s.Void[n], s.Deleted[n])
+	return max(s.records[n].Offset, s.Opaque[n].Offset, s.Invalid[n], s.Deleted[n])
 }
 
 // Keys returns the keys of a kind in order: those with a record in force, kept,
@@ -143,20 +143,20 @@
 	for n := range s.Opaque {
 		collect(n)
 	}
-	for n := range s.Void {
+	for n := range s.Invalid {
 		collect(n)
 	}
 	return slices.Sorted(maps.Keys(seen))
 }
 
 // RecordInForce returns the record that is in force for the key.
-func (s *State) RecordInForce(kind Kind, key string) (Entry, bool) {
+func (s *State) RecordInForce(kind Kind, key string) (LogEntry, bool) {
 	e, ok := s.records[name(kind, key)]
 	return e, ok
 }
 
-// OrganisationByKey returns whose API key has this SHA-256 digest in hex, or nil.
-func (s *State) OrganisationByKey(digest string) *Organisation { return s.byKey[digest] }
+// OrganisationByKeyDigest returns whose API key has this SHA-256 digest in hex, or nil.
+func (s *State) OrganisationByKeyDigest(digest string) *Organisation { return s.byKey[digest] }
 
 // Allows reports whether o may use a version of a model.
 func (o *Organisation) Allows(model, version string) bool {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -165,7 +165,7 @@
 	if o, ok := s.Opaque[n]; ok {
 		notes = append(notes, fmt.Sprintf("record %d of schema %d is kept", o.Offset, o.Schema))
 	}
-	if offset, ok := s.Void[n]; ok {
+	if offset, ok := s.Invalid[n]; ok {
 		notes = append(notes, fmt.Sprintf("record %d was invalid", offset))
 	}
 	if offset, ok := s.Deleted[n]; ok {
--- a/internal/ctl/examples_test.go
+++ b/internal/ctl/examples_test.go
@@ -37,7 +37,7 @@
 		if len(s.Organisations) != 8 {
 			t.Errorf("%s has %d organisations", deployment, len(s.Organisations))
 		}
-		if dangling := s.Dangling(); len(dangling) > 0 {
+		if dangling := s.DanglingReferences(); len(dangling) > 0 {
 			t.Errorf("%s: %v", deployment, dangling)
 		}
 	}
--- a/internal/ctl/files.go
+++ b/internal/ctl/files.go
@@ -87,7 +87,7 @@
 	if r.Kind == config.KindSnapshot {
 		return source{}, fmt.Errorf("%s: snapshots are written by the system itself", path)
 	}
-	if !r.Understood() {
+	if !r.KnownSchema() {
 		return source{}, fmt.Errorf("%s: %s has schema %d, newer than this tool's %d, and can't be checked", path, r.Name(), r.Schema, config.MaxSchema)
 	}
 	standard, err := hujson.Standardize(text)
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	for _, text := range after.Dangling() {
+	for _, text := range after.DanglingReferences() {
 		fmt.Fprintln(c.Root().ErrWriter, "warning:", text)
 	}
 	warnPermits(ctx, c.Root().ErrWriter, c.String("platform"), sources)
--- a/internal/direct/digest_test.go
+++ b/internal/direct/digest_test.go
@@ -31,7 +31,7 @@
 	for i := range entries {
 		s := &settings.Settings{
 			ID: fmt.Sprintf("entry-%d", i), FailureDomain: fmt.Sprintf("domain-%d", i%domains),
-			Direct: &settings.Direct{Memory: 16, Peers: "127.0.0.1:0"},
+			Direct: &settings.Direct{MemoryMB: 16, Peers: "127.0.0.1:0"},
 		}
 		e := newEntry(s, quietTelemetry(t), Platform{})
 		p, err := newPeers(e)
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -90,7 +90,7 @@
 		ready.Close()
 		return err
 	}
-	if s.Direct.StoreReaders == settings.ReadersFew {
+	if s.Direct.StoreReaders == settings.StoreReadersFew {
 		if err := e.startHub(); err != nil {
 			callers.Close()
 			ready.Close()
@@ -120,7 +120,7 @@
 
 func newEntry(s *settings.Settings, tel *telemetry.Telemetry, p Platform) *Entry {
 	d := s.Direct
-	capacity := int64(d.Memory) << 20 / bodyMemoryDivisor
+	capacity := int64(d.MemoryMB) << 20 / bodyMemoryDivisor
 	e := &Entry{
 		settings:     s,
 		tel:          tel,
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -101,7 +101,7 @@
 	tel := quietTelemetry(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{
-			Memory: 16, LeavingWithin: settings.Duration(4 * time.Second), ConfigurationWithin: settings.Duration(4 * time.Second),
+			MemoryMB: 16, LeavingWithin: settings.Duration(4 * time.Second), ConfigurationWithin: settings.Duration(4 * time.Second),
 		}}
 		e := newEntry(s, tel, Platform{Records: listRecords{}})
 		e.bootClock = e.clock.now
--- a/internal/direct/hubexchange_test.go
+++ b/internal/direct/hubexchange_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	n := &testNode{now: time.Second}
 	s := &settings.Settings{ID: "entry-2", Direct: &settings.Direct{
-		Memory: 16, LeavingWithin: settings.Duration(4 * time.Second), ConfigurationWithin: settings.Duration(4 * time.Second),
+		MemoryMB: 16, LeavingWithin: settings.Duration(4 * time.Second), ConfigurationWithin: settings.Duration(4 * time.Second),
 	}}
 	// An entry queries only those that precede it in the order.
 	if s.ID, n.peer = "entry-1", "entry-2"; isFirst(s.ID, n.peer) {
--- a/internal/direct/leaving_test.go
+++ b/internal/direct/leaving_test.go
@@ -126,7 +126,7 @@
 
 func startListEntry(t *testing.T, tel *telemetry.Telemetry, store *listStore) *listEntry {
 	t.Helper()
-	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{Memory: 16}}
+	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{MemoryMB: 16}}
 	e := newEntry(s, tel, Platform{Store: store, Records: listRecords{}})
 	e.bootClock = e.clock.now
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/direct/naming_test.go
+++ b/internal/direct/naming_test.go
@@ -32,7 +32,7 @@
 // allowed.
 func TestWeightsNamedInAnOutageAreOverdueInTime(t *testing.T) {
 	s := &settings.Settings{ID: "entry-1", Role: "direct", Direct: &settings.Direct{
-		Memory: 16, WeightsWithin: settings.Duration(wantedWithin),
+		MemoryMB: 16, WeightsWithin: settings.Duration(wantedWithin),
 	}}
 	tel, err := telemetry.New(s, io.Discard)
 	if err != nil {
--- a/internal/direct/peers_test.go
+++ b/internal/direct/peers_test.go
@@ -94,7 +94,7 @@
 // Before the list of entries was read, an entry must not take the peers that it received messages
 // from for all there are: its share of the retry budget would be too large.
 func TestPeersHeardOfAreNotAllThereAre(t *testing.T) {
-	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{Memory: 16, Peers: "127.0.0.1:0"}}
+	s := &settings.Settings{ID: "entry-1", Direct: &settings.Direct{MemoryMB: 16, Peers: "127.0.0.1:0"}}
 	e := newEntry(s, quietTelemetry(t), Platform{})
 	p, err := newPeers(e)
 	if err != nil {
--- a/internal/endpoint/harness_test.go
+++ b/internal/endpoint/harness_test.go
@@ -185,7 +185,7 @@
 		Endpoint: &settings.Endpoint{
 			Group: "g", Kind: settings.DefaultKind, Backend: backend,
 			MaxRunning: 4, MaxQueue: 8, SmallReserve: 0.25,
-			PrefillTokensPerSecond: settings.DefaultPrefillRate, DecodeTokenTime: settings.DefaultDecodeTime,
+			PrefillTokensPerSecond: settings.DefaultPrefillTokensPerSecond, DecodeTokenTime: settings.DefaultDecodeTokenTime,
 			CacheTokens: settings.DefaultCacheTokens, Heartbeat: settings.DefaultHeartbeat,
 			SuspectAfter: settings.DefaultSuspectAfter,
 		},
--- a/internal/endpoint/run_test.go
+++ b/internal/endpoint/run_test.go
@@ -213,7 +213,7 @@
 	if _, err := wire.Dial(context.Background(), p.address, wrongKey); err == nil {
 		t.Fatal("a peer without the key was accepted")
 	}
-	conn, _, err := websocket.Dial(context.Background(), "ws://"+p.address+wire.Path, nil)
+	conn, _, err := websocket.Dial(context.Background(), "ws://"+p.address+wire.SessionPath, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endpoint/server.go
+++ b/internal/endpoint/server.go
@@ -30,7 +30,7 @@
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.HandleFunc("/readyz", e.readyz)
-	r.HandleFunc(wire.Path, func(w http.ResponseWriter, r *http.Request) { e.accept(w, r, options) })
+	r.HandleFunc(wire.SessionPath, func(w http.ResponseWriter, r *http.Request) { e.accept(w, r, options) })
 	server := &http.Server{Handler: r, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -63,7 +63,7 @@
 	switch {
 	case e.drain.leaving:
 		return "leaving"
-	case len(e.openings.Refusers()) > 0:
+	case len(e.openings.RefusingPeers()) > 0:
 		return wire.KeyRefused
 	case !e.group.listAttempted:
 		return "instance list not requested yet"
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -54,7 +54,7 @@
 		wake:       make(chan struct{}, 1),
 		sender:     attempt.NewSender(run.Attempt, run.FirstSeq, run.Window, limits),
 		session:    s,
-		release:    s.Hold(),
+		release:    s.MarkAwaited(),
 		unsentFrom: run.FirstSeq,
 		spaceFreed: make(chan struct{}),
 	}
@@ -159,7 +159,7 @@
 	}
 	st.release()
 	st.session = s
-	st.release = s.Hold()
+	st.release = s.MarkAwaited()
 	st.outbox = nil
 	st.enqueue(out)
 	return true
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -78,7 +78,7 @@
 	params.Share = s.Entry.RetryShare
 	e.budget = attempt.NewBudget(params)
 	e.directory = newDirectory(s.ID, e.now)
-	e.options = wire.Options{Key: s.Key(), AlsoAccept: s.AlsoAccepted(), Self: e.self, Handler: e, Traffic: tel.Metrics.Traffic, Openings: wire.NewOpenings()}
+	e.options = wire.Options{Key: s.Key(), AdditionalKeys: s.AdditionalKeys(), Self: e.self, Handler: e, Traffic: tel.Metrics.Traffic, Handshakes: wire.NewHandshakes()}
 	e.pool = wire.NewPool(e.options)
 	instances := platform.NewInstances(s.Platform.Instances)
 	e.config = follow.FromSettings(s, platform.NewLog(s.Platform.Log), instances, e.pool, tel.Log)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -72,14 +72,14 @@
 		executors  []*executor
 		prepare    func(e *Entry)
 	}{
-		{"ready", "ready", []*executor{x}, func(e *Entry) { e.pool.Prove(context.Background(), []string{x.address}) }},
-		{"peer can't be reached", "ready", []*executor{x}, func(e *Entry) { e.pool.Prove(context.Background(), []string{"127.0.0.1:1"}) }},
+		{"ready", "ready", []*executor{x}, func(e *Entry) { e.pool.VerifyKey(context.Background(), []string{x.address}) }},
+		{"peer can't be reached", "ready", []*executor{x}, func(e *Entry) { e.pool.VerifyKey(context.Background(), []string{"127.0.0.1:1"}) }},
 		{"nobody asked yet", "ready", []*executor{x}, func(*Entry) {}},
 		{"lone", "no endpoint known", nil, func(*Entry) {}},
 		{"wrong key", wire.KeyRefused, []*executor{x}, func(e *Entry) {
 			e.options.Key = []byte("another")
 			e.pool = wire.NewPool(e.options)
-			e.pool.Prove(context.Background(), []string{x.address})
+			e.pool.VerifyKey(context.Background(), []string{x.address})
 		}},
 		{"draining", "draining", []*executor{x}, func(e *Entry) { e.drain.announce() }},
 	} {
--- a/internal/entry/instances.go
+++ b/internal/entry/instances.go
@@ -25,7 +25,7 @@
 	defer client.Close()
 	client.Poll(ctx, pollEvery, func(list []platform.Instance, err error) {
 		e.onList(ctx, list, err)
-		e.tel.NoteKey(e.options.Openings)
+		e.tel.LogKeyStatus(e.options.Handshakes)
 	})
 }
 
@@ -33,7 +33,7 @@
 	if err == nil {
 		// Before the first endpoint is known the callers' port is closed: an entry
 		// with a wrong key never says that it is ready.
-		e.pool.Prove(ctx, platform.OtherAddresses(list, e.settings.ID))
+		e.pool.VerifyKey(ctx, platform.OtherAddresses(list, e.settings.ID))
 		e.directory.listed(list)
 		return
 	}
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -53,7 +53,7 @@
 func (l *link) move(session *wire.Session) {
 	l.release()
 	l.session = session
-	l.release = session.Hold()
+	l.release = session.MarkAwaited()
 }
 
 // look is called each gapCheck in which nothing came. A process that is stopped
@@ -63,7 +63,7 @@
 func (e *Entry) look(l *link) {
 	l.quiet++
 	session := l.session
-	if l.quiet < quietChecks || time.Since(session.Heard()) < quietChecks*gapCheck {
+	if l.quiet < quietChecks || time.Since(session.LastReceived()) < quietChecks*gapCheck {
 		return // it may be that another of its streams heard from it
 	}
 	l.quiet = 0
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -137,7 +137,7 @@
 // peerServer serves the inner protocol.
 func (e *Entry) peerServer() *http.Server {
 	r := mux.NewRouter()
-	r.HandleFunc(wire.Path, func(w http.ResponseWriter, r *http.Request) {
+	r.HandleFunc(wire.SessionPath, func(w http.ResponseWriter, r *http.Request) {
 		err := wire.Accept(w, r, e.options)
 		if errors.Is(err, wire.ErrUnauthenticated) || errors.Is(err, wire.ErrMalformed) {
 			e.tel.Log.Warn("peer cut off", "remote", r.RemoteAddr, "error", err)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -72,7 +72,7 @@
 		return nil, refuse(protocol.CodeUnauthorized, "header Authorization must be %q and an API key", bearer)
 	}
 	digest := sha256.Sum256([]byte(strings.TrimSpace(header[len(bearer):])))
-	organisation := state.OrganisationByKey(hex.EncodeToString(digest[:]))
+	organisation := state.OrganisationByKeyDigest(hex.EncodeToString(digest[:]))
 	if organisation == nil {
 		return nil, refuse(protocol.CodeUnauthorized, "unknown API key")
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -184,7 +184,7 @@
 	switch {
 	case e.drain.draining():
 		return "draining"
-	case len(e.options.Openings.Refusers()) > 0:
+	case len(e.options.Handshakes.RefusingPeers()) > 0:
 		return wire.KeyRefused
 	case e.config.State() == nil:
 		return "no configuration yet"
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -101,7 +101,7 @@
 	}
 	for _, r := range page.Records {
 		record, err := config.ParseRecord(r.Data, "record")
-		if _, mark := record.SnapshotMark(); err != nil || record.Kind == config.KindSnapshot && !mark {
+		if _, mark := record.SnapshotMarker(); err != nil || record.Kind == config.KindSnapshot && !mark {
 			f.t.Errorf("followers meet %s: %v", r.Data, err)
 		}
 	}
@@ -396,7 +396,7 @@
 	first := f.publish(0)
 	peer := f.follow(Options{})
 	f.reaches(peer, first, SourceLog)
-	mark, err := config.SnapshotMark{AsOf: first, ID: "w"}.Encode()
+	mark, err := config.SnapshotMarker{AsOf: first, ID: "w"}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -16,7 +16,7 @@
 	Base *config.State
 	// Records are all that the log keeps. Those at or before Base's offset can't
 	// be judged any more.
-	Records []config.Entry
+	Records []config.LogEntry
 	// State is the state after the last record.
 	State *config.State
 	// Verdicts belong to Records; those that can't be judged have no Reason.
@@ -60,7 +60,7 @@
 
 func (h *History) judge(records []platform.Record) {
 	for _, r := range records {
-		h.Records = append(h.Records, config.Entry{Offset: r.Offset, Data: r.Data})
+		h.Records = append(h.Records, config.LogEntry{Offset: r.Offset, Data: r.Data})
 	}
 	h.State, h.Verdicts = h.Base.ApplyAll(h.Records)
 	for i, e := range h.Records {
--- a/internal/follow/snapshot.go
+++ b/internal/follow/snapshot.go
@@ -41,29 +41,29 @@
 }
 
 func (s *snapshots) due() (at time.Duration) {
-	s.with(func(c *config.SnapshotSchedule) { at = c.Due() })
+	s.with(func(c *config.SnapshotSchedule) { at = c.NextWrite() })
 	return at
 }
 
 func (s *snapshots) left(now time.Duration) (left time.Duration) {
-	s.with(func(c *config.SnapshotSchedule) { left = c.Left(now) })
+	s.with(func(c *config.SnapshotSchedule) { left = c.FreshFor(now) })
 	return left
 }
 
 func (s *snapshots) told(left, now time.Duration) {
-	s.with(func(c *config.SnapshotSchedule) { c.Told(left, now) })
+	s.with(func(c *config.SnapshotSchedule) { c.ObservePeer(left, now) })
 }
 
 func (s *snapshots) caughtUp(offset uint64, at time.Duration) {
-	s.with(func(c *config.SnapshotSchedule) { c.CaughtUp(offset, at) })
+	s.with(func(c *config.SnapshotSchedule) { c.ObserveLogEnd(offset, at) })
 }
 
 func (s *snapshots) saw(asOf uint64) {
-	s.with(func(c *config.SnapshotSchedule) { c.Saw(asOf) })
+	s.with(func(c *config.SnapshotSchedule) { c.ObserveSnapshot(asOf) })
 }
 
 func (s *snapshots) wrote(at time.Duration) {
-	s.with(func(c *config.SnapshotSchedule) { c.Wrote(at) })
+	s.with(func(c *config.SnapshotSchedule) { c.RecordWrite(at) })
 }
 
 // seeSnapshot notes a snapshot that the log tells of: by its mark, or by its parts
@@ -72,7 +72,7 @@
 	if v.Reason != config.ReasonSnapshot {
 		return
 	}
-	if mark, ok := v.Record.SnapshotMark(); ok {
+	if mark, ok := v.Record.SnapshotMarker(); ok {
 		t.f.snapshots.saw(mark.AsOf)
 		return
 	}
@@ -181,7 +181,7 @@
 			return fmt.Errorf("follow: append snapshot: %w", err)
 		}
 	}
-	mark, err := config.SnapshotMark{AsOf: s.Offset, ID: id}.Encode()
+	mark, err := config.SnapshotMarker{AsOf: s.Offset, ID: id}.Encode()
 	if err != nil {
 		return err
 	}
--- a/internal/follow/tail.go
+++ b/internal/follow/tail.go
@@ -92,9 +92,9 @@
 	if len(records) == 0 {
 		return
 	}
-	entries := make([]config.Entry, len(records))
+	entries := make([]config.LogEntry, len(records))
 	for i, r := range records {
-		entries[i] = config.Entry{Offset: r.Offset, Data: r.Data}
+		entries[i] = config.LogEntry{Offset: r.Offset, Data: r.Data}
 	}
 	next, verdicts := t.state.ApplyAll(entries)
 	t.state = next
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -178,9 +178,9 @@
 		MaxRunning:             settings.DefaultMaxRunning,
 		MaxQueue:               settings.DefaultMaxQueue,
 		SmallReserve:           settings.DefaultSmallReserve,
-		FirstTokenTarget:       settings.DefaultFirstToken,
-		PrefillTokensPerSecond: settings.DefaultPrefillRate,
-		DecodeTokenTime:        settings.DefaultDecodeTime,
+		FirstTokenTarget:       settings.DefaultFirstTokenTarget,
+		PrefillTokensPerSecond: settings.DefaultPrefillTokensPerSecond,
+		DecodeTokenTime:        settings.DefaultDecodeTokenTime,
 
 		TransferTokensPerSecond: f.options.Transfer,
 		TransferWait:            settings.DefaultTransferWait,
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -222,7 +222,7 @@
 		s.cached += account.Totals.CachedTokens
 	}
 	for _, n := range f.daemons() {
-		var page telemetry.Page
+		var page telemetry.MetricsPage
 		if err := getJSON(n.metrics+"/metrics.json", &page); err != nil {
 			return s, err
 		}
@@ -240,7 +240,7 @@
 }
 
 // value reads a counter or gauge of a metrics page.
-func value(page telemetry.Page, name string) float64 {
+func value(page telemetry.MetricsPage, name string) float64 {
 	m := page.Metrics[name]
 	for _, field := range []string{"value", "count"} {
 		if v, ok := m[field].(float64); ok {
--- a/internal/measure/slopes.go
+++ b/internal/measure/slopes.go
@@ -263,7 +263,7 @@
 // use is what one daemon has used up to a moment.
 type use struct {
 	at      time.Time
-	page    telemetry.Page
+	page    telemetry.MetricsPage
 	rss     float64
 	sockets map[string]socket
 }
--- a/internal/measure/slopes_configuration.go
+++ b/internal/measure/slopes_configuration.go
@@ -63,14 +63,14 @@
 
 func configurationPoint(organisations, instructions int) (ConfigurationPoint, error) {
 	p := ConfigurationPoint{Organisations: organisations, Instructions: instructions}
-	entries := make([]config.Entry, organisations)
+	entries := make([]config.LogEntry, organisations)
 	for i := range entries {
 		data, err := organisationRecord(i, 0, instructions)
 		if err != nil {
 			return p, err
 		}
 		p.RecordBytes += len(data)
-		entries[i] = config.Entry{Offset: uint64(i + 1), Data: data}
+		entries[i] = config.LogEntry{Offset: uint64(i + 1), Data: data}
 	}
 	before := heapBytes()
 	var state *config.State
--- a/internal/measure/slopes_session.go
+++ b/internal/measure/slopes_session.go
@@ -116,7 +116,7 @@
 			return sessions, err
 		}
 		if awaited {
-			s.Hold()
+			s.MarkAwaited()
 		}
 		sessions = append(sessions, s)
 	}
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -8,25 +8,25 @@
 
 // What a settings file that doesn't say otherwise gets.
 const (
-	DefaultLogLevel       = "info"
-	DefaultRetention      = Duration(24 * time.Hour)
-	DefaultMaxBody        = 1 << 20
-	DefaultHedgeAfter     = Duration(40 * time.Millisecond)
-	DefaultResumeGrace    = Duration(5 * time.Second)
-	DefaultRequestTimeout = Duration(60 * time.Second)
-	DefaultRetryShare     = 0.1
-	DefaultPolicy         = "owner"
-	DefaultKind           = "engine"
-	DefaultMaxRunning     = 16
-	DefaultMaxQueue       = 256
-	DefaultSmallReserve   = 0.25
-	DefaultFirstToken     = Duration(880 * time.Millisecond)
-	DefaultPrefillRate    = 20000
-	DefaultDecodeTime     = Duration(10 * time.Millisecond)
-	DefaultCacheTokens    = 40000
-	DefaultTransferWait   = Duration(250 * time.Millisecond)
-	DefaultHeartbeat      = Duration(time.Second)
-	DefaultSuspectAfter   = Duration(3 * time.Second)
+	DefaultLogLevel               = "info"
+	DefaultRetention              = Duration(24 * time.Hour)
+	DefaultMaxBody                = 1 << 20
+	DefaultHedgeAfter             = Duration(40 * time.Millisecond)
+	DefaultResumeGrace            = Duration(5 * time.Second)
+	DefaultRequestTimeout         = Duration(60 * time.Second)
+	DefaultRetryShare             = 0.1
+	DefaultPolicy                 = "owner"
+	DefaultKind                   = "engine"
+	DefaultMaxRunning             = 16
+	DefaultMaxQueue               = 256
+	DefaultSmallReserve           = 0.25
+	DefaultFirstTokenTarget       = Duration(880 * time.Millisecond)
+	DefaultPrefillTokensPerSecond = 20000
+	DefaultDecodeTokenTime        = Duration(10 * time.Millisecond)
+	DefaultCacheTokens            = 40000
+	DefaultTransferWait           = Duration(250 * time.Millisecond)
+	DefaultHeartbeat              = Duration(time.Second)
+	DefaultSuspectAfter           = Duration(3 * time.Second)
 )
 
 // fillDefaults sets what the document leaves out. What it gives as 0 stays 0.
@@ -59,9 +59,9 @@
 	fill(doc, "endpoint.max_running", &e.MaxRunning, DefaultMaxRunning)
 	fill(doc, "endpoint.max_queue", &e.MaxQueue, DefaultMaxQueue)
 	fill(doc, "endpoint.small_reserve", &e.SmallReserve, DefaultSmallReserve)
-	fill(doc, "endpoint.first_token_target", &e.FirstTokenTarget, DefaultFirstToken)
-	fill(doc, "endpoint.prefill_tokens_per_second", &e.PrefillTokensPerSecond, DefaultPrefillRate)
-	fill(doc, "endpoint.decode_token_time", &e.DecodeTokenTime, DefaultDecodeTime)
+	fill(doc, "endpoint.first_token_target", &e.FirstTokenTarget, DefaultFirstTokenTarget)
+	fill(doc, "endpoint.prefill_tokens_per_second", &e.PrefillTokensPerSecond, DefaultPrefillTokensPerSecond)
+	fill(doc, "endpoint.decode_token_time", &e.DecodeTokenTime, DefaultDecodeTokenTime)
 	fill(doc, "endpoint.cache_tokens", &e.CacheTokens, DefaultCacheTokens)
 	fill(doc, "endpoint.transfer_wait", &e.TransferWait, DefaultTransferWait)
 	fill(doc, "endpoint.heartbeat", &e.Heartbeat, DefaultHeartbeat)
--- a/internal/settings/direct.go
+++ b/internal/settings/direct.go
@@ -48,23 +48,23 @@
 	QuotaWindow Duration `json:"quota_window"`
 	QuotaExcess float64  `json:"quota_excess"`
 	QuotaSlack  float64  `json:"quota_slack"`
-	// Memory is what the process may use, in MB.
-	Memory int `json:"memory_mb"`
+	// MemoryMB is what the process may use, in MB.
+	MemoryMB int `json:"memory_mb"`
 }
 
 // What a direct entry's settings that don't say otherwise get.
 const (
-	DefaultGrace   = Duration(8 * time.Second)
-	DefaultLease   = Duration(3 * time.Second)
-	DefaultWeights = Duration(10 * time.Second)
-	DefaultMemory  = 128
-	// DefaultWithin is the shortest time that any deployment so far has allowed.
-	DefaultWithin = Duration(2 * time.Second)
+	DefaultGrace         = Duration(8 * time.Second)
+	DefaultLease         = Duration(3 * time.Second)
+	DefaultWeightsWithin = Duration(10 * time.Second)
+	DefaultMemoryMB      = 128
+	// DefaultPropagationTime is the shortest time that any deployment so far has allowed.
+	DefaultPropagationTime = Duration(2 * time.Second)
 	// DefaultClockSkew covers a clock that has jumped by seconds.
 	DefaultClockSkew = Duration(6 * time.Second)
-	// ReadersFew and ReadersAll are the values of StoreReaders.
-	ReadersFew = "few"
-	ReadersAll = "all"
+	// StoreReadersFew and ReadersAll are the values of StoreReaders.
+	StoreReadersFew = "few"
+	StoreReadersAll = "all"
 	// minMemory is what an idle entry needs, in MB.
 	minMemory = 32
 )
@@ -73,12 +73,12 @@
 	fill(doc, "direct.grace", &d.Grace, DefaultGrace)
 	fill(doc, "direct.retry_share", &d.RetryShare, DefaultRetryShare)
 	fill(doc, "direct.lease", &d.Lease, DefaultLease)
-	fill(doc, "direct.weights_within", &d.WeightsWithin, DefaultWeights)
+	fill(doc, "direct.weights_within", &d.WeightsWithin, DefaultWeightsWithin)
 	fill(doc, "direct.clock_skew", &d.ClockSkew, DefaultClockSkew)
-	fill(doc, "direct.configuration_within", &d.ConfigurationWithin, DefaultWithin)
-	fill(doc, "direct.leaving_within", &d.LeavingWithin, DefaultWithin)
-	fill(doc, "direct.store_readers", &d.StoreReaders, ReadersFew)
-	fill(doc, "direct.memory_mb", &d.Memory, DefaultMemory)
+	fill(doc, "direct.configuration_within", &d.ConfigurationWithin, DefaultPropagationTime)
+	fill(doc, "direct.leaving_within", &d.LeavingWithin, DefaultPropagationTime)
+	fill(doc, "direct.store_readers", &d.StoreReaders, StoreReadersFew)
+	fill(doc, "direct.memory_mb", &d.MemoryMB, DefaultMemoryMB)
 }
 
 // direct checks a direct entry's settings. It has no part in the fleet's inner
@@ -99,7 +99,7 @@
 	c.positive("direct.clock_skew", d.ClockSkew)
 	c.positive("direct.configuration_within", d.ConfigurationWithin)
 	c.positive("direct.leaving_within", d.LeavingWithin)
-	c.oneOf("direct.store_readers", d.StoreReaders, []string{ReadersFew, ReadersAll})
+	c.oneOf("direct.store_readers", d.StoreReaders, []string{StoreReadersFew, StoreReadersAll})
 	c.share("direct.retry_share", d.RetryShare)
 	if !(d.RetryExtra >= 0) {
 		c.doc.Add("direct.retry_extra", fmt.Sprintf("is %v", d.RetryExtra), "0 or more requests")
@@ -113,7 +113,7 @@
 	if !(d.QuotaSlack >= 0) {
 		c.doc.Add("direct.quota_slack", fmt.Sprintf("is %v", d.QuotaSlack), "0 or more units")
 	}
-	if d.Memory < minMemory {
-		c.doc.Add("direct.memory_mb", fmt.Sprintf("is %d", d.Memory), fmt.Sprintf("%d or more", minMemory))
+	if d.MemoryMB < minMemory {
+		c.doc.Add("direct.memory_mb", fmt.Sprintf("is %d", d.MemoryMB), fmt.Sprintf("%d or more", minMemory))
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -48,8 +48,8 @@
 // Key returns the bytes of the fleet's key, by which peers are dialled.
 func (s *Settings) Key() []byte { return s.keys()[0] }
 
-// AlsoAccepted returns the other keys that dialling peers may have.
-func (s *Settings) AlsoAccepted() [][]byte { return s.keys()[1:] }
+// AdditionalKeys returns the other keys that dialling peers may have.
+func (s *Settings) AdditionalKeys() [][]byte { return s.keys()[1:] }
 
 func (s *Settings) keys() [][]byte {
 	texts := s.FleetKeys
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -47,14 +47,14 @@
 	const want = `a duration string with a unit, such as "250ms", "3s" or "24h"`
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return &strictjson.Mistake{Wrong: fmt.Sprintf("is %.40s, which has no unit", data), Want: want}
+		return &strictjson.ValueError{Wrong: fmt.Sprintf("is %.40s, which has no unit", data), Want: want}
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		return &strictjson.Mistake{Wrong: fmt.Sprintf("%.40q is not a duration", text), Want: want}
+		return &strictjson.ValueError{Wrong: fmt.Sprintf("%.40q is not a duration", text), Want: want}
 	}
 	if parsed < 0 {
-		return &strictjson.Mistake{Wrong: fmt.Sprintf("%.40q is negative", text), Want: want}
+		return &strictjson.ValueError{Wrong: fmt.Sprintf("%.40q is negative", text), Want: want}
 	}
 	*d = Duration(parsed)
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 func TestFleetKeys(t *testing.T) {
 	_, plain, _ := strings.Cut(strings.Trim(oneKey, `"`), `: "`)
 	s := kit.Must(Parse([]byte(strings.Replace(whole, oneKey, `"fleet_keys": ["`+otherKey+`", "`+plain+`"]`, 1)), "s"))(t)
-	if also := s.AlsoAccepted(); s.Key()[0] != 0xff || len(also) != 1 || also[0][0] != 0 {
+	if also := s.AdditionalKeys(); s.Key()[0] != 0xff || len(also) != 1 || also[0][0] != 0 {
 		t.Errorf("dials by %x, also accepts %x", s.Key(), also)
 	}
 }
@@ -70,8 +70,8 @@
 	if *s.Entry != want {
 		t.Errorf("entry: got %+v, want %+v", *s.Entry, want)
 	}
-	if len(s.Key()) != 32 || len(s.AlsoAccepted()) != 0 {
-		t.Errorf("key has %d bytes, %d others", len(s.Key()), len(s.AlsoAccepted()))
+	if len(s.Key()) != 32 || len(s.AdditionalKeys()) != 0 {
+		t.Errorf("key has %d bytes, %d others", len(s.Key()), len(s.AdditionalKeys()))
 	}
 }
 
@@ -87,7 +87,7 @@
 		}
 		again := kit.Must(Parse(kit.Must(json.Marshal(s))(t), "again"))(t)
 		if s.Endpoint != nil {
-			s.Endpoint.FirstTokenTarget = DefaultFirstToken
+			s.Endpoint.FirstTokenTarget = DefaultFirstTokenTarget
 		}
 		if !reflect.DeepEqual(s, again) {
 			t.Errorf("wrote %+v, read %+v", s, again)
--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -73,7 +73,7 @@
 	v = v.Clone()
 	v.Minimize()
 	err := target.Addr().Interface().(json.Unmarshaler).UnmarshalJSON(v.Pack())
-	var mistake *Mistake
+	var mistake *ValueError
 	switch {
 	case errors.As(err, &mistake):
 		d.Add(path, mistake.Wrong, mistake.Want)
--- a/internal/strictjson/document.go
+++ b/internal/strictjson/document.go
@@ -40,9 +40,9 @@
 	return d
 }
 
-// DecodeKnown is Decode without complaint about unknown fields, for documents of
+// DecodeLenient is Decode without complaint about unknown fields, for documents of
 // a newer schema.
-func DecodeKnown(data []byte, name string, into any) *Document {
+func DecodeLenient(data []byte, name string, into any) *Document {
 	d := &Document{name: name, data: data, lenient: true}
 	d.parse(into)
 	return d
--- a/internal/strictjson/problem.go
+++ b/internal/strictjson/problem.go
@@ -43,12 +43,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Mistake is an error that the UnmarshalJSON of a field's type returns to say
+// ValueError is an error that the UnmarshalJSON of a field's type returns to say
 // both what is wrong and what would be right.
-type Mistake struct {
+type ValueError struct {
 	Wrong string
 	Want  string
 }
 
 // Error returns what is wrong and what would be right.
-func (m *Mistake) Error() string { return m.Wrong + "; want " + m.Want }
+func (m *ValueError) Error() string { return m.Wrong + "; want " + m.Want }
--- a/internal/telemetry/key.go
+++ b/internal/telemetry/key.go
@@ -2,10 +2,10 @@
 
 import "skylarklead/internal/wire"
 
-// NoteKey logs when peers begin to refuse this process's fleet key, and when one
+// LogKeyStatus logs when peers begin to refuse this process's fleet key, and when one
 // takes it. It is called after each look at the peers, one call at a time.
-func (t *Telemetry) NoteKey(openings *wire.Openings) {
-	refusers, news := openings.News()
+func (t *Telemetry) LogKeyStatus(openings *wire.Handshakes) {
+	refusers, news := openings.RefusalsChanged()
 	switch {
 	case !news:
 	case len(refusers) == 0:
--- a/internal/telemetry/page.go
+++ b/internal/telemetry/page.go
@@ -12,8 +12,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Tail sums up one organisation's times to first token, in milliseconds.
-type Tail struct {
+// LatencySummary sums up one organisation's times to first token, in milliseconds.
+type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P95   float64 `json:"p95_ms"`
@@ -21,23 +21,23 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Page is the metrics page's JSON shape.
-type Page struct {
-	Metrics     map[string]map[string]any `json:"metrics"`
-	FirstTokens map[string]Tail           `json:"time_to_first_token"`
+// MetricsPage is the metrics page's JSON shape.
+type MetricsPage struct {
+	Metrics          map[string]map[string]any `json:"metrics"`
+	TimeToFirstToken map[string]LatencySummary `json:"time_to_first_token"`
 }
 
 // Snapshot returns all metrics as they stand.
-func (m *Metrics) Snapshot() Page {
-	return Page{Metrics: m.registry.GetAll(), FirstTokens: m.tails()}
+func (m *Metrics) Snapshot() MetricsPage {
+	return MetricsPage{Metrics: m.registry.GetAll(), TimeToFirstToken: m.tails()}
 }
 
-func (m *Metrics) tails() map[string]Tail {
+func (m *Metrics) tails() map[string]LatencySummary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	tails := make(map[string]Tail, len(m.firstTokens))
+	tails := make(map[string]LatencySummary, len(m.firstTokens))
 	for organisation, h := range m.firstTokens {
-		tails[organisation] = Tail{
+		tails[organisation] = LatencySummary{
 			Count: h.TotalCount(),
 			P50:   millis(h.ValueAtQuantile(50)),
 			P95:   millis(h.ValueAtQuantile(95)),
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -54,7 +54,7 @@
 	for i := range 3 * maxOrganisations {
 		m.FirstToken(fmt.Sprint(i), time.Duration(i)*time.Millisecond)
 	}
-	tails := m.Snapshot().FirstTokens
+	tails := m.Snapshot().TimeToFirstToken
 	if len(tails) != maxOrganisations+1 {
 		t.Fatalf("%d histograms", len(tails))
 	}
@@ -73,10 +73,10 @@
 		m.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		return w.Body.String()
 	}
-	var page Page
+	var page MetricsPage
 	kit.OK(t, json.Unmarshal([]byte(get("/metrics.json")), &page))
 	if page.Metrics["hit_rate"]["value"] != 0.75 || page.Metrics["refused_overloaded"]["count"] != 1.0 ||
-		page.Metrics["tokens_recomputed"]["count"] != 5.0 || page.FirstTokens["org"].Count != 1 {
+		page.Metrics["tokens_recomputed"]["count"] != 5.0 || page.TimeToFirstToken["org"].Count != 1 {
 		t.Errorf("got %+v", page)
 	}
 	if text := get("/metrics"); !strings.Contains(text, "time_to_first_token org count=1") {
--- a/internal/wire/openings.go
+++ b/internal/wire/openings.go
@@ -31,33 +31,33 @@
 	refused time.Time
 }
 
-// Openings keeps, by address, which daemons took this process's key. A process
+// Handshakes keeps, by address, which daemons took this process's key. A process
 // with another key than the fleet's reads its configuration from the log all the
 // same and answered ready, while every request that it was sent failed. It can't
 // tell from one refusal who of the two is wrong, so it takes a refusal for its own
 // fault only as long as no peer at all has let it in. Its methods may be called
 // from any goroutine; those of nil, but News, do nothing.
-type Openings struct {
+type Handshakes struct {
 	mu     sync.Mutex
 	byPeer map[string]*opening
 	// told is set while News has told of a refusal.
 	told bool
 }
 
-// NewOpenings returns the record of a process that knows no peer.
-func NewOpenings() *Openings { return &Openings{byPeer: make(map[string]*opening)} }
+// NewHandshakes returns the record of a process that knows no peer.
+func NewHandshakes() *Handshakes { return &Handshakes{byPeer: make(map[string]*opening)} }
 
-// Refusers returns the addresses of the peers that refused this process's key, in
+// RefusingPeers returns the addresses of the peers that refused this process's key, in
 // order, or none if another peer takes it.
-func (o *Openings) Refusers() []string {
+func (o *Handshakes) RefusingPeers() []string {
 	refusers, _ := o.look(time.Now())
 	return refusers
 }
 
-// News returns Refusers if it has become empty, or is no longer so, since News was
+// RefusalsChanged returns Refusers if it has become empty, or is no longer so, since RefusalsChanged was
 // last called.
-func (o *Openings) News() (refusers []string, news bool) {
-	refusers = o.Refusers()
+func (o *Handshakes) RefusalsChanged() (refusers []string, news bool) {
+	refusers = o.RefusingPeers()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	news = o.told != (len(refusers) > 0)
@@ -65,12 +65,12 @@
 	return refusers, news
 }
 
-func (o *Openings) proven() bool {
+func (o *Handshakes) proven() bool {
 	_, proven := o.look(time.Now())
 	return proven
 }
 
-func (o *Openings) look(now time.Time) (refusers []string, proven bool) {
+func (o *Handshakes) look(now time.Time) (refusers []string, proven bool) {
 	if o == nil {
 		return nil, false
 	}
@@ -95,7 +95,7 @@
 
 // failed takes an outgoing session's failed opening. What comes in without the
 // key counts for nothing: anybody may do that.
-func (o *Openings) failed(address string, err error) {
+func (o *Handshakes) failed(address string, err error) {
 	if o == nil || !errors.Is(err, ErrUnauthenticated) {
 		return
 	}
@@ -106,7 +106,7 @@
 
 // opened takes an authenticated session. Only daemons count: a tool proves that
 // its operator has the same key, not that the fleet has.
-func (o *Openings) opened(peer protocol.Identity, address string) (ended func()) {
+func (o *Handshakes) opened(peer protocol.Identity, address string) (ended func()) {
 	if o == nil || peer.Role == protocol.RoleTool || address == "" {
 		return func() {}
 	}
@@ -124,7 +124,7 @@
 	}
 }
 
-func (o *Openings) of(address string) *opening {
+func (o *Handshakes) of(address string) *opening {
 	p := o.byPeer[address]
 	if p == nil {
 		p = &opening{}
@@ -133,11 +133,11 @@
 	return p
 }
 
-// Prove opens sessions to a few of addresses, if no peer is known to take this
+// VerifyKey opens sessions to a few of addresses, if no peer is known to take this
 // process's key, and returns when one does or all have answered. A process that
 // has no request to send would otherwise not find out.
-func (p *Pool) Prove(ctx context.Context, addresses []string) {
-	if p.opts.Openings.proven() || len(addresses) == 0 {
+func (p *Pool) VerifyKey(ctx context.Context, addresses []string) {
+	if p.opts.Handshakes.proven() || len(addresses) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, openTimeout)
--- a/internal/wire/openings_test.go
+++ b/internal/wire/openings_test.go
@@ -41,15 +41,15 @@
 				addresses = append(addresses, "127.0.0.1:1")
 			}
 			opts := newEnd("self").options()
-			opts.Openings = NewOpenings()
+			opts.Handshakes = NewHandshakes()
 			pool := NewPool(opts)
 			defer pool.Close()
-			pool.Prove(context.Background(), addresses)
-			refusers, news := opts.Openings.News()
-			if len(refusers) != tt.refused || news != (tt.refused > 0) || opts.Openings.proven() != tt.proven || !slices.IsSorted(refusers) {
-				t.Errorf("refused by %v, news %v, proven %v", refusers, news, opts.Openings.proven())
+			pool.VerifyKey(context.Background(), addresses)
+			refusers, news := opts.Handshakes.RefusalsChanged()
+			if len(refusers) != tt.refused || news != (tt.refused > 0) || opts.Handshakes.proven() != tt.proven || !slices.IsSorted(refusers) {
+				t.Errorf("refused by %v, news %v, proven %v", refusers, news, opts.Handshakes.proven())
 			}
-			if _, again := opts.Openings.News(); again {
+			if _, again := opts.Handshakes.RefusalsChanged(); again {
 				t.Error("the same is news twice")
 			}
 		})
@@ -57,7 +57,7 @@
 }
 
 func TestOpeningsForget(t *testing.T) {
-	o, daemon := NewOpenings(), protocol.Identity{Role: protocol.RoleEntry}
+	o, daemon := NewHandshakes(), protocol.Identity{Role: protocol.RoleEntry}
 	refuse := func() { o.failed("b", errors.Join(ErrUnauthenticated)) }
 	now := time.Now()
 	for _, step := range []struct {
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// Path is where a daemon serves its peers.
-	Path = "/skylark/v1/session"
-	// MaxFrame bounds one frame; a Run carries a whole prompt.
-	MaxFrame = 8 << 20
+	// SessionPath is where a daemon serves its peers.
+	SessionPath = "/skylark/v1/session"
+	// MaxFrameBytes bounds one frame; a Run carries a whole prompt.
+	MaxFrameBytes = 8 << 20
 	// openTimeout bounds the opening handshake.
 	openTimeout = 3 * time.Second
 	// writeTimeout bounds one frame's write. A peer that is stopped fills its
@@ -52,17 +52,17 @@
 type Options struct {
 	// Key is the fleet's shared key. A dialer proves it.
 	Key []byte
-	// AlsoAccept are further keys that a dialer may prove instead, so that a fleet
+	// AdditionalKeys are further keys that a dialer may prove instead, so that a fleet
 	// can go from one key to another process by process.
-	AlsoAccept [][]byte
+	AdditionalKeys [][]byte
 	// Self is called at each opening, since the configuration offset changes.
 	Self func() protocol.Identity
 	// Handler gets the messages.
 	Handler Handler
 	// Traffic counts the sessions' bytes; nil counts nothing.
 	Traffic *Traffic
-	// Openings keeps which peers take Key; nil keeps nothing.
-	Openings *Openings
+	// Handshakes keeps which peers take Key; nil keeps nothing.
+	Handshakes *Handshakes
 }
 
 // Session is an open connection to one peer. Its methods may be called from any
@@ -92,7 +92,7 @@
 	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
 	defer cancel()
 	p := newPulse(idlePingInterval)
-	conn, resp, err := websocket.Dial(openCtx, "ws://"+address+Path, &websocket.DialOptions{
+	conn, resp, err := websocket.Dial(openCtx, "ws://"+address+SessionPath, &websocket.DialOptions{
 		HTTPClient:     dialer,
 		OnPingReceived: p.pinged,
 	})
@@ -102,11 +102,11 @@
 	if resp != nil && resp.Body != nil {
 		resp.Body.Close()
 	}
-	conn.SetReadLimit(MaxFrame)
+	conn.SetReadLimit(MaxFrameBytes)
 	peer, err := openDialer(openCtx, conn, opts)
 	if err != nil {
 		conn.CloseNow()
-		opts.Openings.failed(address, err)
+		opts.Handshakes.failed(address, err)
 		return nil, fmt.Errorf("wire: open to %s: %w", address, err)
 	}
 	return start(conn, peer, address, p, opts), nil
@@ -122,7 +122,7 @@
 	if err != nil {
 		return fmt.Errorf("wire: accept %s: %w", r.RemoteAddr, err)
 	}
-	conn.SetReadLimit(MaxFrame)
+	conn.SetReadLimit(MaxFrameBytes)
 	openCtx, cancel := context.WithTimeout(r.Context(), openTimeout)
 	defer cancel()
 	peer, err := openAcceptor(openCtx, conn, opts)
@@ -180,7 +180,7 @@
 
 // proven returns the accepted key that a Hello was made with.
 func (o *Options) proven(hello *protocol.Hello, nonce []byte) ([]byte, bool) {
-	for _, key := range slices.Concat([][]byte{o.Key}, o.AlsoAccept) {
+	for _, key := range slices.Concat([][]byte{o.Key}, o.AdditionalKeys) {
 		if hmac.Equal(hello.MAC, identityMAC(key, nonce, hello.Identity)) {
 			return key, true
 		}
@@ -246,7 +246,7 @@
 
 		waitBegan: make(chan struct{}, 1),
 	}
-	go s.read(opts.Handler, opts.Openings.opened(peer, address))
+	go s.read(opts.Handler, opts.Handshakes.opened(peer, address))
 	go s.keepalive()
 	return s
 }
@@ -291,8 +291,8 @@
 	s.mu.Unlock()
 }
 
-// Heard is when the last message came from the peer, zero if none has.
-func (s *Session) Heard() time.Time {
+// LastReceived is when the last message came from the peer, zero if none has.
+func (s *Session) LastReceived() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heard
@@ -322,10 +322,10 @@
 	return false
 }
 
-// Hold marks that somebody waits for the peer, as the receiver of a stream
+// MarkAwaited marks that somebody waits for the peer, as the receiver of a stream
 // does, so that a half-open session is found within seconds. The returned
 // function ends it and may be called more than once.
-func (s *Session) Hold() (release func()) {
+func (s *Session) MarkAwaited() (release func()) {
 	s.mu.Lock()
 	s.beginWait()
 	s.holds++
--- a/internal/wire/session_test.go
+++ b/internal/wire/session_test.go
@@ -42,7 +42,7 @@
 func newEnd(id string) *end { return &end{id: id, key: fleetKey, closed: make(chan error, 100)} }
 
 func (e *end) options() Options {
-	return Options{Key: e.key, AlsoAccept: e.also, Self: func() protocol.Identity { return protocol.Identity{ID: e.id, Role: protocol.RoleEndpoint, Epoch: 7} }, Handler: e}
+	return Options{Key: e.key, AdditionalKeys: e.also, Self: func() protocol.Identity { return protocol.Identity{ID: e.id, Role: protocol.RoleEndpoint, Epoch: 7} }, Handler: e}
 }
 
 func (e *end) Handle(s *Session, ref uint32, m protocol.Message) {
@@ -242,7 +242,7 @@
 	self := protocol.Identity{ID: "a"}
 	var old *protocol.Hello
 	for range 2 {
-		conn, _, err := websocket.Dial(ctx, "ws://"+address+Path, nil)
+		conn, _, err := websocket.Dial(ctx, "ws://"+address+SessionPath, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
