--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -12,65 +12,69 @@
 const (
 	// ReasonInForce: accepted and in force.
 	ReasonInForce Reason = "in_force"
-	// ReasonUnknownSchema: accepted but of a schema version that this build doesn't know.
+	// ReasonUnknownSchema: accepted and retained, but of a schema version that this
+	// build doesn't know.
 	ReasonUnknownSchema Reason = "kept_unknown_schema"
-	// ReasonSnapshot: a part of a snapshot, which changes nothing.
+	// ReasonSnapshot: a part of a snapshot; it changes no key.
 	ReasonSnapshot Reason = "snapshot"
-	// ReasonMalformed: not a record; no effect at all.
+	// ReasonMalformed: the envelope can't be decoded; no effect.
 	ReasonMalformed Reason = "malformed"
-	// ReasonStaleBase: another record came first; no effect at all.
+	// ReasonStaleBase: the base is not the key's current revision; no effect.
 	ReasonStaleBase Reason = "stale_base"
-	// ReasonInvalid: the base was right but the rest is not. It takes the key's
-	// revision and leaves in force what was.
+	// ReasonInvalid: the base is current but the body is invalid. The record becomes
+	// the key's revision; the record in force stays in force.
 	ReasonInvalid Reason = "invalid"
-	// ReasonKeyTaken: as ReasonInvalid, since an API key belongs to another
-	// organisation.
+	// ReasonKeyTaken: like ReasonInvalid, because one of the API keys belongs to
+	// another organisation.
 	ReasonKeyTaken Reason = "key_taken"
-	// ReasonOldOffset: at or before the state's offset; no effect at all.
+	// ReasonOldOffset: at or before the state's offset; no effect.
 	ReasonOldOffset Reason = "old_offset"
 )
 
-// Verdict tells what became of a record.
+// Verdict is the outcome of applying a record.
 type Verdict struct {
 	Accepted bool   `json:"accepted"`
 	Reason   Reason `json:"reason"`
-	// Detail explains a refusal to people.
+	// Detail is a human-readable reason, mostly for refusals.
 	Detail string `json:"detail,omitempty"`
-	// Record is the record, without its body if it is malformed.
+	// Record is the decoded record, empty if it is malformed or at an old offset.
 	Record Record `json:"-"`
-	// Revision is the key's revision afterwards: the winner's offset when the
-	// base is stale.
+	// Revision is the key's revision afterwards. If the base is stale, it is the
+	// offset of the record that the base had to name.
 	Revision uint64 `json:"revision"`
 }
 
-// LogEntry is a record's bytes at their place on the log.
+// LogEntry is an encoded record and its offset on the log.
 type LogEntry struct {
 	Offset uint64 `cbor:"1,keyasint" json:"offset"`
 	Data   []byte `cbor:"2,keyasint" json:"data,omitempty"`
 }
 
-// Apply is the rule by which every process judges the record at offset. It
-// depends on nothing but the state and the record, so that all processes agree.
+// Apply accepts or refuses the record at offset and returns the resulting state.
+// The result depends only on the state and the record, so all processes reach the
+// same one.
 //
-// A record whose envelope can't be read, or whose base is not the key's revision,
-// has no effect. Any other takes the key's revision, even if its body is invalid
-// and leaves in force what was. Otherwise builds of different age would part: an
-// older one can't judge the body of a newer schema, so it can't tell whether the
-// newer build accepted it, would expect another base of the next change, and
-// refuse for ever what the others accept.
+// A record whose envelope can't be decoded, or whose base is not the key's
+// revision, has no effect. Any other record becomes the key's revision, even if its
+// body is invalid and the previous record stays in force. Otherwise builds of
+// different versions would diverge: an older build can't validate the body of a
+// newer schema, so it can't tell whether the newer build accepted it. It would
+// expect a different base in the next change and refuse every later change that the
+// others accept.
 //
-// A deletion takes the revision too, so that a doubled or late append of the
-// record that once created the key can't bring it back: its base, 0, is stale.
+// A deletion becomes the key's revision too, so that a duplicate or delayed append
+// of the record that created the key can't restore it: its base, 0, is stale.
 //
-// References may dangle: an organisation's models and services, a model's and a
-// service's group. Requests for what isn't there are refused as unknown.
+// References may dangle: those of an organisation to models and services, and those
+// of a model or a service to its group. Requests that need a missing record are
+// refused as unknown.
 func (s *State) Apply(offset uint64, data []byte) (*State, Verdict) {
 	next, verdicts := s.ApplyAll([]LogEntry{{Offset: offset, Data: data}})
 	return next, verdicts[0]
 }
 
-// ApplyAll applies entries in order. It copies each map that changes once, which
-// is what makes reading a long log cheap.
+// ApplyAll applies entries in order. It copies each changed map once for all of
+// them, so replaying a long log is cheap.
 func (s *State) ApplyAll(entries []LogEntry) (*State, []Verdict) {
 	b := newBuilder(s)
 	verdicts := make([]Verdict, len(entries))
@@ -84,7 +88,7 @@
 	if e.Offset <= b.state.Offset {
 		return Verdict{Reason: ReasonOldOffset, Detail: fmt.Sprintf("offset %d is not after %d", e.Offset, b.state.Offset)}
 	}
-	b.moveTo(e.Offset)
+	b.setOffset(e.Offset)
 	r, err := parseRecord(e.Data, fmt.Sprintf("offset %d", e.Offset), b.state.maxSchema)
 	if errors.Is(err, ErrMalformedEnvelope) {
 		return Verdict{Reason: ReasonMalformed, Detail: err.Error()}
@@ -96,11 +100,12 @@
 	if r.Base != revision {
 		return Verdict{Reason: ReasonStaleBase, Detail: staleDetail(r, revision), Record: r, Revision: revision}
 	}
-	return b.take(e, r, err)
+	return b.advanceKey(e, r, err)
 }
 
-// take gives the key's revision to r, whose base is right.
-func (b *builder) take(e LogEntry, r Record, invalid error) Verdict {
+// advanceKey makes r, whose base is current, the key's revision. It brings r into
+// force unless invalid is set or the schema is unknown.
+func (b *builder) advanceKey(e LogEntry, r Record, invalid error) Verdict {
 	v := Verdict{Record: r, Revision: e.Offset}
 	switch {
 	case r.Delete:
@@ -108,29 +113,31 @@
 		b.remove(r.Kind, r.Key, e.Offset)
 	case invalid != nil:
 		v.Reason, v.Detail = ReasonInvalid, invalid.Error()
-		b.void(r.Name(), e.Offset)
+		b.recordInvalid(r.Name(), e.Offset)
 	case r.Schema > b.state.maxSchema:
 		v.Accepted, v.Reason = true, ReasonUnknownSchema
 		v.Detail = fmt.Sprintf("schema %d is newer than %d; what was in force stays", r.Schema, b.state.maxSchema)
 		b.keepOpaque(r, e)
 	default:
-		v = b.put(r, e)
+		v = b.activate(r, e)
 	}
 	return v
 }
 
-// put brings r into force unless one of its API keys is another's.
-func (b *builder) put(r Record, e LogEntry) Verdict {
+// activate brings r into force unless one of its API keys belongs to another
+// organisation.
+func (b *builder) activate(r Record, e LogEntry) Verdict {
 	v := Verdict{Record: r, Revision: e.Offset}
 	if o, ok := r.parsed.(*Organisation); ok {
-		if other := b.keyOwner(o); other != "" {
+		if other := b.apiKeyOwner(o); other != "" {
 			v.Reason, v.Detail = ReasonKeyTaken, fmt.Sprintf("an API key of %s already belongs to organisation %s", o.ID, other)
-			b.void(r.Name(), e.Offset)
-			b.addKeys(b.state.Organisations[r.Key])
+			b.recordInvalid(r.Name(), e.Offset)
+			// Merge has released the keys of the record that stays in force.
+			b.addAPIKeys(b.state.Organisations[r.Key])
 			return v
 		}
 	}
-	b.set(r, e)
+	b.setInForce(r, e)
 	v.Accepted, v.Reason = true, ReasonInForce
 	return v
 }
--- a/internal/config/apply_test.go
+++ b/internal/config/apply_test.go
@@ -11,16 +11,18 @@
 	"skylarklead/test/kit"
 )
 
-// draft draws records as careless and racing operators would write them.
-type draft struct {
-	// newest is the newest schema used.
-	newest int
-	// clash lets organisations claim one another's API keys.
-	clash bool
+// recordGenerator draws records as operators publish them, including invalid ones
+// and ones with a stale base.
+type recordGenerator struct {
+	// maxSchema is the newest schema version used.
+	maxSchema int
+	// shareAPIKeys lets organisations claim each other's API keys.
+	shareAPIKeys bool
 }
 
-// log reads the revisions that bases refer to from a state kept alongside.
-func (d draft) log(t *rapid.T) []LogEntry {
+// log draws a log of 1 to 40 records. It applies them to a state of its own, from
+// which it takes the current bases.
+func (d recordGenerator) log(t *rapid.T) []LogEntry {
 	n := rapid.IntRange(1, 40).Draw(t, "records")
 	entries := make([]LogEntry, 0, n)
 	s := NewState()
@@ -32,7 +34,7 @@
 	return entries
 }
 
-func (d draft) record(t *rapid.T, s *State) []byte {
+func (d recordGenerator) record(t *rapid.T, s *State) []byte {
 	kind := rapid.SampledFrom(Kinds).Draw(t, "kind")
 	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 	base := s.Revision(kind, key)
@@ -42,14 +44,14 @@
 	if rapid.IntRange(0, 9).Draw(t, "delete") == 0 {
 		return fmt.Appendf(nil, `{"schema":1,"kind":%q,"key":%q,"base":%d,"delete":true}`, kind, key, base)
 	}
-	schema := rapid.IntRange(1, d.newest).Draw(t, "schema")
+	schema := rapid.IntRange(1, d.maxSchema).Draw(t, "schema")
 	return fmt.Appendf(nil, `{"schema":%d,"kind":%q,"key":%q,"base":%d,"body":%s}`, schema, kind, key, base, d.body(t, kind, key, schema))
 }
 
-func (d draft) body(t *rapid.T, kind Kind, key string, schema int) string {
+func (d recordGenerator) body(t *rapid.T, kind Kind, key string, schema int) string {
 	n := rapid.IntRange(0, 5).Draw(t, "variant")
 	digest := strings.Repeat(fmt.Sprint(n), 64)
-	if !d.clash {
+	if !d.shareAPIKeys {
 		digest = strings.Repeat(key, 64)
 	}
 	switch {
@@ -75,7 +77,7 @@
 	return s
 }
 
-func encoded(t interface{ Fatal(...any) }, s *State) []byte {
+func mustEncode(t interface{ Fatal(...any) }, s *State) []byte {
 	data, err := EncodeState(s)
 	if err != nil {
 		t.Fatal(err)
@@ -83,28 +85,28 @@
 	return data
 }
 
-// picture shows all of a state, so that two can be compared.
-func picture(t interface{ Fatal(...any) }, s *State) string {
+// describe returns all of a state as text, to compare two states.
+func describe(t interface{ Fatal(...any) }, s *State) string {
 	view, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	owners := map[string]string{}
-	for d, o := range s.byKey {
+	for d, o := range s.byKeyDigest {
 		owners[d] = o.ID
 	}
-	return fmt.Sprintf("%s\nkeys %v\nrecords %v", view, owners, s.records)
+	return fmt.Sprintf("%s\nkeys %v\nrecords %v", view, owners, s.inForce)
 }
 
-// Pages of any size, with records met again, lead to the same state, and no
-// state changes once it is there.
+// Reading the log in pages of any size, with repeated records, leads to the same
+// state, and a returned state never changes.
 func TestSameLogSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := draft{newest: MaxSchema + 1, clash: true}.log(t)
-		want := picture(t, replay(NewState(), entries))
+		entries := recordGenerator{maxSchema: MaxSchema + 1, shareAPIKeys: true}.log(t)
+		want := describe(t, replay(NewState(), entries))
 		s := NewState()
 		for i := 0; i < len(entries); {
-			before, was := s, picture(t, s)
+			before, was := s, describe(t, s)
 			from := rapid.IntRange(0, i).Draw(t, "from")
 			to := rapid.IntRange(i+1, len(entries)).Draw(t, "to")
 			s, _ = s.ApplyAll(entries[from:to])
@@ -112,52 +114,52 @@
 				t.Fatalf("offset went from %d to %d", before.Offset, s.Offset)
 			}
 			if back, _ := s.ApplyAll(entries[:from]); back.Offset < s.Offset {
-				t.Fatalf("records met again took the offset from %d to %d", s.Offset, back.Offset)
+				t.Fatalf("repeated records moved the offset from %d back to %d", s.Offset, back.Offset)
 			}
-			if picture(t, before) != was {
-				t.Fatal("a state changed after it was handed out")
+			if describe(t, before) != was {
+				t.Fatal("a state changed after it was returned")
 			}
 			i = to
 		}
-		if picture(t, s) != want {
-			t.Fatal("pages lead to another state")
+		if describe(t, s) != want {
+			t.Fatal("reading in pages led to a different state")
 		}
 	})
 }
 
 func TestSnapshotAndRestIsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := draft{newest: MaxSchema + 1, clash: true}.log(t)
+		entries := recordGenerator{maxSchema: MaxSchema + 1, shareAPIKeys: true}.log(t)
 		at := rapid.IntRange(0, len(entries)).Draw(t, "at")
-		restored := kit.Must(DecodeState(encoded(t, replay(NewState(), entries[:at]))))(t)
+		restored := kit.Must(DecodeState(mustEncode(t, replay(NewState(), entries[:at]))))(t)
 		all := replay(NewState(), entries)
-		if picture(t, replay(restored, entries[at:])) != picture(t, all) {
-			t.Fatal("snapshot and rest differ from the whole log")
+		if describe(t, replay(restored, entries[at:])) != describe(t, all) {
+			t.Fatal("the snapshot with the later records differs from the whole log")
 		}
 	})
 }
 
-// A state and another process's changes since then, or since earlier, are that
-// process's state.
+// A state merged with a peer's changes since its offset, or since an earlier one,
+// equals the newer of the two states.
 func TestMergeIsTheNewerState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := draft{newest: MaxSchema + 1, clash: true}.log(t)
+		entries := recordGenerator{maxSchema: MaxSchema + 1, shareAPIKeys: true}.log(t)
 		to := rapid.IntRange(0, len(entries)).Draw(t, "to")
 		own := rapid.IntRange(0, len(entries)).Draw(t, "own")
 		after := rapid.IntRange(0, own).Draw(t, "after")
 		peer, s := replay(NewState(), entries[:to]), replay(NewState(), entries[:own])
 		changes := kit.Must(EncodeSince(peer, uint64(after)))(t)
 		merged := kit.Must(s.Merge(changes))(t)
-		if newer := replay(NewState(), entries[:max(to, own)]); picture(t, merged) != picture(t, newer) {
-			t.Fatalf("got  %s\nwant %s", picture(t, merged), picture(t, newer))
+		if newer := replay(NewState(), entries[:max(to, own)]); describe(t, merged) != describe(t, newer) {
+			t.Fatalf("got  %s\nwant %s", describe(t, merged), describe(t, newer))
 		}
 	})
 }
 
-// Of operators who change the same revision of a key, exactly the first wins.
+// Of several changes with the same base, exactly the first is accepted.
 func TestRaceHasOneWinner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := draft{newest: MaxSchema, clash: true}.log(t)
+		entries := recordGenerator{maxSchema: MaxSchema, shareAPIKeys: true}.log(t)
 		s := NewState()
 		for _, e := range entries {
 			before := s
@@ -168,24 +170,23 @@
 				t.Fatalf("base %d at revision %d: %+v", v.Record.Base, revision, v)
 			}
 			if v.Reason == ReasonStaleBase && v.Revision != revision {
-				t.Fatalf("loser told %d, winner is %d", v.Revision, revision)
+				t.Fatalf("stale record's verdict has revision %d, want %d", v.Revision, revision)
 			}
 			again, repeated := s.Apply(e.Offset+1, e.Data)
 			if repeated.Accepted || again.Revision(v.Record.Kind, v.Record.Key) != s.Revision(v.Record.Kind, v.Record.Key) {
-				t.Fatalf("a doubled append had an effect: %+v", repeated)
+				t.Fatalf("a duplicate append had an effect: %+v", repeated)
 			}
 		}
 	})
 }
 
-// A build that knows only schema 1 follows the same log as one that knows 2.
-//
-// Symptom: after a record of schema 2 the older build refuses every later change
-// of that key. Sequence: newer record, then a change based on it. Cause: a build
-// that drops what it can't read expects the older revision as base.
+// A build that knows only schema 1 and one that knows schema 2 read the same log and
+// must agree on all revisions. If the older build dropped records of schema 2, it
+// would expect the previous revision as the next base and refuse every later change
+// of the key.
 func TestBuildsOfDifferentAgeAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := draft{newest: MaxSchema}.log(t)
+		entries := recordGenerator{maxSchema: MaxSchema}.log(t)
 		old, newer := NewState(), NewState()
 		old.maxSchema = 1
 		old, newer = replay(old, entries), replay(newer, entries)
@@ -197,15 +198,15 @@
 			}
 		}
 		own := rapid.IntRange(0, len(entries)).Draw(t, "own")
-		merged := kit.Must(replay(NewState(), entries[:own]).Merge(encoded(t, old)))(t)
-		if picture(t, merged) != picture(t, newer) {
-			t.Fatalf("from the older build's state %s\nfrom the log %s", picture(t, merged), picture(t, newer))
+		merged := kit.Must(replay(NewState(), entries[:own]).Merge(mustEncode(t, old)))(t)
+		if describe(t, merged) != describe(t, newer) {
+			t.Fatalf("from the older build's state %s\nfrom the log %s", describe(t, merged), describe(t, newer))
 		}
 	})
 }
 
-// A newer build that starts from an older one's snapshot has what it would have
-// had from the log.
+// A newer build that starts from an older build's snapshot reaches the same state as
+// from the log.
 func TestUpgradeFromOlderSnapshot(t *testing.T) {
 	log := []LogEntry{
 		{1, []byte(`{"schema":1,"kind":"model","key":"m","base":0,"body":{"group":"g","version":"v1"}}`)},
@@ -216,10 +217,10 @@
 	old.maxSchema = 1
 	old = replay(old, log)
 	if m := old.Models["m"]; m.Version != "v1" || len(old.Opaque) != 2 {
-		t.Fatalf("older build: model %+v, %d kept", m, len(old.Opaque))
+		t.Fatalf("older build: model %+v, %d opaque records", m, len(old.Opaque))
 	}
-	upgraded := kit.Must(DecodeState(encoded(t, old)))(t)
-	if want := replay(NewState(), log); picture(t, upgraded) != picture(t, want) {
+	upgraded := kit.Must(DecodeState(mustEncode(t, old)))(t)
+	if want := replay(NewState(), log); describe(t, upgraded) != describe(t, want) {
 		t.Fatalf("got %+v, want %+v", upgraded, want)
 	}
 }
@@ -253,16 +254,15 @@
 		t.Errorf("the API key belongs to %+v", o)
 	}
 	if _, v := s.Apply(3, []byte(steps[0].record)); v.Reason != ReasonOldOffset {
-		t.Errorf("an old offset: %+v", v)
+		t.Errorf("record at an old offset: %+v", v)
 	}
 }
 
-// Symptom: after a merge an organisation's own API key is refused or unknown.
-// Sequence: a key goes from one organisation to another, then the first one's
-// record changes again; a process that was away gets both changes at once.
-// Cause: the records arrive in order of their last change, so the new holder's
-// comes while the old one still seems to hold the key, and the old one's later
-// record then frees a key that isn't its own any more.
+// An API key moves from one organisation to another, then the first organisation's
+// record changes again, and a process merges both changes at once. Records are merged
+// in order of their last change, so the new owner's record comes while the old owner
+// still has the key, and the old owner's later record must not remove a key that it
+// no longer owns. Failing that, the key is refused or unknown after the merge.
 func TestKeyMovesDuringMerge(t *testing.T) {
 	with := func(key string, base int, digests string) []byte {
 		return fmt.Appendf(nil, `{"schema":1,"kind":"organisation","key":%q,"base":%d,"body":{"key_digests":[%s]}}`, key, base, digests)
--- a/internal/config/body.go
+++ b/internal/config/body.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// DefaultWeight is an organisation's share where its record gives none.
+	// DefaultWeight is an organisation's weight in the fair queue if its record
+	// gives none.
 	DefaultWeight = 1.0
-	// DefaultMaxTokens bounds an answer where the model's record doesn't.
+	// DefaultMaxTokens bounds the tokens of an answer if the model's record doesn't.
 	DefaultMaxTokens = 512
-	// DefaultLoadPermits is the most careful bound on loads at once.
+	// DefaultLoadPermits is the most conservative bound on concurrent weight loads.
 	DefaultLoadPermits = 1
 
 	maxWeight = 1000
@@ -23,8 +24,8 @@
 
 var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// parseBody checks the body by its schema and returns it as State keeps it, or
-// nil. Problems go to doc.
+// parseBody decodes and validates the body by the record's schema and kind. It
+// returns the type that State stores, or nil, and adds problems to doc.
 func parseBody(doc *strictjson.Document, r *Record) any {
 	if r.Delete {
 		if r.Body != nil {
@@ -42,8 +43,8 @@
 	case KindGroup:
 		return parseGroup(doc, r)
 	case KindSnapshot:
-		if r.Key == snapshotMarkKey {
-			return parseSnapshotMark(doc)
+		if r.Key == snapshotMarkerKey {
+			return parseSnapshotMarker(doc)
 		}
 		return parseSnapshotPart(doc)
 	}
@@ -64,7 +65,7 @@
 	MaxTokens int      `json:"max_tokens"`
 }
 
-// parseModel reads schema 1, with one version, or 2, with several.
+// parseModel decodes schema 1, with one version, or schema 2, with several.
 func parseModel(doc *strictjson.Document, r *Record) *Model {
 	body := modelBody2{MaxTokens: DefaultMaxTokens}
 	if r.Schema == 1 {
@@ -92,7 +93,7 @@
 	KeyRequired []string `json:"key_required"`
 }
 
-// parseService reads schemas 1 and 2, which are the same.
+// parseService decodes schemas 1 and 2, which are identical.
 func parseService(doc *strictjson.Document, r *Record) *Service {
 	var body serviceBody
 	doc.DecodeField("body", &body)
@@ -112,7 +113,7 @@
 	LoadPermits   int  `json:"load_permits"`
 }
 
-// parseGroup reads schemas 1 and 2, which are the same.
+// parseGroup decodes schemas 1 and 2, which are identical.
 func parseGroup(doc *strictjson.Document, r *Record) *Group {
 	body := groupBody{LoadPermits: DefaultLoadPermits}
 	doc.DecodeField("body", &body)
--- a/internal/config/dangling.go
+++ b/internal/config/dangling.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// DanglingReferences lists, in words, the references to what isn't in force. They are
-// allowed: two operators may publish the two ends in either order.
+// DanglingReferences describes, sorted, the references to records that aren't in
+// force. They are allowed, because operators may publish the two records in either
+// order.
 func (s *State) DanglingReferences() []string {
-	var all []string
-	missing := func(kind Kind, key string, refers Kind, to string) {
-		all = append(all, fmt.Sprintf("%s refers to %s, which isn't in force", name(kind, key), name(refers, to)))
+	var dangling []string
+	add := func(kind Kind, key string, targetKind Kind, target string) {
+		dangling = append(dangling, fmt.Sprintf("%s refers to %s, which isn't in force", name(kind, key), name(targetKind, target)))
 	}
 	for id, o := range s.Organisations {
 		for _, m := range slices.Sorted(maps.Keys(o.Models)) {
 			if s.Models[m] == nil {
-				missing(KindOrganisation, id, KindModel, m)
+				add(KindOrganisation, id, KindModel, m)
 			}
 		}
-		for _, v := range o.Services {
-			if s.Services[v] == nil {
-				missing(KindOrganisation, id, KindService, v)
+		for _, service := range o.Services {
+			if s.Services[service] == nil {
+				add(KindOrganisation, id, KindService, service)
 			}
 		}
 	}
 	for id, m := range s.Models {
 		if s.Groups[m.Group] == nil {
-			missing(KindModel, id, KindGroup, m.Group)
+			add(KindModel, id, KindGroup, m.Group)
 		}
 	}
-	for id, v := range s.Services {
-		if s.Groups[v.Group] == nil {
-			missing(KindService, id, KindGroup, v.Group)
+	for id, service := range s.Services {
+		if s.Groups[service.Group] == nil {
+			add(KindService, id, KindGroup, service.Group)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(dangling)
+	return dangling
 }
--- a/internal/config/encode.go
+++ b/internal/config/encode.go
@@ -15,44 +15,47 @@
 )
 
 const (
-	// stateFormat numbers the encoding of a State.
+	// stateFormat is the version of the encoding of a State.
 	stateFormat = 1
-	// maxStateBytes bounds what a peer's few compressed bytes can expand to.
+	// maxStateBytes bounds the decompressed size, so that a small compressed input
+	// from a peer can't exhaust memory.
 	maxStateBytes = 128 << 20
 )
 
-// ErrMalformedState is wrapped by errors about an encoded state that can't be used.
+// ErrMalformedState is wrapped by errors about an encoded state that can't be
+// decoded or doesn't fit the receiver's state.
 var ErrMalformedState = errors.New("config: not an encoded state")
 
-// encodedState is what is compressed: a header and the encoded contents.
+// encodedState is the encoding before compression: a header and the encoded
+// contents.
 type encodedState struct {
 	Format int    `cbor:"1,keyasint"`
 	Offset uint64 `cbor:"2,keyasint"`
-	// After is the offset of the states to which Contents can be added; 0 fits
-	// any.
+	// After is the lowest offset of a state into which Contents can be merged; 0
+	// fits any state.
 	After uint64 `cbor:"3,keyasint"`
 	// Digest is the SHA-256 of Contents.
 	Digest   []byte          `cbor:"4,keyasint"`
 	Contents cbor.RawMessage `cbor:"5,keyasint"`
 }
 
-// contents has records whole, as they stand on the log, rather than the State
-// made of them. A reader of another build makes its own State of them and keeps
-// those that it doesn't understand; decoded fields that it has no name for would
-// be lost without a sign, and a record half-applied.
+// contents has the records as encoded on the log rather than the State built from
+// them. A reader of another build builds its own State and retains the records whose
+// schema it doesn't know. Had it decoded fields instead, it would silently lose
+// those that it has no name for and apply a record in part.
 type contents struct {
-	// Entries are records in force or kept, in order of offset.
+	// Entries are the records in force or of unknown schemas, by offset.
 	Entries []LogEntry `cbor:"1,keyasint"`
-	// Deletions are those after which nothing came into force.
-	Deletions []mark `cbor:"2,keyasint"`
-	// Void are the records that took a revision without coming into force. Their
-	// verdict goes along: what made them invalid, such as an API key that was
-	// another's, may be gone by now.
-	Void []mark `cbor:"3,keyasint"`
+	// Deletions are those after which no record of the key came into force.
+	Deletions []keyOffset `cbor:"2,keyasint"`
+	// Invalid are the records that became a key's revision without coming into
+	// force. The verdict is encoded because it can't be derived again: the reason,
+	// such as an API key that belonged to another organisation, may no longer hold.
+	Invalid []keyOffset `cbor:"3,keyasint"`
 }
 
-// mark is an offset that matters for a key.
-type mark struct {
+// keyOffset is a key and the offset of a record about it.
+type keyOffset struct {
 	Kind   Kind   `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
 	Offset uint64 `cbor:"3,keyasint"`
@@ -68,23 +71,23 @@
 	return mode
 }
 
-// EncodeState returns s with its offset and digest, compressed.
+// EncodeState returns the compressed encoding of s with its offset and digest.
 func EncodeState(s *State) ([]byte, error) { return EncodeSince(s, 0) }
 
-// EncodeSince returns what s has that a state at the offset after lacks, or all
-// of it if after is 0.
+// EncodeSince returns the compressed encoding of the part of s that a state at the
+// offset after lacks, or of all of s if after is 0.
 func EncodeSince(s *State, after uint64) ([]byte, error) {
 	body, err := encMode.Marshal(s.contentsSince(after))
 	if err != nil {
 		return nil, fmt.Errorf("config: encode state: %w", err)
 	}
-	whole, err := encMode.Marshal(encodedState{
+	encoded, err := encMode.Marshal(encodedState{
 		Format: stateFormat, Offset: s.Offset, After: after, Digest: digestOf(body), Contents: body,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("config: encode state: %w", err)
 	}
-	return compress(whole)
+	return compress(encoded)
 }
 
 func (s *State) contentsSince(after uint64) contents {
@@ -94,7 +97,7 @@
 			c.Entries = append(c.Entries, e)
 		}
 	}
-	for _, e := range s.records {
+	for _, e := range s.inForce {
 		add(e)
 	}
 	for _, o := range s.Opaque {
@@ -104,21 +107,21 @@
 		}
 	}
 	slices.SortFunc(c.Entries, func(a, b LogEntry) int { return cmp.Compare(a.Offset, b.Offset) })
-	c.Deletions = marksSince(s.Deleted, after)
-	c.Void = marksSince(s.Invalid, after)
+	c.Deletions = keyOffsetsSince(s.Deleted, after)
+	c.Invalid = keyOffsetsSince(s.Invalid, after)
 	return c
 }
 
-func marksSince(offsets map[string]uint64, after uint64) []mark {
-	var marks []mark
-	for n, offset := range offsets {
+func keyOffsetsSince(offsets map[string]uint64, after uint64) []keyOffset {
+	var list []keyOffset
+	for recordName, offset := range offsets {
 		if offset > after {
-			kind, key, _ := strings.Cut(n, "/")
-			marks = append(marks, mark{Kind: Kind(kind), Key: key, Offset: offset})
+			kind, key, _ := strings.Cut(recordName, "/")
+			list = append(list, keyOffset{Kind: Kind(kind), Key: key, Offset: offset})
 		}
 	}
-	slices.SortFunc(marks, func(a, b mark) int { return cmp.Compare(a.Offset, b.Offset) })
-	return marks
+	slices.SortFunc(list, func(a, b keyOffset) int { return cmp.Compare(a.Offset, b.Offset) })
+	return list
 }
 
 func compress(data []byte) ([]byte, error) {
@@ -136,19 +139,19 @@
 	return buf.Bytes(), nil
 }
 
-func expand(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
-	whole, err := io.ReadAll(io.LimitReader(z, maxStateBytes+1))
+	decompressed, err := io.ReadAll(io.LimitReader(z, maxStateBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(whole) > maxStateBytes {
+	if len(decompressed) > maxStateBytes {
 		return nil, fmt.Errorf("expands to more than %d bytes", maxStateBytes)
 	}
-	return whole, nil
+	return decompressed, nil
 }
 
 func digestOf(data []byte) []byte {
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -8,20 +8,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// DecodeState reads what EncodeState wrote. Errors wrap ErrState.
+// DecodeState decodes the output of EncodeState. Errors wrap ErrMalformedState.
 func DecodeState(data []byte) (*State, error) { return NewState().Merge(data) }
 
-// Merge returns the newer of s and what EncodeState or EncodeSince wrote of
-// another process's state. It never goes back: an older one changes nothing, and
-// what s has in force stays where the other one's record is of a schema version
-// that this build doesn't know. Errors wrap ErrState.
+// Merge returns s updated with another process's state, encoded by EncodeState or
+// EncodeSince. The offset never decreases: an older state changes nothing. Where the
+// other state has a record of a schema version that this build doesn't know, the
+// record that s has in force stays in force. Errors wrap ErrMalformedState.
 func (s *State) Merge(data []byte) (*State, error) {
-	whole, err := expand(data)
+	encoded, err := decompress(data)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformedState, err)
 	}
 	var e encodedState
-	if err := cbor.Unmarshal(whole, &e); err != nil {
+	if err := cbor.Unmarshal(encoded, &e); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformedState, err)
 	}
 	if e.Format != stateFormat {
@@ -43,8 +43,9 @@
 	return s.merge(e.Offset, c)
 }
 
-// arrival is a record of another process's state.
-type arrival struct {
+// incomingRecord is a decoded record of another process's state. invalid is its
+// validation error, if any.
+type incomingRecord struct {
 	entry   LogEntry
 	record  Record
 	invalid error
@@ -52,8 +53,8 @@
 
 func (s *State) merge(offset uint64, c contents) (*State, error) {
 	b := newBuilder(s)
-	b.moveTo(offset)
-	arrivals, err := b.parse(c.Entries)
+	b.setOffset(offset)
+	incoming, err := b.parseIncoming(c.Entries)
 	if err != nil {
 		return nil, err
 	}
@@ -62,22 +63,22 @@
 			b.remove(d.Kind, d.Key, d.Offset)
 		}
 	}
-	b.freeKeys(arrivals)
-	for _, a := range arrivals {
+	b.releaseAPIKeys(incoming)
+	for _, a := range incoming {
 		if a.entry.Offset > b.state.Revision(a.record.Kind, a.record.Key) {
-			b.take(a.entry, a.record, a.invalid)
+			b.advanceKey(a.entry, a.record, a.invalid)
 		}
 	}
-	for _, v := range c.Void {
+	for _, v := range c.Invalid {
 		if v.Offset > b.state.Revision(v.Kind, v.Key) {
-			b.void(name(v.Kind, v.Key), v.Offset)
+			b.recordInvalid(name(v.Kind, v.Key), v.Offset)
 		}
 	}
 	return b.state, nil
 }
 
-func (b *builder) parse(entries []LogEntry) ([]arrival, error) {
-	arrivals := make([]arrival, len(entries))
+func (b *builder) parseIncoming(entries []LogEntry) ([]incomingRecord, error) {
+	incoming := make([]incomingRecord, len(entries))
 	for i, e := range entries {
 		r, err := parseRecord(e.Data, fmt.Sprintf("offset %d", e.Offset), b.state.maxSchema)
 		if errors.Is(err, ErrMalformedEnvelope) || r.Delete || r.Kind == KindSnapshot || e.Offset > b.state.Offset {
@@ -86,19 +87,20 @@
 		if i > 0 && e.Offset <= entries[i-1].Offset {
 			return nil, fmt.Errorf("%w: offset %d is out of order", ErrMalformedState, e.Offset)
 		}
-		arrivals[i] = arrival{entry: e, record: r, invalid: err}
+		incoming[i] = incomingRecord{entry: e, record: r, invalid: err}
 	}
-	return arrivals, nil
+	return incoming, nil
 }
 
-// freeKeys takes the API keys from the organisations that are about to be
-// replaced. A key may have gone from one to another between the two states; the
-// order in which the two arrive must not make it look taken.
-func (b *builder) freeKeys(arrivals []arrival) {
-	for _, a := range arrivals {
+// releaseAPIKeys removes the API keys of the organisations that are about to be
+// replaced. A key may have moved from one organisation to another between the two
+// states; without this, the record of the new owner could be applied first and be
+// refused because the previous owner still holds the key.
+func (b *builder) releaseAPIKeys(incoming []incomingRecord) {
+	for _, a := range incoming {
 		_, organisation := a.record.parsed.(*Organisation)
 		if organisation && a.invalid == nil && a.entry.Offset > b.state.Revision(KindOrganisation, a.record.Key) {
-			b.dropKeys(a.record.Key)
+			b.removeAPIKeys(a.record.Key)
 		}
 	}
 }
--- a/internal/config/organisation.go
+++ b/internal/config/organisation.go
@@ -7,7 +7,8 @@
 	"skylarklead/internal/strictjson"
 )
 
-// organisationBody1 is schema 1: whole models, one text of instructions.
+// organisationBody1 is schema 1: models with all their versions, one instruction
+// text.
 type organisationBody1 struct {
 	KeyDigests   []string `json:"key_digests"`
 	Models       []string `json:"models"`
@@ -15,8 +16,8 @@
 	Instructions string   `json:"instructions"`
 }
 
-// organisationBody2 is schema 2: versions of models, nested instructions, a
-// weight and limits.
+// organisationBody2 is schema 2: models with allowed versions, several levels of
+// instructions, a weight and limits.
 type organisationBody2 struct {
 	KeyDigests   []string       `json:"key_digests"`
 	Models       []allowedModel `json:"models"`
@@ -28,7 +29,7 @@
 
 type allowedModel struct {
 	Name string `json:"name"`
-	// Versions may be left out to allow all.
+	// Versions lists the allowed versions; empty allows all.
 	Versions []string `json:"versions"`
 }
 
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -10,10 +10,10 @@
 	"skylarklead/internal/strictjson"
 )
 
-// Kind is what a record is about.
+// Kind is the type of thing that a record configures.
 type Kind string
 
-// The kinds of records. KindSnapshot is written by the system itself.
+// The kinds of records. Records of KindSnapshot are written by the daemons.
 const (
 	KindOrganisation Kind = "organisation"
 	KindModel        Kind = "model"
@@ -26,20 +26,20 @@
 var Kinds = []Kind{KindOrganisation, KindModel, KindService, KindGroup}
 
 const (
-	// MaxSchema is the newest schema version that this build understands. What a
-	// published schema version means is never changed afterwards: builds that
-	// judge the same record differently would drift apart.
+	// MaxSchema is the newest schema version that this build understands. The
+	// meaning of a released schema version must never change: builds that validate
+	// the same record differently would diverge.
 	MaxSchema = 2
-	// MaxRecordBytes bounds a record's size in bytes.
+	// MaxRecordBytes bounds an encoded record.
 	MaxRecordBytes = 512 << 10
 )
 
-// ErrMalformedEnvelope is wrapped by errors about a record whose schema, kind, key or
-// base can't be read. Such a record has no effect at all.
+// ErrMalformedEnvelope is wrapped by errors about a record whose schema, kind, key
+// or base can't be decoded. Such a record has no effect.
 var ErrMalformedEnvelope = errors.New("config: not a configuration record")
 
 // Record is an operator's change of one key. Schema, Kind, Key, Base and Delete
-// are the envelope: every build reads them alike, whatever the schema version.
+// form the envelope, which every build decodes alike whatever the schema version.
 type Record struct {
 	Schema int    `json:"schema"`
 	Kind   Kind   `json:"kind"`
@@ -47,18 +47,19 @@
 	// Base is the offset of the record that this one replaces, 0 to create.
 	Base   uint64 `json:"base"`
 	Delete bool   `json:"delete,omitempty"`
-	// Operator names who published it; Nonce makes each publication unique, so
-	// that it can be found again on the log when the answer was lost.
+	// Operator is the name of the publisher. Nonce makes each publication unique, so
+	// that it can be found on the log if the append's answer was lost.
 	Operator string          `json:"operator,omitempty"`
 	Nonce    string          `json:"nonce,omitempty"`
 	Body     json.RawMessage `json:"body,omitempty"`
 
-	// parsed is the body as State has it: *Organisation, *Model, *Service,
-	// *Group, *SnapshotPart or *SnapshotMark; nil for deletions and unknown schema versions.
+	// parsed is the decoded body: *Organisation, *Model, *Service, *Group,
+	// *SnapshotPart or *SnapshotMarker; nil for deletions and unknown schema
+	// versions.
 	parsed any
 }
 
-// Name is kind and key in one, such as "model/ledger-7b".
+// Name returns the kind and key joined, such as "model/ledger-7b".
 func (r *Record) Name() string { return name(r.Kind, r.Key) }
 
 func name(kind Kind, key string) string { return string(kind) + "/" + key }
@@ -66,11 +67,11 @@
 // KnownSchema reports whether this build knows the record's schema version.
 func (r *Record) KnownSchema() bool { return r.Schema <= MaxSchema }
 
-// Encode returns the record as it goes onto the log.
+// Encode returns the record as JSON for the log.
 func (r *Record) Encode() ([]byte, error) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
-	enc.SetEscapeHTML(false) // texts stay readable on the log
+	enc.SetEscapeHTML(false) // keeps texts readable on the log
 	if err := enc.Encode(r); err != nil {
 		return nil, fmt.Errorf("config: encode %s: %w", r.Name(), err)
 	}
@@ -81,15 +82,15 @@
 	return data, nil
 }
 
-// ParseRecord reads and checks a record, JSON with comments; file names it in
-// errors. With an error that wraps ErrEnvelope nothing of it could be read;
-// with any other one, a strictjson.Problems, the envelope is good but the rest
-// is not. A record of an unknown newer schema is no error.
+// ParseRecord decodes and validates a record, JSON with comments; file is its name
+// in errors. If the error wraps ErrMalformedEnvelope, the returned record is empty.
+// Any other error is a strictjson.Problems: the envelope is valid but the rest is
+// not. A record of an unknown newer schema is not an error.
 func ParseRecord(data []byte, file string) (Record, error) {
 	return parseRecord(data, file, MaxSchema)
 }
 
-// parseRecord is ParseRecord for a build that knows schemas up to maxSchema.
+// parseRecord is ParseRecord for a build that knows the schemas up to maxSchema.
 func parseRecord(data []byte, file string, maxSchema int) (Record, error) {
 	if len(data) > MaxRecordBytes {
 		return Record{}, fmt.Errorf("%w: %s: %d bytes, more than %d", ErrMalformedEnvelope, file, len(data), MaxRecordBytes)
@@ -98,7 +99,7 @@
 	doc := strictjson.Decode(data, file, &r)
 	envelope := doc
 	if !doc.OK() {
-		// Unknown fields are no fault of a newer schema's envelope.
+		// An envelope of a newer schema may have further fields.
 		r = Record{}
 		envelope = strictjson.DecodeLenient(data, file, &r)
 	}
@@ -113,7 +114,7 @@
 	return r, doc.Err()
 }
 
-// envelopeError is both ErrEnvelope and the problems found.
+// envelopeError wraps both ErrMalformedEnvelope and the problems found.
 type envelopeError struct{ problems error }
 
 func (e *envelopeError) Error() string   { return e.problems.Error() }
--- a/internal/config/record_test.go
+++ b/internal/config/record_test.go
@@ -67,6 +67,6 @@
 		if errors.Is(err, ErrMalformedEnvelope) && v.Reason != ReasonMalformed {
 			t.Fatalf("no envelope but %+v", v)
 		}
-		kit.Must(DecodeState(encoded(t, s)))(t)
+		kit.Must(DecodeState(mustEncode(t, s)))(t)
 	})
 }
--- a/internal/config/schedule_test.go
+++ b/internal/config/schedule_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whenever processes that follow the schedule live, some snapshot on the log is
-// younger than the retention, together with every record after it.
+// As long as some process follows the schedule, there is a snapshot on the log that
+// is younger than the retention and so is every record after it.
 func TestScheduleCoversRetention(t *testing.T) {
 	const retention = 24 * time.Hour
 	rapid.Check(t, func(t *rapid.T) {
@@ -22,7 +22,7 @@
 			life := time.Duration(rapid.Int64Range(int64(retention/3), int64(3*retention)).Draw(t, "life"))
 			c := NewSnapshotSchedule(retention, start, rapid.Float64Range(0, 1).Draw(t, "rank"))
 			if before != nil && rapid.Bool().Draw(t, "told") {
-				// The word of a process that ended meanwhile took a while.
+				// The information of a process that has ended arrives a minute late.
 				c.ObservePeer(before.FreshFor(now), now+time.Minute)
 			}
 			before = c
@@ -35,22 +35,22 @@
 					offset++
 				}
 				if now-needed >= retention {
-					t.Fatalf("at %v the oldest record needed is %v old", now, now-needed)
+					t.Fatalf("at %v the oldest required record is %v old", now, now-needed)
 				}
 			}
 		}
 	})
 }
 
-// A snapshot as of an offset from before the process's start, or of one long
-// ago, doesn't put the next one off for half a retention from now.
+// A snapshot as of an offset from before the start of the process doesn't delay the
+// next one, and one as of an old offset delays it from the time of that offset only.
 func TestScheduleDistrustsLateSnapshots(t *testing.T) {
 	c := NewSnapshotSchedule(64*time.Hour, 0, 0)
 	due := c.NextWrite()
 	c.ObserveLogEnd(10, 0)
 	c.ObserveSnapshot(9)
 	if c.NextWrite() != due {
-		t.Errorf("a snapshot of unknown age moved the next one to %v", c.NextWrite())
+		t.Errorf("a snapshot of unknown age delayed the next one to %v", c.NextWrite())
 	}
 	c.ObserveLogEnd(20, 20*time.Hour)
 	c.ObserveSnapshot(10)
@@ -59,12 +59,10 @@
 	}
 }
 
-// Symptom: the log gets some fifteen snapshots a day where two are needed.
-// Sequence: of the fleet one process in eleven is replaced each day.
-// Cause: each new one has met no snapshot, and takes it that one is due.
-//
-// Of many processes usually one writes: in ten retentions little more than the two a
-// retention that are needed, whether or not processes are replaced.
+// Of many processes usually one writes: in ten retentions hardly more than the
+// required two per retention, whether or not processes are replaced. If each new
+// process wrote a snapshot because it had seen none, a fleet that replaces one process
+// in eleven each day would write some fifteen a day where two are needed.
 func TestScheduleOfManyWritesFew(t *testing.T) {
 	const (
 		retention = 24 * time.Hour
@@ -85,7 +83,7 @@
 				all[i] = NewSnapshotSchedule(retention, now, float64(i)/processes)
 				all[i].ObservePeer(left, now)
 			}
-			end := offset // what all of them see at this step
+			end := offset // the end of the log that all processes see at this step
 			for _, c := range all {
 				c.ObserveLogEnd(end, now)
 				if now >= c.NextWrite() {
@@ -106,14 +104,15 @@
 	}
 }
 
-// A peer's word is worth no more than a snapshot that was written just now.
+// Information from a peer delays the next write no longer than a snapshot written
+// just now.
 func TestScheduleBoundsWhatItIsTold(t *testing.T) {
 	c := NewSnapshotSchedule(48*time.Hour, 0, 0)
 	due := c.NextWrite()
 	c.ObservePeer(0, time.Hour)
 	c.ObservePeer(-time.Hour, time.Hour)
 	if c.NextWrite() != due {
-		t.Errorf("told of no snapshot, due at %v", c.NextWrite())
+		t.Errorf("a peer without a recent snapshot delayed the next one to %v", c.NextWrite())
 	}
 	c.ObservePeer(1000*time.Hour, time.Hour)
 	if want := 25 * time.Hour; c.NextWrite() != want || c.FreshFor(2*time.Hour) != want-2*time.Hour {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -10,30 +10,32 @@
 )
 
 const (
-	// snapshotSchema is the schema of snapshot records.
+	// snapshotSchema is the schema version of snapshot records.
 	snapshotSchema = 1
-	// snapshotKey is the key of parts, snapshotMarkKey that of marks. To builds that
-	// don't know marks they are invalid parts, which change nothing.
-	snapshotKey     = "state"
-	snapshotMarkKey = "written"
-	// snapshotPartBytes keeps a part, in base64, under MaxRecord.
+	// snapshotKey is the key of snapshot parts, snapshotMarkerKey that of completion
+	// markers. Builds that don't know markers take them for invalid parts, which
+	// change nothing.
+	snapshotKey       = "state"
+	snapshotMarkerKey = "written"
+	// snapshotPartBytes keeps a part, encoded as base64, below MaxRecordBytes.
 	snapshotPartBytes = 256 << 10
-	// maxSnapshotParts bounds what one snapshot may ask a reader to keep.
+	// maxSnapshotParts bounds the memory that one snapshot can take at a reader.
 	maxSnapshotParts = 512
-	// maxOpenSnapshots bounds snapshots of which parts are still missing, such as
-	// those whose writer died halfway.
-	maxOpenSnapshots = 4
+	// maxPendingSnapshots bounds the snapshots that are held incomplete, such as
+	// those whose writer crashed between parts.
+	maxPendingSnapshots = 4
 )
 
-// SnapshotPart is the body of a snapshot record: a part of a state encoded by
+// SnapshotPart is the body of a snapshot record: one part of a state encoded by
 // EncodeState.
 type SnapshotPart struct {
-	// AsOf is the offset of the state.
+	// AsOf is the offset of the encoded state.
 	AsOf uint64 `json:"as_of"`
-	// Part counts from 0 to Parts-1.
+	// Part is the index of the part, from 0 to Parts-1.
 	Part  int `json:"part"`
 	Parts int `json:"parts"`
-	// ID is the writer's own, so that two writers' parts are never mixed.
+	// ID is unique to one snapshot, so that parts of different writers are never
+	// combined.
 	ID   string `json:"id"`
 	Data []byte `json:"-"`
 }
@@ -63,7 +65,7 @@
 }
 
 // SnapshotRecords returns the records to append, in order, for a snapshot of s.
-// The ID must be unique.
+// The ID must be unique among all snapshots.
 func SnapshotRecords(s *State, id string) ([][]byte, error) {
 	return snapshotRecords(s, id, snapshotPartBytes)
 }
@@ -105,49 +107,52 @@
 	return r.Encode()
 }
 
-// SnapshotMarker tells those who follow the configuration that all parts of a
-// snapshot are on the snapshots' own stream, so that they needn't read it.
+// SnapshotMarker is a completion marker on the configuration log. It says that all
+// parts of a snapshot are on the separate snapshot stream, so that readers of the
+// configuration needn't read that stream.
 type SnapshotMarker struct {
 	AsOf uint64 `json:"as_of"`
 	ID   string `json:"id"`
 }
 
-// Encode returns the mark's record.
+// Encode returns the marker's encoded record.
 func (m SnapshotMarker) Encode() ([]byte, error) {
 	body, err := json.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("config: encode snapshot mark: %w", err)
+		return nil, fmt.Errorf("config: encode snapshot marker: %w", err)
 	}
-	return encodeSnapshot(snapshotMarkKey, body)
+	return encodeSnapshot(snapshotMarkerKey, body)
 }
 
-func parseSnapshotMark(doc *strictjson.Document) *SnapshotMarker {
-	var mark SnapshotMarker
-	doc.DecodeField("body", &mark)
-	return &mark
+func parseSnapshotMarker(doc *strictjson.Document) *SnapshotMarker {
+	var marker SnapshotMarker
+	doc.DecodeField("body", &marker)
+	return &marker
 }
 
-// SnapshotMarker returns the mark that a record is, if it is one.
+// SnapshotMarker returns the record's body if it is a completion marker.
 func (r *Record) SnapshotMarker() (SnapshotMarker, bool) {
-	mark, ok := r.parsed.(*SnapshotMarker)
+	marker, ok := r.parsed.(*SnapshotMarker)
 	if !ok {
 		return SnapshotMarker{}, false
 	}
-	return *mark, true
+	return *marker, true
 }
 
-// Assembler puts snapshots together from the parts met on the log.
+// Assembler reassembles snapshots from the parts read from the log. The zero value
+// is ready to use.
 type Assembler struct {
-	open map[string]*openSnapshot
+	// pending has the incomplete snapshots by ID.
+	pending map[string]*pendingSnapshot
 }
 
-type openSnapshot struct {
+type pendingSnapshot struct {
 	asOf    uint64
 	parts   [][]byte
 	missing int
 }
 
-// Snapshot is a whole encoded state from the log.
+// Snapshot is a complete encoded state read from the log.
 type Snapshot struct {
 	AsOf uint64
 	Data []byte
@@ -160,21 +165,22 @@
 		return nil, err
 	}
 	if s.Offset != p.AsOf {
-		return nil, fmt.Errorf("%w: a snapshot as of %d of a state at %d", ErrMalformedState, p.AsOf, s.Offset)
+		return nil, fmt.Errorf("%w: snapshot as of offset %d has a state at offset %d", ErrMalformedState, p.AsOf, s.Offset)
 	}
 	return s, nil
 }
 
-// Add takes the record of an accepted Verdict. It returns a snapshot once its
-// last part is there, else nil. Errors wrap ErrState.
+// Add adds the record of an accepted Verdict. It returns the snapshot that the
+// record completes, or nil; it ignores records that aren't snapshot parts. Errors
+// wrap ErrMalformedState.
 func (a *Assembler) Add(r Record) (*Snapshot, error) {
 	part, ok := r.parsed.(*SnapshotPart)
 	if !ok {
 		return nil, nil
 	}
-	o := a.opened(part)
+	o := a.pendingFor(part)
 	if o.asOf != part.AsOf || len(o.parts) != part.Parts {
-		return nil, fmt.Errorf("%w: parts of snapshot %.40q don't agree", ErrMalformedState, part.ID)
+		return nil, fmt.Errorf("%w: parts of snapshot %.40q differ in offset or part count", ErrMalformedState, part.ID)
 	}
 	if o.parts[part.Part] == nil {
 		o.parts[part.Part] = part.Data
@@ -183,31 +189,33 @@
 	if o.missing > 0 {
 		return nil, nil
 	}
-	delete(a.open, part.ID)
+	delete(a.pending, part.ID)
 	return &Snapshot{AsOf: part.AsOf, Data: bytes.Join(o.parts, nil)}, nil
 }
 
-func (a *Assembler) opened(part *SnapshotPart) *openSnapshot {
-	if a.open == nil {
-		a.open = map[string]*openSnapshot{}
+// pendingFor returns the incomplete snapshot that part belongs to and adds it if it
+// is new, dropping the oldest one beyond maxPendingSnapshots.
+func (a *Assembler) pendingFor(part *SnapshotPart) *pendingSnapshot {
+	if a.pending == nil {
+		a.pending = map[string]*pendingSnapshot{}
 	}
-	if o := a.open[part.ID]; o != nil {
+	if o := a.pending[part.ID]; o != nil {
 		return o
 	}
-	if len(a.open) >= maxOpenSnapshots {
+	if len(a.pending) >= maxPendingSnapshots {
 		a.dropOldest()
 	}
-	o := &openSnapshot{asOf: part.AsOf, parts: make([][]byte, part.Parts), missing: part.Parts}
-	a.open[part.ID] = o
+	o := &pendingSnapshot{asOf: part.AsOf, parts: make([][]byte, part.Parts), missing: part.Parts}
+	a.pending[part.ID] = o
 	return o
 }
 
 func (a *Assembler) dropOldest() {
 	oldest := ""
-	for id, o := range a.open {
-		if oldest == "" || o.asOf < a.open[oldest].asOf {
+	for id, o := range a.pending {
+		if oldest == "" || o.asOf < a.pending[oldest].asOf {
 			oldest = id
 		}
 	}
-	delete(a.open, oldest)
+	delete(a.pending, oldest)
 }
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -16,8 +16,8 @@
 	"skylarklead/test/kit"
 )
 
-// words returns text that compresses about as well as prose does.
-func words(r *rand.Rand, n int) string {
+// prose returns n bytes of text that compress about as well as prose.
+func prose(r *rand.Rand, n int) string {
 	var b strings.Builder
 	for b.Len() < n {
 		fmt.Fprintf(&b, "%x ", r.IntN(4096))
@@ -25,9 +25,9 @@
 	return b.String()[:n]
 }
 
-// organisations returns the log of n organisations, each with instructions of
-// the given length.
-func organisations(tb testing.TB, n, length int) []LogEntry {
+// organisationLog returns the log of n organisations, each with instructions of
+// length bytes.
+func organisationLog(tb testing.TB, n, length int) []LogEntry {
 	tb.Helper()
 	r := rand.New(rand.NewPCG(1, 2))
 	entries := make([]LogEntry, n)
@@ -35,13 +35,13 @@
 		digest := sha256.Sum256(fmt.Append(nil, i))
 		data := fmt.Appendf(nil, `{"schema":2,"kind":"organisation","key":"org-%05d","base":0,"operator":"ada","nonce":"%016x",`+
 			`"body":{"key_digests":[%q],"models":[{"name":"ledger-7b","versions":["v1"]}],"services":["portal"],"instructions":[%q],"weight":1}}`,
-			i, i, hex.EncodeToString(digest[:]), words(r, length))
+			i, i, hex.EncodeToString(digest[:]), prose(r, length))
 		entries[i] = LogEntry{Offset: uint64(i + 1), Data: data}
 	}
 	return entries
 }
 
-func parsed(tb testing.TB, records [][]byte) []Record {
+func mustParse(tb testing.TB, records [][]byte) []Record {
 	tb.Helper()
 	all := make([]Record, len(records))
 	for i, data := range records {
@@ -51,12 +51,13 @@
 	return all
 }
 
-// Two writers' parts stand mixed on the log, one writer dies halfway.
+// The parts of two writers are interleaved on the log, and one writer stopped before
+// its last part.
 func TestAssembler(t *testing.T) {
-	s, _ := NewState().ApplyAll(organisations(t, 10, 400))
+	s, _ := NewState().ApplyAll(organisationLog(t, 10, 400))
 	records := kit.Must(snapshotRecords(s, "first", 500))(t)
 	parts := kit.Must(snapshotRecords(s, "second", 500))(t)
-	first, second := parsed(t, records), parsed(t, parts)
+	first, second := mustParse(t, records), mustParse(t, parts)
 	if len(first) < 3 {
 		t.Fatalf("only %d parts", len(first))
 	}
@@ -65,7 +66,7 @@
 		cut := rapid.IntRange(0, len(first)-1).Draw(t, "cut")
 		log = append(log, first[:cut]...)
 		log = append(log, second...)
-		log = append(log, second[0]) // a doubled append
+		log = append(log, second[0]) // a duplicate append
 		log = rapid.Permutation(log).Draw(t, "log")
 		var a Assembler
 		found := 0
@@ -76,7 +77,7 @@
 			}
 			found++
 			state := kit.Must(got.Decode())(t)
-			if picture(t, state) != picture(t, s) {
+			if describe(t, state) != describe(t, s) {
 				t.Fatal("the snapshot differs from its state")
 			}
 		}
@@ -87,14 +88,14 @@
 }
 
 func TestDamagedState(t *testing.T) {
-	s, _ := NewState().ApplyAll(organisations(t, 3, 10))
-	data := encoded(t, s)
+	s, _ := NewState().ApplyAll(organisationLog(t, 3, 10))
+	data := mustEncode(t, s)
 	for i := range data {
 		damaged := bytes.Clone(data)
 		damaged[i] ^= 0x10
 		got, err := DecodeState(damaged)
-		if err == nil && !bytes.Equal(encoded(t, got), data) {
-			t.Fatalf("byte %d changed the state unnoticed", i)
+		if err == nil && !bytes.Equal(mustEncode(t, got), data) {
+			t.Fatalf("damage to byte %d changed the state undetected", i)
 		}
 		if err != nil && !errors.Is(err, ErrMalformedState) {
 			t.Fatalf("byte %d: %v", i, err)
@@ -102,10 +103,10 @@
 	}
 }
 
-// What an authenticated but faulty peer sends never takes the offset back, nor
-// leads to a state that can't be passed on.
+// Input from an authenticated but faulty peer never decreases the offset, nor leads
+// to a state that can't be encoded and decoded again.
 func FuzzMerge(f *testing.F) {
-	own, _ := NewState().ApplyAll(organisations(f, 2, 10))
+	own, _ := NewState().ApplyAll(organisationLog(f, 2, 10))
 	peer, _ := own.Apply(3, []byte(`{"schema":1,"kind":"organisation","key":"org-00000","base":1,"delete":true}`))
 	peer, _ = peer.Apply(4, []byte(`{"schema":9,"kind":"group","key":"g","base":0,"body":1}`))
 	for _, after := range []uint64{0, 2} {
@@ -125,14 +126,14 @@
 		if merged.Offset < own.Offset {
 			t.Fatalf("offset went back to %d", merged.Offset)
 		}
-		kit.Must(DecodeState(encoded(t, merged)))(t)
+		kit.Must(DecodeState(mustEncode(t, merged)))(t)
 	})
 }
 
-const fleetOrganisations = 11000
+const benchmarkOrganisations = 11000
 
 func BenchmarkApplyAll11000(b *testing.B) {
-	entries := organisations(b, fleetOrganisations, 1000)
+	entries := organisationLog(b, benchmarkOrganisations, 1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		NewState().ApplyAll(entries)
@@ -140,27 +141,27 @@
 }
 
 func BenchmarkApplyOneAt11000(b *testing.B) {
-	s, _ := NewState().ApplyAll(organisations(b, fleetOrganisations, 1000))
+	s, _ := NewState().ApplyAll(organisationLog(b, benchmarkOrganisations, 1000))
 	data := []byte(`{"schema":2,"kind":"organisation","key":"org-00007","base":8,"body":{"weight":2}}`)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, v := s.Apply(fleetOrganisations+1, data); !v.Accepted {
+		if _, v := s.Apply(benchmarkOrganisations+1, data); !v.Accepted {
 			b.Fatal(v)
 		}
 	}
 }
 
 func BenchmarkEncode11000(b *testing.B) {
-	s, _ := NewState().ApplyAll(organisations(b, fleetOrganisations, 1000))
+	s, _ := NewState().ApplyAll(organisationLog(b, benchmarkOrganisations, 1000))
 	b.ReportAllocs()
 	for b.Loop() {
-		b.ReportMetric(float64(len(encoded(b, s))), "encoded-bytes")
+		b.ReportMetric(float64(len(mustEncode(b, s))), "encoded-bytes")
 	}
 }
 
 func BenchmarkDecode11000(b *testing.B) {
-	s, _ := NewState().ApplyAll(organisations(b, fleetOrganisations, 1000))
-	data := encoded(b, s)
+	s, _ := NewState().ApplyAll(organisationLog(b, benchmarkOrganisations, 1000))
+	data := mustEncode(b, s)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := DecodeState(data); err != nil {
@@ -170,7 +171,7 @@
 }
 
 func BenchmarkChangeAt11000(b *testing.B) {
-	s, _ := NewState().ApplyAll(organisations(b, fleetOrganisations, 1000))
+	s, _ := NewState().ApplyAll(organisationLog(b, benchmarkOrganisations, 1000))
 	for b.Loop() {
 		data, err := EncodeSince(s, s.Offset-1)
 		if err != nil {
@@ -180,8 +181,8 @@
 	}
 }
 
-// heap returns the live heap in bytes.
-func heap() uint64 {
+// liveHeapBytes returns the size of the live heap after a collection.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -189,17 +190,17 @@
 }
 
 func BenchmarkMemory11000(b *testing.B) {
-	data := encoded(b, func() *State {
-		s, _ := NewState().ApplyAll(organisations(b, fleetOrganisations, 1000))
+	data := mustEncode(b, func() *State {
+		s, _ := NewState().ApplyAll(organisationLog(b, benchmarkOrganisations, 1000))
 		return s
 	}())
 	for b.Loop() {
-		before := heap()
+		before := liveHeapBytes()
 		s, err := DecodeState(data)
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(heap()-before), "state-bytes")
+		b.ReportMetric(float64(liveHeapBytes()-before), "state-bytes")
 		runtime.KeepAlive(s)
 	}
 }
