--- a/internal/config/body.go
+++ b/internal/config/body.go
@@ -125,7 +125,7 @@
 
 func checkName(doc *strictjson.Document, path, value string) {
 	if !keyPattern.MatchString(value) {
-		doc.Add(path, fmt.Sprintf("%.80q is no name", value), wantKey)
+		doc.Add(path, fmt.Sprintf("%.80q is not a name", value), wantKey)
 	}
 }
 
@@ -134,7 +134,7 @@
 		at := fmt.Sprintf("%s[%d]", path, i)
 		checkName(doc, at, v)
 		if slices.Contains(values[:i], v) {
-			doc.Add(at, fmt.Sprintf("%.80q is there twice", v), "each once")
+			doc.Add(at, fmt.Sprintf("%.80q is a duplicate", v), "each once")
 		}
 	}
 }
@@ -142,7 +142,7 @@
 func checkPaths(doc *strictjson.Document, path string, values []string) {
 	for i, v := range values {
 		if !strings.HasPrefix(v, "/") {
-			doc.Add(fmt.Sprintf("%s[%d]", path, i), fmt.Sprintf("%.80q is no path", v), `a path prefix such as "/balance"`)
+			doc.Add(fmt.Sprintf("%s[%d]", path, i), fmt.Sprintf("%.80q is not a path", v), `a path prefix such as "/balance"`)
 		}
 	}
 }
--- a/internal/config/organisation.go
+++ b/internal/config/organisation.go
@@ -77,10 +77,10 @@
 	for i, d := range b.KeyDigests {
 		at := fmt.Sprintf("body.key_digests[%d]", i)
 		if !digestPattern.MatchString(d) {
-			doc.Add(at, fmt.Sprintf("%.80q is no digest", d), "the SHA-256 of an API key, 64 hex digits in lower case")
+			doc.Add(at, fmt.Sprintf("%.80q is not a digest", d), "the SHA-256 of an API key, 64 hex digits in lower case")
 		}
 		if slices.Contains(b.KeyDigests[:i], d) {
-			doc.Add(at, "is there twice", "each once")
+			doc.Add(at, "is a duplicate", "each once")
 		}
 	}
 	names := make([]string, len(b.Models))
--- a/internal/config/record.go
+++ b/internal/config/record.go
@@ -135,9 +135,9 @@
 		doc.Add("schema", fmt.Sprintf("is %d", r.Schema), fmt.Sprintf("a schema version, 1 to %d", MaxSchema))
 	}
 	if !kindPattern.MatchString(string(r.Kind)) {
-		doc.Add("kind", fmt.Sprintf("%.40q is no kind", r.Kind), wantKind)
+		doc.Add("kind", fmt.Sprintf("%.40q is not a kind", r.Kind), wantKind)
 	}
 	if !keyPattern.MatchString(r.Key) {
-		doc.Add("key", fmt.Sprintf("%.80q is no key", r.Key), wantKey)
+		doc.Add("key", fmt.Sprintf("%.80q is not a key", r.Key), wantKey)
 	}
 }
--- a/internal/config/record_test.go
+++ b/internal/config/record_test.go
@@ -17,12 +17,12 @@
 		{"schema 1 with models of 2", `{"schema":1,"kind":"organisation","key":"o","body":{"models":[{"name":"m"}]}}`, `body.models[0]: is an object; want a string`},
 		{"no schema", `{"kind":"group","key":"g"}`, `schema: is 0; want a schema version, 1 to 2`},
 		{"kind", `{"schema":1,"kind":"grup","key":"g","body":{}}`, `kind: "grup" is not known`},
-		{"key", `{"schema":1,"kind":"group","key":"a b","body":{}}`, `key: "a b" is no key`},
-		{"digest", `{"schema":1,"kind":"organisation","key":"o","body":{"key_digests":["secret"]}}`, `body.key_digests[0]: "secret" is no digest`},
+		{"key", `{"schema":1,"kind":"group","key":"a b","body":{}}`, `key: "a b" is not a key`},
+		{"digest", `{"schema":1,"kind":"organisation","key":"o","body":{"key_digests":["secret"]}}`, `body.key_digests[0]: "secret" is not a digest`},
 		{"version", `{"schema":2,"kind":"model","key":"m","body":{"group":"g","versions":["v1"],"version":"v2"}}`, `body.version: "v2" is not among the versions`},
 		{"no body", `{"schema":2,"kind":"model","key":"m"}`, `body: is missing`},
 		{"both", `{"schema":1,"kind":"service","key":"s","body":{"group":"g","repeatable":["/a"],"key_required":["/a"]}}`, `body.key_required[0]: "/a" is repeatable too`},
-		{"path", `{"schema":1,"kind":"service","key":"s","body":{"group":"g","repeatable":["a"]}}`, `body.repeatable[0]: "a" is no path`},
+		{"path", `{"schema":1,"kind":"service","key":"s","body":{"group":"g","repeatable":["a"]}}`, `body.repeatable[0]: "a" is not a path`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := ParseRecord([]byte(tc.record), "f.json")
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,12 +10,13 @@
 	"skylarklead/internal/strictjson"
 )
 
-// RoleDirect is the role of an entry that feeds replicas itself.
+// RoleDirect is the role of an entry that dispatches requests directly to replicas.
 const RoleDirect = "direct"
 
 const (
-	// maxBodyBound keeps a caller's body within one frame between processes.
-	maxBodyBound = 4 << 20
+	// maxBodyLimit, in bytes, keeps a caller's body within one frame between
+	// processes.
+	maxBodyLimit = 4 << 20
 	wantAddress  = `"ip:port" by IP number, such as "127.0.0.1:7001"`
 	wantURL      = `a base URL by IP number, such as "http://127.0.0.1:7000"`
 )
@@ -24,67 +25,69 @@
 	logLevels = []string{"debug", "info", "warn", "error"}
 	roles     = []string{"entry", "endpoint", RoleDirect}
 	kinds     = []string{"engine", "service"}
-	// policies are those of package route, which imports this one.
+	// policies are those of package route. They are repeated here because route
+	// imports this package.
 	policies = []string{"owner", "random", "round_robin", "least_loaded", "rendezvous_prompt", "rendezvous_bounded", "prefix_tables"}
 )
 
-// checker adds the problems that the types alone don't show.
+// checker validates the values of decoded settings and adds the problems to doc.
 type checker struct {
-	doc *strictjson.Document
-	s   *Settings
-	// listens has the field that each listening address was first given in.
-	listens map[netip.AddrPort]string
+	doc      *strictjson.Document
+	settings *Settings
+	// listenFields has the field that each listening address was first given in.
+	listenFields map[netip.AddrPort]string
 }
 
 func (c *checker) check() {
 	if !c.doc.OK() && !c.doc.Has("id") && !c.doc.Has("role") {
-		return // not a settings file at all: one problem is enough
+		return // not a settings file at all: the decoder's problems are enough
 	}
-	c.listens = map[netip.AddrPort]string{}
-	s := c.s
+	c.listenFields = map[netip.AddrPort]string{}
+	s := c.settings
 	c.required("id", s.ID)
 	c.oneOf("role", s.Role, roles)
 	c.required("failure_domain", s.FailureDomain)
 	c.oneOf("log_level", s.LogLevel, logLevels)
 	if s.Metrics != "" {
-		c.listen("metrics", s.Metrics)
+		c.listenAddress("metrics", s.Metrics)
 	}
 	if s.Role == RoleDirect {
-		c.direct()
+		c.checkDirect()
 		return
 	}
-	c.listen("listen", s.Listen)
+	c.listenAddress("listen", s.Listen)
 	if c.doc.Has("advertise") {
-		c.peer("advertise", s.Advertise)
+		c.peerAddress("advertise", s.Advertise)
 	} else if strings.HasPrefix(s.Listen, "0.0.0.0:") || strings.HasPrefix(s.Listen, "[::]:") {
 		c.doc.Add("listen", fmt.Sprintf("%q can't be dialled by peers", s.Listen), `"advertise" beside it, or one address`)
 	}
-	c.fleetKeys()
+	c.checkFleetKeys()
 	c.baseURL("platform.log", s.Platform.Log)
 	c.baseURL("platform.instances", s.Platform.Instances)
 	c.positive("platform.retention", s.Platform.Retention)
-	c.bootstrap()
-	c.roles()
+	c.checkBootstrap()
+	c.checkRoles()
 }
 
-func (c *checker) bootstrap() {
-	for i, p := range c.s.Bootstrap.Peers {
+func (c *checker) checkBootstrap() {
+	for i, p := range c.settings.Bootstrap.Peers {
 		path := fmt.Sprintf("bootstrap.peers[%d]", i)
-		c.peer(path, p)
-		if slices.Contains(c.s.Bootstrap.Peers[:i], p) {
-			c.doc.Add(path, fmt.Sprintf("%q is there twice", p), "each peer once")
+		c.peerAddress(path, p)
+		if slices.Contains(c.settings.Bootstrap.Peers[:i], p) {
+			c.doc.Add(path, fmt.Sprintf("%q is a duplicate", p), "each peer once")
 		}
 	}
 }
 
-// roles checks that the role and its own part agree and checks that part.
-func (c *checker) roles() {
-	s := c.s
+// checkRoles checks that the settings have exactly the section of the role, and
+// checks that section.
+func (c *checker) checkRoles() {
+	s := c.settings
 	if s.Entry != nil {
-		c.entry(s.Entry)
+		c.checkEntry(s.Entry)
 	}
 	if s.Endpoint != nil {
-		c.endpoint(s.Endpoint)
+		c.checkEndpoint(s.Endpoint)
 	}
 	switch {
 	case s.Entry != nil && s.Endpoint != nil:
@@ -92,28 +95,28 @@
 	case s.Entry == nil && s.Endpoint == nil:
 		c.doc.Add("", `neither "entry" nor "endpoint" is given`, "the one that the role names")
 	case s.Role == "entry" && s.Entry == nil:
-		c.doc.Add("role", `is "entry" but the settings have "endpoint"`, `role "endpoint", or a part "entry"`)
+		c.doc.Add("role", `is "entry" but the settings have "endpoint"`, `role "endpoint", or a section "entry"`)
 	case s.Role == "endpoint" && s.Endpoint == nil:
-		c.doc.Add("role", `is "endpoint" but the settings have "entry"`, `role "entry", or a part "endpoint"`)
+		c.doc.Add("role", `is "endpoint" but the settings have "entry"`, `role "entry", or a section "endpoint"`)
 	}
 }
 
-func (c *checker) entry(e *Entry) {
-	c.listen("entry.listen", e.Listen)
+func (c *checker) checkEntry(e *Entry) {
+	c.listenAddress("entry.listen", e.Listen)
 	if e.TLS != nil {
 		c.required("entry.tls.certificate", e.TLS.Certificate)
 		c.required("entry.tls.key", e.TLS.Key)
 	}
-	if e.MaxBody <= 0 || e.MaxBody > maxBodyBound {
-		c.doc.Add("entry.max_body", fmt.Sprintf("is %d", e.MaxBody), fmt.Sprintf("bytes from 1 to %d", maxBodyBound))
+	if e.MaxBody <= 0 || e.MaxBody > maxBodyLimit {
+		c.doc.Add("entry.max_body", fmt.Sprintf("is %d", e.MaxBody), fmt.Sprintf("bytes from 1 to %d", maxBodyLimit))
 	}
 	c.positive("entry.hedge_after", e.HedgeAfter)
 	c.positive("entry.request_timeout", e.RequestTimeout)
-	c.share("entry.retry_share", e.RetryShare)
+	c.fraction("entry.retry_share", e.RetryShare)
 	c.oneOf("entry.policy", e.Policy, policies)
 }
 
-func (c *checker) endpoint(e *Endpoint) {
+func (c *checker) checkEndpoint(e *Endpoint) {
 	c.required("endpoint.group", e.Group)
 	c.oneOf("endpoint.kind", e.Kind, kinds)
 	c.baseURL("endpoint.backend", e.Backend)
@@ -121,14 +124,14 @@
 	if e.MaxQueue < 0 {
 		c.doc.Add("endpoint.max_queue", fmt.Sprintf("is %d", e.MaxQueue), "0 or more")
 	}
-	c.share("endpoint.small_reserve", e.SmallReserve)
-	c.share("endpoint.keep_serving", e.KeepServing)
+	c.fraction("endpoint.small_reserve", e.SmallReserve)
+	c.fraction("endpoint.keep_serving", e.KeepServing)
 	c.positive("endpoint.first_token_target", e.FirstTokenTarget)
 	c.atLeastOne("endpoint.prefill_tokens_per_second", e.PrefillTokensPerSecond)
 	c.positive("endpoint.decode_token_time", e.DecodeTokenTime)
 	if !(e.TransferTokensPerSecond >= 0) {
 		c.doc.Add("endpoint.transfer_tokens_per_second", fmt.Sprintf("is %v", e.TransferTokensPerSecond),
-			"0 for no import, or what the engines were measured to transfer")
+			"0 for no import, or the measured transfer rate of the engines")
 	}
 	if e.TransferTokensPerSecond > 0 {
 		c.positive("endpoint.transfer_wait", e.TransferWait)
@@ -137,7 +140,7 @@
 	c.positive("endpoint.heartbeat", e.Heartbeat)
 	if e.SuspectAfter <= e.Heartbeat {
 		c.doc.Add("endpoint.suspect_after",
-			fmt.Sprintf("%v is not more than the heartbeat, %v, so that every peer would be suspected", e.SuspectAfter.D(), e.Heartbeat.D()),
+			fmt.Sprintf("%v is not more than the heartbeat, %v: every peer would be suspected", e.SuspectAfter.D(), e.Heartbeat.D()),
 			"about three heartbeats")
 	}
 }
@@ -166,43 +169,44 @@
 	}
 }
 
-func (c *checker) share(path string, n float64) {
+func (c *checker) fraction(path string, n float64) {
 	if !(n >= 0 && n <= 1) {
 		c.doc.Add(path, fmt.Sprintf("is %v", n), "a share from 0 to 1")
 	}
 }
 
-// address parses "ip:port" and reports it if it isn't.
+// address parses "ip:port" and adds a problem if value isn't that or has port 0.
 func (c *checker) address(path, value string) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
 		c.doc.Add(path, fmt.Sprintf("%q is not an address", value), wantAddress)
 	case a.Port() == 0:
-		c.doc.Add(path, fmt.Sprintf("%q has port 0", value), "a port that peers can be told")
+		c.doc.Add(path, fmt.Sprintf("%q has port 0", value), "a fixed port that can be advertised to peers")
 	default:
 		return a, true
 	}
 	return a, false
 }
 
-func (c *checker) listen(path, value string) {
+// listenAddress checks an address to listen on and that no other setting uses it.
+func (c *checker) listenAddress(path, value string) {
 	a, ok := c.address(path, value)
 	if !ok {
 		return
 	}
-	for b, other := range c.listens {
+	for b, other := range c.listenFields {
 		anyHost := a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 		if a == b || (a.Port() == b.Port() && anyHost) {
 			c.doc.Add(path, fmt.Sprintf("%q is already taken by %s", value, other), "an address of its own")
 			return
 		}
 	}
-	c.listens[a] = path
+	c.listenFields[a] = path
 }
 
-// peer checks an address that others dial.
-func (c *checker) peer(path, value string) {
+// peerAddress checks an address that other processes dial.
+func (c *checker) peerAddress(path, value string) {
 	if a, ok := c.address(path, value); ok && a.Addr().IsUnspecified() {
 		c.doc.Add(path, fmt.Sprintf("%q can't be dialled", value), wantAddress)
 	}
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -6,7 +6,7 @@
 	"skylarklead/internal/strictjson"
 )
 
-// What a settings file that doesn't say otherwise gets.
+// Defaults of the settings that a file leaves out.
 const (
 	DefaultLogLevel               = "info"
 	DefaultRetention              = Duration(24 * time.Hour)
@@ -29,11 +29,12 @@
 	DefaultSuspectAfter           = Duration(3 * time.Second)
 )
 
-// fillDefaults sets what the document leaves out. What it gives as 0 stays 0.
+// fillDefaults sets the fields that the document leaves out. A field that the
+// document sets to 0 stays 0.
 func (s *Settings) fillDefaults(doc *strictjson.Document) {
-	fill(doc, "log_level", &s.LogLevel, DefaultLogLevel)
-	fill(doc, "advertise", &s.Advertise, s.Listen)
-	fill(doc, "platform.retention", &s.Platform.Retention, DefaultRetention)
+	setDefault(doc, "log_level", &s.LogLevel, DefaultLogLevel)
+	setDefault(doc, "advertise", &s.Advertise, s.Listen)
+	setDefault(doc, "platform.retention", &s.Platform.Retention, DefaultRetention)
 	if e := s.Entry; e != nil {
 		e.fillDefaults(doc)
 	}
@@ -46,29 +47,29 @@
 }
 
 func (e *Entry) fillDefaults(doc *strictjson.Document) {
-	fill(doc, "entry.max_body", &e.MaxBody, DefaultMaxBody)
-	fill(doc, "entry.hedge_after", &e.HedgeAfter, DefaultHedgeAfter)
-	fill(doc, "entry.resume_grace", &e.ResumeGrace, DefaultResumeGrace)
-	fill(doc, "entry.request_timeout", &e.RequestTimeout, DefaultRequestTimeout)
-	fill(doc, "entry.retry_share", &e.RetryShare, DefaultRetryShare)
-	fill(doc, "entry.policy", &e.Policy, DefaultPolicy)
+	setDefault(doc, "entry.max_body", &e.MaxBody, DefaultMaxBody)
+	setDefault(doc, "entry.hedge_after", &e.HedgeAfter, DefaultHedgeAfter)
+	setDefault(doc, "entry.resume_grace", &e.ResumeGrace, DefaultResumeGrace)
+	setDefault(doc, "entry.request_timeout", &e.RequestTimeout, DefaultRequestTimeout)
+	setDefault(doc, "entry.retry_share", &e.RetryShare, DefaultRetryShare)
+	setDefault(doc, "entry.policy", &e.Policy, DefaultPolicy)
 }
 
 func (e *Endpoint) fillDefaults(doc *strictjson.Document) {
-	fill(doc, "endpoint.kind", &e.Kind, DefaultKind)
-	fill(doc, "endpoint.max_running", &e.MaxRunning, DefaultMaxRunning)
-	fill(doc, "endpoint.max_queue", &e.MaxQueue, DefaultMaxQueue)
-	fill(doc, "endpoint.small_reserve", &e.SmallReserve, DefaultSmallReserve)
-	fill(doc, "endpoint.first_token_target", &e.FirstTokenTarget, DefaultFirstTokenTarget)
-	fill(doc, "endpoint.prefill_tokens_per_second", &e.PrefillTokensPerSecond, DefaultPrefillTokensPerSecond)
-	fill(doc, "endpoint.decode_token_time", &e.DecodeTokenTime, DefaultDecodeTokenTime)
-	fill(doc, "endpoint.cache_tokens", &e.CacheTokens, DefaultCacheTokens)
-	fill(doc, "endpoint.transfer_wait", &e.TransferWait, DefaultTransferWait)
-	fill(doc, "endpoint.heartbeat", &e.Heartbeat, DefaultHeartbeat)
-	fill(doc, "endpoint.suspect_after", &e.SuspectAfter, DefaultSuspectAfter)
+	setDefault(doc, "endpoint.kind", &e.Kind, DefaultKind)
+	setDefault(doc, "endpoint.max_running", &e.MaxRunning, DefaultMaxRunning)
+	setDefault(doc, "endpoint.max_queue", &e.MaxQueue, DefaultMaxQueue)
+	setDefault(doc, "endpoint.small_reserve", &e.SmallReserve, DefaultSmallReserve)
+	setDefault(doc, "endpoint.first_token_target", &e.FirstTokenTarget, DefaultFirstTokenTarget)
+	setDefault(doc, "endpoint.prefill_tokens_per_second", &e.PrefillTokensPerSecond, DefaultPrefillTokensPerSecond)
+	setDefault(doc, "endpoint.decode_token_time", &e.DecodeTokenTime, DefaultDecodeTokenTime)
+	setDefault(doc, "endpoint.cache_tokens", &e.CacheTokens, DefaultCacheTokens)
+	setDefault(doc, "endpoint.transfer_wait", &e.TransferWait, DefaultTransferWait)
+	setDefault(doc, "endpoint.heartbeat", &e.Heartbeat, DefaultHeartbeat)
+	setDefault(doc, "endpoint.suspect_after", &e.SuspectAfter, DefaultSuspectAfter)
 }
 
-func fill[T any](doc *strictjson.Document, path string, field *T, value T) {
+func setDefault[T any](doc *strictjson.Document, path string, field *T, value T) {
 	if !doc.Has(path) {
 		*field = value
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -8,33 +8,33 @@
 
 const (
 	minFleetKeyBytes = 32
-	// maxFleetKeys bounds the keys that each opening of a session is tried with.
+	// maxFleetKeys bounds the keys that a session handshake is checked against.
 	maxFleetKeys = 4
 )
 
-// fleetKeys checks fleet_key, or fleet_keys in its place.
-func (c *checker) fleetKeys() {
-	s := c.s
+// checkFleetKeys checks fleet_key, or fleet_keys if given instead.
+func (c *checker) checkFleetKeys() {
+	s := c.settings
 	if len(s.FleetKeys) == 0 {
-		c.fleetKey("fleet_key", s.FleetKey)
+		c.checkFleetKey("fleet_key", s.FleetKey)
 		return
 	}
 	if s.FleetKey != "" {
 		c.doc.Add("fleet_keys", `is given beside "fleet_key"`, "one of the two")
 	}
 	if n := len(s.FleetKeys); n > maxFleetKeys {
-		c.doc.Add("fleet_keys", fmt.Sprintf("has %d keys", n), fmt.Sprintf("%d at the most", maxFleetKeys))
+		c.doc.Add("fleet_keys", fmt.Sprintf("has %d keys", n), fmt.Sprintf("at most %d", maxFleetKeys))
 	}
 	for i, key := range s.FleetKeys {
 		path := fmt.Sprintf("fleet_keys[%d]", i)
-		c.fleetKey(path, key)
+		c.checkFleetKey(path, key)
 		if slices.Contains(s.FleetKeys[:i], key) {
-			c.doc.Add(path, "is there twice", "each key once")
+			c.doc.Add(path, "is a duplicate", "each key once")
 		}
 	}
 }
 
-func (c *checker) fleetKey(path, value string) {
+func (c *checker) checkFleetKey(path, value string) {
 	want := fmt.Sprintf("%d bytes or more in hex, the same in the whole fleet", minFleetKeyBytes)
 	key, err := hex.DecodeString(value)
 	switch {
@@ -45,20 +45,22 @@
 	}
 }
 
-// Key returns the bytes of the fleet's key, by which peers are dialled.
-func (s *Settings) Key() []byte { return s.keys()[0] }
+// Key returns the decoded fleet key with which this process dials peers. It also
+// accepts it.
+func (s *Settings) Key() []byte { return s.decodedKeys()[0] }
 
-// AdditionalKeys returns the other keys that dialling peers may have.
-func (s *Settings) AdditionalKeys() [][]byte { return s.keys()[1:] }
+// AdditionalKeys returns the decoded further keys that are accepted from dialling
+// peers.
+func (s *Settings) AdditionalKeys() [][]byte { return s.decodedKeys()[1:] }
 
-func (s *Settings) keys() [][]byte {
-	texts := s.FleetKeys
-	if len(texts) == 0 {
-		texts = []string{s.FleetKey}
+func (s *Settings) decodedKeys() [][]byte {
+	encoded := s.FleetKeys
+	if len(encoded) == 0 {
+		encoded = []string{s.FleetKey}
 	}
-	keys := make([][]byte, len(texts))
-	for i, text := range texts {
-		keys[i], _ = hex.DecodeString(text) // Parse has refused what is not hex
+	keys := make([][]byte, len(encoded))
+	for i, text := range encoded {
+		keys[i], _ = hex.DecodeString(text) // Parse refuses keys that are not hex
 	}
 	return keys
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,25 +10,26 @@
 )
 
 // Load reads and checks the settings file at path and the files that it names. The
-// error is a strictjson.Problems with every mistake in them, or tells why the
-// settings can't be read.
+// error is a strictjson.Problems with all problems found, or says why the settings
+// file can't be read.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c := parse(data, path)
-	c.files()
+	c.checkFiles()
 	return c.result()
 }
 
-// Parse checks settings, but no file that they name; name is the file's name in
-// errors. It fills in the defaults of what data leaves out.
+// Parse decodes and checks settings but not the files that they name. name is the
+// file's name in errors. Fields that data leaves out get their defaults. The error
+// is a strictjson.Problems.
 func Parse(data []byte, name string) (*Settings, error) { return parse(data, name).result() }
 
 func parse(data []byte, name string) *checker {
 	s := &Settings{}
-	c := &checker{doc: strictjson.Decode(data, name, s), s: s}
+	c := &checker{doc: strictjson.Decode(data, name, s), settings: s}
 	s.fillDefaults(c.doc)
 	c.check()
 	return c
@@ -38,11 +39,11 @@
 	if err := c.doc.Err(); err != nil {
 		return nil, err
 	}
-	return c.s, nil
+	return c.settings, nil
 }
 
-// UnmarshalJSON accepts a string such as "250ms". A bare number is refused: its
-// unit would be a guess, and a wrong one is off by a factor of a thousand.
+// UnmarshalJSON accepts a string such as "250ms". It refuses a number without a
+// unit: the unit would be a guess, and a wrong guess is off by a factor of a thousand.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	const want = `a duration string with a unit, such as "250ms", "3s" or "24h"`
 	var text string
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -11,7 +11,7 @@
 	"skylarklead/test/kit"
 )
 
-// The settings accept every policy that the router has.
+// The settings must accept every policy of package route.
 func TestPoliciesOfRoute(t *testing.T) {
 	data := kit.Must(os.ReadFile("testdata/seeds/entry.json"))(t)
 	for _, policy := range []route.Policy{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,8 +14,8 @@
 	"skylarklead/test/kit"
 )
 
-// whole is a settings file in which the tests change one thing each.
-const whole = `{
+// validSettings is a settings file; each test replaces a part of it.
+const validSettings = `{
   "id": "entry-1",
   "role": "entry",
   "failure_domain": "hobart-a",
@@ -26,26 +26,26 @@
   "entry": {"listen": "127.0.0.1:8080"},
 }`
 
-const wholeEndpoint = `"endpoint": {"group": "g", "backend": "http://127.0.0.1:9000", "heartbeat": "1s"`
+const endpointSection = `"endpoint": {"group": "g", "backend": "http://127.0.0.1:9000", "heartbeat": "1s"`
 
 const (
-	oneKey   = `"fleet_key": "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"`
-	otherKey = "ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
+	keySetting = `"fleet_key": "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"`
+	otherKey   = "ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff"
 )
 
 func TestFleetKeys(t *testing.T) {
-	_, plain, _ := strings.Cut(strings.Trim(oneKey, `"`), `: "`)
-	s := kit.Must(Parse([]byte(strings.Replace(whole, oneKey, `"fleet_keys": ["`+otherKey+`", "`+plain+`"]`, 1)), "s"))(t)
-	if also := s.AdditionalKeys(); s.Key()[0] != 0xff || len(also) != 1 || also[0][0] != 0 {
-		t.Errorf("dials by %x, also accepts %x", s.Key(), also)
+	_, key, _ := strings.Cut(strings.Trim(keySetting, `"`), `: "`)
+	s := kit.Must(Parse([]byte(strings.Replace(validSettings, keySetting, `"fleet_keys": ["`+otherKey+`", "`+key+`"]`, 1)), "s"))(t)
+	if additional := s.AdditionalKeys(); s.Key()[0] != 0xff || len(additional) != 1 || additional[0][0] != 0 {
+		t.Errorf("dials by %x, also accepts %x", s.Key(), additional)
 	}
 }
 
-// Symptom: daemons that a tool starts with settings it has written end at once.
-// Sequence: settings without fleet_keys are written as JSON and read. Cause: what
-// isn't set was written as null, which is no array.
+// Settings that a tool writes as JSON must be accepted by the daemon. An unset
+// fleet_keys was written as null, which is not an array, so that daemons exited at
+// once.
 func TestWrittenSettingsAreRead(t *testing.T) {
-	s, err := Parse([]byte(whole), "s")
+	s, err := Parse([]byte(validSettings), "s")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 }
 
 func TestDefaults(t *testing.T) {
-	s := kit.Must(Parse([]byte(whole), "whole.json"))(t)
+	s := kit.Must(Parse([]byte(validSettings), "whole.json"))(t)
 	if s.Advertise != s.Listen || s.LogLevel != "info" || s.Platform.Retention.D() != 24*time.Hour {
 		t.Errorf("process: %+v", s)
 	}
@@ -75,15 +75,14 @@
 	}
 }
 
-// Symptom: programs that write settings files for daemons, such as the proofs, have
-// them refused. Sequence: a field is added and left out there. Cause: a value that
-// stands for nothing is written as null or 0.
+// Settings written by a program that doesn't set a newly added field must read back
+// as the defaults. If an unset field is written as null or 0, the daemon refuses it.
 func TestSettingsAreWrittenAsTheyAreRead(t *testing.T) {
-	endpoint := strings.NewReplacer(`"entry": {"listen": "127.0.0.1:8080"}`, wholeEndpoint+`}`, `"role": "entry"`, `"role": "endpoint"`).Replace(whole)
-	for _, text := range []string{whole, endpoint} {
+	endpoint := strings.NewReplacer(`"entry": {"listen": "127.0.0.1:8080"}`, endpointSection+`}`, `"role": "entry"`, `"role": "endpoint"`).Replace(validSettings)
+	for _, text := range []string{validSettings, endpoint} {
 		s := kit.Must(Parse([]byte(text), "s"))(t)
 		if s.Endpoint != nil {
-			s.Endpoint.FirstTokenTarget = 0 // what a program that doesn't know it leaves
+			s.Endpoint.FirstTokenTarget = 0 // as a program that doesn't set the field leaves it
 		}
 		again := kit.Must(Parse(kit.Must(json.Marshal(s))(t), "again"))(t)
 		if s.Endpoint != nil {
@@ -97,7 +96,7 @@
 
 func TestMistakes(t *testing.T) {
 	endpoint := func(with string) [2]string {
-		return [2]string{`"entry": {"listen": "127.0.0.1:8080"}`, wholeEndpoint + with + `}`}
+		return [2]string{`"entry": {"listen": "127.0.0.1:8080"}`, endpointSection + with + `}`}
 	}
 	for _, tc := range []struct {
 		name    string
@@ -115,17 +114,17 @@
 		{"share", [2]string{`8080"`, `8080", "retry_share": 1.5`}, `entry.retry_share: is 1.5; want a share from 0 to 1`},
 		{"short key", [2]string{`00112233445566778899aabbccddeeff0`, `0`}, `settings.json:6: fleet_key: has 16 bytes; want 32 bytes or more in hex`},
 		{"two sorts of keys", [2]string{`"fleet_key"`, `"fleet_keys": ["` + otherKey + `"], "fleet_key"`}, `fleet_keys: is given beside "fleet_key"; want one of the two`},
-		{"short second key", [2]string{oneKey, `"fleet_keys": ["` + otherKey + `", "00"]`}, `settings.json:6: fleet_keys[1]: has 1 bytes`},
-		{"key twice", [2]string{oneKey, `"fleet_keys": ["` + otherKey + `", "` + otherKey + `"]`}, `fleet_keys[1]: is there twice`},
-		{"many keys", [2]string{oneKey, `"fleet_keys": ["", "", "", "", ""]`}, `fleet_keys: has 5 keys; want 4 at the most`},
-		{"no keys", [2]string{oneKey, `"fleet_keys": []`}, `fleet_key: has 0 bytes`},
+		{"short second key", [2]string{keySetting, `"fleet_keys": ["` + otherKey + `", "00"]`}, `settings.json:6: fleet_keys[1]: has 1 bytes`},
+		{"key twice", [2]string{keySetting, `"fleet_keys": ["` + otherKey + `", "` + otherKey + `"]`}, `fleet_keys[1]: is a duplicate`},
+		{"many keys", [2]string{keySetting, `"fleet_keys": ["", "", "", "", ""]`}, `fleet_keys: has 5 keys; want at most 4`},
+		{"no keys", [2]string{keySetting, `"fleet_keys": []`}, `fleet_key: has 0 bytes`},
 		{"key not hex", [2]string{`"0011`, `"zz11`}, `settings.json:6: fleet_key: is not hex`},
 		{"role", [2]string{`"role": "entry"`, `"role": "endpoint"`}, `settings.json:3: role: is "endpoint" but the settings have "entry"`},
 		{"unknown role", [2]string{`"role": "entry"`, `"role": "router"`}, `role: "router" is not known; want "entry" or "endpoint"`},
 		{"neither part", [2]string{`"entry": {"listen": "127.0.0.1:8080"},`, ``}, `neither "entry" nor "endpoint" is given`},
-		{"both parts", [2]string{`"entry": {`, wholeEndpoint + `}, "entry": {`}, `endpoint: is given beside "entry"`},
+		{"both parts", [2]string{`"entry": {`, endpointSection + `}, "entry": {`}, `endpoint: is given beside "entry"`},
 		{"twice", [2]string{`"id"`, `"id": "x", "id"`}, `settings.json:2: id: given twice`},
-		{"peer twice", [2]string{`["127.0.0.1:7002"]`, `["127.0.0.1:7002", "127.0.0.1:7002"]`}, `bootstrap.peers[1]: "127.0.0.1:7002" is there twice`},
+		{"peer twice", [2]string{`["127.0.0.1:7002"]`, `["127.0.0.1:7002", "127.0.0.1:7002"]`}, `bootstrap.peers[1]: "127.0.0.1:7002" is a duplicate`},
 		{"policy", [2]string{`8080"`, `8080", "policy": "onwer"`}, `entry.policy: "onwer" is not known; want "owner" or "random"`},
 		{"reserve", endpoint(`, "small_reserve": -0.1`), `endpoint.small_reserve: is -0.1; want a share from 0 to 1`},
 		{"keep serving", endpoint(`, "keep_serving": 2`), `endpoint.keep_serving: is 2; want a share from 0 to 1`},
@@ -136,7 +135,7 @@
 		{"type", [2]string{`"entry-1"`, `7`}, `settings.json:2: id: is 7; want a string`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(whole, tc.replace[0], tc.replace[1], 1)), "settings.json")
+			_, err := Parse([]byte(strings.Replace(validSettings, tc.replace[0], tc.replace[1], 1)), "settings.json")
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got  %v\nwant %s", err, tc.want)
 			}
@@ -145,7 +144,7 @@
 }
 
 func TestAllMistakesAtOnce(t *testing.T) {
-	text := strings.NewReplacer(`"hobart-a"`, `""`, `7002`, `0`, `8080"`, `8080", "max_body": -1`).Replace(whole)
+	text := strings.NewReplacer(`"hobart-a"`, `""`, `7002`, `0`, `8080"`, `8080", "max_body": -1`).Replace(validSettings)
 	_, err := Parse([]byte(text), "s")
 	var problems strictjson.Problems
 	if !errors.As(err, &problems) || len(problems) != 3 {
@@ -168,7 +167,7 @@
 			t.Fatalf("settings %v with error %v", s, err)
 		}
 		if s != nil && (s.Entry == nil) == (s.Endpoint == nil) {
-			t.Fatal("accepted without exactly one role's part")
+			t.Fatal("accepted without exactly one role's section")
 		}
 	})
 }
