--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -8,8 +8,8 @@
 	"skylarklead/internal/protocol"
 )
 
-// benchMessages are messages as they go between processes with names of a usual
-// length; the number is of candidates, changed residents, or bytes of text.
+// benchMessages returns messages with names of typical length. A number in a message's
+// name is its count of tokens, candidates or changed residents, or its bytes of text.
 func benchMessages() map[string]protocol.Message {
 	const request, owner, address = "req-0123456789abcdef", "ledger-llm-17", "10.20.3.117:7400"
 	messages := map[string]protocol.Message{
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,9 +1,9 @@
-// Package wire is the protocol between the system's own processes: CBOR
-// messages over authenticated WebSocket sessions.
+// Package wire transports the messages between the system's own processes: CBOR
+// frames over authenticated WebSocket sessions.
 //
-// The messages are in package protocol; codec.go has their frames, session.go the
-// sessions, pool.go the connections that a process keeps to its peers. No message
-// carries a wall-clock time: durations are relative to its receipt.
+// The messages are in package protocol. codec.go encodes and decodes frames,
+// session.go implements sessions, pool.go keeps a process's outgoing sessions. No
+// message has a wall-clock time: durations are relative to its receipt.
 package wire
 
 import (
@@ -16,8 +16,8 @@
 	"skylarklead/internal/strictcbor"
 )
 
-// newMessage has a constructor for each kind.
-var newMessage = map[protocol.Kind]func() protocol.Message{
+// messageConstructors has a constructor for each kind of message.
+var messageConstructors = map[protocol.Kind]func() protocol.Message{
 	protocol.KindChallenge:      func() protocol.Message { return new(protocol.Challenge) },
 	protocol.KindHello:          func() protocol.Message { return new(protocol.Hello) },
 	protocol.KindWelcome:        func() protocol.Message { return new(protocol.Welcome) },
@@ -46,8 +46,8 @@
 	protocol.KindExported:       func() protocol.Message { return new(protocol.Exported) },
 }
 
-// envelope is a frame: a CBOR array of kind, reference and body. Ref pairs a
-// request with its reply; 0 where there is none.
+// envelope is a frame: a CBOR array of kind, reference and body. Ref matches a
+// reply to its request; 0 if no reply is expected.
 type envelope struct {
 	_    struct{} `cbor:",toarray"`
 	Kind protocol.Kind
@@ -58,11 +58,11 @@
 // ErrMalformed is wrapped by every error about a frame that can't be decoded.
 var ErrMalformed = errors.New("wire: malformed message")
 
-// errUnknownKind is a message of a type that this build doesn't have. It wraps
-// ErrMalformed: an opening with it is refused.
+// errUnknownKind is a message of a kind that this build doesn't know. It wraps
+// ErrMalformed, so that a handshake with such a message fails.
 var errUnknownKind = fmt.Errorf("%w: unknown kind", ErrMalformed)
 
-// Bounds on what a peer can make us build from one frame.
+// Bounds on what decoding one frame from a peer can allocate.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 8
@@ -86,13 +86,13 @@
 	return frame, nil
 }
 
-// Decode reads one frame. Errors wrap ErrMalformed.
+// Decode decodes one frame. Errors wrap ErrMalformed.
 func Decode(frame []byte) (ref uint32, m protocol.Message, err error) {
 	var env envelope
 	if err := decMode.Unmarshal(frame, &env); err != nil {
 		return 0, nil, fmt.Errorf("%w: frame: %v", ErrMalformed, err)
 	}
-	construct, ok := newMessage[env.Kind]
+	construct, ok := messageConstructors[env.Kind]
 	if !ok && env.Kind > protocol.KindLast {
 		return 0, nil, fmt.Errorf("%w %d", errUnknownKind, env.Kind)
 	}
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -14,38 +14,38 @@
 )
 
 var (
-	texts  = rapid.StringN(0, 40, 200)
-	levels = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) prefix.Level {
+	textGen   = rapid.StringN(0, 40, 200)
+	levelsGen = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) prefix.Level {
 		return prefix.Level{Hash: prefix.Hash(rapid.Uint64().Draw(t, "hash")), Tokens: rapid.IntRange(0, 1<<20).Draw(t, "tokens")}
 	}), 1, 8)
-	attempts = rapid.Custom(func(t *rapid.T) (a protocol.AttemptID) {
+	attemptGen = rapid.Custom(func(t *rapid.T) (a protocol.AttemptID) {
 		copy(a[:], rapid.SliceOfN(rapid.Byte(), len(a), len(a)).Draw(t, "attempt"))
 		return a
 	})
 )
 
-// drawMessage returns a message of any kind; the ones with most fields are drawn
-// in full.
+// drawMessage returns a message of any kind. Those of the kinds with most fields have
+// random values.
 func drawMessage(t *rapid.T) protocol.Message {
 	kind := protocol.Kind(rapid.IntRange(int(protocol.KindChallenge), int(protocol.KindLast)).Draw(t, "kind"))
-	m := newMessage[kind]()
+	m := messageConstructors[kind]()
 	switch m := m.(type) {
 	case *protocol.Ask:
-		m.Request, m.Organisation, m.Levels = texts.Draw(t, "request"), texts.Draw(t, "org"), levels.Draw(t, "levels")
+		m.Request, m.Organisation, m.Levels = textGen.Draw(t, "request"), textGen.Draw(t, "org"), levelsGen.Draw(t, "levels")
 		m.Fingerprint, m.DeadlineMs = rapid.Uint64().Draw(t, "fingerprint"), rapid.Int64().Draw(t, "deadline")
-		m.Exclude = rapid.SliceOfN(texts, 1, 4).Draw(t, "exclude")
+		m.Exclude = rapid.SliceOfN(textGen, 1, 4).Draw(t, "exclude")
 	case *protocol.Run:
-		m.Attempt, m.Request, m.Partial = attempts.Draw(t, "attempt"), texts.Draw(t, "request"), texts.Draw(t, "partial")
-		m.Messages = []prefix.Message{{Role: texts.Draw(t, "role"), Content: texts.Draw(t, "content")}}
+		m.Attempt, m.Request, m.Partial = attemptGen.Draw(t, "attempt"), textGen.Draw(t, "request"), textGen.Draw(t, "partial")
+		m.Messages = []prefix.Message{{Role: textGen.Draw(t, "role"), Content: textGen.Draw(t, "content")}}
 		m.FirstSeq, m.Window = rapid.Uint64().Draw(t, "seq"), rapid.Uint32().Draw(t, "window")
 	case *protocol.Chunk:
-		m.Attempt, m.Seq = attempts.Draw(t, "attempt"), rapid.Uint64().Draw(t, "seq")
+		m.Attempt, m.Seq = attemptGen.Draw(t, "attempt"), rapid.Uint64().Draw(t, "seq")
 		m.Data = rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "data")
 	case *protocol.End:
-		m.Attempt, m.Seq, m.Outcome = attempts.Draw(t, "attempt"), rapid.Uint64().Draw(t, "seq"), protocol.Unknown
-		m.Message, m.Redirect = texts.Draw(t, "message"), &protocol.Target{Endpoint: texts.Draw(t, "id")}
+		m.Attempt, m.Seq, m.Outcome = attemptGen.Draw(t, "attempt"), rapid.Uint64().Draw(t, "seq"), protocol.Unknown
+		m.Message, m.Redirect = textGen.Draw(t, "message"), &protocol.Target{Endpoint: textGen.Draw(t, "id")}
 	case *protocol.Exported:
-		m.Incarnation, m.Hashes = texts.Draw(t, "incarnation"), []prefix.Hash{prefix.Hash(rapid.Uint64().Draw(t, "hash"))}
+		m.Incarnation, m.Hashes = textGen.Draw(t, "incarnation"), []prefix.Hash{prefix.Hash(rapid.Uint64().Draw(t, "hash"))}
 		m.Blob = rapid.SliceOfN(rapid.Byte(), 1, 100).Draw(t, "blob")
 	}
 	return m
@@ -67,16 +67,15 @@
 
 func TestKindsAreComplete(t *testing.T) {
 	for kind := protocol.KindChallenge; kind <= protocol.KindLast; kind++ {
-		if m := newMessage[kind](); m.Kind() != kind {
+		if m := messageConstructors[kind](); m.Kind() != kind {
 			t.Errorf("kind %d constructs %T of kind %d", kind, m, m.Kind())
 		}
 	}
 }
 
-// Symptom: a daemon runs out of memory or dies on one frame.
-// Sequence: a peer sends a frame that claims more than it holds, nests deeply or
-// has no known kind.
-// Cause: decoding without bounds.
+// A frame that claims more elements than it has, nests deeply or has an unknown kind
+// must be refused. Decoded without bounds, one such frame makes a daemon run out of
+// memory or crash.
 func TestMalformedFrames(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x81}, 1000), 0x00)
 	for name, frame := range map[string][]byte{
@@ -100,7 +99,7 @@
 
 func FuzzDecode(f *testing.F) {
 	for kind := protocol.KindChallenge; kind <= protocol.KindLast; kind++ {
-		frame := kit.Must(Encode(uint32(kind), newMessage[kind]()))(f)
+		frame := kit.Must(Encode(uint32(kind), messageConstructors[kind]()))(f)
 		f.Add(frame)
 	}
 	full, _ := Encode(1, &protocol.Run{
@@ -112,7 +111,7 @@
 		ref, m, err := Decode(frame)
 		if err != nil {
 			if !errors.Is(err, ErrMalformed) {
-				t.Fatalf("error of another layer: %v", err)
+				t.Fatalf("error doesn't wrap ErrMalformed: %v", err)
 			}
 			return
 		}
--- a/internal/wire/keepalive.go
+++ b/internal/wire/keepalive.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// pingInterval and pingTimeout find a peer that is half-open: its host is
-	// gone or cut off but no reset ever arrives. The session would otherwise
-	// look alive until the kernel gives up, minutes later.
+	// pingInterval and pingTimeout detect a half-open session: the peer's host has
+	// failed or is partitioned and no reset ever arrives. The session would otherwise
+	// look open until the kernel's timeout, minutes later.
 	pingInterval = 2 * time.Second
 	pingTimeout  = 2 * time.Second
-	// idlePingInterval is that of a session on which nothing waits. It only lets
-	// go of what dead peers leave behind: whoever begins to wait on a session
-	// that has been silent makes a ping due at once, and a group hears its
-	// members' heartbeats. More often, it would be most of an entry's control
+	// idlePingInterval is the ping interval of a session on which nothing waits. Such
+	// pings only clean up the sessions of dead peers: a wait that begins shortens the
+	// interval to pingInterval, and the members of a group receive each other's
+	// heartbeats. At a shorter interval, pings would be most of an entry's control
 	// traffic at 600 replicas.
 	idlePingInterval = time.Minute
-	// acceptorPingInterval is the same at the accepting side, which hears the
-	// dialer's pings as long as there is a dialer.
+	// acceptorPingInterval is the idle ping interval of the accepting side. It is
+	// longer, because the acceptor receives the dialer's pings while the dialer lives.
 	acceptorPingInterval = 90 * time.Second
 )
 
-// noProbes turns off the kernel's own probes of a connection. At one each 15 s
-// from both ends they would cost several times what the pings do.
-const noProbes = -1
+// noKernelKeepalive disables TCP keepalive. Its probes, one each 15 s from both ends,
+// would cost several times as much as the pings.
+const noKernelKeepalive = -1
 
-// dialer opens sessions.
-var dialer = &http.Client{Transport: &http.Transport{
-	DialContext: (&net.Dialer{KeepAlive: noProbes}).DialContext,
+// sessionClient dials sessions.
+var sessionClient = &http.Client{Transport: &http.Transport{
+	DialContext: (&net.Dialer{KeepAlive: noKernelKeepalive}).DialContext,
 }}
 
 // Listen listens for sessions on address, "ip:port".
 func Listen(address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: noProbes}
+	config := net.ListenConfig{KeepAlive: noKernelKeepalive}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("wire: %w", err)
@@ -45,57 +45,60 @@
 	return l, nil
 }
 
-// pulse is when something last came from the peer.
-type pulse struct {
-	// idle is the silence after which to ping while nobody waits.
-	idle  time.Duration
-	start time.Time
-	at    atomic.Int64 // nanoseconds since start
+// liveness records when something was last received from the peer.
+type liveness struct {
+	// idlePing is the silence after which to ping while nothing waits for the peer.
+	idlePing     time.Duration
+	start        time.Time
+	lastReceived atomic.Int64 // nanoseconds since start
 }
 
-func newPulse(idle time.Duration) *pulse { return &pulse{idle: idle, start: time.Now()} }
+func newLiveness(idle time.Duration) *liveness { return &liveness{idlePing: idle, start: time.Now()} }
 
-func (p *pulse) beat() { p.at.Store(int64(time.Since(p.start))) }
+func (l *liveness) markReceived() { l.lastReceived.Store(int64(time.Since(l.start))) }
 
-// silence is how long nothing has come.
-func (p *pulse) silence() time.Duration {
-	return time.Since(p.start) - time.Duration(p.at.Load())
+// silence returns the time since something was last received.
+func (l *liveness) silence() time.Duration {
+	return time.Since(l.start) - time.Duration(l.lastReceived.Load())
 }
 
-// pinged takes the peer's ping; it is answered in any case.
-func (p *pulse) pinged(context.Context, []byte) bool {
-	p.beat()
+// onPing records the peer's ping. It returns true, so that the ping is answered.
+func (l *liveness) onPing(context.Context, []byte) bool {
+	l.markReceived()
 	return true
 }
 
-// pingIn returns in what time to ask for a sign of life, unless one comes before.
-// What the peer sends of its own is one: a stream brings a chunk each few
-// milliseconds and a group's peer a heartbeat each second. Pings on top of those
-// were a third of the control traffic at the size of docs/CAPACITY.md. A wait
-// that has just begun on a long silent session gets as long as any.
-func (p *pulse) pingIn(awaited bool, waited, silence time.Duration) time.Duration {
+// untilPing returns the time until the next ping, unless something is received
+// before; 0 or less means now. Anything received proves that the peer is alive: a
+// stream brings a chunk every few milliseconds and a peer in the group a heartbeat
+// every second. Pings in addition to those would be a third of the control traffic at
+// the size of docs/CAPACITY.md. A wait that has just begun on a session that has been
+// silent for long gets a full pingInterval too.
+func (l *liveness) untilPing(awaited bool, waited, silence time.Duration) time.Duration {
 	if awaited {
 		return pingInterval - min(waited, silence)
 	}
-	return p.idle - silence
+	return l.idlePing - silence
 }
 
-// keepalive sleeps until a ping may be due. It is woken when a wait begins: a
-// tick for each of hundreds of sessions would cost more than all their pings.
+// keepalive pings the peer when a ping is due and closes the session if the ping
+// isn't answered. In between it sleeps until the next ping may be due or a wait
+// begins: a periodic tick for each of hundreds of sessions would cost more than all
+// their pings.
 func (s *Session) keepalive() {
-	timer := time.NewTimer(s.pulse.idle)
+	timer := time.NewTimer(s.liveness.idlePing)
 	defer timer.Stop()
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
 		case <-timer.C:
-		case <-s.waitBegan:
+		case <-s.waitStarted:
 		}
 		next := s.nextPing()
 		if next <= 0 {
 			if err := s.ping(); err != nil {
-				s.Close(fmt.Errorf("%w: no answer to ping: %v", ErrClosed, err))
+				s.Close(fmt.Errorf("%w: ping failed or not answered: %v", ErrClosed, err))
 				return
 			}
 			next = s.nextPing()
@@ -107,23 +110,24 @@
 func (s *Session) nextPing() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pulse.pingIn(s.isAwaited(), time.Since(s.awaitedAt), s.pulse.silence())
+	return s.liveness.untilPing(s.awaitedLocked(), time.Since(s.awaitedSince), s.liveness.silence())
 }
 
-// beginWait is called, with mu held, before a wait is counted.
-func (s *Session) beginWait() {
-	if s.isAwaited() {
+// beginWaitLocked wakes keepalive if this is the first wait. Callers hold mu and
+// count the wait afterwards.
+func (s *Session) beginWaitLocked() {
+	if s.awaitedLocked() {
 		return
 	}
-	s.awaitedAt = time.Now()
+	s.awaitedSince = time.Now()
 	select {
-	case s.waitBegan <- struct{}{}:
-	default: // it is to be woken already
+	case s.waitStarted <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// isAwaited is awaited with mu held.
-func (s *Session) isAwaited() bool { return s.holds > 0 || len(s.calls) > 0 }
+// awaitedLocked is awaited for callers that hold mu.
+func (s *Session) awaitedLocked() bool { return s.waiters > 0 || len(s.calls) > 0 }
 
 func (s *Session) ping() error {
 	ctx, cancel := context.WithTimeout(s.ctx, pingTimeout)
@@ -131,6 +135,6 @@
 	if err := s.conn.Ping(ctx); err != nil {
 		return err
 	}
-	s.pulse.beat()
+	s.liveness.markReceived()
 	return nil
 }
--- a/internal/wire/keepalive_test.go
+++ b/internal/wire/keepalive_test.go
@@ -10,11 +10,10 @@
 	"skylarklead/test/kit"
 )
 
-// Symptom: half of an entry's control traffic is pings. Sequence: sessions carry
-// streams, or heartbeats of a group, and are pinged all the same. Cause: a ping
-// that is due by the clock alone, whatever the peer has just sent.
+// A session on which streams or heartbeats arrive needs no pings. If pings were due by
+// time alone, they would be half of an entry's control traffic.
 func TestPingIsDueAfterSilenceOnly(t *testing.T) {
-	p := newPulse(idlePingInterval)
+	l := newLiveness(idlePingInterval)
 	for _, tt := range []struct {
 		name            string
 		awaited         bool
@@ -29,17 +28,16 @@
 		{"idle for less than the idle interval", false, time.Hour, pingInterval, false},
 		{"idle", false, time.Hour, idlePingInterval, true},
 	} {
-		if got := p.pingIn(tt.awaited, tt.waited, tt.silence); (got <= 0) != tt.due {
+		if got := l.untilPing(tt.awaited, tt.waited, tt.silence); (got <= 0) != tt.due {
 			t.Errorf("%s: due in %v, want now: %v", tt.name, got, tt.due)
 		}
 	}
 }
 
-// Symptom: a caller waits a minute for a host that is gone.
-// Sequence: a session lies idle; its peer freezes; somebody asks.
-// Cause: keepalive sleeps until the idle ping.
+// The peer of an idle session freezes, then a call begins. The call must wake
+// keepalive; otherwise the caller waits up to a minute, until the next idle ping.
 func TestBeginOfAWaitWakesKeepalive(t *testing.T) {
-	acceptor, dialer := newEnd("b"), newEnd("a")
+	acceptor, dialer := newNode("b"), newNode("a")
 	address, _ := acceptor.serve(t)
 	p := kit.Must(faultproxy.Listen("127.0.0.1:0", address))(t)
 	t.Cleanup(p.Close)
@@ -54,20 +52,20 @@
 func TestMessagesAndPingsAreSignsOfLife(t *testing.T) {
 	acceptor, s := openSession(t)
 	kit.Must(call(s, "one"))(t)
-	if s.pulse.at.Load() == 0 {
-		t.Error("the reply was no sign of life to the dialer")
+	if s.liveness.lastReceived.Load() == 0 {
+		t.Error("the reply was not recorded as received by the dialer")
 	}
 	acceptor.mu.Lock()
-	back := acceptor.sessions[0]
+	acceptorSession := acceptor.sessions[0]
 	acceptor.mu.Unlock()
-	heard := back.pulse.at.Load()
-	if heard == 0 {
-		t.Error("the call was no sign of life to the acceptor")
+	receivedAt := acceptorSession.liveness.lastReceived.Load()
+	if receivedAt == 0 {
+		t.Error("the call was not recorded as received by the acceptor")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	kit.OK(t, s.conn.Ping(ctx))
-	if back.pulse.at.Load() <= heard {
-		t.Error("the ping was no sign of life to the acceptor")
+	if acceptorSession.liveness.lastReceived.Load() <= receivedAt {
+		t.Error("the ping was not recorded as received by the acceptor")
 	}
 }
--- a/internal/wire/openings.go
+++ b/internal/wire/openings.go
@@ -12,139 +12,147 @@
 )
 
 const (
-	// proveAt is how many peers are asked at once whether they take the fleet key.
-	proveAt = 3
-	// openingLife is how long an opening counts after it failed or its session
-	// ended: unused sessions end in minutes, and a process that had no request for
-	// a while must not be taken for one that nobody lets in.
-	openingLife = time.Hour
+	// maxKeyChecks bounds the peers at which VerifyKey tries the fleet key at once.
+	maxKeyChecks = 3
+	// handshakeTTL is how long a handshake's result counts after it failed or its
+	// session ended. Unused sessions end within minutes, and a process that has had
+	// no request for a while must not look like one whose key no peer accepts.
+	handshakeTTL = time.Hour
 )
 
-// KeyRefused is why a process isn't ready whose key no peer takes.
+// KeyRefused is the reason why a process whose key no peer accepts isn't ready.
 const KeyRefused = "fleet_key refused by each peer that answered"
 
-// opening is how the openings with one peer went. Invariant: refused is zero, or
-// later than the last one that succeeded.
-type opening struct {
-	live    int
-	ended   time.Time
-	refused time.Time
+// peerHandshakes has the results of the handshakes with one peer.
+type peerHandshakes struct {
+	liveSessions int
+	// lastEnded is when the last session ended, zero if none has.
+	lastEnded time.Time
+	// refusedAt is when the peer last refused the key; zero if a later handshake
+	// succeeded.
+	refusedAt time.Time
 }
 
-// Handshakes keeps, by address, which daemons took this process's key. A process
-// with another key than the fleet's reads its configuration from the log all the
-// same and answered ready, while every request that it was sent failed. It can't
-// tell from one refusal who of the two is wrong, so it takes a refusal for its own
-// fault only as long as no peer at all has let it in. Its methods may be called
-// from any goroutine; those of nil, but News, do nothing.
+// Handshakes records, by address, which daemons accept this process's fleet key. A
+// process with a wrong key can still read its configuration from the log; without
+// this check it would report ready while every request sent to it fails. A single
+// refusal doesn't tell which of the two processes has the wrong key, so a process
+// attributes refusals to its own key only while no peer accepts it.
+//
+// Methods are safe for concurrent use. Those of a nil *Handshakes, except
+// RefusalsChanged, do nothing.
 type Handshakes struct {
 	mu     sync.Mutex
-	byPeer map[string]*opening
-	// told is set while News has told of a refusal.
-	told bool
+	byPeer map[string]*peerHandshakes
+	// refusalReported is set if the last call of RefusalsChanged returned peers.
+	refusalReported bool
 }
 
-// NewHandshakes returns the record of a process that knows no peer.
-func NewHandshakes() *Handshakes { return &Handshakes{byPeer: make(map[string]*opening)} }
+// NewHandshakes returns an empty record.
+func NewHandshakes() *Handshakes { return &Handshakes{byPeer: make(map[string]*peerHandshakes)} }
 
-// RefusingPeers returns the addresses of the peers that refused this process's key, in
-// order, or none if another peer takes it.
-func (o *Handshakes) RefusingPeers() []string {
-	refusers, _ := o.look(time.Now())
+// RefusingPeers returns the sorted addresses of the peers that refused this process's
+// key, or none if another peer accepts it.
+func (h *Handshakes) RefusingPeers() []string {
+	refusers, _ := h.evaluate(time.Now())
 	return refusers
 }
 
-// RefusalsChanged returns Refusers if it has become empty, or is no longer so, since RefusalsChanged was
-// last called.
-func (o *Handshakes) RefusalsChanged() (refusers []string, news bool) {
-	refusers = o.RefusingPeers()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	news = o.told != (len(refusers) > 0)
-	o.told = len(refusers) > 0
-	return refusers, news
+// RefusalsChanged returns RefusingPeers and whether it has become empty or non-empty
+// since the last call of RefusalsChanged.
+func (h *Handshakes) RefusalsChanged() (refusers []string, changed bool) {
+	refusers = h.RefusingPeers()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	changed = h.refusalReported != (len(refusers) > 0)
+	h.refusalReported = len(refusers) > 0
+	return refusers, changed
 }
 
-func (o *Handshakes) proven() bool {
-	_, proven := o.look(time.Now())
-	return proven
+func (h *Handshakes) keyAccepted() bool {
+	_, accepted := h.evaluate(time.Now())
+	return accepted
 }
 
-func (o *Handshakes) look(now time.Time) (refusers []string, proven bool) {
-	if o == nil {
+// evaluate returns whether a peer accepts the key and, if none does, the sorted
+// addresses of those that refused it. It deletes expired results.
+func (h *Handshakes) evaluate(now time.Time) (refusers []string, accepted bool) {
+	if h == nil {
 		return nil, false
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for address, p := range o.byPeer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for address, p := range h.byPeer {
 		switch {
-		case p.live > 0 || now.Sub(p.ended) < openingLife && p.refused.IsZero():
-			proven = true
-		case now.Sub(p.refused) < openingLife:
+		case p.liveSessions > 0 || now.Sub(p.lastEnded) < handshakeTTL && p.refusedAt.IsZero():
+			accepted = true
+		case now.Sub(p.refusedAt) < handshakeTTL:
 			refusers = append(refusers, address)
 		default:
-			delete(o.byPeer, address)
+			delete(h.byPeer, address)
 		}
 	}
-	if proven {
+	if accepted {
 		return nil, true
 	}
 	slices.Sort(refusers)
 	return refusers, false
 }
 
-// failed takes an outgoing session's failed opening. What comes in without the
-// key counts for nothing: anybody may do that.
-func (o *Handshakes) failed(address string, err error) {
-	if o == nil || !errors.Is(err, ErrUnauthenticated) {
+// recordFailure records that the handshake of an outgoing session failed with err; only
+// a refused key counts. Incoming sessions with a wrong key aren't recorded: anyone can
+// open one.
+func (h *Handshakes) recordFailure(address string, err error) {
+	if h == nil || !errors.Is(err, ErrUnauthenticated) {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.of(address).refused = time.Now()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.peer(address).refusedAt = time.Now()
 }
 
-// opened takes an authenticated session. Only daemons count: a tool proves that
-// its operator has the same key, not that the fleet has.
-func (o *Handshakes) opened(peer protocol.Identity, address string) (ended func()) {
-	if o == nil || peer.Role == protocol.RoleTool || address == "" {
+// recordSession records an authenticated session and returns the function to call at
+// its end. Only sessions with daemons count: a tool proves that its operator has the
+// same key, not that the fleet has it.
+func (h *Handshakes) recordSession(peer protocol.Identity, address string) (ended func()) {
+	if h == nil || peer.Role == protocol.RoleTool || address == "" {
 		return func() {}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	p := o.of(address)
-	p.live++
-	p.refused = time.Time{}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	p := h.peer(address)
+	p.liveSessions++
+	p.refusedAt = time.Time{}
 	return func() {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		p := o.of(address)
-		p.live--
-		p.ended = time.Now()
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		p := h.peer(address)
+		p.liveSessions--
+		p.lastEnded = time.Now()
 	}
 }
 
-func (o *Handshakes) of(address string) *opening {
-	p := o.byPeer[address]
+func (h *Handshakes) peer(address string) *peerHandshakes {
+	p := h.byPeer[address]
 	if p == nil {
-		p = &opening{}
-		o.byPeer[address] = p
+		p = &peerHandshakes{}
+		h.byPeer[address] = p
 	}
 	return p
 }
 
-// VerifyKey opens sessions to a few of addresses, if no peer is known to take this
-// process's key, and returns when one does or all have answered. A process that
-// has no request to send would otherwise not find out.
+// VerifyKey opens sessions to up to maxKeyChecks random addresses if no peer is known
+// to accept this process's key. It returns when one accepts it or all have answered.
+// Without this, a process that has no request to send would not detect a wrong key.
 func (p *Pool) VerifyKey(ctx context.Context, addresses []string) {
-	if p.opts.Handshakes.proven() || len(addresses) == 0 {
+	if p.opts.Handshakes.keyAccepted() || len(addresses) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, openTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	picked := slices.Clone(addresses)
 	rand.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
-	picked = picked[:min(proveAt, len(picked))]
+	picked = picked[:min(maxKeyChecks, len(picked))]
 	answers := make(chan error, len(picked))
 	for _, address := range picked {
 		go func() {
--- a/internal/wire/pool.go
+++ b/internal/wire/pool.go
@@ -9,17 +9,18 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// idleTimeout is how long an unused outgoing session is kept. Sessions are opened
-// on demand, but at three requests a second over 600 replicas each is used only
-// every few minutes: aged out sooner, nearly every request would open one, which
-// costs more than keeping it (idlePingInterval).
+// idleTimeout is how long an unused outgoing session is kept. At three requests a
+// second over 600 replicas each session is used only every few minutes. With a shorter
+// timeout nearly every request would open a session, which costs more than keeping
+// it open (see idlePingInterval).
 const idleTimeout = 10 * time.Minute
 
-// Pool keeps one outgoing session for each address.
+// Pool keeps at most one outgoing session per address, opened on demand. Its methods
+// are safe for concurrent use.
 type Pool struct {
-	opts Options
-	dial singleflight.Group
-	// ctx ends with the pool.
+	opts  Options
+	dials singleflight.Group
+	// ctx is cancelled by Close.
 	ctx  context.Context
 	stop context.CancelFunc
 
@@ -36,23 +37,22 @@
 
 // Get returns the open session to address, or opens one.
 //
-// One opening serves all who wait for it, and goes on when one of them gives up. By
-// the context of whoever came first, a caller that hung up failed the others'
-// requests, and a peer's state went unread: "context canceled" in the log of a
-// process whose own wait hadn't ended.
+// Concurrent callers share one dial, which continues when one of them gives up. If it
+// used the context of the first caller, cancelling that would fail the requests of the
+// others with "context canceled" and leave a peer's state unread.
 func (p *Pool) Get(ctx context.Context, address string) (*Session, error) {
-	if s := p.open(address); s != nil {
+	if s := p.live(address); s != nil {
 		return s, nil
 	}
-	opened := p.dial.DoChan(address, func() (any, error) {
-		if s := p.open(address); s != nil {
+	opened := p.dials.DoChan(address, func() (any, error) {
+		if s := p.live(address); s != nil {
 			return s, nil
 		}
 		s, err := Dial(p.ctx, address, p.opts)
 		if err != nil {
 			return nil, err
 		}
-		p.keep(address, s)
+		p.add(address, s)
 		return s, nil
 	})
 	select {
@@ -66,7 +66,8 @@
 	}
 }
 
-func (p *Pool) open(address string) *Session {
+// live returns the session to address if it is open, otherwise nil.
+func (p *Pool) live(address string) *Session {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.sessions[address]
@@ -76,7 +77,8 @@
 	return s
 }
 
-func (p *Pool) keep(address string, s *Session) {
+// add keeps s, or closes it if the pool was closed during the dial.
+func (p *Pool) add(address string, s *Session) {
 	p.mu.Lock()
 	closed := p.closed
 	if !closed {
@@ -88,8 +90,8 @@
 	}
 }
 
-// Sweep closes sessions that nobody waits on and that were not written to for
-// idleTimeout, and forgets ended ones.
+// Sweep closes the sessions on which nothing waits and that haven't been written to
+// for idleTimeout, and removes ended ones.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +106,7 @@
 	}
 }
 
-// Close ends every session.
+// Close closes every session and cancels dials. Get fails afterwards.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -19,82 +19,88 @@
 )
 
 const (
-	// SessionPath is where a daemon serves its peers.
+	// SessionPath is the HTTP path at which a daemon accepts sessions.
 	SessionPath = "/skylark/v1/session"
-	// MaxFrameBytes bounds one frame; a Run carries a whole prompt.
+	// MaxFrameBytes bounds one frame. A Run has a whole prompt.
 	MaxFrameBytes = 8 << 20
-	// openTimeout bounds the opening handshake.
-	openTimeout = 3 * time.Second
-	// writeTimeout bounds one frame's write. A peer that is stopped fills its
-	// socket's buffers; without the bound one such peer would hold the lock of
-	// every stream on its session for ever.
+	// handshakeTimeout bounds the handshake, including the dial.
+	handshakeTimeout = 3 * time.Second
+	// writeTimeout bounds the write of one frame. The socket buffers to a stopped peer
+	// fill up; without a timeout, a blocked write would hold the locks of all streams
+	// on the session forever.
 	writeTimeout = 5 * time.Second
 	nonceBytes   = 16
 )
 
 var (
-	// ErrClosed is returned for a session that has ended.
+	// ErrClosed is wrapped by errors of a session that has ended.
 	ErrClosed = errors.New("wire: session closed")
-	// ErrUnauthenticated is returned when the peer doesn't have the fleet key.
+	// ErrUnauthenticated is wrapped by errors of a handshake in which the peer didn't
+	// prove an accepted key or refused this process's.
 	ErrUnauthenticated = errors.New("wire: peer not authenticated")
 )
 
-// Handler gets what arrives on a session, one call at a time in order of
-// arrival. Handle must not block: it would hold up every stream of the session.
+// Handler handles the messages received on a session, one call at a time in order of
+// arrival. Handle must not block: that would delay every stream of the session.
 type Handler interface {
-	// Handle takes a message; ref is not 0 if a reply is expected.
+	// Handle handles a message; ref is not 0 if a reply is expected.
 	Handle(s *Session, ref uint32, m protocol.Message)
 	// Closed is called once, after the last Handle.
 	Closed(s *Session, err error)
 }
 
-// Options are what both ends of a session need.
+// Options configure both ends of a session.
 type Options struct {
-	// Key is the fleet's shared key. A dialer proves it.
+	// Key is the fleet's shared key, which a dialer must prove.
 	Key []byte
-	// AdditionalKeys are further keys that a dialer may prove instead, so that a fleet
-	// can go from one key to another process by process.
+	// AdditionalKeys are further keys that a dialer may prove instead, so that the
+	// fleet's key can be rotated process by process.
 	AdditionalKeys [][]byte
-	// Self is called at each opening, since the configuration offset changes.
+	// Self returns this process's identity. It is called at each handshake, because
+	// the configuration offset changes.
 	Self func() protocol.Identity
-	// Handler gets the messages.
+	// Handler handles the received messages.
 	Handler Handler
-	// Traffic counts the sessions' bytes; nil counts nothing.
+	// Traffic counts the sessions' bytes; may be nil.
 	Traffic *Traffic
-	// Handshakes keeps which peers take Key; nil keeps nothing.
+	// Handshakes records which peers accept Key; may be nil.
 	Handshakes *Handshakes
 }
 
-// Session is an open connection to one peer. Its methods may be called from any
-// goroutine.
+// Session is an open connection to one peer. Its methods are safe for concurrent use.
 type Session struct {
-	conn    *websocket.Conn
-	peer    protocol.Identity
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	pulse   *pulse
-	traffic *Traffic
+	conn     *websocket.Conn
+	peer     protocol.Identity
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	liveness *liveness
+	traffic  *Traffic
 
 	mu      sync.Mutex
 	lastRef uint32
-	calls   map[uint32]chan protocol.Message
-	holds   int
-	used    time.Time
-	// awaitedAt is when the present wait for the peer began; waitBegan wakes
-	// keepalive then.
-	awaitedAt time.Time
-	waitBegan chan struct{}
-	heard     time.Time
+	// calls has the calls that wait for a reply, by reference; waiters counts the
+	// MarkAwaited calls that aren't released. The session is awaited while there are
+	// any of either.
+	calls       map[uint32]chan protocol.Message
+	waiters     int
+	lastWritten time.Time
+	// awaitedSince is when the session was last not awaited and a wait began;
+	// waitStarted wakes keepalive then.
+	awaitedSince time.Time
+	waitStarted  chan struct{}
+	// lastReceived is when the last message was received; pings don't count.
+	lastReceived time.Time
 }
 
-// Dial opens a session to the daemon at address ("ip:port").
+// Dial opens a session to the daemon at address ("ip:port"). It takes at most
+// handshakeTimeout. The session outlives ctx.
 func Dial(ctx context.Context, address string, opts Options) (*Session, error) {
-	openCtx, cancel := context.WithTimeout(ctx, openTimeout)
+	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	p := newPulse(idlePingInterval)
-	conn, resp, err := websocket.Dial(openCtx, "ws://"+address+SessionPath, &websocket.DialOptions{
-		HTTPClient:     dialer,
-		OnPingReceived: p.pinged,
+	l := newLiveness(idlePingInterval)
+	conn, resp, err := websocket.Dial(handshakeCtx, "ws://"+address+SessionPath, &websocket.DialOptions{
+		HTTPClient:     sessionClient,
+		OnPingReceived: l.onPing,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("wire: dial %s: %w", address, err)
@@ -103,83 +109,85 @@
 		resp.Body.Close()
 	}
 	conn.SetReadLimit(MaxFrameBytes)
-	peer, err := openDialer(openCtx, conn, opts)
+	peer, err := dialerHandshake(handshakeCtx, conn, opts)
 	if err != nil {
 		conn.CloseNow()
-		opts.Handshakes.failed(address, err)
-		return nil, fmt.Errorf("wire: open to %s: %w", address, err)
+		opts.Handshakes.recordFailure(address, err)
+		return nil, fmt.Errorf("wire: handshake with %s: %w", address, err)
 	}
-	return start(conn, peer, address, p, opts), nil
+	return startSession(conn, peer, address, l, opts), nil
 }
 
-// Accept serves one peer's session on an HTTP request and returns when it ends.
+// Accept upgrades an HTTP request to a session and returns when the session ends, with
+// its cause.
 func Accept(w http.ResponseWriter, r *http.Request, opts Options) error {
-	p := newPulse(acceptorPingInterval)
+	l := newLiveness(acceptorPingInterval)
 	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{
 		CompressionMode: websocket.CompressionDisabled,
-		OnPingReceived:  p.pinged,
+		OnPingReceived:  l.onPing,
 	})
 	if err != nil {
 		return fmt.Errorf("wire: accept %s: %w", r.RemoteAddr, err)
 	}
 	conn.SetReadLimit(MaxFrameBytes)
-	openCtx, cancel := context.WithTimeout(r.Context(), openTimeout)
+	handshakeCtx, cancel := context.WithTimeout(r.Context(), handshakeTimeout)
 	defer cancel()
-	peer, err := openAcceptor(openCtx, conn, opts)
+	peer, err := acceptorHandshake(handshakeCtx, conn, opts)
 	if err != nil {
 		conn.CloseNow()
-		return fmt.Errorf("wire: open from %s: %w", r.RemoteAddr, err)
+		return fmt.Errorf("wire: handshake from %s: %w", r.RemoteAddr, err)
 	}
-	s := start(conn, peer, peer.Address, p, opts)
+	s := startSession(conn, peer, peer.Address, l, opts)
 	<-s.ctx.Done()
 	return context.Cause(s.ctx)
 }
 
-func openDialer(ctx context.Context, conn *websocket.Conn, opts Options) (protocol.Identity, error) {
-	var ch protocol.Challenge
-	if err := readOpening(ctx, conn, &ch); err != nil {
+func dialerHandshake(ctx context.Context, conn *websocket.Conn, opts Options) (protocol.Identity, error) {
+	var challenge protocol.Challenge
+	if err := readHandshake(ctx, conn, &challenge); err != nil {
 		return protocol.Identity{}, err
 	}
 	self := opts.Self()
-	hello := &protocol.Hello{Identity: self, MAC: identityMAC(opts.Key, ch.Nonce, self)}
+	hello := &protocol.Hello{Identity: self, MAC: identityMAC(opts.Key, challenge.Nonce, self)}
 	if err := writeFrame(ctx, conn, 0, hello); err != nil {
 		return protocol.Identity{}, err
 	}
 	var welcome protocol.Welcome
-	if err := readOpening(ctx, conn, &welcome); err != nil {
+	if err := readHandshake(ctx, conn, &welcome); err != nil {
 		return protocol.Identity{}, err
 	}
-	if !hmac.Equal(welcome.MAC, identityMAC(opts.Key, hello.MAC, ch.Identity)) {
+	if !hmac.Equal(welcome.MAC, identityMAC(opts.Key, hello.MAC, challenge.Identity)) {
 		return protocol.Identity{}, ErrUnauthenticated
 	}
-	return ch.Identity, nil
+	return challenge.Identity, nil
 }
 
-func openAcceptor(ctx context.Context, conn *websocket.Conn, opts Options) (protocol.Identity, error) {
+func acceptorHandshake(ctx context.Context, conn *websocket.Conn, opts Options) (protocol.Identity, error) {
 	self := opts.Self()
-	ch := &protocol.Challenge{Nonce: make([]byte, nonceBytes), Identity: self}
-	rand.Read(ch.Nonce)
-	if err := writeFrame(ctx, conn, 0, ch); err != nil {
+	challenge := &protocol.Challenge{Nonce: make([]byte, nonceBytes), Identity: self}
+	rand.Read(challenge.Nonce)
+	if err := writeFrame(ctx, conn, 0, challenge); err != nil {
 		return protocol.Identity{}, err
 	}
 	var hello protocol.Hello
-	if err := readOpening(ctx, conn, &hello); err != nil {
+	if err := readHandshake(ctx, conn, &hello); err != nil {
 		return protocol.Identity{}, err
 	}
-	key, ok := opts.proven(&hello, ch.Nonce)
+	key, ok := opts.matchKey(&hello, challenge.Nonce)
 	if !ok {
-		// An end without a word would look like a crash to the dialer, who may be
-		// gone. A WebSocket close would have us wait for its answer.
+		// Closing without a message would look like a crash to the dialer. A WebSocket
+		// close isn't used, because it waits for the answer of a dialer that may be
+		// gone.
 		_ = writeFrame(ctx, conn, 0, &protocol.Failure{Refusal: protocol.Refusal{Code: protocol.CodeUnauthorized, Message: "not the fleet's key", Ran: protocol.NotRun}})
 		return protocol.Identity{}, ErrUnauthenticated
 	}
-	// By the dialer's own key: it may not have any other of ours.
+	// Made with the key that the dialer proved: it may not have our other keys.
 	welcome := &protocol.Welcome{MAC: identityMAC(key, hello.MAC, self)}
 	return hello.Identity, writeFrame(ctx, conn, 0, welcome)
 }
 
-// proven returns the accepted key that a Hello was made with.
-func (o *Options) proven(hello *protocol.Hello, nonce []byte) ([]byte, bool) {
+// matchKey returns the accepted key with which a Hello's MAC was made.
+func (o *Options) matchKey(hello *protocol.Hello, nonce []byte) ([]byte, bool) {
 	for _, key := range slices.Concat([][]byte{o.Key}, o.AdditionalKeys) {
 		if hmac.Equal(hello.MAC, identityMAC(key, nonce, hello.Identity)) {
 			return key, true
@@ -188,11 +196,11 @@
 	return nil, false
 }
 
-// identityMAC binds an identity to the other side's fresh bytes, so that an
-// opening can't be replayed.
-func identityMAC(key, fresh []byte, id protocol.Identity) []byte {
+// identityMAC returns the MAC of an identity and the other side's challenge, which is
+// fresh in each handshake, so that a handshake can't be replayed.
+func identityMAC(key, challenge []byte, id protocol.Identity) []byte {
 	mac := hmac.New(sha256.New, key)
-	mac.Write(fresh)
+	mac.Write(challenge)
 	body, err := cbor.Marshal(id)
 	if err != nil {
 		panic(err) // Identity has only strings and integers
@@ -201,24 +209,24 @@
 	return mac.Sum(nil)
 }
 
-func readOpening[M any, P interface {
+func readHandshake[M any, P interface {
 	*M
 	protocol.Message
 }](ctx context.Context, conn *websocket.Conn, into P) error {
 	_, frame, err := conn.Read(ctx)
 	if err != nil {
-		return fmt.Errorf("wire: opening: %w", err)
+		return fmt.Errorf("wire: read handshake message: %w", err)
 	}
 	_, m, err := Decode(frame)
 	if err != nil {
 		return err
 	}
-	if refused, ok := m.(*protocol.Failure); ok && refused.Refusal.Code == protocol.CodeUnauthorized {
-		return fmt.Errorf("%w: it refused this process's key", ErrUnauthenticated)
+	if failure, ok := m.(*protocol.Failure); ok && failure.Refusal.Code == protocol.CodeUnauthorized {
+		return fmt.Errorf("%w: peer refused this process's key", ErrUnauthenticated)
 	}
 	got, ok := m.(P)
 	if !ok {
-		return fmt.Errorf("%w: %T in the opening", ErrMalformed, m)
+		return fmt.Errorf("%w: unexpected %T in the handshake", ErrMalformed, m)
 	}
 	*into = *got
 	return nil
@@ -232,74 +240,75 @@
 	return conn.Write(ctx, websocket.MessageBinary, frame)
 }
 
-func start(conn *websocket.Conn, peer protocol.Identity, address string, p *pulse, opts Options) *Session {
+func startSession(conn *websocket.Conn, peer protocol.Identity, address string, l *liveness, opts Options) *Session {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	s := &Session{
-		conn:    conn,
-		peer:    peer,
-		ctx:     ctx,
-		cancel:  cancel,
-		pulse:   p,
-		traffic: opts.Traffic,
-		calls:   make(map[uint32]chan protocol.Message),
-		used:    time.Now(),
-
-		waitBegan: make(chan struct{}, 1),
+		conn:        conn,
+		peer:        peer,
+		ctx:         ctx,
+		cancel:      cancel,
+		liveness:    l,
+		traffic:     opts.Traffic,
+		calls:       make(map[uint32]chan protocol.Message),
+		lastWritten: time.Now(),
+
+		waitStarted: make(chan struct{}, 1),
 	}
-	go s.read(opts.Handler, opts.Handshakes.opened(peer, address))
+	go s.readLoop(opts.Handler, opts.Handshakes.recordSession(peer, address))
 	go s.keepalive()
 	return s
 }
 
-func (s *Session) read(h Handler, ended func()) {
-	err := s.readAll(h)
+func (s *Session) readLoop(h Handler, ended func()) {
+	err := s.readMessages(h)
 	s.cancel(err)
 	s.conn.CloseNow()
 	ended()
 	h.Closed(s, err)
 }
 
-func (s *Session) readAll(h Handler) error {
+func (s *Session) readMessages(h Handler) error {
 	for {
 		_, frame, err := s.conn.Read(s.ctx)
 		if err != nil {
 			return fmt.Errorf("%w: read: %v", ErrClosed, err)
 		}
-		s.pulse.beat()
+		s.liveness.markReceived()
 		ref, m, err := Decode(frame)
 		if errors.Is(err, errUnknownKind) {
-			// In a rolling restart a newer build sends what this one doesn't know.
-			// Ended for it, the session would take the calls and streams on it
-			// along, and the next one too. A call waits for its own deadline.
+			// During a rolling restart, newer builds send messages that this one
+			// doesn't know. Closing the session would also end its calls and streams,
+			// and again in the next session. An unanswered call ends at its own
+			// deadline.
 			continue
 		}
 		if err != nil {
 			return err
 		}
 		s.traffic.received(m, len(frame))
-		s.noteHeard()
+		s.markReceived()
 		if !s.deliverReply(ref, m) {
 			h.Handle(s, ref, m)
 		}
 	}
 }
 
-func (s *Session) noteHeard() {
+func (s *Session) markReceived() {
 	now := time.Now()
 	s.mu.Lock()
-	s.heard = now
+	s.lastReceived = now
 	s.mu.Unlock()
 }
 
-// LastReceived is when the last message came from the peer, zero if none has.
+// LastReceived returns when the last message was received, zero if none was.
 func (s *Session) LastReceived() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard
+	return s.lastReceived
 }
 
-// deliverReply hands a reply to the call that waits for it. References of the
-// two directions are told apart by the message: only replies match a call.
+// deliverReply passes a reply to the call that waits for it. It reports whether m is a
+// reply. Both directions use the same references; only replies are matched to calls.
 func (s *Session) deliverReply(ref uint32, m protocol.Message) bool {
 	if ref == 0 || !isReply(m) {
 		return false
@@ -311,7 +320,7 @@
 	if ok {
 		ch <- m
 	}
-	return true // a reply that nobody waits for any more is dropped
+	return true // a reply to a call that has ended is dropped
 }
 
 func isReply(m protocol.Message) bool {
@@ -322,17 +331,17 @@
 	return false
 }
 
-// MarkAwaited marks that somebody waits for the peer, as the receiver of a stream
-// does, so that a half-open session is found within seconds. The returned
-// function ends it and may be called more than once.
+// MarkAwaited marks the session as awaited, for instance by the receiver of a stream,
+// so that a half-open session is detected within seconds. The caller must call release
+// when it no longer waits; further calls of release do nothing.
 func (s *Session) MarkAwaited() (release func()) {
 	s.mu.Lock()
-	s.beginWait()
-	s.holds++
+	s.beginWaitLocked()
+	s.waiters++
 	s.mu.Unlock()
 	return sync.OnceFunc(func() {
 		s.mu.Lock()
-		s.holds--
+		s.waiters--
 		s.mu.Unlock()
 	})
 }
@@ -340,26 +349,26 @@
 func (s *Session) awaited() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isAwaited()
+	return s.awaitedLocked()
 }
 
-// Peer returns who is at the other end, as authenticated at the opening.
+// Peer returns the peer's identity, as authenticated in the handshake.
 func (s *Session) Peer() protocol.Identity { return s.peer }
 
 // Done is closed when the session has ended.
 func (s *Session) Done() <-chan struct{} { return s.ctx.Done() }
 
-// Close ends the session.
+// Close ends the session with the cause that Accept and later calls return.
 func (s *Session) Close(cause error) {
 	s.cancel(cause)
 	s.conn.CloseNow()
 }
 
-// Send writes a message that has no reply. After an error the session is closed
-// and the peer may or may not have got the message.
+// Send writes a message that has no reply. If the write fails, the session is closed
+// and the peer may or may not have received the message.
 func (s *Session) Send(m protocol.Message) error { return s.write(0, m) }
 
-// Reply answers the message that came with ref.
+// Reply writes the reply to the message received with ref.
 func (s *Session) Reply(ref uint32, m protocol.Message) error { return s.write(ref, m) }
 
 func (s *Session) write(ref uint32, m protocol.Message) error {
@@ -379,12 +388,13 @@
 	}
 	s.traffic.sent(m, len(frame))
 	s.mu.Lock()
-	s.used = time.Now()
+	s.lastWritten = time.Now()
 	s.mu.Unlock()
 	return nil
 }
 
-// Call sends a request and waits for its reply. A Failure comes back as it is.
+// Call sends a request and waits for its reply. A Failure is returned as the reply, not
+// as an error.
 func (s *Session) Call(ctx context.Context, m protocol.Message) (protocol.Message, error) {
 	ch := make(chan protocol.Message, 1)
 	s.mu.Lock()
@@ -393,10 +403,10 @@
 		s.lastRef = 1
 	}
 	ref := s.lastRef
-	s.beginWait()
+	s.beginWaitLocked()
 	s.calls[ref] = ch
 	s.mu.Unlock()
-	defer s.forget(ref)
+	defer s.removeCall(ref)
 	if err := s.write(ref, m); err != nil {
 		return nil, err
 	}
@@ -410,7 +420,7 @@
 	}
 }
 
-func (s *Session) forget(ref uint32) {
+func (s *Session) removeCall(ref uint32) {
 	s.mu.Lock()
 	delete(s.calls, ref)
 	s.mu.Unlock()
@@ -419,5 +429,5 @@
 func (s *Session) idleSince() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.used
+	return s.lastWritten
 }
--- a/internal/wire/session_test.go
+++ b/internal/wire/session_test.go
@@ -22,53 +22,53 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var fleetKey = []byte("0123456789abcdef0123456789abcdef")
 
-// end is one side of a session: it records what arrives and answers Ask.
-type end struct {
-	id   string
-	key  []byte
-	also [][]byte
-	hold chan struct{} // Ask is answered when it is closed; at once if nil
+// node is one side of a session. It records the received messages and answers Ask.
+type node struct {
+	id             string
+	key            []byte
+	additionalKeys [][]byte
+	answerGate     chan struct{} // Ask is answered when it is closed; at once if nil
 
 	mu       sync.Mutex
 	sessions []*Session
-	got      []protocol.Message
+	messages []protocol.Message
 	closed   chan error
 }
 
-func newEnd(id string) *end { return &end{id: id, key: fleetKey, closed: make(chan error, 100)} }
+func newNode(id string) *node { return &node{id: id, key: fleetKey, closed: make(chan error, 100)} }
 
-func (e *end) options() Options {
-	return Options{Key: e.key, AdditionalKeys: e.also, Self: func() protocol.Identity { return protocol.Identity{ID: e.id, Role: protocol.RoleEndpoint, Epoch: 7} }, Handler: e}
+func (e *node) options() Options {
+	return Options{Key: e.key, AdditionalKeys: e.additionalKeys, Self: func() protocol.Identity { return protocol.Identity{ID: e.id, Role: protocol.RoleEndpoint, Epoch: 7} }, Handler: e}
 }
 
-func (e *end) Handle(s *Session, ref uint32, m protocol.Message) {
+func (e *node) Handle(s *Session, ref uint32, m protocol.Message) {
 	e.mu.Lock()
 	e.sessions = append(e.sessions, s)
-	e.got = append(e.got, m)
+	e.messages = append(e.messages, m)
 	e.mu.Unlock()
 	if ask, ok := m.(*protocol.Ask); ok {
 		go func() {
-			if e.hold != nil {
-				<-e.hold
+			if e.answerGate != nil {
+				<-e.answerGate
 			}
 			s.Reply(ref, &protocol.Decision{Request: ask.Request})
 		}()
 	}
 }
 
-func (e *end) Closed(_ *Session, err error) { e.closed <- err }
+func (e *node) Closed(_ *Session, err error) { e.closed <- err }
 
-func (e *end) received() []protocol.Message {
+func (e *node) received() []protocol.Message {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]protocol.Message(nil), e.got...)
+	return append([]protocol.Message(nil), e.messages...)
 }
 
-func (e *end) serve(t *testing.T) (address string, accepted <-chan error) {
+func (e *node) serve(t *testing.T) (address string, accepted <-chan error) {
 	t.Helper()
 	errs := make(chan error, 100)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,7 +78,7 @@
 	return strings.TrimPrefix(srv.URL, "http://"), errs
 }
 
-func (e *end) dial(t *testing.T, address string) *Session {
+func (e *node) dial(t *testing.T, address string) *Session {
 	t.Helper()
 	s := kit.Must(Dial(context.Background(), address, e.options()))(t)
 	t.Cleanup(func() {
@@ -88,12 +88,13 @@
 	return s
 }
 
-// openSession opens a session between two ends and returns the accepting one.
-func openSession(t *testing.T) (acceptor *end, s *Session) {
+// openSession opens a session between two nodes. It returns the accepting node and the
+// dialer's session.
+func openSession(t *testing.T) (acceptor *node, s *Session) {
 	t.Helper()
-	acceptor = newEnd("b")
+	acceptor = newNode("b")
 	address, _ := acceptor.serve(t)
-	return acceptor, newEnd("a").dial(t, address)
+	return acceptor, newNode("a").dial(t, address)
 }
 
 func await[T any](t *testing.T, what string, ch <-chan T) T {
@@ -101,14 +102,14 @@
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(patience):
-		t.Fatalf("no %s in %v", what, patience)
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s in %v", what, testTimeout)
 	}
 	panic("unreachable")
 }
 
 func call(s *Session, request string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	m, err := s.Call(ctx, &protocol.Ask{Request: request})
 	if err != nil {
@@ -126,17 +127,16 @@
 		t.Errorf("call: %q, %v", got, err)
 	}
 	acceptor.mu.Lock()
-	back := acceptor.sessions[0]
+	acceptorSession := acceptor.sessions[0]
 	acceptor.mu.Unlock()
-	if back.Peer().ID != "a" {
-		t.Errorf("acceptor sees %+v", back.Peer())
+	if acceptorSession.Peer().ID != "a" {
+		t.Errorf("acceptor sees %+v", acceptorSession.Peer())
 	}
 }
 
-// Symptom: a caller gets another caller's answer.
-// Sequence: many calls are in flight on one session and are answered in an order
-// of the peer's own.
-// Cause: replies matched to calls by order of arrival in place of reference.
+// Many calls are in flight on one session and are answered in any order. If replies
+// were matched to calls by order of arrival instead of reference, a caller would get
+// another caller's answer.
 func TestRepliesMatchTheirCalls(t *testing.T) {
 	_, s := openSession(t)
 	var calls sync.WaitGroup
@@ -151,16 +151,15 @@
 	calls.Wait()
 }
 
-// Symptom: a fleet has to be stopped as a whole to change its key.
-// Sequence: each process in turn is restarted with the next step's keys; any two
-// that stand side by side meanwhile dial each other.
-// Cause: a process that knew one key refused the other's.
+// To rotate the fleet's key, each process in turn is restarted with the keys of the
+// next step. Processes at the same or at adjacent steps must accept each other;
+// otherwise the whole fleet would have to be stopped to change its key.
 func TestFleetKeyIsRotated(t *testing.T) {
 	old, next := fleetKey, []byte("another key of thirty-two bytes.")
 	steps := [][][]byte{{old}, {old, next}, {next, old}, {next}}
-	with := func(keys [][]byte) *end {
-		e := newEnd("e")
-		e.key, e.also = keys[0], keys[1:]
+	with := func(keys [][]byte) *node {
+		e := newNode("e")
+		e.key, e.additionalKeys = keys[0], keys[1:]
 		return e
 	}
 	for i, dialer := range steps {
@@ -170,7 +169,7 @@
 			if err == nil {
 				s.Close(ErrClosed)
 			}
-			// Two steps apart the one may lack what the other dials by.
+			// Two steps apart, the acceptor may not have the dialer's key.
 			known := slices.ContainsFunc(acceptor, func(key []byte) bool { return bytes.Equal(key, dialer[0]) })
 			if (err == nil) != known || !known && max(i-j, j-i) < 2 {
 				t.Errorf("step %d dials step %d: %v", i, j, err)
@@ -179,18 +178,17 @@
 	}
 }
 
-// Symptom: whoever reaches a daemon's port can send it orders.
-// Sequence: a peer without the fleet's key opens a session, from either side.
-// Cause: an opening that isn't authenticated in both directions.
+// The handshake authenticates both sides. Otherwise anyone who can reach a daemon's
+// port could send it orders without the fleet's key.
 func TestUnauthenticatedPeerIsCutOff(t *testing.T) {
-	stranger := newEnd("s")
+	stranger := newNode("s")
 	stranger.key = []byte("another key of thirty-two bytes.")
 	for _, tc := range []struct {
 		name             string
-		acceptor, dialer *end
+		acceptor, dialer *node
 	}{
-		{"dialer has no key", newEnd("b"), stranger},
-		{"acceptor has no key", stranger, newEnd("a")},
+		{"dialer has no key", newNode("b"), stranger},
+		{"acceptor has no key", stranger, newNode("a")},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			address, accepted := tc.acceptor.serve(t)
@@ -207,10 +205,9 @@
 	}
 }
 
-// Symptom: an entry hands a charity's prompt to whoever took an endpoint's address.
-// Sequence: an acceptor without the key takes every Hello and sends a Welcome of
-// its own making.
-// Cause: a dialer that doesn't check the acceptor's MAC.
+// An acceptor without the key accepts every Hello and sends a forged Welcome. If the
+// dialer didn't verify the acceptor's MAC, an entry would send an organisation's prompt
+// to whoever took over an endpoint's address.
 func TestImpostorAcceptorIsRefused(t *testing.T) {
 	impostor := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, err := websocket.Accept(w, r, nil)
@@ -220,24 +217,23 @@
 		defer conn.CloseNow()
 		writeFrame(r.Context(), conn, 0, &protocol.Challenge{Nonce: make([]byte, nonceBytes), Identity: protocol.Identity{ID: "b"}})
 		var hello protocol.Hello
-		if readOpening(r.Context(), conn, &hello) == nil {
+		if readHandshake(r.Context(), conn, &hello) == nil {
 			writeFrame(r.Context(), conn, 0, &protocol.Welcome{MAC: hello.MAC})
 		}
 	}))
 	defer impostor.Close()
-	_, err := Dial(context.Background(), strings.TrimPrefix(impostor.URL, "http://"), newEnd("a").options())
+	_, err := Dial(context.Background(), strings.TrimPrefix(impostor.URL, "http://"), newNode("a").options())
 	if !errors.Is(err, ErrUnauthenticated) {
 		t.Errorf("dial: %v", err)
 	}
 }
 
-// Symptom: an eavesdropper's copy of an old opening lets it in.
-// Sequence: the Hello of an earlier session is sent again.
-// Cause: a MAC that doesn't cover the acceptor's fresh nonce.
+// An eavesdropper replays the Hello of an earlier session. The MAC covers the
+// acceptor's fresh nonce, so the replay is refused.
 func TestReplayedHelloIsRefused(t *testing.T) {
-	acceptor := newEnd("b")
+	acceptor := newNode("b")
 	address, accepted := acceptor.serve(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	self := protocol.Identity{ID: "a"}
 	var old *protocol.Hello
@@ -248,7 +244,7 @@
 		}
 		defer conn.CloseNow()
 		var ch protocol.Challenge
-		kit.OK(t, readOpening(ctx, conn, &ch))
+		kit.OK(t, readHandshake(ctx, conn, &ch))
 		if old == nil {
 			old = &protocol.Hello{Identity: self, MAC: identityMAC(fleetKey, ch.Nonce, self)}
 			conn.CloseNow()
@@ -262,15 +258,14 @@
 	}
 }
 
-// Symptom: one broken peer takes down the streams of others.
-// Sequence: an authenticated peer sends bytes that are no message while another
-// session has a call in flight.
-// Cause: a decoding error handled for the process in place of the session.
+// An authenticated peer sends a malformed message while another session has a call in
+// flight. The decoding error must end only the session that it occurred in, not the
+// streams of other peers.
 func TestMalformedPeerHarmsNoOther(t *testing.T) {
-	acceptor := newEnd("b")
-	acceptor.hold = make(chan struct{})
+	acceptor := newNode("b")
+	acceptor.answerGate = make(chan struct{})
 	address, _ := acceptor.serve(t)
-	good, bad := newEnd("good"), newEnd("bad")
+	good, bad := newNode("good"), newNode("bad")
 	goodSession, badSession := good.dial(t, address), bad.dial(t, address)
 	answer := make(chan string, 1)
 	go func() {
@@ -284,21 +279,19 @@
 	if err := await(t, "end of the bad session", acceptor.closed); !errors.Is(err, ErrMalformed) {
 		t.Errorf("closed with %v", err)
 	}
-	close(acceptor.hold)
+	close(acceptor.answerGate)
 	if got := await(t, "answer", answer); got != "kept" {
 		t.Errorf("good session's call got %q", got)
 	}
 }
 
-// Symptom: in a rolling restart sessions between old and new builds end again and
-// again, with the calls on them.
-// Sequence: a newer build sends a message of a type, or with a field, that the
-// older one doesn't know.
-// Cause: whatever isn't known is taken for malformed.
+// During a rolling restart a newer build sends a message of a kind, or with a field,
+// that the older one doesn't know. If the older one treated that as malformed, sessions
+// between the two would end again and again, with the calls on them.
 func TestNewerBuildKeepsItsSession(t *testing.T) {
-	acceptor := newEnd("b")
+	acceptor := newNode("b")
 	address, _ := acceptor.serve(t)
-	s := newEnd("newer").dial(t, address)
+	s := newNode("newer").dial(t, address)
 	for name, frame := range map[string][]byte{
 		"unknown kind":                 {0x83, 0x18, byte(protocol.KindLast) + 1, 0, 0xa0},
 		"unknown kind, reply expected": {0x83, 0x18, 0xff, 1, 0xa1, 0x01, 0x02},
@@ -314,12 +307,11 @@
 	}
 }
 
-// Symptom: requests fail with "context canceled" though their own callers wait, and
-// a restarted process doesn't get a peer's state.
-// Sequence: two want a session to one peer; the first gives up while it is opened.
-// Cause: the opening was by the context of whoever came first.
+// Two callers want a session to the same peer, and the first gives up during the dial.
+// If the dial used the first caller's context, the second caller's request would fail
+// with "context canceled", and a restarted process wouldn't get a peer's state.
 func TestOpeningOutlivesWhoBeganIt(t *testing.T) {
-	acceptor := newEnd("b")
+	acceptor := newNode("b")
 	reached, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		reached <- struct{}{}
@@ -328,30 +320,29 @@
 	}))
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	pool := NewPool(newEnd("a").options())
+	pool := NewPool(newNode("a").options())
 	t.Cleanup(pool.Close)
-	hasty, giveUp := context.WithCancel(context.Background())
+	firstCtx, cancelFirst := context.WithCancel(context.Background())
 	errs := make(chan error)
 	get := func(ctx context.Context) {
 		_, err := pool.Get(ctx, address)
 		errs <- err
 	}
-	go get(hasty)
+	go get(firstCtx)
 	<-reached
 	go get(context.Background())
-	giveUp()
-	if err := await(t, "the hasty one", errs); !errors.Is(err, context.Canceled) {
-		t.Errorf("the one that gave up: %v", err)
+	cancelFirst()
+	if err := await(t, "first caller", errs); !errors.Is(err, context.Canceled) {
+		t.Errorf("cancelled caller: %v", err)
 	}
 	close(release)
-	if err := await(t, "the patient one", errs); err != nil {
-		t.Errorf("the one that waited: %v", err)
+	if err := await(t, "second caller", errs); err != nil {
+		t.Errorf("waiting caller: %v", err)
 	}
 }
 
-// Symptom: a stream hangs for minutes after a host is gone.
-// Sequence: the peer's packets are lost in one direction or both; no reset comes.
-// Cause: no ping, or one whose answer isn't waited for.
+// The packets to or from a peer are lost and no reset arrives. A ping whose answer has a
+// timeout must end the session; otherwise a stream hangs for minutes.
 func TestHalfOpenSessionIsFound(t *testing.T) {
 	for name, fault := range map[string]func(*faultproxy.Proxy){
 		"replies lost":  func(p *faultproxy.Proxy) { p.Drop(faultproxy.Down, true) },
@@ -360,7 +351,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			acceptor, dialer := newEnd("b"), newEnd("a")
+			acceptor, dialer := newNode("b"), newNode("a")
 			address, _ := acceptor.serve(t)
 			p := kit.Must(faultproxy.Listen("127.0.0.1:0", address))(t)
 			t.Cleanup(p.Close)
@@ -375,14 +366,12 @@
 	}
 }
 
-// Symptom: a request written to a session that is being cut is waited for until
-// the caller's deadline.
-// Sequence: the session ends between the write and the reply.
-// Cause: a call that waits for its reply alone.
+// A session ends between the write of a call and its reply. A call that waited only for
+// the reply would last until the caller's deadline.
 func TestCutEndsCalls(t *testing.T) {
-	acceptor, dialer := newEnd("b"), newEnd("a")
-	acceptor.hold = make(chan struct{})
-	defer close(acceptor.hold)
+	acceptor, dialer := newNode("b"), newNode("a")
+	acceptor.answerGate = make(chan struct{})
+	defer close(acceptor.answerGate)
 	address, _ := acceptor.serve(t)
 	s := dialer.dial(t, address)
 	result := make(chan error, 1)
@@ -414,7 +403,7 @@
 }
 
 func TestPoolSharesAndReplacesSessions(t *testing.T) {
-	acceptor, dialer := newEnd("b"), newEnd("a")
+	acceptor, dialer := newNode("b"), newNode("a")
 	address, _ := acceptor.serve(t)
 	pool := NewPool(dialer.options())
 	var mu sync.Mutex
--- a/internal/wire/traffic.go
+++ b/internal/wire/traffic.go
@@ -4,9 +4,10 @@
 
 import "sync/atomic"
 
-// Traffic counts the bytes of frames on a process's sessions, without those of
-// the opening handshake and of the WebSocket and TCP framing. Control is all
-// that is not a request or an answer.
+// Traffic counts the bytes of the frames on a process's sessions, without those of
+// the handshakes and without WebSocket and TCP overhead. Data are requests, answers
+// and exported cache blocks with their flow control; Control is everything else. Its
+// methods do nothing on nil.
 type Traffic struct {
 	ControlSent, ControlReceived atomic.Int64
 	DataSent, DataReceived       atomic.Int64
