--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// asyncBuffer bounds the log bytes that wait to be written: some seconds of a
-	// line for each request at the rates an entry serves.
-	asyncBuffer = 256 << 10
-	// asyncFlush is how long a line may wait for others to be written with it. One
-	// write for many lines costs a fraction of the processor time.
-	asyncFlush = 100 * time.Millisecond
+	// asyncBufferBytes bounds the log bytes that wait to be written: enough for some
+	// seconds of one line per request at the request rate of an entry.
+	asyncBufferBytes = 256 << 10
+	// asyncFlushDelay is how long a line may wait to be written together with others.
+	// One write for many lines costs a fraction of the processor time.
+	asyncFlushDelay = 100 * time.Millisecond
 )
 
-// AsyncWriter takes log lines without ever blocking on where they go. What doesn't
-// fit its buffer is dropped and counted: a reader of the log that stands still
-// would otherwise stop every request at its next line.
+// AsyncWriter buffers log lines and writes them in the background, so that Write never
+// blocks. Lines that don't fit the buffer are dropped and counted: otherwise a stalled
+// reader of the log would block every request at its next line. Write is safe for
+// concurrent use.
 type AsyncWriter struct {
 	mu      sync.Mutex
 	pending []byte
+	// spare is the buffer of the previous write, for reuse. Only run uses it.
 	spare   []byte
 	wake    chan struct{}
 	dropped atomic.Int64
-	// told is how many dropped lines the log has been told of. Only run uses it.
-	told    int64
-	done    chan struct{}
-	closing chan struct{}
+	// reported is the number of dropped lines that the log mentions. Only run uses it.
+	reported int64
+	done     chan struct{}
+	closing  chan struct{}
 }
 
-// NewAsyncWriter starts writing lines to w. Close ends it.
+// NewAsyncWriter returns a writer of lines to w. The caller must Close it.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	a := &AsyncWriter{
 		wake:    make(chan struct{}, 1),
@@ -43,10 +45,11 @@
 	return a
 }
 
-// Write implements io.Writer; it always succeeds.
+// Write implements io.Writer with one line per call. It always succeeds, also if the
+// line is dropped.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	a.mu.Lock()
-	if len(a.pending)+len(line) > asyncBuffer {
+	if len(a.pending)+len(line) > asyncBufferBytes {
 		a.mu.Unlock()
 		a.dropped.Add(1)
 		return len(line), nil
@@ -63,10 +66,10 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines found no room.
+// Dropped returns how many lines were dropped because the buffer was full.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what is pending and ends the writer.
+// Close writes the pending lines and stops the writer. It must be called once.
 func (a *AsyncWriter) Close() {
 	close(a.closing)
 	<-a.done
@@ -82,7 +85,7 @@
 			return
 		}
 		select {
-		case <-time.After(asyncFlush):
+		case <-time.After(asyncFlushDelay):
 		case <-a.closing:
 		}
 		a.flush(w)
@@ -94,23 +97,24 @@
 	lines := a.pending
 	a.pending = a.spare[:0]
 	a.mu.Unlock()
-	lines = a.tell(lines)
+	lines = a.appendDropNotice(lines)
 	if len(lines) > 0 {
-		// There is nowhere to report that the log itself can't be written.
+		// A failure to write the log can't be reported anywhere.
 		_, _ = w.Write(lines)
 	}
 	a.spare = lines
 }
 
-// tell adds a line about those that were dropped since the last one. Without it a
-// request whose line is missing looks as if it had never come to this process.
-func (a *AsyncWriter) tell(lines []byte) []byte {
+// appendDropNotice appends a line with the number of lines dropped since the last
+// notice. Without it, a request whose line is missing looks as if this process had
+// never received it.
+func (a *AsyncWriter) appendDropNotice(lines []byte) []byte {
 	dropped := a.dropped.Load()
-	if dropped == a.told {
+	if dropped == a.reported {
 		return lines
 	}
 	lines = fmt.Appendf(lines, `{"time":%q,"level":"WARN","msg":"log lines dropped","lines":%d,"in_all":%d}`+"\n",
-		time.Now().UTC().Format(time.RFC3339Nano), dropped-a.told, dropped)
-	a.told = dropped
+		time.Now().UTC().Format(time.RFC3339Nano), dropped-a.reported, dropped)
+	a.reported = dropped
 	return lines
 }
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -9,36 +9,34 @@
 	"skylarklead/test/kit"
 )
 
-// stalled is a log whose reader takes nothing until it is let go.
-type stalled struct {
+// blockedWriter is a log that blocks writes until release is closed.
+type blockedWriter struct {
 	release chan struct{}
-	begun   chan struct{}
+	started chan struct{}
 	once    sync.Once
 	mu      sync.Mutex
 	out     bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
-	s.once.Do(func() { close(s.begun) })
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	s.once.Do(func() { close(s.started) })
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out.Write(p)
 }
 
-// Symptom: on-call finds no line of a request that a caller complains of, and takes it
-// that the request never came.
-// Sequence: the log's reader stands still; lines fill the buffer and the next ones are
-// dropped; the reader goes on.
-// Cause: only a counter told of the lines that are missing.
+// The log's reader stalls, so that lines fill the buffer and the next ones are dropped,
+// then resumes. The log must mention the dropped lines; with only a counter for them, an
+// operator who finds no line of a request concludes that it was never received.
 func TestDroppedLinesAreTold(t *testing.T) {
-	log := &stalled{release: make(chan struct{}), begun: make(chan struct{})}
+	log := &blockedWriter{release: make(chan struct{}), started: make(chan struct{})}
 	w := NewAsyncWriter(log)
 	line := append(bytes.Repeat([]byte("x"), 1023), '\n')
 	kit.Must(w.Write(line))(t)
-	<-log.begun
+	<-log.started
 	const beyond = 5
-	for range asyncBuffer/len(line) + beyond {
+	for range asyncBufferBytes/len(line) + beyond {
 		kit.Must(w.Write(line))(t)
 	}
 	if w.Dropped() != beyond {
@@ -47,12 +45,12 @@
 	close(log.release)
 	w.Close()
 	lines := bytes.Split(bytes.TrimSpace(log.out.Bytes()), []byte("\n"))
-	var told struct {
+	var notice struct {
 		Msg   string
 		Lines int
 	}
-	kit.OK(t, json.Unmarshal(lines[len(lines)-1], &told))
-	if told.Msg != "log lines dropped" || told.Lines != beyond {
+	kit.OK(t, json.Unmarshal(lines[len(lines)-1], &notice))
+	if notice.Msg != "log lines dropped" || notice.Lines != beyond {
 		t.Errorf("the log's last line: %s", lines[len(lines)-1])
 	}
 }
--- a/internal/telemetry/decisions.go
+++ b/internal/telemetry/decisions.go
@@ -9,56 +9,57 @@
 	"skylarklead/internal/protocol"
 )
 
-// rememberedDecisions bounds the ring that answers protocol.ExplainRequest. At the
-// target of letter 1 (3 requests a second an entry) it covers some minutes.
-const rememberedDecisions = 1024
+// decisionRingSize is the capacity of the ring that answers protocol.ExplainRequest.
+// At the target rate of 3 requests a second per entry it covers some minutes.
+const decisionRingSize = 1024
 
 // The kinds of decision, as in protocol.DecisionRecord.Kind.
 const (
 	// KindRoute is an owner's choice of an executor.
 	KindRoute = "route"
-	// KindRequest is an entry's account of a request at its end.
+	// KindRequest is an entry's summary of a request that has ended.
 	KindRequest = "request"
-	// KindRun is an executor's account of an attempt at its end.
+	// KindRun is an executor's summary of an attempt that has ended.
 	KindRun = "run"
-	// KindImport is an executor's account of an import of cache blocks.
+	// KindImport is an executor's summary of an import of cache blocks.
 	KindImport = "import"
-	// KindPlacement is an order to an engine.
+	// KindPlacement is an order to an engine to load weights.
 	KindPlacement = "placement"
 )
 
-// Decisions logs each routing or placement decision and remembers the last of
-// them. It is safe for concurrent use.
+// Decisions logs each routing or placement decision and keeps the last
+// decisionRingSize of them. It is safe for concurrent use.
 type Decisions struct {
 	log     *slog.Logger
 	process string
 
 	mu   sync.Mutex
-	ring []remembered
+	ring []timedRecord
+	// next is the index of the oldest record once the ring is full, 0 before.
 	next int
 }
 
-type remembered struct {
+type timedRecord struct {
 	record protocol.DecisionRecord
 	at     time.Time
 }
 
-// NewDecisions returns an empty memory of the process named.
+// NewDecisions returns an empty record of the decisions of process.
 func NewDecisions(log *slog.Logger, process string) *Decisions {
-	return &Decisions{log: log, process: process, ring: make([]remembered, 0, rememberedDecisions)}
+	return &Decisions{log: log, process: process, ring: make([]timedRecord, 0, decisionRingSize)}
 }
 
-// Record logs and remembers a decision. Process is filled in.
+// Record logs and keeps a decision. It sets rec.Process.
 func (d *Decisions) Record(rec protocol.DecisionRecord) {
 	rec.Process = d.process
 	d.remember(rec)
-	d.write(rec)
+	d.logDecision(rec)
 }
 
 func (d *Decisions) remember(rec protocol.DecisionRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	entry := remembered{record: rec, at: time.Now()}
+	entry := timedRecord{record: rec, at: time.Now()}
 	if len(d.ring) < cap(d.ring) {
 		d.ring = append(d.ring, entry)
 		return
@@ -67,7 +68,7 @@
 	d.next = (d.next + 1) % len(d.ring)
 }
 
-func (d *Decisions) write(rec protocol.DecisionRecord) {
+func (d *Decisions) logDecision(rec protocol.DecisionRecord) {
 	attrs := []slog.Attr{
 		slog.String("kind", rec.Kind),
 		slog.String("request", rec.Request),
@@ -90,8 +91,7 @@
 	d.log.LogAttrs(context.Background(), slog.LevelInfo, "decision", attrs...)
 }
 
-// Explain returns the remembered decisions of a request, oldest first, with
-// their ages in milliseconds.
+// Explain returns the kept decisions about a request, oldest first, with their ages.
 func (d *Decisions) Explain(request string) []protocol.DecisionRecord {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// maxOrganisations bounds the histograms kept, some 20 KB each; later
-	// organisations are counted together as otherOrganisations.
+	// maxOrganisations bounds the histograms, of some 20 KB each. Further organisations
+	// share the histogram otherOrganisations.
 	maxOrganisations   = 64
 	otherOrganisations = "other"
-	// Histograms hold microseconds from 1 to ten minutes at two digits.
-	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits    = 2
+	// Histograms cover 1 µs to ten minutes with two significant digits.
+	maxLatencyMicros         = int64(10 * time.Minute / time.Microsecond)
+	latencySignificantDigits = 2
 )
 
-// Metrics are a process's counters. It is safe for concurrent use.
+// Metrics are the metrics of a process. It is safe for concurrent use.
 type Metrics struct {
 	registry metrics.Registry
 
-	// Requests counts requests begun, in the role's own sense: a caller's
-	// request at an entry, a Run at an endpoint.
+	// Requests counts the requests begun: callers' requests at an entry, Runs at an
+	// endpoint.
 	Requests metrics.Meter
-	// Completed counts those that ended as done.
+	// Completed counts the requests that ended as done.
 	Completed metrics.Meter
 	// Tokens counts generated tokens.
 	Tokens metrics.Meter
-	// Retries and Hedges count attempts and questions sent again.
+	// Retries counts repeated attempts, Hedges routing questions sent to a further
+	// endpoint.
 	Retries, Hedges metrics.Counter
-	// Dropped counts late, crossed and unknown messages.
+	// Dropped counts messages that are late, have crossed another or match nothing.
 	Dropped metrics.Counter
 
 	promptTokens, cachedTokens, recomputedTokens metrics.Counter
 
-	// Traffic counts bytes on the sessions to peers; hand it to wire.Options.
+	// Traffic counts the bytes on the sessions with peers, for wire.Options.
 	Traffic *wire.Traffic
 
 	mu          sync.Mutex
@@ -77,7 +78,7 @@
 	metrics.NewRegisteredFunctionalGauge("data_bytes_received", r, m.Traffic.DataReceived.Load)
 }
 
-// hitRate is cached over all prompt tokens since the start.
+// hitRate returns the share of prompt tokens since the start that were cached.
 func (m *Metrics) hitRate() float64 {
 	prompt := m.promptTokens.Count()
 	if prompt == 0 {
@@ -91,8 +92,8 @@
 	metrics.GetOrRegisterCounter("refused_"+string(code), m.registry).Inc(1)
 }
 
-// Prompt counts one prompt's tokens: all, those served from the cache, and those
-// computed again although the prediction had them cached.
+// Prompt counts the tokens of one prompt: all of them, those served from the cache, and
+// those computed although they were predicted to be cached.
 func (m *Metrics) Prompt(tokens, cached, predicted int) {
 	m.promptTokens.Inc(int64(tokens))
 	m.cachedTokens.Inc(int64(cached))
@@ -104,10 +105,12 @@
 	micros := min(max(d.Microseconds(), 1), maxLatencyMicros)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// The value is within the histogram's range, the only thing that can fail.
+	// RecordValue fails only for values out of range, which micros isn't.
 	_ = m.histogram(organisation).RecordValue(micros)
 }
 
+// histogram returns the organisation's histogram, or that of otherOrganisations beyond
+// maxOrganisations. Callers hold mu.
 func (m *Metrics) histogram(organisation string) *hdrhistogram.Histogram {
 	if h := m.firstTokens[organisation]; h != nil {
 		return h
@@ -115,17 +118,17 @@
 	if len(m.firstTokens) >= maxOrganisations && organisation != otherOrganisations {
 		return m.histogram(otherOrganisations)
 	}
-	h := hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+	h := hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits)
 	m.firstTokens[organisation] = h
 	return h
 }
 
-// Gauge shows a value that is read when the page is.
+// Gauge registers a gauge whose value is read when the metrics are.
 func (m *Metrics) Gauge(name string, value func() int64) {
 	metrics.NewRegisteredFunctionalGauge(name, m.registry, value)
 }
 
-// Count adds to a counter named by the caller, for what only one role counts.
+// Count adds n to the counter of this name, for counters of a single role.
 func (m *Metrics) Count(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(n)
 }
--- a/internal/telemetry/server.go
+++ b/internal/telemetry/server.go
@@ -11,8 +11,8 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// Serve serves the metrics page on address until ctx ends. It does nothing for
-// an empty address.
+// Serve serves the metrics page on address in the background until ctx ends. It does
+// nothing for an empty address.
 func (t *Telemetry) Serve(ctx context.Context, address string) error {
 	if address == "" {
 		return nil
@@ -26,7 +26,7 @@
 	go func() {
 		defer stop()
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			t.Log.Error("metrics page ended", "error", err)
+			t.Log.Error("metrics page stopped serving", "error", err)
 		}
 	}()
 	return nil
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry is what a daemon shows of itself: JSON log lines, one line
-// for each routing or placement decision, and metrics on a local HTTP page.
+// Package telemetry provides a daemon's logs and metrics: JSON log lines, one for each
+// routing or placement decision, and metrics on a local HTTP page.
 package telemetry
 
 import (
@@ -12,16 +12,16 @@
 	"skylarklead/internal/settings"
 )
 
-// Telemetry bundles what both roles report through.
+// Telemetry has the logger, the decisions and the metrics of a process of any role.
 type Telemetry struct {
 	Log       *slog.Logger
 	Decisions *Decisions
 	Metrics   *Metrics
-	// Epoch is this process's; it is drawn once, at the start.
+	// Epoch identifies this run of the process; it is drawn at random at the start.
 	Epoch protocol.Epoch
 }
 
-// New returns the telemetry of one process; log lines go to w.
+// New returns the telemetry of one process, which writes log lines to w.
 func New(s *settings.Settings, w io.Writer) (*Telemetry, error) {
 	epoch := protocol.Epoch(rand.Uint64())
 	log, err := NewLogger(s, epoch, w)
@@ -53,5 +53,5 @@
 	), nil
 }
 
-// FormatEpoch renders an epoch as 16 hex digits, as it stands in logs.
+// FormatEpoch returns an epoch as 16 hex digits, the format of the logs.
 func FormatEpoch(epoch protocol.Epoch) string { return fmt.Sprintf("%016x", uint64(epoch)) }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -40,11 +40,11 @@
 
 func TestExplanationIsBoundedAndOldestFirst(t *testing.T) {
 	tel, _ := New(&settings.Settings{LogLevel: "error"}, &bytes.Buffer{})
-	for i := range rememberedDecisions + 3 {
+	for i := range decisionRingSize + 3 {
 		tel.Decisions.Record(protocol.DecisionRecord{Request: "r", Reason: fmt.Sprint(i)})
 	}
 	records := tel.Decisions.Explain("r")
-	if len(records) != rememberedDecisions || records[0].Reason != "3" {
+	if len(records) != decisionRingSize || records[0].Reason != "3" {
 		t.Fatalf("%d records from %s", len(records), records[0].Reason)
 	}
 }
@@ -54,11 +54,11 @@
 	for i := range 3 * maxOrganisations {
 		m.FirstToken(fmt.Sprint(i), time.Duration(i)*time.Millisecond)
 	}
-	tails := m.Snapshot().TimeToFirstToken
-	if len(tails) != maxOrganisations+1 {
-		t.Fatalf("%d histograms", len(tails))
+	summaries := m.Snapshot().TimeToFirstToken
+	if len(summaries) != maxOrganisations+1 {
+		t.Fatalf("%d histograms", len(summaries))
 	}
-	if got := tails[otherOrganisations].Count; got != 2*maxOrganisations {
+	if got := summaries[otherOrganisations].Count; got != 2*maxOrganisations {
 		t.Fatalf("%d counted as other", got)
 	}
 }
