--- a/internal/strictcbor/strictcbor.go
+++ b/internal/strictcbor/strictcbor.go
@@ -1,19 +1,19 @@
-// Package strictcbor makes decoders of CBOR that comes from elsewhere: other
-// processes and the log. They refuse what no encoder of ours writes (duplicate map
-// keys, indefinite lengths, tags) and bound what one input can make them build.
+// Package strictcbor provides decoders of untrusted CBOR from other processes and the
+// log. They refuse what the project's encoders never write (duplicate map keys,
+// indefinite lengths, tags) and bound the structures that one input can create.
 package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
 
-// Bounds limit one input; a zero field takes the library's own bound.
+// Bounds limit one input. A field that is 0 stands for the library's default.
 type Bounds struct {
 	ArrayElements int
 	MapPairs      int
 	NestedLevels  int
 }
 
-// Decoder returns a decoder with these bounds. It panics on bounds that the
-// library doesn't take, so it is for package variables with constant bounds.
+// Decoder returns a decoder with these bounds. It panics on bounds that the library
+// refuses, so use it for package variables with constant bounds.
 func Decoder(b Bounds) cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: b.ArrayElements,
--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -18,47 +18,48 @@
 )
 
 func (d *Document) decode(v hujson.Value, path string, into any) {
-	d.value(v, path, reflect.ValueOf(into).Elem())
+	d.decodeValue(v, path, reflect.ValueOf(into).Elem())
 }
 
-// value decodes v into target, which is settable.
-func (d *Document) value(v hujson.Value, path string, target reflect.Value) {
+// decodeValue decodes v into target, which is settable.
+func (d *Document) decodeValue(v hujson.Value, path string, target reflect.Value) {
 	if _, ok := d.lines[path]; !ok || path == "" {
 		d.lines[path] = d.lineAt(v.StartOffset)
 	}
 	if target.Type() == rawType {
-		d.raw(v, path, target)
+		d.decodeRaw(v, path, target)
 		return
 	}
 	if target.Kind() == reflect.Pointer {
-		d.pointer(v, path, target)
+		d.decodePointer(v, path, target)
 		return
 	}
 	if target.Addr().Type().Implements(unmarshalerType) {
-		d.unmarshaler(v, path, target)
+		d.decodeUnmarshaler(v, path, target)
 		return
 	}
 	switch target.Kind() {
 	case reflect.Struct:
-		d.object(v, path, target)
+		d.decodeObject(v, path, target)
 	case reflect.Map:
-		d.mapping(v, path, target)
+		d.decodeMap(v, path, target)
 	case reflect.Slice:
-		d.array(v, path, target)
+		d.decodeArray(v, path, target)
 	default:
-		d.scalar(v, path, target)
+		d.decodeScalar(v, path, target)
 	}
 }
 
-// raw keeps the value as standard JSON without comments or spaces.
-func (d *Document) raw(v hujson.Value, path string, target reflect.Value) {
-	d.raws[path] = v
+// decodeRaw stores the value as standard JSON without comments or spaces, and keeps it
+// for DecodeField.
+func (d *Document) decodeRaw(v hujson.Value, path string, target reflect.Value) {
+	d.rawValues[path] = v
 	v = v.Clone()
 	v.Minimize()
 	target.SetBytes(v.Pack())
 }
 
-func (d *Document) pointer(v hujson.Value, path string, target reflect.Value) {
+func (d *Document) decodePointer(v hujson.Value, path string, target reflect.Value) {
 	if v.Value.Kind() == 'n' {
 		target.SetZero()
 		return
@@ -66,50 +67,52 @@
 	if target.IsNil() {
 		target.Set(reflect.New(target.Type().Elem()))
 	}
-	d.value(v, path, target.Elem())
+	d.decodeValue(v, path, target.Elem())
 }
 
-func (d *Document) unmarshaler(v hujson.Value, path string, target reflect.Value) {
+// decodeUnmarshaler decodes v with the target's UnmarshalJSON, whose error becomes a
+// problem at path.
+func (d *Document) decodeUnmarshaler(v hujson.Value, path string, target reflect.Value) {
 	v = v.Clone()
 	v.Minimize()
 	err := target.Addr().Interface().(json.Unmarshaler).UnmarshalJSON(v.Pack())
-	var mistake *ValueError
+	var valueErr *ValueError
 	switch {
-	case errors.As(err, &mistake):
-		d.Add(path, mistake.Wrong, mistake.Want)
+	case errors.As(err, &valueErr):
+		d.Add(path, valueErr.Wrong, valueErr.Want)
 	case err != nil:
 		d.Add(path, err.Error(), "")
 	}
 }
 
-func (d *Document) object(v hujson.Value, path string, target reflect.Value) {
+func (d *Document) decodeObject(v hujson.Value, path string, target reflect.Value) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		d.wrongType(v, path, "an object {…}")
 		return
 	}
-	fields := fieldsOf(target.Type())
+	fields := fieldIndexes(target.Type())
 	seen := map[string]bool{}
 	for _, m := range obj.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		at := join(path, name)
+		at := joinPath(path, name)
 		line := d.lineAt(m.Name.StartOffset)
 		index, known := fields[name]
 		switch {
 		case !known && d.lenient:
 		case !known:
-			d.addAt(line, at, "unknown field", nearestOf(name, fields))
+			d.addAt(line, at, "unknown field", suggestField(name, fields))
 		case seen[name]:
 			d.addAt(line, at, "given twice", "one value")
 		default:
 			seen[name] = true
 			d.lines[at] = line
-			d.value(m.Value, at, target.Field(index))
+			d.decodeValue(m.Value, at, target.Field(index))
 		}
 	}
 }
 
-func (d *Document) mapping(v hujson.Value, path string, target reflect.Value) {
+func (d *Document) decodeMap(v hujson.Value, path string, target reflect.Value) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		d.wrongType(v, path, "an object {…}")
@@ -118,20 +121,20 @@
 	result := reflect.MakeMapWithSize(target.Type(), len(obj.Members))
 	for _, m := range obj.Members {
 		name := m.Name.Value.(hujson.Literal).String()
-		at := join(path, name)
+		at := joinPath(path, name)
 		key := reflect.ValueOf(name)
 		if result.MapIndex(key).IsValid() {
 			d.addAt(d.lineAt(m.Name.StartOffset), at, "given twice", "one value")
 			continue
 		}
 		element := reflect.New(target.Type().Elem()).Elem()
-		d.value(m.Value, at, element)
+		d.decodeValue(m.Value, at, element)
 		result.SetMapIndex(key, element)
 	}
 	target.Set(result)
 }
 
-func (d *Document) array(v hujson.Value, path string, target reflect.Value) {
+func (d *Document) decodeArray(v hujson.Value, path string, target reflect.Value) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
 		d.wrongType(v, path, "an array […]")
@@ -139,14 +142,14 @@
 	}
 	result := reflect.MakeSlice(target.Type(), len(arr.Elements), len(arr.Elements))
 	for i, e := range arr.Elements {
-		d.value(e, path+"["+strconv.Itoa(i)+"]", result.Index(i))
+		d.decodeValue(e, path+"["+strconv.Itoa(i)+"]", result.Index(i))
 	}
 	target.Set(result)
 }
 
-func (d *Document) scalar(v hujson.Value, path string, target reflect.Value) {
+func (d *Document) decodeScalar(v hujson.Value, path string, target reflect.Value) {
 	literal, ok := v.Value.(hujson.Literal)
-	want := wantOf(target)
+	want := expectedScalar(target)
 	if !ok || literal.Kind() == 'n' {
 		d.wrongType(v, path, want)
 		return
@@ -160,8 +163,8 @@
 	d.Add(path, "is "+describe(v), want)
 }
 
-// wantOf says in words what a scalar of this type looks like.
-func wantOf(target reflect.Value) string {
+// expectedScalar describes the JSON value that a scalar of target's type needs.
+func expectedScalar(target reflect.Value) string {
 	switch target.Kind() {
 	case reflect.String:
 		return "a string"
@@ -176,9 +179,9 @@
 	}
 }
 
-const maxShown = 40
+const maxShownBytes = 40
 
-// describe shows a value, cut short.
+// describe returns a value for an error message, cut to maxShownBytes.
 func describe(v hujson.Value) string {
 	switch value := v.Value.(type) {
 	case *hujson.Object:
@@ -187,21 +190,22 @@
 		return "an array"
 	case hujson.Literal:
 		text := string(value)
-		if len(text) > maxShown {
-			text = strings.ToValidUTF8(text[:maxShown], "") + "…"
+		if len(text) > maxShownBytes {
+			text = strings.ToValidUTF8(text[:maxShownBytes], "") + "…"
 		}
 		return text
 	}
 	return "nothing"
 }
 
-// fieldsByType keeps what fieldsOf has found, since a log has the same few types
-// thousands of times.
-var fieldsByType sync.Map
+// fieldIndexCache has the results of fieldIndexes by type, since reading a log decodes
+// the same few types thousands of times.
+var fieldIndexCache sync.Map
 
-// fieldsOf maps JSON names to field numbers. The map is shared.
-func fieldsOf(t reflect.Type) map[string]int {
-	if known, ok := fieldsByType.Load(t); ok {
+// fieldIndexes returns the indexes of t's fields by JSON name. The map is shared and
+// must not be changed.
+func fieldIndexes(t reflect.Type) map[string]int {
+	if known, ok := fieldIndexCache.Load(t); ok {
 		return known.(map[string]int)
 	}
 	fields := make(map[string]int, t.NumField())
@@ -211,18 +215,18 @@
 			fields[name] = i
 		}
 	}
-	fieldsByType.Store(t, fields)
+	fieldIndexCache.Store(t, fields)
 	return fields
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func nearestOf(name string, fields map[string]int) string {
+func suggestField(name string, fields map[string]int) string {
 	names := make([]string, 0, len(fields))
 	for f := range fields {
 		names = append(names, f)
--- a/internal/strictjson/document.go
+++ b/internal/strictjson/document.go
@@ -1,10 +1,10 @@
-// Package strictjson decodes JSON with comments into structs and reports every
-// mistake at once, each with its file, line and field: unknown and doubled
-// fields, values of a wrong type, and whatever the caller's own checks add.
+// Package strictjson decodes JSON with comments into structs and reports all problems
+// at once, each with its file, line and field: unknown and duplicate fields, values of
+// a wrong type, and the problems that the caller's own checks add.
 //
-// encoding/json stops at the first mistake, gives byte offsets in place of lines
-// and, without an option, drops a misspelt field silently: a limit that an
-// operator believes to be set would not be.
+// encoding/json stops at the first problem, reports byte offsets instead of lines and,
+// by default, silently ignores a misspelt field: a limit that an operator believes to
+// be set would not be.
 package strictjson
 
 import (
@@ -17,31 +17,34 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxDepth bounds nesting. The parser recurses, so a document of nothing but
-// opening brackets would otherwise exhaust the stack and end the process.
+// MaxDepth bounds the levels of nesting. The parser is recursive, so a document of
+// opening brackets only would otherwise overflow the stack and end the process.
 const MaxDepth = 64
 
 // Document is a decoded document to which further checks add their problems.
 type Document struct {
-	name     string
-	data     []byte
-	lines    map[string]int
-	raws     map[string]hujson.Value
+	name string
+	data []byte
+	// lines has the line of each value by path, rawValues the values decoded as
+	// json.RawMessage.
+	lines     map[string]int
+	rawValues map[string]hujson.Value
+	// lenient ignores unknown fields.
 	lenient  bool
 	problems Problems
 }
 
-// Decode parses data into the struct that into points to. Fields that are not in
-// the document keep their values. The Document is never nil; its Err tells what
-// was wrong. Call it after the checks on the values have added theirs.
+// Decode decodes data into the struct that into points to. name is the file's name in
+// errors. Fields that the document doesn't have keep their values. The Document is
+// never nil; call its Err after further checks have added their problems.
 func Decode(data []byte, name string, into any) *Document {
 	d := &Document{name: name, data: data}
 	d.parse(into)
 	return d
 }
 
-// DecodeLenient is Decode without complaint about unknown fields, for documents of
-// a newer schema.
+// DecodeLenient is like Decode but ignores unknown fields, for documents of a newer
+// schema.
 func DecodeLenient(data []byte, name string, into any) *Document {
 	d := &Document{name: name, data: data, lenient: true}
 	d.parse(into)
@@ -50,9 +53,9 @@
 
 func (d *Document) parse(into any) {
 	d.lines = map[string]int{"": 1}
-	d.raws = map[string]hujson.Value{}
+	d.rawValues = map[string]hujson.Value{}
 	data := d.data
-	if line, ok := tooDeep(data); ok {
+	if line, ok := findTooDeep(data); ok {
 		d.addAt(line, "", "nested too deeply", "at most "+strconv.Itoa(MaxDepth)+" levels")
 		return
 	}
@@ -64,10 +67,10 @@
 	d.decode(value, "", into)
 }
 
-// DecodeField decodes a field that was kept as a json.RawMessage, so that its
-// problems get the lines and paths of the whole document.
+// DecodeField decodes a field that was decoded as a json.RawMessage. Its problems have
+// lines and paths of the whole document.
 func (d *Document) DecodeField(path string, into any) {
-	value, ok := d.raws[path]
+	value, ok := d.rawValues[path]
 	if !ok {
 		d.Add(path, "is missing", "an object")
 		return
@@ -75,14 +78,14 @@
 	d.decode(value, path, into)
 }
 
-// Has reports whether the document gives a value for the field.
+// Has reports whether the document has the field.
 func (d *Document) Has(path string) bool {
 	_, ok := d.lines[path]
 	return ok
 }
 
-// Add records that the field's value is wrong. Only the first problem of a field
-// is kept: what follows from it would hide what is to be mended.
+// Add records that the field's value is wrong. Only the first problem of a field is
+// kept: those that follow from it would hide the one to fix.
 func (d *Document) Add(path, wrong, want string) {
 	samePath := func(p Problem) bool { return p.Path == path }
 	if slices.ContainsFunc(d.problems, samePath) {
@@ -91,7 +94,7 @@
 	d.addAt(d.line(path), path, wrong, want)
 }
 
-// Err returns all problems as Problems in order of line, or nil.
+// Err returns all problems as Problems, sorted by line, or nil.
 func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
@@ -100,7 +103,7 @@
 	return d.problems
 }
 
-// OK reports whether nothing is wrong so far.
+// OK reports whether no problem has been found so far.
 func (d *Document) OK() bool { return len(d.problems) == 0 }
 
 func (d *Document) addAt(line int, path, wrong, want string) {
@@ -108,7 +111,7 @@
 }
 
 // line returns the line of the field or, if the document doesn't have it, of the
-// nearest field around it.
+// innermost enclosing value.
 func (d *Document) line(path string) int {
 	for {
 		if line, ok := d.lines[path]; ok {
@@ -123,7 +126,7 @@
 	return 1 + bytes.Count(d.data[:offset], []byte{'\n'})
 }
 
-// syntaxPosition matches the position in the parser's errors.
+// syntaxPosition matches the position at the beginning of the parser's errors.
 var syntaxPosition = regexp.MustCompile(`^hujson: line (\d+), column (\d+): `)
 
 func (d *Document) addSyntax(err error) {
@@ -136,8 +139,9 @@
 	d.addAt(line, "", text, "JSON; comments and trailing commas are allowed")
 }
 
-// tooDeep looks for nesting beyond MaxDepth outside strings and comments.
-func tooDeep(data []byte) (line int, found bool) {
+// findTooDeep returns the line at which nesting, outside strings and comments, first
+// exceeds MaxDepth.
+func findTooDeep(data []byte) (line int, found bool) {
 	depth := 0
 	for i := 0; i < len(data); i++ {
 		switch data[i] {
@@ -157,7 +161,8 @@
 	return 0, false
 }
 
-// skipString returns the index of the quote that ends the string at i.
+// skipString returns the index of the quote that ends the string beginning at i, or an
+// index beyond data if the string is unterminated.
 func skipString(data []byte, i int) int {
 	for i++; i < len(data) && data[i] != '"'; i++ {
 		if data[i] == '\\' {
@@ -167,7 +172,8 @@
 	return i
 }
 
-// skipComment returns the index of the last byte of the comment at i, or i.
+// skipComment returns the index of the last byte of the comment that begins at i, or i
+// if none does. For an unterminated comment it returns len(data).
 func skipComment(data []byte, i int) int {
 	rest := data[i:]
 	end, mark := -1, ""
--- a/internal/strictjson/document_test.go
+++ b/internal/strictjson/document_test.go
@@ -36,9 +36,8 @@
 	}
 }
 
-// Symptom: a process ends with a stack overflow, which can't be recovered from.
-// Sequence: it reads a document of nothing but opening brackets. Cause: the
-// parser calls itself for each level.
+// The parser recurses for each level of nesting. Without a bound, a document of opening
+// brackets only ends the process with a stack overflow, which can't be recovered from.
 func TestDeepNesting(t *testing.T) {
 	text := append([]byte("{\n\"items\": \"[[\","), bytes.Repeat([]byte{'['}, 1<<20)...)
 	err := Decode(text, "f", &outer{}).Err()
--- a/internal/strictjson/nearest.go
+++ b/internal/strictjson/nearest.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Nearest returns which of names was probably meant, or "" if none is near: at
-// most a third of its letters differ.
+// Nearest returns the one of names with the smallest edit distance to name, or "" if
+// none is within a third of the longer name's length. It sorts names.
 func Nearest(name string, names []string) string {
 	slices.Sort(names)
 	best, bestDistance := "", 0
@@ -19,7 +19,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance of a and b in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/strictjson/problem.go
+++ b/internal/strictjson/problem.go
@@ -7,12 +7,13 @@
 
 // Problem is one thing that is wrong with a document.
 type Problem struct {
-	// Name is the document's file name, Line counts from 1.
+	// Name is the document's file name. Line is counted from 1.
 	Name string
 	Line int
-	// Path is the field, such as "endpoint.heartbeat" or "models[0].name".
+	// Path is the field, such as "endpoint.heartbeat" or "models[0].name"; empty for
+	// the whole document.
 	Path string
-	// Wrong says what is wrong, Want what would be right; Want may be empty.
+	// Wrong says what is wrong, Want what is expected; Want may be empty.
 	Wrong string
 	Want  string
 }
@@ -31,10 +32,10 @@
 	return b.String()
 }
 
-// Problems is the error for a document: all that is wrong with it, by line.
+// Problems is the error for a document: all its problems by line.
 type Problems []Problem
 
-// Error returns one problem a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -43,12 +44,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// ValueError is an error that the UnmarshalJSON of a field's type returns to say
-// both what is wrong and what would be right.
+// ValueError is returned by the UnmarshalJSON of a field's type to give both parts of a
+// Problem.
 type ValueError struct {
 	Wrong string
 	Want  string
 }
 
-// Error returns what is wrong and what would be right.
+// Error returns the parts as Problem.String does.
 func (m *ValueError) Error() string { return m.Wrong + "; want " + m.Want }
