--- a/cmd/skylarkd/main.go
+++ b/cmd/skylarkd/main.go
@@ -1,5 +1,5 @@
-// Command skylarkd is the daemon: an entry or an endpoint process, by its
-// settings.
+// Command skylarkd is the daemon. Its settings determine its role: an entry, an endpoint
+// or a direct entry.
 package main
 
 import (
@@ -25,26 +25,26 @@
 const (
 	exitOK     = 0
 	exitFailed = 1
-	// exitUsage: the command line or the settings were wrong; nothing was started.
+	// exitUsage: the command line or the settings are invalid; nothing was started.
 	exitUsage = 2
 )
 
-// errServe marks what failed after the settings were found good.
-var errServe = errors.New("stopped")
+// errAfterStart marks failures after the settings were found valid.
+var errAfterStart = errors.New("stopped")
 
 func main() {
 	os.Exit(execute(context.Background(), os.Args, os.Stdout, os.Stderr))
 }
 
-// execute runs the daemon with the arguments, the first of which is its name,
-// and returns the exit code.
+// execute runs the daemon with the command line args, whose first element is the
+// program's name, and returns the exit code.
 func execute(ctx context.Context, args []string, out, errOut io.Writer) int {
 	err := command(out, errOut).Run(ctx, args)
 	if err == nil {
 		return exitOK
 	}
 	fmt.Fprintln(errOut, "skylarkd:", err)
-	if errors.Is(err, errServe) {
+	if errors.Is(err, errAfterStart) {
 		return exitFailed
 	}
 	return exitUsage
@@ -57,7 +57,7 @@
 		UsageText: "skylarkd --config FILE [--check]",
 		Writer:    out,
 		ErrWriter: errOut,
-		// The library would print the help for each mistake.
+		// By default the library prints the help after each usage error.
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err },
 		Description: "SIGTERM drains: new work is refused, nothing in flight is cut, and the\n" +
 			"process exits when its last stream has ended.\n\n" +
@@ -89,27 +89,27 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	source := func() (*settings.Settings, error) { return settings.Load(c.String("config")) }
-	if err := serve(ctx, s, source); err != nil {
-		return fmt.Errorf("%w: %w", errServe, err)
+	loadSettings := func() (*settings.Settings, error) { return settings.Load(c.String("config")) }
+	if err := serve(ctx, s, loadSettings); err != nil {
+		return fmt.Errorf("%w: %w", errAfterStart, err)
 	}
 	return nil
 }
 
-func serve(ctx context.Context, s *settings.Settings, source direct.SettingsLoader) error {
-	lines := telemetry.NewAsyncWriter(os.Stdout)
-	defer lines.Close()
-	tel, err := telemetry.New(s, lines)
+func serve(ctx context.Context, s *settings.Settings, loadSettings direct.SettingsLoader) error {
+	logWriter := telemetry.NewAsyncWriter(os.Stdout)
+	defer logWriter.Close()
+	tel, err := telemetry.New(s, logWriter)
 	if err != nil {
 		return err
 	}
-	tel.Metrics.Gauge("log_lines_dropped", lines.Dropped)
-	// The page outlives ctx, so that a drain can be watched on it.
+	tel.Metrics.Gauge("log_lines_dropped", logWriter.Dropped)
+	// The metrics page is served beyond the end of ctx, so that it shows the drain.
 	if err := tel.Serve(context.WithoutCancel(ctx), s.Metrics); err != nil {
 		return err
 	}
 	tel.Log.Info("starting", "listen", s.Listen, "failure_domain", s.FailureDomain)
-	if err := runRole(ctx, s, source, tel); err != nil {
+	if err := runRole(ctx, s, loadSettings, tel); err != nil {
 		tel.Log.Error("ended", "error", err)
 		return err
 	}
@@ -117,9 +117,9 @@
 	return nil
 }
 
-func runRole(ctx context.Context, s *settings.Settings, source direct.SettingsLoader, tel *telemetry.Telemetry) error {
+func runRole(ctx context.Context, s *settings.Settings, loadSettings direct.SettingsLoader, tel *telemetry.Telemetry) error {
 	if s.Role != settings.RoleDirect {
-		ignoreHangups(ctx, tel)
+		ignoreSIGHUP(ctx, tel)
 	}
 	switch s.Role {
 	case "entry":
@@ -127,24 +127,25 @@
 	case "endpoint":
 		return endpoint.Run(ctx, s, tel)
 	case settings.RoleDirect:
-		return direct.Run(ctx, s, source, tel, platform.New(s.Direct.Store))
+		return direct.Run(ctx, s, loadSettings, tel, platform.New(s.Direct.Store))
 	}
 	return fmt.Errorf("unknown role %q", s.Role)
 }
 
-// ignoreHangups keeps the roles that read their settings at the start only from
-// ending at SIGHUP, which means elsewhere that the settings have changed.
-func ignoreHangups(ctx context.Context, tel *telemetry.Telemetry) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+// ignoreSIGHUP keeps the process running at SIGHUP, for the roles that read their
+// settings only at the start. To the role direct, SIGHUP means that the settings have
+// changed.
+func ignoreSIGHUP(ctx context.Context, tel *telemetry.Telemetry) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
-		defer signal.Stop(hangups)
+		defer signal.Stop(signals)
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
-				tel.Log.Warn("SIGHUP ignored: this role reads its settings at the start only")
+			case <-signals:
+				tel.Log.Warn("SIGHUP ignored: this role reads its settings only at the start")
 			}
 		}
 	}()
--- a/cmd/skylarkd/main_test.go
+++ b/cmd/skylarkd/main_test.go
@@ -17,7 +17,8 @@
 	bad := filepath.Join(t.TempDir(), "entry.json")
 	kit.OK(t, os.WriteFile(bad, bytes.Replace(text, []byte("hedge_after"), []byte("hedge_afer"), 1), 0o600))
 	dir := t.TempDir()
-	// tls writes settings whose callers' TLS has the two contents.
+	// tls writes the certificate and the key to files, unless empty, and returns the
+	// path of settings with both files for callers' TLS.
 	tls := func(name, certificate, key string) string {
 		field := `"entry": {` + "\n" + `"tls": {`
 		for kind, content := range map[string]string{"certificate": certificate, "key": key} {
@@ -38,10 +39,10 @@
 	certificate, key := pair()
 	_, otherKey := pair()
 	tests := []struct {
-		name string
-		args []string
-		want int
-		says string
+		name       string
+		args       []string
+		want       int
+		wantOutput string
 	}{
 		{"good settings", []string{"--config", good, "--check"}, exitOK, "settings are good"},
 		{"bad settings", []string{"--config", bad, "--check"}, exitUsage, `want "hedge_after"?`},
@@ -64,8 +65,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var out, errOut bytes.Buffer
 			got := execute(t.Context(), append([]string{"skylarkd"}, tt.args...), &out, &errOut)
-			if said := out.String() + errOut.String(); got != tt.want || !strings.Contains(said, tt.says) {
-				t.Errorf("exit %d, want %d with %q, said:\n%s", got, tt.want, tt.says, said)
+			if output := out.String() + errOut.String(); got != tt.want || !strings.Contains(output, tt.wantOutput) {
+				t.Errorf("exit %d, want %d with %q, output:\n%s", got, tt.want, tt.wantOutput, output)
 			}
 		})
 	}
