--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -116,7 +116,7 @@
 		b.recordInvalid(r.Name(), e.Offset)
 	case r.Schema > b.state.maxSchema:
 		v.Accepted, v.Reason = true, ReasonUnknownSchema
-		v.Detail = fmt.Sprintf("schema %d is newer than %d; what was in force stays", r.Schema, b.state.maxSchema)
+		v.Detail = fmt.Sprintf("schema %d is newer than %d; the previous record stays in force", r.Schema, b.state.maxSchema)
 		b.keepOpaque(r, e)
 	default:
 		v = b.activate(r, e)
--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -50,8 +50,8 @@
 	writable(b, &b.state.Invalid)[recordName] = offset
 }
 
-// keepOpaque makes r, of an unknown schema, the key's revision and leaves in force
-// what was.
+// keepOpaque makes r, of an unknown schema, the key's revision. The record in force
+// stays in force.
 func (b *builder) keepOpaque(r Record, e LogEntry) {
 	recordName := r.Name()
 	last, ok := b.state.Opaque[recordName]
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -64,14 +64,14 @@
 		}
 	}
 	b.releaseAPIKeys(incoming)
-	for _, a := range incoming {
-		if a.entry.Offset > b.state.Revision(a.record.Kind, a.record.Key) {
-			b.advanceKey(a.entry, a.record, a.invalid)
+	for _, in := range incoming {
+		if in.entry.Offset > b.state.Revision(in.record.Kind, in.record.Key) {
+			b.advanceKey(in.entry, in.record, in.invalid)
 		}
 	}
-	for _, v := range c.Invalid {
-		if v.Offset > b.state.Revision(v.Kind, v.Key) {
-			b.recordInvalid(name(v.Kind, v.Key), v.Offset)
+	for _, invalid := range c.Invalid {
+		if invalid.Offset > b.state.Revision(invalid.Kind, invalid.Key) {
+			b.recordInvalid(name(invalid.Kind, invalid.Key), invalid.Offset)
 		}
 	}
 	return b.state, nil
@@ -97,10 +97,10 @@
 // states; without this, the record of the new owner could be applied first and be
 // refused because the previous owner still holds the key.
 func (b *builder) releaseAPIKeys(incoming []incomingRecord) {
-	for _, a := range incoming {
-		_, organisation := a.record.parsed.(*Organisation)
-		if organisation && a.invalid == nil && a.entry.Offset > b.state.Revision(KindOrganisation, a.record.Key) {
-			b.removeAPIKeys(a.record.Key)
+	for _, in := range incoming {
+		_, isOrganisation := in.record.parsed.(*Organisation)
+		if isOrganisation && in.invalid == nil && in.entry.Offset > b.state.Revision(KindOrganisation, in.record.Key) {
+			b.removeAPIKeys(in.record.Key)
 		}
 	}
 }
--- a/internal/telemetry/decisions.go
+++ b/internal/telemetry/decisions.go
@@ -23,7 +23,7 @@
 	KindRun = "run"
 	// KindImport is an executor's summary of an import of cache blocks.
 	KindImport = "import"
-	// KindPlacement is an order to an engine to load weights.
+	// KindPlacement is an order to an engine, such as to load weights.
 	KindPlacement = "placement"
 )
 
--- a/internal/wire/keepalive.go
+++ b/internal/wire/keepalive.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// awaitedLocked is awaited for callers that hold mu.
+// awaitedLocked reports whether something waits for the peer. Callers hold mu.
 func (s *Session) awaitedLocked() bool { return s.waiters > 0 || len(s.calls) > 0 }
 
 func (s *Session) ping() error {
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -84,8 +84,8 @@
 	calls       map[uint32]chan protocol.Message
 	waiters     int
 	lastWritten time.Time
-	// awaitedSince is when the session was last not awaited and a wait began;
-	// waitStarted wakes keepalive then.
+	// awaitedSince is when the session last became awaited; waitStarted wakes keepalive
+	// then.
 	awaitedSince time.Time
 	waitStarted  chan struct{}
 	// lastReceived is when the last message was received; pings don't count.
