--- a/internal/ctl/files.go
+++ b/internal/ctl/files.go
@@ -89,7 +89,7 @@
 	if r.Kind == config.KindSnapshot {
 		return source{}, fmt.Errorf("%s: snapshot records can't be published; daemons write them", path)
 	}
-	if !r.Understood() {
+	if !r.KnownSchema() {
 		return source{}, fmt.Errorf("%s: %s has schema %d; this tool can check schemas up to %d", path, r.Name(), r.Schema, config.MaxSchema)
 	}
 	standard, err := hujson.Standardize(text)
--- a/internal/entry/attemptconn.go
+++ b/internal/entry/attemptconn.go
@@ -53,7 +53,7 @@
 func (conn *attemptConn) switchSession(session *wire.Session) {
 	conn.release()
 	conn.session = session
-	conn.release = session.Hold()
+	conn.release = session.MarkAwaited()
 }
 
 // checkLiveness is called after each idleCheckInterval without a message. A process
@@ -63,7 +63,7 @@
 func (e *Entry) checkLiveness(conn *attemptConn) {
 	conn.idleChecks++
 	session := conn.session
-	if conn.idleChecks < maxIdleChecks || time.Since(session.Heard()) < maxIdleChecks*idleCheckInterval {
+	if conn.idleChecks < maxIdleChecks || time.Since(session.LastReceived()) < maxIdleChecks*idleCheckInterval {
 		return // the process was active on another stream of the session
 	}
 	conn.idleChecks = 0
--- a/internal/entry/instances.go
+++ b/internal/entry/instances.go
@@ -25,7 +25,7 @@
 	defer client.Close()
 	client.Poll(ctx, pollInterval, func(list []platform.Instance, err error) {
 		e.onInstanceList(ctx, list, err)
-		e.tel.NoteKey(e.options.Openings)
+		e.tel.LogKeyStatus(e.options.Handshakes)
 	})
 }
 
@@ -34,7 +34,7 @@
 		// Sessions are tried before the first endpoint is known, and thus before the
 		// callers' listener opens, so that an entry with a wrong key never reports
 		// that it is ready.
-		e.pool.Prove(ctx, platform.OtherAddresses(list, e.settings.ID))
+		e.pool.VerifyKey(ctx, platform.OtherAddresses(list, e.settings.ID))
 		e.directory.setInstances(list)
 		return
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -140,7 +140,7 @@
 // newPeerServer returns the server for the protocol between processes.
 func (e *Entry) newPeerServer() *http.Server {
 	r := mux.NewRouter()
-	r.HandleFunc(wire.Path, func(w http.ResponseWriter, r *http.Request) {
+	r.HandleFunc(wire.SessionPath, func(w http.ResponseWriter, r *http.Request) {
 		err := wire.Accept(w, r, e.options)
 		if errors.Is(err, wire.ErrUnauthenticated) || errors.Is(err, wire.ErrMalformed) {
 			e.tel.Log.Warn("peer rejected", "remote", r.RemoteAddr, "error", err)
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -72,7 +72,7 @@
 		return nil, refusef(protocol.CodeUnauthorized, "header Authorization must be %q and an API key", bearerPrefix)
 	}
 	digest := sha256.Sum256([]byte(strings.TrimSpace(header[len(bearerPrefix):])))
-	organisation := state.OrganisationByKey(hex.EncodeToString(digest[:]))
+	organisation := state.OrganisationByKeyDigest(hex.EncodeToString(digest[:]))
 	if organisation == nil {
 		return nil, refusef(protocol.CodeUnauthorized, "unknown API key")
 	}
--- a/internal/measure/run.go
+++ b/internal/measure/run.go
@@ -227,7 +227,7 @@
 		s.cached += stats.Totals.CachedTokens
 	}
 	for _, n := range f.daemons() {
-		var page telemetry.Page
+		var page telemetry.MetricsPage
 		if err := getJSON(n.metricsURL+"/metrics.json", &page); err != nil {
 			return s, err
 		}
@@ -246,7 +246,7 @@
 
 // metricValue returns the value of a counter or gauge of a metrics page, 0 if there
 // is none.
-func metricValue(page telemetry.Page, name string) float64 {
+func metricValue(page telemetry.MetricsPage, name string) float64 {
 	m := page.Metrics[name]
 	for _, field := range []string{"value", "count"} {
 		if v, ok := m[field].(float64); ok {
--- a/internal/measure/slopes.go
+++ b/internal/measure/slopes.go
@@ -270,7 +270,7 @@
 // usage has one daemon's cumulative resource usage at a point in time.
 type usage struct {
 	at      time.Time
-	page    telemetry.Page
+	page    telemetry.MetricsPage
 	rss     float64
 	sockets map[string]socket
 }
