--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -158,7 +158,7 @@
 	Data []byte
 }
 
-// Decode returns the snapshot's state. Errors wrap ErrState.
+// Decode returns the snapshot's state. Errors wrap ErrMalformedState.
 func (p *Snapshot) Decode() (*State, error) {
 	s, err := DecodeState(p.Data)
 	if err != nil {
