--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -27,7 +27,7 @@
 	exit 1
 }
 
-# open_port tells whether something listens on a loopback port.
+# open_port reports whether something listens on a loopback port.
 open_port() { (exec 3<>"/dev/tcp/127.0.0.1/$1") 2>/dev/null; }
 
 # free_port sets port to the next loopback port that nothing listens on. The ports
@@ -50,7 +50,7 @@
 	echo "$! $name" >>"$dir/pids"
 }
 
-# alive PID NAME tells whether the process is still the one that was started: a
+# alive PID NAME reports whether the process is still the one that was started: a
 # number may have been given to another program since.
 alive() {
 	kill -0 "$1" 2>/dev/null || return 1
@@ -78,7 +78,7 @@
 	done
 }
 
-# stop_fleet FOLDER stops a run, callers' side first, so that nothing is cut.
+# stop_fleet FOLDER stops a run, callers' side first, so that no answer is cut off.
 stop_fleet() {
 	[[ -f $1/pids ]] || return 0
 	stop_matching "$1" 'entry-*' || true
@@ -153,7 +153,7 @@
 	[[ ${status:-} == *' 200 '* ]]
 }
 
-# group_met tells whether each engine's endpoint process has heard the other two.
+# group_met reports whether each engine's endpoint process has received heartbeats of the other two.
 # Before that, an owner can't yet know what a peer's engine holds, so that the
 # demo's first hit would depend on its timing.
 group_met() {
@@ -171,7 +171,7 @@
 	SETTINGS
 }
 
-# endpoint_settings GROUP KIND BACKEND prints the part of an endpoint process.
+# endpoint_settings GROUP KIND BACKEND prints the section of an endpoint process.
 endpoint_settings() {
 	cat <<-SETTINGS
 		  "endpoint": {"group": "$1", "kind": "$2", "backend": "http://127.0.0.1:$3"}
