--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -15,7 +15,7 @@
 	"skylarklead/internal/platform"
 )
 
-// noLimit is the maximum of arguments for a command that takes any number.
+// noLimit is the maxArgs of a command that takes any number of arguments.
 const noLimit = 1 << 20
 
 func configCommand() *cli.Command {
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -122,6 +122,8 @@
 	return results, s, nil
 }
 
+// unchanged reports whether r would change nothing: the key is already deleted, or
+// its newest record is in force and has the same content.
 func unchanged(s *config.State, r config.Record) bool {
 	it := itemOf(s, r.Kind, r.Key)
 	if r.Delete {
--- a/test/harness/cluster.go
+++ b/test/harness/cluster.go
@@ -47,8 +47,8 @@
 	ID       string
 	Settings *settings.Settings
 	// PlatformProxy is between the daemon and the platform, PeerProxy between other
-	// daemons and this one, BackendProxy between the daemon and its engine or service;
-	// nil for an entry.
+	// daemons and this one. BackendProxy is between the daemon and its engine or
+	// service; it is nil for an entry.
 	PlatformProxy, PeerProxy, BackendProxy *faultproxy.Proxy
 	// Backend is the engine or service, nil for an entry.
 	Backend *Backend
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -109,7 +109,7 @@
 	return p.lines[:len(p.lines):len(p.lines)]
 }
 
-// CountLog returns how many log lines match, as Line.Is does.
+// CountLog returns how many log lines match, by LogLine.Matches.
 func (p *Process) CountLog(msg string, attrs ...string) int {
 	n := 0
 	for _, line := range p.Lines() {
