--- a/cmd/skylarkd/main.go
+++ b/cmd/skylarkd/main.go
@@ -63,7 +63,7 @@
 			"process exits when its last stream has ended.\n\n" +
 			"  skylarkd --config entry.json --check\n" +
 			"  skylarkd --config entry.json 2>>entry.log\n\n" +
-			"Exit codes: 0 done; 1 failed after the start; 2 bad use or bad settings.",
+			"Exit codes: 0 done; 1 failed after the start; 2 invalid command line or settings.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Usage: "settings `FILE`, JSON with comments"},
 			&cli.BoolFlag{Name: "check", Usage: "only check the settings and the files that they name"},
--- a/internal/attempt/plan.go
+++ b/internal/attempt/plan.go
@@ -263,7 +263,7 @@
 	if !p.callerGone {
 		return nil
 	}
-	return p.abandon(protocol.CodeCanceled, "the caller has gone")
+	return p.abandon(protocol.CodeCanceled, "the caller disconnected")
 }
 
 // refuse gives the final answer. It says not_run only if no attempt may have run and
--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -10,9 +10,9 @@
 
 // PoisonParams configures a PoisonTracker.
 type PoisonParams struct {
-	// MaxCrashes is the number of counted crashes at which a request is given up, 2 or
-	// more. With one crash less it runs exclusively, so that the last crash is
-	// conclusive.
+	// MaxCrashes is the number of counted crashes at which a request is given up (not run
+	// again until TTL has passed), 2 or more. With one crash less it runs exclusively, so
+	// that the last crash is conclusive.
 	MaxCrashes int
 	// MaxClears is how often a completion resets a request's crash count. Without a
 	// bound, a request that crashes every other engine would go on for ever.
@@ -27,7 +27,7 @@
 	ExclusiveGap  time.Duration
 	// MaxEntries bounds the fingerprints remembered.
 	MaxEntries int
-	// MaxPerHeartbeat bounds the strikes in one heartbeat.
+	// MaxPerHeartbeat bounds the crash counts in one heartbeat.
 	MaxPerHeartbeat int
 }
 
@@ -91,9 +91,9 @@
 
 // PoisonTracker remembers which requests were running when engines crashed. Every
 // endpoint process of a group has one: as an owner it judges requests, as an executor
-// it protects its own engine, and it merges the strikes in its peers' heartbeats.
+// it protects its own engine, and it merges the crash counts in its peers' heartbeats.
 //
-// Bound: if all peers receive the strikes, a request that crashes every engine it runs
+// Bound: if all peers receive the crash counts, a request that crashes every engine it runs
 // on crashes MaxCrashes of them within TTL: MaxCrashes-1 in crashes shared with
 // whatever ran beside it, and one while running exclusively. Copies that were already
 // running on k other engines during one of the shared crashes, and owners that have
@@ -229,11 +229,11 @@
 }
 
 // RecordCrash records that this process's engine was lost with all requests that it
-// ran. Only a request that ran alone gets the last strike: one that happened to run
+// ran. Only a request that ran alone is charged with the last crash: one that happened to run
 // beside several culprits must not be given up in their place.
 func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.CrashCount {
 	ranAlone := p.runningTotal == 1
-	strikes := make([]protocol.CrashCount, 0, len(p.running))
+	crashCounts := make([]protocol.CrashCount, 0, len(p.running))
 	for f, n := range p.running {
 		p.lostRuns[f] += n
 		s := p.recent(f, now)
@@ -245,10 +245,10 @@
 		}
 		s.givenUp = s.givenUp || s.count >= p.params.MaxCrashes
 		s.lastCrash, s.changedAt = now, now
-		strikes = append(strikes, s.toStrike(f, now))
+		crashCounts = append(crashCounts, s.toCrashCount(f, now))
 	}
 	clear(p.running)
 	p.runningTotal = 0
-	slices.SortFunc(strikes, func(a, b protocol.CrashCount) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
-	return strikes
+	slices.SortFunc(crashCounts, func(a, b protocol.CrashCount) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	return crashCounts
 }
--- a/internal/attempt/poison_merge.go
+++ b/internal/attempt/poison_merge.go
@@ -8,38 +8,38 @@
 	"skylarklead/internal/protocol"
 )
 
-// Merge merges a peer's strikes. It is idempotent and independent of order.
-func (p *PoisonTracker) Merge(strikes []protocol.CrashCount, now time.Duration) {
-	for _, strike := range strikes {
-		crashedAt := now - millis(max(strike.AgeMs, 0))
+// Merge merges a peer's crash counts. It is idempotent and independent of order.
+func (p *PoisonTracker) Merge(crashCounts []protocol.CrashCount, now time.Duration) {
+	for _, received := range crashCounts {
+		crashedAt := now - millis(max(received.AgeMs, 0))
 		if now-crashedAt >= p.params.TTL {
 			continue
 		}
-		s := p.recent(strike.Fingerprint, now)
+		s := p.recent(received.Fingerprint, now)
 		if s == nil {
-			s = p.addRecord(strike.Fingerprint, now)
+			s = p.addRecord(received.Fingerprint, now)
 			s.lastCrash = crashedAt
 		}
-		s.merge(strike, crashedAt, now)
+		s.merge(received, crashedAt, now)
 	}
 }
 
-func (s *crashRecord) merge(strike protocol.CrashCount, crashedAt, now time.Duration) {
-	newer := strike.Generation > s.generation || strike.Generation == s.generation && strike.Count > s.count
+func (s *crashRecord) merge(received protocol.CrashCount, crashedAt, now time.Duration) {
+	newer := received.Generation > s.generation || received.Generation == s.generation && received.Count > s.count
 	if newer {
-		s.generation, s.count = strike.Generation, strike.Count
+		s.generation, s.count = received.Generation, received.Count
 	}
-	if newer || strike.GivenUp && !s.givenUp {
+	if newer || received.GivenUp && !s.givenUp {
 		s.changedAt = now
 		s.lastCrash = max(s.lastCrash, crashedAt)
 	}
-	s.givenUp = s.givenUp || strike.GivenUp
+	s.givenUp = s.givenUp || received.GivenUp
 }
 
-// HeartbeatStrikes returns the strikes for the next heartbeat: the latest changes
+// HeartbeatCrashCounts returns the crash counts for the next heartbeat: the latest changes
 // first, then the others in rotation, so that a peer that missed some receives them
 // again.
-func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.CrashCount {
+func (p *PoisonTracker) HeartbeatCrashCounts(now time.Duration) []protocol.CrashCount {
 	p.sweep(now)
 	if len(p.records) == 0 {
 		return nil
@@ -59,14 +59,14 @@
 		p.cursor = others[len(others)-1]
 		fingerprints = slices.Concat(fingerprints[:newest], others)
 	}
-	strikes := make([]protocol.CrashCount, len(fingerprints))
+	crashCounts := make([]protocol.CrashCount, len(fingerprints))
 	for i, f := range fingerprints {
-		strikes[i] = p.records[f].toStrike(f, now)
+		crashCounts[i] = p.records[f].toCrashCount(f, now)
 	}
-	return strikes
+	return crashCounts
 }
 
-func (s *crashRecord) toStrike(fingerprint uint64, now time.Duration) protocol.CrashCount {
+func (s *crashRecord) toCrashCount(fingerprint uint64, now time.Duration) protocol.CrashCount {
 	return protocol.CrashCount{
 		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
 		Generation: s.generation, AgeMs: (now - s.lastCrash).Milliseconds(),
--- a/internal/attempt/poison_test.go
+++ b/internal/attempt/poison_test.go
@@ -20,13 +20,13 @@
 )
 
 // poisonModel models a group of endpoint processes, each with its engine. Each process
-// judges by itself; the strikes that they exchange may be delayed.
+// judges by itself; the crash counts that they exchange may be delayed.
 type poisonModel struct {
 	t             *rapid.T
 	now           time.Duration
 	group         []*PoisonTracker
 	engines       []map[uint64]int
-	inTransit     []strikeMessage
+	inTransit     []crashCountMessage
 	crashes       map[uint64]int
 	crashesAt     []map[uint64]int
 	sometimesRuns int
@@ -39,9 +39,9 @@
 	fingerprint uint64
 }
 
-type strikeMessage struct {
-	to      int
-	strikes []protocol.CrashCount
+type crashCountMessage struct {
+	to          int
+	crashCounts []protocol.CrashCount
 }
 
 func newPoisonModel(t *rapid.T, n int) *poisonModel {
@@ -107,7 +107,7 @@
 func (w *poisonModel) crash(i int, culprit uint64) {
 	w.crashes[culprit]++
 	w.crashesAt[i][culprit]++
-	strikes := w.group[i].RecordCrash(w.now)
+	crashCounts := w.group[i].RecordCrash(w.now)
 	for f := range uint64(modelRequests) {
 		for range w.engines[i][f] {
 			w.lateEnds = append(w.lateEnds, lateEnd{i, f})
@@ -116,7 +116,7 @@
 	clear(w.engines[i])
 	for to := range w.group {
 		if to != i {
-			w.inTransit = append(w.inTransit, strikeMessage{to, strikes})
+			w.inTransit = append(w.inTransit, crashCountMessage{to, crashCounts})
 		}
 	}
 }
@@ -130,16 +130,16 @@
 
 func (w *poisonModel) deliver(n int) {
 	if n < len(w.inTransit) {
-		w.group[w.inTransit[n].to].Merge(w.inTransit[n].strikes, w.now)
+		w.group[w.inTransit[n].to].Merge(w.inTransit[n].crashCounts, w.now)
 		w.inTransit = append(w.inTransit[:n:n], w.inTransit[n+1:]...)
 	}
 }
 
 func (w *poisonModel) heartbeat(from int) {
-	strikes := w.group[from].HeartbeatStrikes(w.now)
+	crashCounts := w.group[from].HeartbeatCrashCounts(w.now)
 	for to := range w.group {
 		if to != from {
-			w.group[to].Merge(strikes, w.now)
+			w.group[to].Merge(crashCounts, w.now)
 		}
 	}
 }
@@ -168,8 +168,8 @@
 // Guards against one request that takes down engine after engine, and against a
 // harmless one that is refused for an hour in its place. Two requests crash every
 // engine that runs them, one every other; they and harmless ones are sent again and
-// again to any endpoint; strikes arrive late, in any order, or only in heartbeats.
-// Faults to detect: strikes that are lost, reset without a bound, or counted against
+// again to any endpoint; crash counts arrive late, in any order, or only in heartbeats.
+// Faults to detect: crash counts that are lost, reset without a bound, or counted against
 // requests that ran beside the culprit.
 func TestPoisonIsBoundedAndInnocentsAreNotGivenUp(t *testing.T) {
 	p := DefaultPoisonParams
@@ -185,7 +185,7 @@
 				}
 			}
 			if n := w.crashesAt[i][alwaysCrashes]; n > p.MaxCrashes {
-				t.Fatalf("%d crashes by one request at one endpoint, even without strikes from its peers", n)
+				t.Fatalf("%d crashes by one request at one endpoint, even without crash counts from its peers", n)
 			}
 			if n := w.crashesAt[i][sometimesCrashes]; n > p.MaxCrashes+int(p.MaxClears) {
 				t.Fatalf("%d crashes at one endpoint by a request that sometimes completes", n)
@@ -224,7 +224,7 @@
 }
 
 // Guards against a request that is refused for ever because peers keep sending each
-// other its strikes: strikes must age.
+// other its crash counts: they must expire.
 func TestStrikesPassedToAndFroExpire(t *testing.T) {
 	w := newPoisonModel(nil, 3)
 	for range DefaultPoisonParams.MaxCrashes {
@@ -246,7 +246,7 @@
 	}
 	for i, p := range w.group {
 		if got := p.Judge(alwaysCrashes, w.now); got.Kind != VerdictClear {
-			t.Errorf("endpoint %d after the strikes expired: %+v", i, got)
+			t.Errorf("endpoint %d after the crash counts expired: %+v", i, got)
 		}
 	}
 }
@@ -266,7 +266,7 @@
 }
 
 // Guards against a request that stays a suspect after it completed: another endpoint,
-// which has not learned of the completion, still sends the strike. Merging by the
+// which has not learned of the completion, still sends the crash count. Merging by the
 // larger count alone would restore it.
 func TestAClearedStrikeOutdoesOlderNews(t *testing.T) {
 	a, b := NewPoisonTracker(DefaultPoisonParams), NewPoisonTracker(DefaultPoisonParams)
@@ -276,7 +276,7 @@
 	b.Merge(old, 0)
 	a.Start(firstHarmless, 0)
 	a.RecordEnd(firstHarmless, true, 0)
-	b.Merge(a.HeartbeatStrikes(0), 0)
+	b.Merge(a.HeartbeatCrashCounts(0), 0)
 	b.Merge(old, 0)
 	a.Merge(old, 0)
 	if a.Judge(firstHarmless, 0).Kind != VerdictClear || b.Judge(firstHarmless, 0).Kind != VerdictClear {
@@ -322,15 +322,15 @@
 	p.RecordCrash(0)
 	seen := map[uint64]bool{}
 	for range 10 {
-		heartbeat := p.HeartbeatStrikes(time.Second)
+		heartbeat := p.HeartbeatCrashCounts(time.Second)
 		if len(heartbeat) > DefaultPoisonParams.MaxPerHeartbeat {
-			t.Fatalf("%d strikes in one heartbeat", len(heartbeat))
+			t.Fatalf("%d crash counts in one heartbeat", len(heartbeat))
 		}
 		for _, s := range heartbeat {
 			seen[s.Fingerprint] = true
 		}
 	}
 	if len(seen) != 100 {
-		t.Errorf("%d of 100 strikes were in a heartbeat", len(seen))
+		t.Errorf("%d of 100 crash counts were in a heartbeat", len(seen))
 	}
 }
--- a/internal/attempt/step_bench_test.go
+++ b/internal/attempt/step_bench_test.go
@@ -94,7 +94,7 @@
 	p.RecordCrash(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.HeartbeatStrikes(time.Second)
+		p.HeartbeatCrashCounts(time.Second)
 	}
 }
 
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -173,6 +173,6 @@
 	if !when.first {
 		go e.recordAnnouncement(rollout.Announcement{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
 	}
-	e.tel.Log.Info("weights wanted", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
+	e.tel.Log.Info("new weights version read", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
 	e.rollouts.trigger()
 }
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -42,7 +42,7 @@
 	started     time.Time
 	loop        *mailbox
 	pool        *wire.Pool
-	openings    *wire.Handshakes
+	handshakes  *wire.Handshakes
 	config      *follow.Follower
 	platformLog *platform.Log
 	engine      *engine.Client  // nil beside a plain service
@@ -77,7 +77,7 @@
 // Run serves peers until ctx ends and the last stream has ended.
 func Run(ctx context.Context, s *settings.Settings, tel *telemetry.Telemetry) error {
 	e := newEndpoint(s, tel)
-	options := wire.Options{Key: s.Key(), AdditionalKeys: s.AdditionalKeys(), Self: e.identity, Handler: peerHandler{e}, Traffic: tel.Metrics.Traffic, Handshakes: e.openings}
+	options := wire.Options{Key: s.Key(), AdditionalKeys: s.AdditionalKeys(), Self: e.identity, Handler: peerHandler{e}, Traffic: tel.Metrics.Traffic, Handshakes: e.handshakes}
 	e.pool = wire.NewPool(options)
 	defer e.pool.Close()
 	instances := platform.NewInstances(s.Platform.Instances)
@@ -104,7 +104,7 @@
 		log:        tel.Log,
 		started:    time.Now(),
 		loop:       newMailbox(),
-		openings:   wire.NewHandshakes(),
+		handshakes: wire.NewHandshakes(),
 		rng:        rng,
 		router:     route.NewRouter(route.ParamsOf(s.Endpoint)),
 		admission:  admit.NewCore(admit.ParamsFromSettings(s.Endpoint)),
@@ -153,7 +153,7 @@
 	go instances.Poll(ctx, listInterval, func(list []platform.Instance, err error) {
 		e.loop.postUnbounded(func() { e.onList(list, err) })
 		e.pool.VerifyKey(ctx, platform.OtherAddresses(list, e.settings.ID))
-		e.tel.LogKeyStatus(e.openings)
+		e.tel.LogKeyStatus(e.handshakes)
 	})
 	if e.engine != nil {
 		go e.watchEngine(ctx)
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -166,15 +166,15 @@
 func (e *Endpoint) recordCrash(incarnation string) {
 	e.watch.lostIncarnation = incarnation
 	e.watch.crashCount++
-	strikes := e.poison.RecordCrash(e.now())
+	crashCounts := e.poison.RecordCrash(e.now())
 	e.tel.Metrics.Count("engine_crashes", 1)
-	e.log.Warn("engine crashed", "incarnation", incarnation, "struck", len(strikes))
-	for _, s := range strikes {
+	e.log.Warn("engine crashed", "incarnation", incarnation, "struck", len(crashCounts))
+	for _, s := range crashCounts {
 		if s.GivenUp {
 			e.log.Warn("request given up", "fingerprint", fmt.Sprintf("%016x", s.Fingerprint))
 		}
 	}
-	if len(strikes) > 0 {
+	if len(crashCounts) > 0 {
 		// An owner without this report would run a suspect beside other requests, or
 		// on one engine more than the limit.
 		e.sendHeartbeatToAll()
--- a/internal/endpoint/heartbeat.go
+++ b/internal/endpoint/heartbeat.go
@@ -74,7 +74,7 @@
 
 func (e *Endpoint) sendHeartbeats(peers []member.Peer) {
 	e.collectResidents()
-	strikes := e.poison.HeartbeatStrikes(e.now())
+	crashCounts := e.poison.HeartbeatCrashCounts(e.now())
 	load := e.load()
 	for _, to := range peers {
 		p := e.group.peer(to.ID)
@@ -90,7 +90,7 @@
 			Leaving:      e.drain.leaving,
 			ConfigOffset: e.state().Offset,
 			Load:         load,
-			CrashCounts:  strikes,
+			CrashCounts:  crashCounts,
 			Unresponsive: p.silentPeers,
 			PeriodMs:     e.group.view.HeartbeatPeriod(to.ID).Milliseconds(),
 		}
@@ -203,7 +203,7 @@
 	peer := e.group.peer(hb.ID)
 	e.logIncarnationChange(hb, peer)
 	peer.load, peer.loadAt, peer.hasLoad, peer.epoch = hb.Load, now, true, hb.Epoch
-	e.mergePeerStrikes(hb.CrashCounts, from.ID)
+	e.mergePeerCrashCounts(hb.CrashCounts, from.ID)
 	e.applyAdvertisement(hb.ID, hb.Epoch, hb.Load.Incarnation, hb.Load.Version, hb.Residents, hb.Full)
 	e.observeOffset(s, hb.ConfigOffset)
 	e.probe(hb.Unresponsive, false)
@@ -217,10 +217,10 @@
 	}
 }
 
-// mergePeerStrikes merges the crash counts of requests that a peer reports.
-func (e *Endpoint) mergePeerStrikes(strikes []protocol.CrashCount, from string) {
+// mergePeerCrashCounts merges the crash counts of requests that a peer reports.
+func (e *Endpoint) mergePeerCrashCounts(crashCounts []protocol.CrashCount, from string) {
 	now := e.now()
-	for _, s := range strikes {
+	for _, s := range crashCounts {
 		before := e.poison.Judge(s.Fingerprint, now).Kind
 		e.poison.Merge([]protocol.CrashCount{s}, now)
 		if kind := e.poison.Judge(s.Fingerprint, now).Kind; kind > before {
--- a/internal/endpoint/server.go
+++ b/internal/endpoint/server.go
@@ -63,7 +63,7 @@
 	switch {
 	case e.drain.leaving:
 		return "leaving"
-	case len(e.openings.RefusingPeers()) > 0:
+	case len(e.handshakes.RefusingPeers()) > 0:
 		return wire.KeyRefused
 	case !e.group.listAttempted:
 		return "instance list not requested yet"
@@ -83,7 +83,7 @@
 	switch {
 	case errors.Is(err, wire.ErrUnauthenticated), errors.Is(err, wire.ErrMalformed):
 		e.tel.Metrics.Count("peers_cut_off", 1)
-		e.log.Warn("peer cut off", "remote", r.RemoteAddr, "error", err)
+		e.log.Warn("peer rejected", "remote", r.RemoteAddr, "error", err)
 	default:
 		e.log.Debug("session ended", "remote", r.RemoteAddr, "error", err)
 	}
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -48,5 +48,5 @@
 }
 
 // MaxExportBytes bounds Blob. It is well below the maximum size of a frame,
-// wire.MaxFrame.
+// wire.MaxFrameBytes.
 const MaxExportBytes = 4 << 20
--- a/internal/route/score.go
+++ b/internal/route/score.go
@@ -69,7 +69,7 @@
 	return v.prefillMs / max(1, v.requests)
 }
 
-// reported is the work in a load summary, in requests of mean output.
+// reportedWork is the work in a load summary, in requests of mean output.
 func (r *Router) reportedWork(l *protocol.Load) amount {
 	requests := float64(l.Running + l.Queued)
 	if r.output > 0 {
