--- a/internal/admit/supply.go
+++ b/internal/admit/supply.go
@@ -20,7 +20,7 @@
 // UpcomingCapacity holds the reopenings of all replicas that could take a request.
 type UpcomingCapacity []Reopening
 
-// maxAdvisedWait bounds the wait that a caller is told.
+// maxAdvisedWait bounds the Retry-After that a caller gets.
 const maxAdvisedWait = time.Minute
 
 // AcceptedBy is how many requests will have been accepted by the given time.
--- a/internal/attempt/crash_tracker.go
+++ b/internal/attempt/crash_tracker.go
@@ -33,7 +33,7 @@
 }
 
 // Valid reports whether a decoded report is complete.
-func (s *CrashReport) Valid() bool { return s.Replica != "" }
+func (r *CrashReport) Valid() bool { return r.Replica != "" }
 
 // CrashTracker detects poison requests among those that entries dispatch directly: it
 // remembers which requests were running at replicas that were lost, and gives up
@@ -69,43 +69,43 @@
 
 // NewCrashTracker returns an empty tracker.
 func NewCrashTracker(p CrashTrackerParams) *CrashTracker {
-	s := &CrashTracker{params: p}
+	t := &CrashTracker{params: p}
 	var errs [3]error
-	s.crashes, errs[0] = lru.New[uint64, *requestCrashes](p.MaxEntries)
-	s.brokenRuns, errs[1] = lru.New[string, []brokenRun](p.MaxEntries)
-	s.lostReplicas, errs[2] = lru.New[string, time.Duration](p.MaxEntries)
+	t.crashes, errs[0] = lru.New[uint64, *requestCrashes](p.MaxEntries)
+	t.brokenRuns, errs[1] = lru.New[string, []brokenRun](p.MaxEntries)
+	t.lostReplicas, errs[2] = lru.New[string, time.Duration](p.MaxEntries)
 	for _, err := range errs {
 		if err != nil {
 			panic(err) // the size is a positive constant
 		}
 	}
-	return s
+	return t
 }
 
 // RecordBrokenRun records that a run that started at began broke off at a replica. It
 // returns a report if the replica is known to be lost.
-func (s *CrashTracker) RecordBrokenRun(fingerprint uint64, replica string, began, now time.Duration) []CrashReport {
+func (t *CrashTracker) RecordBrokenRun(fingerprint uint64, replica string, began, now time.Duration) []CrashReport {
 	run := brokenRun{fingerprint, began, now}
-	if at, lost := s.lostReplicas.Peek(replica); lost && now-at <= s.params.CorrelationWindow {
-		return s.countCrash(nil, run, replica, now)
+	if at, lost := t.lostReplicas.Peek(replica); lost && now-at <= t.params.CorrelationWindow {
+		return t.countCrash(nil, run, replica, now)
 	}
-	runs, _ := s.brokenRuns.Peek(replica)
+	runs, _ := t.brokenRuns.Peek(replica)
 	// A replica that breaks off every run and is never lost would fill the memory.
-	runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return now-r.endedAt > s.params.CorrelationWindow })
-	s.brokenRuns.Add(replica, append(runs, run))
+	runs = slices.DeleteFunc(runs, func(r brokenRun) bool { return now-r.endedAt > t.params.CorrelationWindow })
+	t.brokenRuns.Add(replica, append(runs, run))
 	return nil
 }
 
 // RecordLostReplica records that a replica was lost. It returns the resulting reports,
 // which are to be sent to the other entries.
-func (s *CrashTracker) RecordLostReplica(replica string, now time.Duration) []CrashReport {
-	s.lostReplicas.Add(replica, now)
-	runs, _ := s.brokenRuns.Peek(replica)
-	s.brokenRuns.Remove(replica)
+func (t *CrashTracker) RecordLostReplica(replica string, now time.Duration) []CrashReport {
+	t.lostReplicas.Add(replica, now)
+	runs, _ := t.brokenRuns.Peek(replica)
+	t.brokenRuns.Remove(replica)
 	var reports []CrashReport
 	for _, run := range runs {
-		if now-run.endedAt <= s.params.CorrelationWindow {
-			reports = s.countCrash(reports, run, replica, now)
+		if now-run.endedAt <= t.params.CorrelationWindow {
+			reports = t.countCrash(reports, run, replica, now)
 		}
 	}
 	return reports
@@ -113,23 +113,23 @@
 
 // countCrash counts a run that was lost with its replica and appends the report to
 // list, unless the run began before the last crash that was counted.
-func (s *CrashTracker) countCrash(list []CrashReport, run brokenRun, replica string, now time.Duration) []CrashReport {
-	if r := s.recent(run.fingerprint, now); r != nil && (run.started <= r.lastCrash || r.replicas[replica]) {
+func (t *CrashTracker) countCrash(list []CrashReport, run brokenRun, replica string, now time.Duration) []CrashReport {
+	if r := t.recent(run.fingerprint, now); r != nil && (run.started <= r.lastCrash || r.replicas[replica]) {
 		return list
 	}
 	report := CrashReport{Fingerprint: run.fingerprint, Replica: replica}
 	// The crash counts as of the end of the run, so that a run that began between the
 	// break and its detection counts as later.
-	s.Merge(report, run.endedAt)
+	t.Merge(report, run.endedAt)
 	return append(list, report)
 }
 
 // Merge counts a report of this entry or of another one.
-func (s *CrashTracker) Merge(report CrashReport, now time.Duration) {
-	r := s.recent(report.Fingerprint, now)
+func (t *CrashTracker) Merge(report CrashReport, now time.Duration) {
+	r := t.recent(report.Fingerprint, now)
 	if r == nil {
 		r = &requestCrashes{replicas: make(map[string]bool)}
-		s.crashes.Add(report.Fingerprint, r)
+		t.crashes.Add(report.Fingerprint, r)
 	}
 	if !r.replicas[report.Replica] {
 		r.replicas[report.Replica], r.lastCrash = true, now
@@ -138,14 +138,14 @@
 
 // RecordSuccess records that a replica gave a good answer to a request: the replica
 // isn't lost, and the request isn't the cause of crashes.
-func (s *CrashTracker) RecordSuccess(fingerprint uint64, replica string) {
-	s.crashes.Remove(fingerprint)
-	s.brokenRuns.Remove(replica)
+func (t *CrashTracker) RecordSuccess(fingerprint uint64, replica string) {
+	t.crashes.Remove(fingerprint)
+	t.brokenRuns.Remove(replica)
 }
 
 // CrashCount is the number of crashes counted for a request.
-func (s *CrashTracker) CrashCount(fingerprint uint64, now time.Duration) int {
-	if r := s.recent(fingerprint, now); r != nil {
+func (t *CrashTracker) CrashCount(fingerprint uint64, now time.Duration) int {
+	if r := t.recent(fingerprint, now); r != nil {
 		return len(r.replicas)
 	}
 	return 0
@@ -154,22 +154,22 @@
 // Suspect reports whether one more crash causes the request to be given up. After a
 // run of a suspect has broken off, the request isn't run again until it is known
 // whether that was a crash.
-func (s *CrashTracker) Suspect(fingerprint uint64, now time.Duration) bool {
-	return s.CrashCount(fingerprint, now) >= s.params.MaxCrashes-1
+func (t *CrashTracker) Suspect(fingerprint uint64, now time.Duration) bool {
+	return t.CrashCount(fingerprint, now) >= t.params.MaxCrashes-1
 }
 
 // GivenUp reports whether a request isn't run any more, and for how long.
-func (s *CrashTracker) GivenUp(fingerprint uint64, now time.Duration) (time.Duration, bool) {
-	r := s.recent(fingerprint, now)
-	if r == nil || len(r.replicas) < s.params.MaxCrashes {
+func (t *CrashTracker) GivenUp(fingerprint uint64, now time.Duration) (time.Duration, bool) {
+	r := t.recent(fingerprint, now)
+	if r == nil || len(r.replicas) < t.params.MaxCrashes {
 		return 0, false
 	}
-	return r.lastCrash + s.params.TTL - now, true
+	return r.lastCrash + t.params.TTL - now, true
 }
 
-func (s *CrashTracker) recent(fingerprint uint64, now time.Duration) *requestCrashes {
-	r, ok := s.crashes.Get(fingerprint)
-	if !ok || now-r.lastCrash > s.params.TTL {
+func (t *CrashTracker) recent(fingerprint uint64, now time.Duration) *requestCrashes {
+	r, ok := t.crashes.Get(fingerprint)
+	if !ok || now-r.lastCrash > t.params.TTL {
 		return nil
 	}
 	return r
--- a/internal/attempt/forward.go
+++ b/internal/attempt/forward.go
@@ -21,7 +21,7 @@
 var failureNames = [...]string{"not_sent", "not_run", "unknown", "failed"}
 
 // String returns the failure's name in logs.
-func (l DispatchFailure) String() string { return failureNames[l] }
+func (f DispatchFailure) String() string { return failureNames[f] }
 
 // DispatchSpec determines how often a request may be dispatched.
 type DispatchSpec struct {
@@ -80,43 +80,43 @@
 )
 
 // RecordDispatch counts a dispatch that is about to be written.
-func (f *DispatchPlan) RecordDispatch() { f.dispatches++ }
+func (p *DispatchPlan) RecordDispatch() { p.dispatches++ }
 
 // MayHaveRun reports whether the request may have run.
-func (f *DispatchPlan) MayHaveRun() bool { return f.mayHaveRun }
+func (p *DispatchPlan) MayHaveRun() bool { return p.mayHaveRun }
 
 // RecordFailure records the failure of the latest dispatch and decides what to do
 // next.
-func (f *DispatchPlan) RecordFailure(loss DispatchFailure, now time.Duration) RetryDecision {
+func (p *DispatchPlan) RecordFailure(failure DispatchFailure, now time.Duration) RetryDecision {
 	kind := ExtraResend
-	if loss == FailureUnknown || loss == FailureErrorResponse {
-		f.mayHaveRun = true
-		f.runs++
+	if failure == FailureUnknown || failure == FailureErrorResponse {
+		p.mayHaveRun = true
+		p.runs++
 		kind = ExtraRetry
 	}
-	if reason := f.exhausted(loss, now); reason != "" {
-		return RetryDecision{NotRun: !f.mayHaveRun, Reason: reason}
+	if reason := p.exhausted(failure, now); reason != "" {
+		return RetryDecision{NotRun: !p.mayHaveRun, Reason: reason}
 	}
 	// A request that was not sent has cost no replica anything.
-	if loss != FailureNotSent && !f.budget.Allow(kind, f.spec.Organisation, now) {
-		return RetryDecision{NotRun: !f.mayHaveRun, Reason: reasonBudget}
+	if failure != FailureNotSent && !p.budget.Allow(kind, p.spec.Organisation, now) {
+		return RetryDecision{NotRun: !p.mayHaveRun, Reason: reasonBudget}
 	}
 	return RetryDecision{Retry: true}
 }
 
 // exhausted returns why the request must not be dispatched again whatever the budget,
 // or "".
-func (f *DispatchPlan) exhausted(loss DispatchFailure, now time.Duration) string {
+func (p *DispatchPlan) exhausted(failure DispatchFailure, now time.Duration) string {
 	switch {
-	case f.mayHaveRun && !f.spec.Repeatable:
+	case p.mayHaveRun && !p.spec.Repeatable:
 		return reasonNotRepeatable
-	case f.runs >= f.spec.MaxRuns:
+	case p.runs >= p.spec.MaxRuns:
 		return reasonRuns
-	case f.dispatches >= f.spec.MaxDispatches && loss != FailureNotSent:
+	case p.dispatches >= p.spec.MaxDispatches && failure != FailureNotSent:
 		return reasonDispatches
-	case f.dispatches >= 2*f.spec.MaxDispatches:
+	case p.dispatches >= 2*p.spec.MaxDispatches:
 		return reasonDispatches
-	case f.spec.Deadline != 0 && now >= f.spec.Deadline:
+	case p.spec.Deadline != 0 && now >= p.spec.Deadline:
 		return reasonDeadline
 	}
 	return ""
--- a/internal/attempt/once_log.go
+++ b/internal/attempt/once_log.go
@@ -117,9 +117,9 @@
 		o.ageUndated(now)
 		o.decideEarly(now)
 	}
-	doubts := o.uncertain
+	unresolved := o.uncertain
 	o.uncertain = nil
-	for _, k := range doubts {
+	for _, k := range unresolved {
 		o.resolveUncertain(k, started)
 	}
 	return o.takeActions(now)
--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -121,11 +121,11 @@
 
 // Judge returns how a request may run.
 func (p *PoisonTracker) Judge(fingerprint uint64, now time.Duration) Verdict {
-	s := p.recent(fingerprint, now)
+	r := p.recent(fingerprint, now)
 	switch {
-	case s != nil && s.givenUp:
-		return Verdict{Kind: VerdictGivenUp, RetryAfter: s.lastCrash + p.params.TTL - now}
-	case s != nil && s.count >= p.params.ExclusiveFrom():
+	case r != nil && r.givenUp:
+		return Verdict{Kind: VerdictGivenUp, RetryAfter: r.lastCrash + p.params.TTL - now}
+	case r != nil && r.count >= p.params.ExclusiveFrom():
 		return Verdict{Kind: VerdictExclusive}
 	default:
 		return Verdict{Kind: VerdictClear}
@@ -219,13 +219,13 @@
 	if p.running[fingerprint]--; p.running[fingerprint] == 0 {
 		delete(p.running, fingerprint)
 	}
-	s := p.recent(fingerprint, now)
-	if !completed || s == nil || s.givenUp || s.count == 0 || s.generation >= p.params.MaxClears {
+	r := p.recent(fingerprint, now)
+	if !completed || r == nil || r.givenUp || r.count == 0 || r.generation >= p.params.MaxClears {
 		return
 	}
-	s.generation++
-	s.count = 0
-	s.changedAt = now
+	r.generation++
+	r.count = 0
+	r.changedAt = now
 }
 
 // RecordCrash records that this process's engine was lost with all requests that it
@@ -236,16 +236,16 @@
 	crashCounts := make([]protocol.CrashCount, 0, len(p.running))
 	for f, n := range p.running {
 		p.lostRuns[f] += n
-		s := p.recent(f, now)
-		if s == nil {
-			s = p.addRecord(f, now)
+		r := p.recent(f, now)
+		if r == nil {
+			r = p.addRecord(f, now)
 		}
-		if s.count < p.params.ExclusiveFrom() || ranAlone {
-			s.count++
+		if r.count < p.params.ExclusiveFrom() || ranAlone {
+			r.count++
 		}
-		s.givenUp = s.givenUp || s.count >= p.params.MaxCrashes
-		s.lastCrash, s.changedAt = now, now
-		crashCounts = append(crashCounts, s.toCrashCount(f, now))
+		r.givenUp = r.givenUp || r.count >= p.params.MaxCrashes
+		r.lastCrash, r.changedAt = now, now
+		crashCounts = append(crashCounts, r.toCrashCount(f, now))
 	}
 	clear(p.running)
 	p.runningTotal = 0
--- a/internal/attempt/poison_merge.go
+++ b/internal/attempt/poison_merge.go
@@ -15,25 +15,25 @@
 		if now-crashedAt >= p.params.TTL {
 			continue
 		}
-		s := p.recent(received.Fingerprint, now)
-		if s == nil {
-			s = p.addRecord(received.Fingerprint, now)
-			s.lastCrash = crashedAt
+		r := p.recent(received.Fingerprint, now)
+		if r == nil {
+			r = p.addRecord(received.Fingerprint, now)
+			r.lastCrash = crashedAt
 		}
-		s.merge(received, crashedAt, now)
+		r.merge(received, crashedAt, now)
 	}
 }
 
-func (s *crashRecord) merge(received protocol.CrashCount, crashedAt, now time.Duration) {
-	newer := received.Generation > s.generation || received.Generation == s.generation && received.Count > s.count
+func (r *crashRecord) merge(received protocol.CrashCount, crashedAt, now time.Duration) {
+	newer := received.Generation > r.generation || received.Generation == r.generation && received.Count > r.count
 	if newer {
-		s.generation, s.count = received.Generation, received.Count
+		r.generation, r.count = received.Generation, received.Count
 	}
-	if newer || received.GivenUp && !s.givenUp {
-		s.changedAt = now
-		s.lastCrash = max(s.lastCrash, crashedAt)
+	if newer || received.GivenUp && !r.givenUp {
+		r.changedAt = now
+		r.lastCrash = max(r.lastCrash, crashedAt)
 	}
-	s.givenUp = s.givenUp || received.GivenUp
+	r.givenUp = r.givenUp || received.GivenUp
 }
 
 // HeartbeatCrashCounts returns the crash counts for the next heartbeat: the latest changes
@@ -66,20 +66,20 @@
 	return crashCounts
 }
 
-func (s *crashRecord) toCrashCount(fingerprint uint64, now time.Duration) protocol.CrashCount {
+func (r *crashRecord) toCrashCount(fingerprint uint64, now time.Duration) protocol.CrashCount {
 	return protocol.CrashCount{
-		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
-		Generation: s.generation, AgeMs: (now - s.lastCrash).Milliseconds(),
+		Fingerprint: fingerprint, Count: r.count, GivenUp: r.givenUp,
+		Generation: r.generation, AgeMs: (now - r.lastCrash).Milliseconds(),
 	}
 }
 
 // recent returns a record that has not expired.
 func (p *PoisonTracker) recent(fingerprint uint64, now time.Duration) *crashRecord {
-	s, ok := p.records[fingerprint]
-	if !ok || now-s.lastCrash >= p.params.TTL {
+	r, ok := p.records[fingerprint]
+	if !ok || now-r.lastCrash >= p.params.TTL {
 		return nil
 	}
-	return s
+	return r
 }
 
 func (p *PoisonTracker) addRecord(fingerprint uint64, now time.Duration) *crashRecord {
@@ -87,14 +87,14 @@
 		p.sweep(now)
 		p.evict()
 	}
-	s := &crashRecord{lastCrash: now, changedAt: now}
-	p.records[fingerprint] = s
-	return s
+	r := &crashRecord{lastCrash: now, changedAt: now}
+	p.records[fingerprint] = r
+	return r
 }
 
 func (p *PoisonTracker) sweep(now time.Duration) {
-	for f, s := range p.records {
-		if now-s.lastCrash >= p.params.TTL {
+	for f, r := range p.records {
+		if now-r.lastCrash >= p.params.TTL {
 			delete(p.records, f)
 		}
 	}
@@ -107,17 +107,17 @@
 	}
 	var oldest uint64
 	var at *crashRecord
-	for f, s := range p.records {
-		if at == nil || s.evictBefore(at) {
-			oldest, at = f, s
+	for f, r := range p.records {
+		if at == nil || r.evictBefore(at) {
+			oldest, at = f, r
 		}
 	}
 	delete(p.records, oldest)
 }
 
-func (s *crashRecord) evictBefore(t *crashRecord) bool {
-	if s.givenUp != t.givenUp {
+func (r *crashRecord) evictBefore(t *crashRecord) bool {
+	if r.givenUp != t.givenUp {
 		return t.givenUp
 	}
-	return s.lastCrash < t.lastCrash
+	return r.lastCrash < t.lastCrash
 }
--- a/internal/direct/dispatch.go
+++ b/internal/direct/dispatch.go
@@ -150,7 +150,7 @@
 // lock.
 func (req *request) pickReplica(now time.Duration) *placement {
 	s := req.entry.state
-	req.query.WantedVersion = s.wantedVersion(req.params.Model)
+	req.query.DesiredVersion = s.desiredVersion(req.params.Model)
 	var candidates []route.PickCandidate
 	candidates, req.excluded = s.candidates(req.service, req.params.Model, now)
 	req.query.Sample = s.sampleSize(len(candidates))
--- a/internal/direct/entry.go
+++ b/internal/direct/entry.go
@@ -25,7 +25,8 @@
 	// initialConfigTimeout is how long the first connections wait in the kernel's accept queue
 	// for a configuration with its limits; callers give up after one second.
 	initialConfigTimeout = 700 * time.Millisecond
-	// sweepInterval is the pause between checks for idle connections and lapsed replicas.
+	// sweepInterval is the pause between checks for idle connections and replicas whose
+	// record has expired.
 	sweepInterval = 250 * time.Millisecond
 	// bodyMemoryDivisor is the divisor of the memory setting that gives the memory for
 	// request bodies.
@@ -249,7 +250,8 @@
 	m.Gauge("engine_running_us_"+service, gauge(func(s route.EngineSpeed) float64 { return s.RunningMs }))
 }
 
-// sweep periodically closes idle connections and removes replicas whose record has lapsed.
+// sweep periodically closes idle connections and removes replicas whose record has expired and
+// was not written again in time.
 func (e *Entry) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
--- a/internal/direct/hub_test.go
+++ b/internal/direct/hub_test.go
@@ -96,7 +96,7 @@
 }
 
 // An entry that made no call during an outage must notice the outage from its peers. Otherwise it
-// removes replicas whose records lapsed meanwhile.
+// removes replicas whose records expired meanwhile.
 func TestAnOutageIsNoticedByAnEntryThatMadeNoCall(t *testing.T) {
 	tel := quietTelemetry(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -125,7 +125,7 @@
 		relayRead()
 		e.applyReplicaRecord(fleet.Record{Offset: 1, Key: "portal-1"})
 		if l.usableReplicas() == 0 {
-			t.Error("a replica whose record lapsed during an outage for all entries is out of use at once")
+			t.Error("a replica whose record expired during an outage for all entries is out of use at once")
 		}
 		cancel()
 		<-done
--- a/internal/direct/leaving_test.go
+++ b/internal/direct/leaving_test.go
@@ -174,7 +174,7 @@
 // replica for more than two seconds after the replica has left.
 //
 // During or soon after the outage the replica leaves by having its record removed. The entry can't
-// tell this from a record that lapsed in the outage, and keeps the replica in use for the grace
+// tell this from a record that expired in the outage, and keeps the replica in use for the grace
 // period. That must run from the store's return and end on time: counted from when the entry
 // reads the removal, or ended by the next sweep, it lasts too long. Only the reader of the list and
 // the sweep run here.
@@ -219,7 +219,7 @@
 	}
 }
 
-// Guards against treating the lapse of a record as leaving: no replica would be usable after an outage
+// Guards against treating the expiry of a record as leaving: no replica would be usable after an outage
 // of the store, though all run. The store is unavailable for longer than a record lives; the replica
 // writes its record again 1.4 s after the store's return.
 func TestReplicaThatLapsedInAnOutageStaysInUse(t *testing.T) {
@@ -300,7 +300,7 @@
 
 // Guards against an outage of the store, met by all entries, after which no replica is usable until
 // the records are back, though all run. The store answers neither of two entries for some seconds; a
-// replica's record lapses meanwhile and is back 1.9 s after the store's return. An entry must not
+// replica's record expires meanwhile and is back 1.9 s after the store's return. An entry must not
 // use the shorter grace period, which is safe if nothing tells whose outage it was, when a peer says
 // that it met the outage too.
 func TestPeerThatWasAwayTooTellsOfTheStoresOutage(t *testing.T) {
--- a/internal/direct/notices.go
+++ b/internal/direct/notices.go
@@ -66,7 +66,7 @@
 func (e *Entry) logRateLimit(replica, by string, now time.Duration) {
 	limit, _ := e.state.rateLimits.State(replica, now)
 	e.tel.Metrics.Count("replica_rate_limits_named", 1)
-	e.tel.Log.Info("replica's rate limit", "replica", replica, "rate_limit", limit.Rate, "rate_part", limit.Share,
+	e.tel.Log.Info("replica's rate limit changed", "replica", replica, "rate_limit", limit.Rate, "rate_part", limit.Share,
 		"among", limit.Sharers, "by", by)
 }
 
--- a/internal/direct/operator.go
+++ b/internal/direct/operator.go
@@ -10,7 +10,7 @@
 	"skylarklead/internal/spread"
 )
 
-// followOperator keeps the configuration and the wanted versions of weights up to date.
+// followOperator keeps the configuration and the desired versions of weights up to date.
 func (e *Entry) followOperator(ctx context.Context) {
 	topic, _ := e.platform.Records.Topics()
 	f := e.newFollower(topic)
@@ -91,14 +91,14 @@
 		e.tel.Log.Warn("operator's record removed; its last value stays in force", "key", r.Key, "offset", r.Offset)
 		return
 	}
-	config, wanted, err := e.platform.Records.Operator(r.Key, r.Value)
+	config, desired, err := e.platform.Records.Operator(r.Key, r.Value)
 	switch {
 	case err != nil:
 		e.malformed.report("operator's record skipped; the last valid one stays in force", r, err)
 	case config != nil:
 		e.applyConfiguration(config, r.Offset)
-	case wanted != nil:
-		e.applyWanted(wanted, r.Offset, when)
+	case desired != nil:
+		e.applyDesired(desired, r.Offset, when)
 	default:
 		e.tel.Log.Info("operator's record of an unknown kind skipped", "key", r.Key, "offset", r.Offset)
 	}
@@ -112,7 +112,7 @@
 	if old != nil && c.Version <= old.Version {
 		return
 	}
-	e.quotas.setLimits(c)
+	e.quotas.setQuotas(c)
 	e.state.config.Store(&configuration{Configuration: c, appliedAt: e.clock.now()})
 	e.state.mu.Lock()
 	e.state.notifyChanged()
@@ -153,26 +153,26 @@
 	return max(gap.since, gap.lastFailed+storeBindsAfter-dispatchTime-inForce)
 }
 
-func (e *Entry) applyWanted(w *fleet.DesiredVersion, offset uint64, when announcementContext) {
+func (e *Entry) applyDesired(desired *fleet.DesiredVersion, offset uint64, when announcementContext) {
 	e.state.mu.Lock()
-	history := e.state.versionHistories[w.Model]
+	history := e.state.versionHistories[desired.Model]
 	if history == nil {
 		history = rollout.NewVersionHistory(e.directSettings().WeightsWithin.D() - weightsMargin)
-		e.state.versionHistories[w.Model] = history
+		e.state.versionHistories[desired.Model] = history
 	}
 	before := history.Newest()
-	isNew := history.Add(w.Version, e.announcedAt(when.first))
+	isNew := history.Add(desired.Version, e.announcedAt(when.first))
 	if isNew && !when.first {
-		history.MarkReadLate(w.Version, e.earliestAnnouncement(when.gap))
+		history.MarkReadLate(desired.Version, e.earliestAnnouncement(when.gap))
 	}
-	e.applyAnnouncements(w.Model)
+	e.applyAnnouncements(desired.Model)
 	e.state.mu.Unlock()
 	if !isNew {
 		return
 	}
 	if !when.first {
-		go e.recordAnnouncement(rollout.Announcement{Model: w.Model, Version: w.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
+		go e.recordAnnouncement(rollout.Announcement{Model: desired.Model, Version: desired.Version, Before: before, AtMs: time.Now().UnixMilli()}, when.relayed)
 	}
-	e.tel.Log.Info("new weights version read", "model", w.Model, "version", w.Version, "before", before, "offset", offset)
+	e.tel.Log.Info("new weights version read", "model", desired.Model, "version", desired.Version, "before", before, "offset", offset)
 	e.rollouts.trigger()
 }
--- a/internal/direct/quotas.go
+++ b/internal/direct/quotas.go
@@ -86,17 +86,17 @@
 	q.ledger.SetParams(quotaParams(d), q.entry.bootClock())
 }
 
-// setLimits applies the quotas of a configuration.
-func (q *quotas) setLimits(c *fleet.Configuration) {
-	limits := make(map[string]fleet.Quota)
+// setQuotas applies the quotas of a configuration.
+func (q *quotas) setQuotas(c *fleet.Configuration) {
+	byOrganisation := make(map[string]fleet.Quota)
 	for _, o := range c.Organisations {
 		if o.Quota.Limited() {
-			limits[o.Name] = o.Quota
+			byOrganisation[o.Name] = o.Quota
 		}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ledger.SetLimits(limits, q.entry.bootClock())
+	q.ledger.SetQuotas(byOrganisation, q.entry.bootClock())
 }
 
 // setEntries sets the entries that quotas are divided among. self says that the list contains this
--- a/internal/direct/quotas_test.go
+++ b/internal/direct/quotas_test.go
@@ -22,7 +22,7 @@
 	}
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 60_000, Burst: 60_000, Tokens: true, DefaultUnits: each}}
 	for _, e := range all {
-		e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
+		e.quotas.setQuotas(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
 		e.quotas.setEntries(names, true, true)
 		e.quotas.entriesConfirmed(e.bootClock())
 	}
@@ -54,7 +54,7 @@
 	all := newPeerNodes(t, 3, 1) // nobody listens
 	organisation := &fleet.Organisation{Name: "derwent", Quota: fleet.Quota{Rate: 1000, Burst: 1000}}
 	e := all[0]
-	e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
+	e.quotas.setQuotas(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
 	e.quotas.setEntries([]string{"entry-1", "entry-2"}, false, false)
 	for try := range 2 {
 		began := time.Now()
@@ -90,7 +90,7 @@
 			return
 		}
 		e := newPeerNodes(t, 1, 1)[0]
-		e.quotas.setLimits(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
+		e.quotas.setQuotas(&fleet.Configuration{Organisations: []*fleet.Organisation{organisation}})
 		e.quotas.setEntries([]string{e.settings.ID}, true, true)
 		for range 2 {
 			e.quotas.receive(&msg, e.address())
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// recoveryGrace is how long after the store's return a replica whose record lapsed in an
-	// outage may take to write it again: two seconds by the platform's rules.
+	// recoveryGrace is how long after the store's return a replica whose record expired in
+	// an outage may take to write it again: two seconds by the platform's rules.
 	recoveryGrace = 2 * time.Second
 	// storeBindsAfter is how long the store must have answered an entry before the platform
 	// holds the entry to what was written. dispatchTime is the time from a request's placement
@@ -190,7 +190,7 @@
 	}
 }
 
-// removeReplica removes a replica whose record is gone: at once or, if the record may have lapsed
+// removeReplica removes a replica whose record is gone: at once or, if the record may have expired
 // because of an outage of the store, when the grace period for its return is over, but not before
 // restoreGrace (see restoreGraceEnd).
 func (e *Entry) removeReplica(name string, offset uint64, restoreGrace time.Duration) {
@@ -199,8 +199,8 @@
 	grace := e.state.outage.GracePeriod(now)
 	removed := ""
 	until := max(grace.Until, restoreGrace)
-	lapsed := until > now
-	if lapsed {
+	expired := until > now
+	if expired {
 		e.state.replicas.MarkExpired(name, offset, now, until)
 	} else if removed = e.state.replicas.Remove(name, offset, now); removed != "" {
 		e.state.forgetReplica(removed)
@@ -209,9 +209,9 @@
 	outage := slog.Group("outage", "peers", grace.Evidence.String(), "began_ms_ago", (now - grace.Began).Milliseconds(),
 		"missed_ms_ago", (now - grace.LastFailed).Milliseconds(), "ended_ms_ago", (now - grace.Ended).Milliseconds())
 	switch {
-	case lapsed:
+	case expired:
 		e.tel.Metrics.Count("replicas_lapsed", 1)
-		e.tel.Log.Info("replica lapsed during an outage of the store", "replica", name, "offset", offset,
+		e.tel.Log.Info("replica's record expired during an outage of the store", "replica", name, "offset", offset,
 			"gone_in_ms", (until - now).Milliseconds(), outage)
 	case removed != "" && grace.OutageKnown && now-grace.Ended < outageLogPeriod:
 		e.tel.Log.Info("replica gone", "replica", removed, "offset", offset, outage)
--- a/internal/direct/reservation.go
+++ b/internal/direct/reservation.go
@@ -180,7 +180,7 @@
 func (q *quotas) takeOwn(organisation string, units float64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return !q.ledger.HasLimit(organisation) || q.ledger.Take(organisation, units, q.entry.bootClock())
+	return !q.ledger.HasQuota(organisation) || q.ledger.Take(organisation, units, q.entry.bootClock())
 }
 
 // lenders lists the entries to borrow units from. reached is false if all that might have units are
--- a/internal/direct/state.go
+++ b/internal/direct/state.go
@@ -47,7 +47,7 @@
 	outage           *member.Outage
 	versionTracker   *rollout.VersionTracker            // versions of weights and orders, by replica
 	picker           *route.Picker                      // loads, cached prefixes and engine speeds, to choose replicas by
-	versionHistories map[string]*rollout.VersionHistory // wanted versions of weights, by model
+	versionHistories map[string]*rollout.VersionHistory // desired versions of weights, by model
 	retryBudgets     map[string]*attempt.Budget         // by service
 	crashes          *attempt.CrashTracker              // crash counts of requests
 	queues           map[string]*serviceQueue           // by service
@@ -212,9 +212,9 @@
 	s.rateLimits.Forget(id)
 }
 
-// wantedVersion is the version of a model's weights to use; 0 if none was announced. The caller
+// desiredVersion is the version of a model's weights to use; 0 if none was announced. The caller
 // holds mu.
-func (s *state) wantedVersion(model string) uint64 {
+func (s *state) desiredVersion(model string) uint64 {
 	if history := s.versionHistories[model]; history != nil {
 		return history.Newest()
 	}
--- a/internal/endpoint/orders.go
+++ b/internal/endpoint/orders.go
@@ -35,15 +35,15 @@
 	orders *lease.OrderReconciler
 	name   lease.Name
 	reader *logReader
-	// wanted is what the engine is to load; active is set until it has loaded it.
-	wanted lease.Order
-	active bool
+	// desired is what the engine is to load; active is set until it has loaded it.
+	desired lease.Order
+	active  bool
 	// loading is set from the order until the engine's state shows the weights.
 	loading bool
 	// loadPostponed is set while the permit is held and too few other replicas
 	// serve for this one to load.
 	loadPostponed bool
-	// loadedAt is when the engine's state last showed the wanted weights.
+	// loadedAt is when the engine's state last showed the desired weights.
 	loadedAt time.Duration
 }
 
@@ -80,8 +80,8 @@
 	}
 	p := &e.placement
 	now := e.now()
-	if want, ok := e.wantedWeights(); ok && (!p.active || p.wanted != want) {
-		p.wanted, p.active = want, true
+	if want, ok := e.desiredWeights(); ok && (!p.active || p.desired != want) {
+		p.desired, p.active = want, true
 		e.log.Info("configured weights differ from the engine's", "model", want.Model, "version", want.Version,
 			"has_model", e.watch.model, "has_version", e.watch.version)
 	}
@@ -96,7 +96,7 @@
 	e.performLease(p.permit.Acquire(now))
 	e.performLease(p.permit.Tick(now))
 	if e.mayLoad() || p.loading {
-		e.performOrders(p.orders.SetDesired(p.wanted, now))
+		e.performOrders(p.orders.SetDesired(p.desired, now))
 	}
 }
 
@@ -128,10 +128,10 @@
 	return enough
 }
 
-// wantedWeights returns the order for the weights in the configuration, and whether
+// desiredWeights returns the order for the weights in the configuration, and whether
 // the engine is up and has other ones.
-func (e *Endpoint) wantedWeights() (lease.Order, bool) {
-	model := e.wantedModel()
+func (e *Endpoint) desiredWeights() (lease.Order, bool) {
+	model := e.desiredModel()
 	if model == nil || !e.watch.up || e.drain.leaving {
 		return lease.Order{}, false
 	}
@@ -142,9 +142,9 @@
 	return order, model.ID != e.watch.model || model.Version != e.watch.version
 }
 
-// wantedModel returns the group's model: the one that the engine has if the group has
+// desiredModel returns the group's model: the one that the engine has if the group has
 // several, else the first by name.
-func (e *Endpoint) wantedModel() *config.Model {
+func (e *Endpoint) desiredModel() *config.Model {
 	var first *config.Model
 	for _, m := range e.state().Models {
 		switch {
@@ -207,7 +207,7 @@
 			e.placement.orders.ReadFailed(now)
 			return
 		}
-		want := e.placement.wanted
+		want := e.placement.desired
 		if state.Loading {
 			// An order of an earlier process: the group must not count on this engine,
 			// or another one would load at the same time.
--- a/internal/lease/leases.go
+++ b/internal/lease/leases.go
@@ -109,9 +109,9 @@
 
 // Acquire starts claiming a lease and keeps it renewed until Release.
 func (l *Leases) Acquire(n Name, now time.Duration) []Action {
-	h := l.stateOf(n)
-	if !h.wanted {
-		h.wanted, h.nextAttempt, h.attempts = true, now, 0
+	s := l.stateOf(n)
+	if !s.wanted {
+		s.wanted, s.nextAttempt, s.attempts = true, now, 0
 	}
 	return l.Tick(now)
 }
@@ -119,14 +119,14 @@
 // Release stops claiming or renewing a lease and releases it. Check fails for it from
 // now on.
 func (l *Leases) Release(n Name, now time.Duration) []Action {
-	h, ok := l.states[n]
+	s, ok := l.states[n]
 	if !ok {
 		return nil
 	}
-	h.wanted = false
-	if h.fence != 0 {
-		h.releaseFence = h.fence
-		h.fence = 0
+	s.wanted = false
+	if s.fence != 0 {
+		s.releaseFence = s.fence
+		s.fence = 0
 	}
 	return l.Tick(now)
 }
@@ -135,19 +135,19 @@
 // reads the clock right before it sends, so that a process that was paused past the
 // expiry of its lease sends nothing.
 func (l *Leases) Check(n Name, now time.Duration) (fence uint64, ok bool) {
-	h, known := l.states[n]
-	if !known || h.fence == 0 || now+l.params.OrderMargin >= h.expiresAt {
+	s, known := l.states[n]
+	if !known || s.fence == 0 || now+l.params.OrderMargin >= s.expiresAt {
 		return 0, false
 	}
-	return h.fence, true
+	return s.fence, true
 }
 
 // HeldOrReleasing reports whether this process holds a lease, or has not yet read its
 // own release of it from the log. If it exits before that, others have to wait until
 // the lease expires.
 func (l *Leases) HeldOrReleasing(n Name) bool {
-	h, known := l.states[n]
-	return known && (h.fence != 0 || h.releaseFence != 0)
+	s, known := l.states[n]
+	return known && (s.fence != 0 || s.releaseFence != 0)
 }
 
 // ApplyRecord applies the next record of the stream. Records come in offset order.
@@ -156,34 +156,34 @@
 	if r == nil {
 		return l.Tick(now)
 	}
-	h, known := l.states[r.Name]
+	s, known := l.states[r.Name]
 	if known {
-		l.applyToState(h, r, offset, valid, now)
+		l.applyToState(s, r, offset, valid, now)
 	}
 	return l.Tick(now)
 }
 
-func (l *Leases) applyToState(h *leaseState, r *Record, offset uint64, valid bool, now time.Duration) {
+func (l *Leases) applyToState(s *leaseState, r *Record, offset uint64, valid bool, now time.Duration) {
 	own := r.Holder == l.self && r.Epoch == l.epoch
 	if !own {
 		if valid && r.Kind == KindClaim {
-			l.markLost(h, r.Name)
+			l.markLost(s, r.Name)
 		}
 		return
 	}
-	if h.pendingSeq == r.Seq {
-		h.pendingSeq = 0
-		l.appendLanded(h, valid, now)
+	if s.pendingSeq == r.Seq {
+		s.pendingSeq = 0
+		l.appendLanded(s, valid, now)
 	}
-	sentAt, sentHere := h.sentAt[r.Seq]
-	delete(h.sentAt, r.Seq)
+	sentAt, sentHere := s.sentAt[r.Seq]
+	delete(s.sentAt, r.Seq)
 	switch {
-	case r.Kind == KindRelease && h.releaseFence == r.Fence:
-		h.releaseFence = 0
+	case r.Kind == KindRelease && s.releaseFence == r.Fence:
+		s.releaseFence = 0
 	case valid && sentHere && r.Kind == KindClaim:
-		l.grant(h, r, offset, sentAt, now)
-	case valid && sentHere && r.Kind == KindRenew && h.fence == r.Fence:
-		h.expiresAt = max(h.expiresAt, sentAt+r.duration())
+		l.grant(s, r, offset, sentAt, now)
+	case valid && sentHere && r.Kind == KindRenew && s.fence == r.Fence:
+		s.expiresAt = max(s.expiresAt, sentAt+r.duration())
 	}
 }
 
@@ -194,34 +194,34 @@
 // at once claimed again as soon as they read back their invalid claim, no claim would
 // ever be valid: the log would be full of claims at the highest rate that it accepts,
 // and nobody would hold the lease. With backoff, few enough claims are in flight.
-func (l *Leases) appendLanded(h *leaseState, valid bool, now time.Duration) {
+func (l *Leases) appendLanded(s *leaseState, valid bool, now time.Duration) {
 	if valid {
-		h.attempts = 0
+		s.attempts = 0
 		return
 	}
-	h.attempts++
-	h.nextAttempt = now + l.backoff(h.attempts, l.params.Duration)
+	s.attempts++
+	s.nextAttempt = now + l.backoff(s.attempts, l.params.Duration)
 }
 
 // grant handles this process's own valid claim. A claim that is read back after its
 // expiry, because the process or the log was stalled, does not grant the lease.
-func (l *Leases) grant(h *leaseState, r *Record, offset uint64, sentAt, now time.Duration) {
+func (l *Leases) grant(s *leaseState, r *Record, offset uint64, sentAt, now time.Duration) {
 	until := sentAt + r.duration()
-	if !h.wanted {
-		h.releaseFence = offset
+	if !s.wanted {
+		s.releaseFence = offset
 		return
 	}
 	if now >= until {
 		return
 	}
-	h.fence, h.expiresAt = offset, until
+	s.fence, s.expiresAt = offset, until
 	l.actions = append(l.actions, Granted{Name: r.Name, Fence: offset})
 }
 
-func (l *Leases) markLost(h *leaseState, n Name) {
-	h.releaseFence = 0
-	if h.fence != 0 {
-		h.fence = 0
+func (l *Leases) markLost(s *leaseState, n Name) {
+	s.releaseFence = 0
+	if s.fence != 0 {
+		s.fence = 0
 		l.actions = append(l.actions, Lost{Name: n})
 	}
 }
@@ -248,10 +248,10 @@
 	l.oldestOffset, l.caughtUp = oldest, false
 	l.table.LogRestored(oldest, now)
 	for _, n := range l.sortedNames() {
-		h := l.states[n]
-		l.markLost(h, n)
-		h.pendingSeq = 0
-		clear(h.sentAt)
+		s := l.states[n]
+		l.markLost(s, n)
+		s.pendingSeq = 0
+		clear(s.sentAt)
 	}
 	return l.Tick(now)
 }
@@ -263,11 +263,11 @@
 // AppendFailed reports that an append had no effect, or an unknown one. If the record
 // is read back after all, its duration counts from when it was sent.
 func (l *Leases) AppendFailed(seq uint64, now time.Duration) []Action {
-	for _, h := range l.states {
-		if h.pendingSeq == seq {
-			h.pendingSeq = 0
-			h.attempts++
-			h.nextAttempt = now + l.backoff(h.attempts, l.params.RetryMax)
+	for _, s := range l.states {
+		if s.pendingSeq == seq {
+			s.pendingSeq = 0
+			s.attempts++
+			s.nextAttempt = now + l.backoff(s.attempts, l.params.RetryMax)
 		}
 	}
 	return l.Tick(now)
@@ -276,48 +276,48 @@
 // Tick claims, renews, releases and expires leases that are due at now.
 func (l *Leases) Tick(now time.Duration) []Action {
 	for _, n := range l.sortedNames() {
-		h := l.states[n]
-		if h.fence != 0 && now >= h.expiresAt {
-			l.markLost(h, n)
+		s := l.states[n]
+		if s.fence != 0 && now >= s.expiresAt {
+			l.markLost(s, n)
 		}
-		if !h.wanted && h.fence == 0 && h.releaseFence == 0 && len(h.sentAt) == 0 {
+		if !s.wanted && s.fence == 0 && s.releaseFence == 0 && len(s.sentAt) == 0 {
 			delete(l.states, n)
 			continue
 		}
-		l.advance(n, h, now)
+		l.advance(n, s, now)
 	}
 	out := l.actions
 	l.actions = nil
 	return out
 }
 
-func (l *Leases) advance(n Name, h *leaseState, now time.Duration) {
-	h.forgetExpired(now - l.params.Duration)
-	if now < h.nextAttempt || h.pendingSeq != 0 {
+func (l *Leases) advance(n Name, s *leaseState, now time.Duration) {
+	s.forgetExpired(now - l.params.Duration)
+	if now < s.nextAttempt || s.pendingSeq != 0 {
 		return
 	}
 	switch {
-	case h.releaseFence != 0:
-		l.sendRelease(n, h, now)
-	case h.fence != 0 && now >= h.expiresAt-l.params.RenewBefore:
-		l.send(h, &Record{Kind: KindRenew, Name: n, Fence: h.fence}, now)
-	case h.fence == 0 && h.wanted && l.caughtUp && l.claimable(n, now):
+	case s.releaseFence != 0:
+		l.sendRelease(n, s, now)
+	case s.fence != 0 && now >= s.expiresAt-l.params.RenewBefore:
+		l.send(s, &Record{Kind: KindRenew, Name: n, Fence: s.fence}, now)
+	case s.fence == 0 && s.wanted && l.caughtUp && l.claimable(n, now):
 		claim := &Record{Kind: KindClaim, Name: n, Supersedes: l.table.LastOffset(n)}
 		if claim.Supersedes < l.oldestOffset {
 			claim.Supersedes, claim.Oldest = 0, l.oldestOffset
 		}
-		l.send(h, claim, now)
+		l.send(s, claim, now)
 	}
 }
 
 // sendRelease releases a lease if this process is still its holder on the log.
-func (l *Leases) sendRelease(n Name, h *leaseState, now time.Duration) {
+func (l *Leases) sendRelease(n Name, s *leaseState, now time.Duration) {
 	grant, ok := l.table.Holder(n)
-	if !ok || grant.Fence != h.releaseFence {
-		h.releaseFence = 0
+	if !ok || grant.Fence != s.releaseFence {
+		s.releaseFence = 0
 		return
 	}
-	l.send(h, &Record{Kind: KindRelease, Name: n, Fence: h.releaseFence}, now)
+	l.send(s, &Record{Kind: KindRelease, Name: n, Fence: s.releaseFence}, now)
 }
 
 // claimable reports whether a lease may be claimed now. A process need not wait for the
@@ -329,7 +329,7 @@
 	return own || now >= l.table.ClaimableAt(n, l.params.Margin)
 }
 
-func (l *Leases) send(h *leaseState, r *Record, now time.Duration) {
+func (l *Leases) send(s *leaseState, r *Record, now time.Duration) {
 	l.seq++
 	r.Holder, r.Epoch, r.Seq = l.self, l.epoch, l.seq
 	r.DurationMs = l.params.Duration.Milliseconds()
@@ -337,19 +337,19 @@
 	if err != nil {
 		panic(err) // cannot fail: a record has only plain values
 	}
-	h.sentAt[l.seq] = now
-	h.pendingSeq = l.seq
+	s.sentAt[l.seq] = now
+	s.pendingSeq = l.seq
 	l.actions = append(l.actions, Append{Seq: l.seq, Data: data, Claim: r.Kind == KindClaim})
 }
 
 // forgetExpired forgets sent records whose duration would be over if they were read
 // back now.
-func (h *leaseState) forgetExpired(before time.Duration) {
-	for seq, at := range h.sentAt {
+func (s *leaseState) forgetExpired(before time.Duration) {
+	for seq, at := range s.sentAt {
 		if at <= before {
-			delete(h.sentAt, seq)
-			if h.pendingSeq == seq {
-				h.pendingSeq = 0
+			delete(s.sentAt, seq)
+			if s.pendingSeq == seq {
+				s.pendingSeq = 0
 			}
 		}
 	}
@@ -363,12 +363,12 @@
 }
 
 func (l *Leases) stateOf(n Name) *leaseState {
-	h, ok := l.states[n]
+	s, ok := l.states[n]
 	if !ok {
-		h = &leaseState{sentAt: map[uint64]time.Duration{}}
-		l.states[n] = h
+		s = &leaseState{sentAt: map[uint64]time.Duration{}}
+		l.states[n] = s
 	}
-	return h
+	return s
 }
 
 func (l *Leases) sortedNames() []Name {
--- a/internal/lease/permits.go
+++ b/internal/lease/permits.go
@@ -120,13 +120,13 @@
 
 // Holds reports whether this process holds a lease that has not expired.
 func (l *Leases) Holds(n Name, now time.Duration) bool {
-	h, ok := l.states[n]
-	return ok && h.fence != 0 && now < h.expiresAt
+	s, ok := l.states[n]
+	return ok && s.fence != 0 && now < s.expiresAt
 }
 
 // CanClaim reports whether this process wants a lease and its claim is in flight or could
 // be sent now.
 func (l *Leases) CanClaim(n Name, now time.Duration) bool {
-	h, ok := l.states[n]
-	return ok && h.wanted && (h.pendingSeq != 0 || l.claimable(n, now))
+	s, ok := l.states[n]
+	return ok && s.wanted && (s.pendingSeq != 0 || l.claimable(n, now))
 }
--- a/internal/member/outage.go
+++ b/internal/member/outage.go
@@ -135,7 +135,7 @@
 var evidenceNames = [...]string{"none", "away", "served"}
 
 // String returns the name used in logs.
-func (w PeerEvidence) String() string { return evidenceNames[w] }
+func (e PeerEvidence) String() string { return evidenceNames[e] }
 
 // GracePeriod says how long a replica whose removal is read now may be kept in use.
 type GracePeriod struct {
@@ -153,16 +153,16 @@
 	if !o.known {
 		return GracePeriod{}
 	}
-	x := GracePeriod{Evidence: o.evidence(now), OutageKnown: true, Began: o.beganAt, LastFailed: o.lastFailedCall, Ended: o.endedAt}
-	switch x.Evidence {
+	grace := GracePeriod{Evidence: o.evidence(now), OutageKnown: true, Began: o.beganAt, LastFailed: o.lastFailedCall, Ended: o.endedAt}
+	switch grace.Evidence {
 	case EvidenceServed:
 	case EvidenceOutage:
-		x.Until = o.endedAt + o.params.ReregisterWithin
+		grace.Until = o.endedAt + o.params.ReregisterWithin
 	default:
 		// The store may have been back since the last failed call was made.
-		x.Until = min(o.endedAt+o.params.ReregisterWithin, o.lastFailedCall+o.params.ActWithin)
+		grace.Until = min(o.endedAt+o.params.ReregisterWithin, o.lastFailedCall+o.params.ActWithin)
 	}
-	return x
+	return grace
 }
 
 // evidence returns what recent reports of peers show about the last outage.
@@ -171,18 +171,18 @@
 // enough after the outage began for the peer to notice a gap of its own. A shorter gap goes
 // unnoticed, but no record expires in one: that takes three missed heartbeats.
 func (o *Outage) evidence(now time.Duration) PeerEvidence {
-	w := EvidenceNone
+	strongest := EvidenceNone
 	for _, p := range o.peers {
 		if now-p.receivedAt > o.params.ReportTTL {
 			continue
 		}
 		if !p.served || p.since > o.answeredBefore {
-			w = max(w, EvidenceOutage)
+			strongest = max(strongest, EvidenceOutage)
 			continue
 		}
 		if p.receivedAt-o.beganAt >= o.params.DetectWithin {
-			w = EvidenceServed
+			strongest = EvidenceServed
 		}
 	}
-	return w
+	return strongest
 }
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -13,10 +13,10 @@
 // Invariant: born never decreases.
 type registration struct {
 	// id and born are those of the latest incarnation; id is "" before the first one.
-	id   string
-	born int64
-	// beat is the highest record number of that incarnation.
-	beat uint64
+	id          string
+	startedAtMs int64
+	// heartbeatSeq is the highest record number of that incarnation.
+	heartbeatSeq uint64
 	// ended is set once that incarnation is known to have ended, whatever its records say.
 	ended bool
 	// leaving is set once that incarnation has announced that it leaves. It is kept after
@@ -37,22 +37,22 @@
 // cache, refuse each order because of the order number, or get no work because the
 // previous incarnation was leaving. A replica that has once stated its start time always
 // does, so a record without one is not its own.
-func (n *registration) advance(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
-	if r.StartedAtMs < n.born || r.ID == n.id && n.ended {
+func (reg *registration) advance(r *fleet.Replica, now time.Duration) (ended string, ok bool) {
+	if r.StartedAtMs < reg.startedAtMs || r.ID == reg.id && reg.ended {
 		return "", false
 	}
-	n.lastSeen = now
-	if r.ID == n.id {
-		n.beat = max(n.beat, r.HeartbeatSeq)
+	reg.lastSeen = now
+	if r.ID == reg.id {
+		reg.heartbeatSeq = max(reg.heartbeatSeq, r.HeartbeatSeq)
 		return "", true
 	}
-	ended = n.id
-	n.id, n.born, n.beat, n.ended, n.leaving = r.ID, r.StartedAtMs, r.HeartbeatSeq, false, false
+	ended = reg.id
+	reg.id, reg.startedAtMs, reg.heartbeatSeq, reg.ended, reg.leaving = r.ID, r.StartedAtMs, r.HeartbeatSeq, false, false
 	return ended, true
 }
 
 // isStaleCopy reports whether a record is an old one of a replica that has since been
 // removed, which came back because the store was restored from an older copy.
-func (n *registration) isStaleCopy(r *fleet.Replica, position uint64) bool {
-	return fleet.Era(position) > fleet.Era(n.removedAt) && r.ID == n.id && r.HeartbeatSeq <= n.beat
+func (reg *registration) isStaleCopy(r *fleet.Replica, offset uint64) bool {
+	return fleet.Era(offset) > fleet.Era(reg.removedAt) && r.ID == reg.id && r.HeartbeatSeq <= reg.heartbeatSeq
 }
--- a/internal/member/replicas.go
+++ b/internal/member/replicas.go
@@ -113,28 +113,28 @@
 // store that serves stale reads for a while would otherwise bring back a replica that
 // leaves.
 func (v *Replicas) Put(r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
-	n := v.registration(r.Name)
-	if n.removed && (offset <= n.removedAt || n.isStaleCopy(r, offset)) {
+	reg := v.registration(r.Name)
+	if reg.removed && (offset <= reg.removedAt || reg.isStaleCopy(r, offset)) {
 		return UpdateResult{}
 	}
-	return v.put(n, r, offset, now)
+	return v.put(reg, r, offset, now)
 }
 
 // Adopt takes a replica that has reported itself, before any record of it was read. A
 // replica whose record was removed has left or was declared gone, and keeps running for a
 // while; it isn't adopted, since no later record would ever remove it again.
 func (v *Replicas) Adopt(r *fleet.Replica, now time.Duration) UpdateResult {
-	n := v.registration(r.Name)
-	if n.removed && (n.id == r.ID || n.id == "") && v.states[r.ID] == nil {
+	reg := v.registration(r.Name)
+	if reg.removed && (reg.id == r.ID || reg.id == "") && v.states[r.ID] == nil {
 		return UpdateResult{Outdated: true}
 	}
-	return v.put(n, r, n.removedAt, now)
+	return v.put(reg, r, reg.removedAt, now)
 }
 
-func (v *Replicas) put(n *registration, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
+func (v *Replicas) put(reg *registration, r *fleet.Replica, offset uint64, now time.Duration) UpdateResult {
 	// Between records of two store eras, the record number tells which one is later.
-	later := r.ID == n.id && r.HeartbeatSeq > n.beat && v.states[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.states[r.ID].offset)
-	ended, ok := n.advance(r, now)
+	later := r.ID == reg.id && r.HeartbeatSeq > reg.heartbeatSeq && v.states[r.ID] != nil && fleet.Era(offset) < fleet.Era(v.states[r.ID].offset)
+	ended, ok := reg.advance(r, now)
 	if !ok {
 		return UpdateResult{Outdated: true}
 	}
@@ -142,44 +142,44 @@
 		ended = ""
 	}
 	delete(v.states, ended)
-	n.leaving = n.leaving || r.Draining
-	l := v.states[r.ID]
-	if l == nil {
-		v.states[r.ID] = &replicaState{replica: r, offset: offset, draining: n.leaving}
+	reg.leaving = reg.leaving || r.Draining
+	s := v.states[r.ID]
+	if s == nil {
+		v.states[r.ID] = &replicaState{replica: r, offset: offset, draining: reg.leaving}
 		return UpdateResult{Changed: true, SupersededID: ended}
 	}
-	if offset < l.offset && !later {
+	if offset < s.offset && !later {
 		return UpdateResult{}
 	}
-	changed := !l.replica.Equal(r)
-	l.replica, l.offset, l.expiresAt = r, max(l.offset, offset), 0
-	l.draining = n.leaving
+	changed := !s.replica.Equal(r)
+	s.replica, s.offset, s.expiresAt = r, max(s.offset, offset), 0
+	s.draining = reg.leaving
 	return UpdateResult{Changed: changed}
 }
 
 func (v *Replicas) registration(name string) *registration {
-	n := v.registrations[name]
-	if n == nil {
-		n = &registration{}
-		v.registrations[name] = n
+	reg := v.registrations[name]
+	if reg == nil {
+		reg = &registration{}
+		v.registrations[name] = reg
 	}
-	return n
+	return reg
 }
 
 // Remove removes the replica registered under a name. It returns the replica's ID, "" if
 // none was known.
 func (v *Replicas) Remove(name string, offset uint64, now time.Duration) string {
-	n := v.registration(name)
-	l := v.states[n.id]
-	if l != nil && offset < l.offset {
+	reg := v.registration(name)
+	s := v.states[reg.id]
+	if s != nil && offset < s.offset {
 		return ""
 	}
-	n.removed, n.removedAt, n.lastSeen = true, max(n.removedAt, offset), now
-	if l == nil {
+	reg.removed, reg.removedAt, reg.lastSeen = true, max(reg.removedAt, offset), now
+	if s == nil {
 		return ""
 	}
-	delete(v.states, n.id)
-	return n.id
+	delete(v.states, reg.id)
+	return reg.id
 }
 
 // MarkExpired records that the replica registered under a name lost its record during an
@@ -187,22 +187,22 @@
 // on unless its record is back by then. Without this grace period an outage of seconds
 // would leave no replica to serve requests, although all of them run.
 func (v *Replicas) MarkExpired(name string, offset uint64, now, until time.Duration) {
-	n := v.registrations[name]
-	if n == nil {
+	reg := v.registrations[name]
+	if reg == nil {
 		return
 	}
-	l := v.states[n.id]
-	if l == nil || offset < l.offset {
+	s := v.states[reg.id]
+	if s == nil || offset < s.offset {
 		return
 	}
-	l.offset, l.unlistedAt, l.expiresAt = offset, now, until
+	s.offset, s.unlistedAt, s.expiresAt = offset, now, until
 }
 
 // UnlistedFor returns how long ago the removal of the record of a replica in use was
 // read, 0 while the record exists.
 func (v *Replicas) UnlistedFor(id string, now time.Duration) time.Duration {
-	if l := v.states[id]; l != nil && l.expiresAt != 0 {
-		return now - l.unlistedAt
+	if s := v.states[id]; s != nil && s.expiresAt != 0 {
+		return now - s.unlistedAt
 	}
 	return 0
 }
@@ -210,12 +210,12 @@
 // Replaced records that another incarnation runs at a replica's address: this one is gone
 // for good, whatever its records say.
 func (v *Replicas) Replaced(id string, now time.Duration) {
-	l := v.states[id]
-	if l == nil {
+	s := v.states[id]
+	if s == nil {
 		return
 	}
-	n := v.registration(l.replica.Name)
-	n.ended, n.lastSeen = true, now
+	reg := v.registration(s.replica.Name)
+	reg.ended, reg.lastSeen = true, now
 	delete(v.states, id)
 }
 
@@ -235,54 +235,54 @@
 
 // Get returns a replica, nil if it isn't known.
 func (v *Replicas) Get(id string) *fleet.Replica {
-	if l := v.states[id]; l != nil {
-		return l.replica
+	if s := v.states[id]; s != nil {
+		return s.replica
 	}
 	return nil
 }
 
 // MarkLeaving records a replica's announcement that it leaves. It reports whether that is new.
 func (v *Replicas) MarkLeaving(id string) bool {
-	l := v.states[id]
-	if l == nil || l.draining {
+	s := v.states[id]
+	if s == nil || s.draining {
 		return false
 	}
-	l.draining = true
-	v.registration(l.replica.Name).leaving = true
+	s.draining = true
+	v.registration(s.replica.Name).leaving = true
 	return true
 }
 
 // Draining reports whether a replica is leaving or gone.
 func (v *Replicas) Draining(id string) bool {
-	l := v.states[id]
-	return l == nil || l.draining
+	s := v.states[id]
+	return s == nil || s.draining
 }
 
 // MarkUnreachable records a failed connection to a replica. The replica gets no new work
 // until a connection succeeds; DueProbes says when to try. It reports whether the replica
 // was reachable before.
 func (v *Replicas) MarkUnreachable(id string, now time.Duration) bool {
-	l := v.states[id]
-	if l == nil || l.unreachable && !l.probing {
+	s := v.states[id]
+	if s == nil || s.unreachable && !s.probing {
 		return false
 	}
-	changed := !l.unreachable
-	l.probeAt = now + min(v.params.BackoffMin<<min(l.failures, 8), v.params.BackoffMax)
-	l.unreachable, l.probing = true, false
-	l.failures++
+	changed := !s.unreachable
+	s.probeAt = now + min(v.params.BackoffMin<<min(s.failures, 8), v.params.BackoffMax)
+	s.unreachable, s.probing = true, false
+	s.failures++
 	return changed
 }
 
 // MarkReachable records a successful connection to a replica. It reports whether the
 // replica was unreachable before.
 func (v *Replicas) MarkReachable(id string) bool {
-	l := v.states[id]
-	if l == nil {
+	s := v.states[id]
+	if s == nil {
 		return false
 	}
-	l.probing, l.failures = false, 0
-	changed := l.unreachable
-	l.unreachable = false
+	s.probing, s.failures = false, 0
+	changed := s.unreachable
+	s.unreachable = false
 	return changed
 }
 
@@ -291,10 +291,10 @@
 func (v *Replicas) DueProbes(now time.Duration) []*fleet.Replica {
 	var due []*fleet.Replica
 	for _, id := range v.IDs() {
-		l := v.states[id]
-		if l.unreachable && !l.probing && now >= l.probeAt {
-			l.probing = true
-			due = append(due, l.replica)
+		s := v.states[id]
+		if s.unreachable && !s.probing && now >= s.probeAt {
+			s.probing = true
+			due = append(due, s.replica)
 		}
 	}
 	return due
@@ -303,19 +303,19 @@
 // CheckSilent takes a replica that has sent no byte of an answer for long. It reports
 // whether to try a connection, which fails if the replica's machine is unreachable.
 func (v *Replicas) CheckSilent(id string, now time.Duration) bool {
-	l := v.states[id]
-	if l == nil || l.unreachable || l.checked && now < l.checkedAt+v.params.SilenceCheckInterval {
+	s := v.states[id]
+	if s == nil || s.unreachable || s.checked && now < s.checkedAt+v.params.SilenceCheckInterval {
 		return false
 	}
-	l.checked, l.checkedAt = true, now
+	s.checked, s.checkedAt = true, now
 	return true
 }
 
 // MarkBusy records that a replica refused a request because it is full or carries out an
 // order. It gets no requests for BusyBackoff; its health is not affected otherwise.
 func (v *Replicas) MarkBusy(id string, now time.Duration) {
-	if l := v.states[id]; l != nil {
-		l.busyUntil = now + v.params.BusyBackoff
+	if s := v.states[id]; s != nil {
+		s.busyUntil = now + v.params.BusyBackoff
 	}
 }
 
@@ -323,42 +323,42 @@
 // health is not affected otherwise. Of several such answers the latest end counts, since
 // answers may arrive out of order. It reports whether a backoff begins now.
 func (v *Replicas) Backoff(id string, d, now time.Duration) (begins bool) {
-	l := v.states[id]
-	if l == nil {
+	s := v.states[id]
+	if s == nil {
 		return false
 	}
-	begins = l.backoffUntil <= now
-	l.backoffUntil = max(l.backoffUntil, now+min(d, v.params.MaxRequestedBackoff))
+	begins = s.backoffUntil <= now
+	s.backoffUntil = max(s.backoffUntil, now+min(d, v.params.MaxRequestedBackoff))
 	return begins
 }
 
 // BackoffUntil returns the end of the backoff that a replica asked for; it is in the past if there is none.
 func (v *Replicas) BackoffUntil(id string) time.Duration {
-	if l := v.states[id]; l != nil {
-		return l.backoffUntil
+	if s := v.states[id]; s != nil {
+		return s.backoffUntil
 	}
 	return 0
 }
 
 // RecordFault counts a request that failed at a replica.
 func (v *Replicas) RecordFault(id string, _ Fault, now time.Duration) {
-	l := v.states[id]
-	if l == nil {
+	s := v.states[id]
+	if s == nil {
 		return
 	}
-	l.faults = v.decayedFaults(l, now) + 1
-	l.faultsAt = now
+	s.faults = v.decayedFaults(s, now) + 1
+	s.faultsAt = now
 }
 
 // RecordSuccess counts a request that a replica answered as it should.
 func (v *Replicas) RecordSuccess(id string, now time.Duration) {
-	l := v.states[id]
-	if l == nil {
+	s := v.states[id]
+	if s == nil {
 		return
 	}
-	l.failures, l.unreachable = 0, false
-	l.faults = max(0, v.decayedFaults(l, now)-successCredit)
-	l.faultsAt = now
+	s.failures, s.unreachable = 0, false
+	s.faults = max(0, v.decayedFaults(s, now)-successCredit)
+	s.faultsAt = now
 }
 
 // successCredit is what one good answer subtracts from a replica's fault count. A replica
@@ -366,12 +366,12 @@
 // with many requests on it recovers after a few answers.
 const successCredit = 0.2
 
-func (v *Replicas) decayedFaults(l *replicaState, now time.Duration) float64 {
-	if l.faults == 0 {
+func (v *Replicas) decayedFaults(s *replicaState, now time.Duration) float64 {
+	if s.faults == 0 {
 		return 0
 	}
-	halfLives := float64(now-l.faultsAt) / float64(v.params.FaultHalfLife)
-	return l.faults * math.Exp2(-halfLives)
+	halfLives := float64(now-s.faultsAt) / float64(v.params.FaultHalfLife)
+	return s.faults * math.Exp2(-halfLives)
 }
 
 // Health says whether a replica may get new work.
@@ -395,17 +395,17 @@
 
 // expired reports whether a replica is gone because its record expired and wasn't written
 // again in time. It holds from that moment on, before the next Tick removes the replica.
-func (l *replicaState) expired(now time.Duration) bool { return l.expiresAt != 0 && now >= l.expiresAt }
+func (s *replicaState) expired(now time.Duration) bool { return s.expiresAt != 0 && now >= s.expiresAt }
 
 // Health returns a replica's health now.
 func (v *Replicas) Health(id string, now time.Duration) Health {
-	l := v.states[id]
+	s := v.states[id]
 	switch {
-	case l == nil || l.draining || l.expired(now):
+	case s == nil || s.draining || s.expired(now):
 		return Left
-	case l.unreachable || now < max(l.busyUntil, l.backoffUntil):
+	case s.unreachable || now < max(s.busyUntil, s.backoffUntil):
 		return Down
-	case v.decayedFaults(l, now) >= v.params.FaultLimit:
+	case v.decayedFaults(s, now) >= v.params.FaultLimit:
 		return Degraded
 	}
 	return Healthy
@@ -416,8 +416,8 @@
 func (v *Replicas) Tick(now time.Duration) []string {
 	var removed []string
 	for _, id := range v.IDs() {
-		if l := v.states[id]; l.expired(now) {
-			v.Remove(l.replica.Name, l.offset, now)
+		if s := v.states[id]; s.expired(now) {
+			v.Remove(s.replica.Name, s.offset, now)
 			removed = append(removed, id)
 		}
 	}
@@ -427,8 +427,8 @@
 
 // forgetRegistrations drops the names of which nothing was read or reported for TombstoneTTL.
 func (v *Replicas) forgetRegistrations(now time.Duration) {
-	for name, n := range v.registrations {
-		if v.states[n.id] == nil && now-n.lastSeen > v.params.TombstoneTTL {
+	for name, reg := range v.registrations {
+		if v.states[reg.id] == nil && now-reg.lastSeen > v.params.TombstoneTTL {
 			delete(v.registrations, name)
 		}
 	}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,6 +1,6 @@
-// Package quota enforces limits on organisations' usage that all entries share.
+// Package quota enforces organisations' quotas: limits on usage that all entries share.
 //
-// Each entry has a share of every limit, which it may spend without asking others, kept as a
+// Each entry has a share of every quota, which it may spend without asking others, kept as a
 // token bucket, and lends from it to entries that lack units. Units are only ever moved
 // between entries, as in an escrow (O'Neil, "The Escrow Transactional Method", 1986;
 // shares by demand: Raghavan et al., "Cloud Control with Distributed Rate Limiting",
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -36,7 +36,7 @@
 	read int
 	// cut entries are cut off: they reach no other entry and read no list.
 	cut    bool
-	limits map[string]fleet.Quota
+	quotas map[string]fleet.Quota
 }
 
 type simEvent struct {
@@ -54,25 +54,25 @@
 	SpendWithin: DefaultSpendWithin, MaxListAge: DefaultMaxListAge,
 }
 
-func newSimulated(seed uint64, entries int, limits map[string]fleet.Quota) *simFleet {
-	return newSimulatedWith(seed, entries, limits, simParams)
+func newSimulated(seed uint64, entries int, quotas map[string]fleet.Quota) *simFleet {
+	return newSimulatedWith(seed, entries, quotas, simParams)
 }
 
-func newSimulatedWith(seed uint64, entries int, limits map[string]fleet.Quota, params Params) *simFleet {
+func newSimulatedWith(seed uint64, entries int, quotas map[string]fleet.Quota, params Params) *simFleet {
 	s := &simFleet{
 		rand: rand.New(rand.NewPCG(seed, 1)), params: params,
 		spent: make(map[string][]simSpent), delay: 5 * time.Millisecond,
 	}
 	for i := range entries {
-		s.add(fmt.Sprint("entry-", i), limits)
+		s.add(fmt.Sprint("entry-", i), quotas)
 	}
 	s.run(2*DefaultMaxListAge, nil)
 	return s
 }
 
 // add starts an entry that isn't in the list yet.
-func (s *simFleet) add(name string, limits map[string]fleet.Quota) {
-	e := &simEntry{name: name, limits: limits}
+func (s *simFleet) add(name string, quotas map[string]fleet.Quota) {
+	e := &simEntry{name: name, quotas: quotas}
 	s.entries = append(s.entries, e)
 	s.start(e)
 }
@@ -85,7 +85,7 @@
 		s.listed = append(s.listed, e.name)
 	}
 	e.ledger, e.read = NewLedger(e.name, s.params, s.rand.IntN), 0
-	e.ledger.SetLimits(e.limits, s.now)
+	e.ledger.SetQuotas(e.quotas, s.now)
 	if !e.cut {
 		s.read(e)
 		e.ledger.Joined(known, s.now)
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	l = NewLedger("a", simParams, func(int) int { return 0 })
 	l.SetEntries([]string{"a"}, 0)
-	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(guardRate)}, 0)
+	l.SetQuotas(map[string]fleet.Quota{"derwent": tokens(guardRate)}, 0)
 	l.ListConfirmed(time.Hour, 0)
 	l.Joined(known, 0)
 	q := tokens(guardRate)
@@ -103,7 +103,7 @@
 	wantLevel(t, l, stale+time.Second, simParams.rate(&q)/2)
 }
 
-// Guards against shares of a limit that sum to more than the whole, for any number of entries.
+// Guards against shares of a quota that sum to more than the whole, for any number of entries.
 func TestPartsSumToTheWhole(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 5, 30, 103, 300} {
 		entries := make([]string, n)
@@ -135,7 +135,7 @@
 	}
 }
 
-// Guards against a small limit that is divided until no request fits any share.
+// Guards against a small quota that is divided until no request fits any share.
 func TestASmallLimitServesARequest(t *testing.T) {
 	for name, q := range map[string]fleet.Quota{
 		"requests":    {Rate: 1, Burst: 1},
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,7 +7,7 @@
 	"skylarklead/internal/fleet"
 )
 
-// Ledger is what one entry may spend of organisations' limits, and what it has lent.
+// Ledger is what one entry may spend of organisations' quotas, and what it has lent.
 //
 // Invariant: a unit is withdrawn from one bucket only, and within SpendWithin is spent,
 // returned or lost.
@@ -18,12 +18,12 @@
 	randN    func(n int) int
 }
 
-// account is the state of an organisation with a limit.
+// account is the state of an organisation with a quota.
 type account struct {
 	name        string
-	limit       fleet.Quota
+	quota       fleet.Quota
 	shares      shares
-	sharesValid bool // shares match the current list of entries and limit
+	sharesValid bool // shares match the current list of entries and quota
 	bucket      divide.Bucket
 	started     bool
 	// loans has the withdrawals by other entries that may still be returned.
@@ -51,8 +51,8 @@
 
 // NewLedger returns the ledger of an entry that may not spend anything yet. randN returns a
 // random number below n.
-func NewLedger(self string, p Params, draw func(n int) int) *Ledger {
-	return &Ledger{params: p, entries: divide.NewEntries(self), accounts: make(map[string]*account), randN: draw}
+func NewLedger(self string, p Params, randN func(n int) int) *Ledger {
+	return &Ledger{params: p, entries: divide.NewEntries(self), accounts: make(map[string]*account), randN: randN}
 }
 
 // SetParams replaces the parameters.
@@ -103,38 +103,38 @@
 	}
 }
 
-// SetLimits sets the limits in force. Organisations without a limit aren't among them.
-func (l *Ledger) SetLimits(limits map[string]fleet.Quota, now time.Duration) {
+// SetQuotas sets the quotas in force. Organisations without a quota aren't among them.
+func (l *Ledger) SetQuotas(quotas map[string]fleet.Quota, now time.Duration) {
 	for name := range l.accounts {
-		if _, ok := limits[name]; !ok {
+		if _, ok := quotas[name]; !ok {
 			delete(l.accounts, name)
 		}
 	}
-	for name, q := range limits {
+	for name, q := range quotas {
 		a := l.accounts[name]
 		if a == nil {
 			a = &account{name: name, loans: make(map[LoanID]loan), lenders: make(map[string]lenderState)}
 			a.bucket.RefilledAt, a.bucket.StaleAt = now, l.entries.StaleAt
 			l.accounts[name] = a
 		}
-		if a.limit != q {
+		if a.quota != q {
 			a.refill(now)
 			a.bucket.RefilledAt = now
-			a.limit, a.sharesValid = q, false
+			a.quota, a.sharesValid = q, false
 			clear(a.lenders)
 		}
 	}
 }
 
 // account returns an organisation's account with up-to-date shares, nil for an organisation
-// without a limit.
+// without a quota.
 func (l *Ledger) account(organisation string, now time.Duration) *account {
 	a := l.accounts[organisation]
 	if a == nil || a.sharesValid && a.started {
 		return a
 	}
 	a.sharesValid = true
-	a.shares = computeShares(a.name, &a.limit, l.params.capacity(&a.limit), l.entries.Names)
+	a.shares = computeShares(a.name, &a.quota, l.params.capacity(&a.quota), l.entries.Names)
 	if now < l.entries.ActiveAt {
 		a.sharesValid = false
 		return a
@@ -152,15 +152,15 @@
 }
 
 func (l *Ledger) rate(a *account, share float64) float64 {
-	return share * l.params.rate(&a.limit)
+	return share * l.params.rate(&a.quota)
 }
 
 func (l *Ledger) capacity(a *account, share float64) float64 {
-	return share * l.params.capacity(&a.limit)
+	return share * l.params.capacity(&a.quota)
 }
 
-// HasLimit reports whether an organisation has a limit.
-func (l *Ledger) HasLimit(organisation string) bool { return l.accounts[organisation] != nil }
+// HasQuota reports whether an organisation has a quota.
+func (l *Ledger) HasQuota(organisation string) bool { return l.accounts[organisation] != nil }
 
 // Take withdraws units from this entry's own share.
 func (l *Ledger) Take(organisation string, units float64, now time.Duration) bool {
@@ -215,33 +215,33 @@
 		return
 	}
 	a.expireLoans(now - l.params.SpendWithin)
-	given, ok := a.loans[by]
+	granted, ok := a.loans[by]
 	if !ok || !(units > 0) {
 		return
 	}
 	delete(a.loans, by)
-	a.bucket.Refund(min(units, given.units), now)
+	a.bucket.Refund(min(units, granted.units), now)
 }
 
 // expireLoans drops loans made before a time: they can't be returned any more.
 func (a *account) expireLoans(before time.Duration) {
-	for id, given := range a.loans {
-		if given.at < before {
+	for id, granted := range a.loans {
+		if granted.at < before {
 			delete(a.loans, id)
 		}
 	}
 }
 
-// State is the state of a limit at one entry.
+// State is the state of a quota at one entry.
 type State struct {
 	Rate, Burst float64
-	// Share is this entry's share of the limit, 0 to 1, Level the units it has left.
+	// Share is this entry's share of the quota, 0 to 1, Level the units it has left.
 	Share, Level float64
 	// Stale is set if the list of entries is too old for the whole rate.
 	Stale bool
 }
 
-// State returns the state of an organisation's limit, false if it has none.
+// State returns the state of an organisation's quota, false if it has none.
 func (l *Ledger) State(organisation string, now time.Duration) (State, bool) {
 	a := l.account(organisation, now)
 	if a == nil {
@@ -249,7 +249,7 @@
 	}
 	a.bucket.Refill(now)
 	s := State{
-		Rate: a.limit.Rate, Burst: a.limit.Burst, Level: a.bucket.Level,
+		Rate: a.quota.Rate, Burst: a.quota.Burst, Level: a.bucket.Level,
 		Stale: now > l.entries.StaleAt,
 	}
 	if now >= l.entries.ActiveAt {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -14,14 +14,14 @@
 	return fleet.Quota{Rate: rate, Burst: rate, Tokens: true, DefaultUnits: 200}
 }
 
-// Guards against more usage than a limit allows in any window, however messages are lost and
+// Guards against more usage than a quota allows in any window, however messages are lost and
 // entries stop, start, join and are cut off.
 func TestNoWindowExceedsALimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{5_000, 29_000, 150_000, 400_000}).Draw(t, "rate")
 		n := rapid.IntRange(1, 30).Draw(t, "entries")
-		limits := map[string]fleet.Quota{"derwent": tokens(rate)}
-		s := newSimulated(rapid.Uint64().Draw(t, "seed"), n, limits)
+		quotas := map[string]fleet.Quota{"derwent": tokens(rate)}
+		s := newSimulated(rapid.Uint64().Draw(t, "seed"), n, quotas)
 		s.loss = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss")
 		perMs := rapid.SampledFrom([]float64{0.5, 2, 8}).Draw(t, "load") * rate / meanUnits / 1000
 		added := 0
@@ -41,7 +41,7 @@
 			case 3:
 				if added < n/3 {
 					added++
-					s.add(fmt.Sprint("added-", added), limits)
+					s.add(fmt.Sprint("added-", added), quotas)
 				}
 			}
 		}
@@ -55,7 +55,7 @@
 				s.request(up[s.rand.IntN(len(up))], "derwent", s.units())
 			}
 		})
-		q := limits["derwent"]
+		q := quotas["derwent"]
 		for _, window := range []time.Duration{s.params.Window, 2 * s.params.Window} {
 			if got, most := s.maxSpent("derwent", window), s.params.Bound(&q, window); got > most {
 				t.Fatalf("%.0f units in %v, %.0f allowed", got, window, most)
@@ -64,7 +64,7 @@
 	})
 }
 
-// Guards against refusals below a limit for lack of units that another entry holds idle.
+// Guards against refusals below a quota for lack of units that another entry holds idle.
 func TestLoadBelowALimitIsServed(t *testing.T) {
 	for _, entries := range []int{3, 30, 103, 300} {
 		for _, rate := range []float64{60_000, 400_000} {
@@ -92,8 +92,8 @@
 // Guards against units that stay at the entries that got an organisation's requests before those moved elsewhere.
 func TestRequestsThatMoveToOtherEntriesAreServed(t *testing.T) {
 	const rate, entries, users = 300_000, 30, 5
-	limits := map[string]fleet.Quota{"derwent": tokens(rate), "huon": tokens(rate)}
-	s := newSimulated(1, entries, limits)
+	quotas := map[string]fleet.Quota{"derwent": tokens(rate), "huon": tokens(rate)}
+	s := newSimulated(1, entries, quotas)
 	due := 0.0
 	s.run(20*time.Second, func() {
 		// The two organisations swap entries every two seconds.
@@ -109,7 +109,7 @@
 	}
 }
 
-// Guards against a flood of loan requests when an organisation sends many times its limit.
+// Guards against a flood of loan requests when an organisation sends many times its quota.
 func TestAnOrganisationFarBeyondItsLimitAsksLittle(t *testing.T) {
 	const rate = 400_000
 	s := newSimulated(1, 30, map[string]fleet.Quota{"derwent": tokens(rate)})
@@ -134,7 +134,7 @@
 	t.Logf("%.2f of the limit served, %.1f loan requests a second and entry", served/(rate*20), float64(s.messages)/30/20)
 }
 
-// Guards against an entry without peers that serves no requests of an organisation with a large limit.
+// Guards against an entry without peers that serves no requests of an organisation with a large quota.
 func TestAnEntryCutOffServesItsPart(t *testing.T) {
 	const rate, entries = 400_000, 30
 	s := newSimulated(1, entries, map[string]fleet.Quota{"derwent": tokens(rate)})
@@ -170,7 +170,7 @@
 	}
 }
 
-// Guards against a wait that the limit doesn't need, and one that is too short for the limit.
+// Guards against a wait that the quota doesn't need, and one that is too short for the quota.
 func TestWaitGrowsWithWhatWasRefused(t *testing.T) {
 	s := newSimulated(1, 30, map[string]fleet.Quota{"derwent": tokens(29_000)})
 	l := s.entries[0].ledger
@@ -186,23 +186,23 @@
 	}
 }
 
-// Guards against limits that stay in force after they were lowered, raised or removed.
+// Guards against quotas that stay in force after they were lowered, raised or removed.
 func TestLimitsFollowTheConfiguration(t *testing.T) {
 	l := NewLedger("a", simParams, func(int) int { return 0 })
 	l.SetEntries([]string{"a"}, 0)
 	l.ListConfirmed(time.Hour, 0)
 	l.Joined(true, 0)
-	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(100_000)}, 0)
+	l.SetQuotas(map[string]fleet.Quota{"derwent": tokens(100_000)}, 0)
 	if !l.Take("derwent", 100_000, 10*time.Second) {
 		t.Error("accumulated units are refused")
 	}
-	l.SetLimits(map[string]fleet.Quota{"derwent": tokens(10_000)}, 20*time.Second)
+	l.SetQuotas(map[string]fleet.Quota{"derwent": tokens(10_000)}, 20*time.Second)
 	lower := tokens(10_000)
 	if l.Take("derwent", l.params.capacity(&lower)+1, 20*time.Second) {
 		t.Error("more units than the lower limit can accumulate")
 	}
-	l.SetLimits(map[string]fleet.Quota{}, 20*time.Second)
-	if l.HasLimit("derwent") {
+	l.SetQuotas(map[string]fleet.Quota{}, 20*time.Second)
+	if l.HasQuota("derwent") {
 		t.Error("a removed limit is still in force")
 	}
 }
--- a/internal/quota/lenders.go
+++ b/internal/quota/lenders.go
@@ -12,7 +12,7 @@
 }
 
 const (
-	// lenderTTL is how long a lender's report that it lacks units is believed.
+	// lenderTTL is how long a lender's report that it lacks units counts.
 	lenderTTL = 250 * time.Millisecond
 	// unavailableTTL is how long an organisation's requests of a size or larger are refused
 	// without loan requests after lenders had nothing for one of that size.
@@ -21,14 +21,14 @@
 	maxLenders = 3
 	// refusalWindow is how long refusals count towards the wait of the next caller.
 	refusalWindow = time.Second
-	// minWait and maxWait bound the wait that a caller is told.
+	// minWait and maxWait bound the Retry-After that a caller gets.
 	minWait = 100 * time.Millisecond
 	maxWait = 5 * time.Second
 )
 
 // Lenders returns the entries to ask for units, in order: owners that may have them according
-// to their last report, and of a large limit one of the other entries. None means that the
-// limit is used up. usable reports whether an entry answers.
+// to their last report, and of a large quota one of the other entries. None means that the
+// quota is used up. usable reports whether an entry answers.
 func (l *Ledger) Lenders(organisation string, units float64, usable func(string) bool, now time.Duration) []string {
 	a := l.account(organisation, now)
 	if a == nil || now < a.unavailableUntil && units >= a.unavailable {
@@ -48,7 +48,7 @@
 	return append(owners, l.rankLenders(a, []string{other}, a.shares.evenShare, units, usable, now)...)
 }
 
-// OwnerReachable reports whether any owner of the undivided part of a limit may be asked, this
+// OwnerReachable reports whether any owner of the undivided part of a quota may be asked, this
 // entry included.
 func (l *Ledger) OwnerReachable(organisation string, usable func(string) bool, now time.Duration) bool {
 	a := l.account(organisation, now)
@@ -75,8 +75,8 @@
 			continue
 		}
 		has := capacity
-		if k, ok := a.lenders[entry]; ok && now-k.at < lenderTTL {
-			has = min(capacity, k.remaining+l.rate(a, share)*(now-k.at).Seconds())
+		if s, ok := a.lenders[entry]; ok && now-s.at < lenderTTL {
+			has = min(capacity, s.remaining+l.rate(a, share)*(now-s.at).Seconds())
 		}
 		if has >= need {
 			out = append(out, candidate{entry, has})
@@ -105,12 +105,12 @@
 	}
 }
 
-// RecordRefusal counts refused units, and returns after which time the limit will have room
+// RecordRefusal counts refused units, and returns after which time the quota will have room
 // for them after those refused before, here and at the other entries, which are assumed to
 // have refused as much as this one.
 func (l *Ledger) RecordRefusal(organisation string, units float64, now time.Duration) time.Duration {
 	a := l.account(organisation, now)
-	if a == nil || a.limit.Rate <= 0 {
+	if a == nil || a.quota.Rate <= 0 {
 		return minWait
 	}
 	if now >= a.unavailableUntil || units < a.unavailable {
@@ -123,6 +123,6 @@
 	if a.shares.evenShare > 0 {
 		refusers = float64(len(l.entries.Names))
 	}
-	wait := time.Duration((units + refusers*earlier) / a.limit.Rate * float64(time.Second))
+	wait := time.Duration((units + refusers*earlier) / a.quota.Rate * float64(time.Second))
 	return min(maxWait, max(minWait, wait))
 }
--- a/internal/quota/params.go
+++ b/internal/quota/params.go
@@ -6,9 +6,9 @@
 	"skylarklead/internal/fleet"
 )
 
-// Params size the shares of a limit. Times are on a steady clock that counts suspension.
+// Params size the shares of a quota. Times are on a steady clock that counts suspension.
 type Params struct {
-	// Window is the time over which the operator counts usage. Within it a limit may be
+	// Window is the time over which the operator counts usage. Within it a quota may be
 	// exceeded by the fraction Excess, 0 or more, and by Slack units. Window is 0 if nothing
 	// may be exceeded.
 	Window time.Duration
@@ -30,8 +30,8 @@
 )
 
 const (
-	// evenFraction is the fraction of a large limit that is divided evenly among all entries:
-	// what entries without peers can serve. The limit's owners hold the rest.
+	// evenFraction is the fraction of a large quota that is divided evenly among all entries:
+	// what entries without peers can serve. The quota's owners hold the rest.
 	evenFraction = 0.33
 	// minEvenRate is the least rate of an entry's even share, in large requests a second;
 	// a smaller share would be idle, as no request fits.
@@ -40,13 +40,13 @@
 	// least number of owners, so that after single losses more is left than is usually asked.
 	ratePerOwner = 6
 	minOwners    = 4
-	// burstFraction and slackFraction are the fractions of a limit's burst and of Slack that
+	// burstFraction and slackFraction are the fractions of a quota's burst and of Slack that
 	// may accumulate. The rest of the burst comes in as rate, over the operator's window.
 	burstFraction = 0.5
 	slackFraction = 0.5
-	// minSavedSeconds is the least time for which a limit's rate may accumulate, in seconds:
-	// otherwise a limit with a burst of 0 would never admit a request.
-	minSavedSeconds = 0.1
+	// minBurstSeconds is the least time for which a quota's rate may accumulate, in seconds:
+	// otherwise a quota with a burst of 0 would never admit a request.
+	minBurstSeconds = 0.1
 	// initialSlack is the fraction of Slack that entries start with after a restart.
 	initialSlack = 0.25
 	// listMargin is the fraction of the window's bound that covers entries with different lists.
@@ -56,7 +56,7 @@
 // largeRequestTokens is the size of a large request, one with a long prompt, in tokens.
 const largeRequestTokens = 10_000
 
-// largeRequest is the size of a large request in the unit of a limit; a limit in requests counts one.
+// largeRequest is the size of a large request in the unit of a quota; a quota in requests counts one.
 func largeRequest(q *fleet.Quota) float64 {
 	if q.Tokens {
 		return largeRequestTokens
@@ -64,12 +64,12 @@
 	return 1
 }
 
-// capacity is how many units of a limit may accumulate, over all entries.
+// capacity is how many units of a quota may accumulate, over all entries.
 func (p *Params) capacity(q *fleet.Quota) float64 {
 	if p.Window <= 0 {
-		return max(q.Burst, minSavedSeconds*q.Rate, 1)
+		return max(q.Burst, minBurstSeconds*q.Rate, 1)
 	}
-	return max(burstFraction*q.Burst, minSavedSeconds*q.Rate) + slackFraction*p.Slack
+	return max(burstFraction*q.Burst, minBurstSeconds*q.Rate) + slackFraction*p.Slack
 }
 
 // rate is how many units come in a second, over all entries: all that a window allows except
--- a/internal/quota/shares.go
+++ b/internal/quota/shares.go
@@ -10,16 +10,16 @@
 	"skylarklead/internal/rendezvous"
 )
 
-// shares is how a limit is divided among the listed entries.
+// shares is how a quota is divided among the listed entries.
 type shares struct {
-	// owners hold the undivided part of the limit and are the entries to borrow from.
+	// owners hold the undivided part of the quota and are the entries to borrow from.
 	owners []string
-	// evenShare is every entry's share of the limit, 0 to 1, and ownerShare what each owner
+	// evenShare is every entry's share of the quota, 0 to 1, and ownerShare what each owner
 	// has in addition.
 	evenShare, ownerShare float64
 }
 
-// computeShares computes the shares of a limit with a capacity over all entries. All entries
+// computeShares computes the shares of a quota with a capacity over all entries. All entries
 // with the same list compute the same shares, and the shares of all entries sum to at most 1.
 func computeShares(organisation string, q *fleet.Quota, capacity float64, entries []string) shares {
 	n := len(entries)
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -83,8 +83,8 @@
 }
 
 // New returns an entry's limits. The entry has no share of any until Joined.
-func New(self string, p Params, draw func() float64) *Limits {
-	return &Limits{params: p, entries: divide.NewEntries(self), known: make(map[string]*limit), lifted: make(map[string]int), randFloat: draw}
+func New(self string, p Params, randFloat func() float64) *Limits {
+	return &Limits{params: p, entries: divide.NewEntries(self), known: make(map[string]*limit), lifted: make(map[string]int), randFloat: randFloat}
 }
 
 // SetEntries sets the names of all listed entries.
@@ -187,19 +187,19 @@
 }
 
 // UpdateReceived takes another entry's update. It reports whether it changes anything.
-func (l *Limits) UpdateReceived(w Update, now time.Duration) bool {
-	k := l.known[w.Replica]
+func (l *Limits) UpdateReceived(u Update, now time.Duration) bool {
+	k := l.known[u.Replica]
 	if k != nil && k.announcedAt != 0 && now-k.announcedAt <= l.params.ReplicaPrecedence {
 		return false
 	}
-	if w.Lifted {
-		delete(l.known, w.Replica)
+	if u.Lifted {
+		delete(l.known, u.Replica)
 		return k != nil
 	}
-	if !(w.Rate >= 0) || math.IsInf(w.Rate, 0) {
+	if !(u.Rate >= 0) || math.IsInf(u.Rate, 0) {
 		return false
 	}
-	k, changed := l.set(w.Replica, w.Rate, now)
+	k, changed := l.set(u.Replica, u.Rate, now)
 	k.lastAdvertised = now
 	l.refreshed(k, now)
 	return changed
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -288,7 +288,7 @@
 	return due
 }
 
-// publishSlots tells all entries which replicas load next. Streams that would outlast the start
+// publishSlots announces to all entries which replicas load next. Streams that would outlast the start
 // of the slot are then sent elsewhere, so that little is left to finish. Otherwise a replica is
 // idle for seconds while its last stream ends.
 func (c *Core) publishSlots(due []*State, limit int) []Action {
@@ -365,7 +365,7 @@
 		o.refused = true
 		o.step, o.nextAction, o.querying = stepLoading, now, false
 	case fleet.ReplyInForce, fleet.ReplyUnknown:
-		// Its state will tell: it may be loading for an order whose reply was lost.
+		// Its state shows what happened: it may be loading for an order whose reply was lost.
 		o.step, o.nextAction, o.querying = stepLoading, now, false
 	case fleet.ReplyFenced:
 		c.Stop()
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -31,7 +31,7 @@
 // String returns the name of the phase in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Record is a rollout record: it tells all entries what the lease holder does with a replica.
+// Record is a rollout record: it notifies all entries of what the lease holder does with a replica.
 type Record struct {
 	Holder  string `cbor:"1,keyasint"`
 	Replica string `cbor:"2,keyasint"`
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -144,7 +144,7 @@
 		result.MissingTokens, result.Reason = p.missingTokens(q, v.heldTokens, isOwner)
 		result.Score += p.params.MissWeight * p.engineFor(q).prefillMs(float64(result.MissingTokens))
 	}
-	if q.WantedVersion != 0 && c.Version < q.WantedVersion {
+	if q.DesiredVersion != 0 && c.Version < q.DesiredVersion {
 		result.Score += p.params.OldWeightsCost
 	}
 	if c.RolloutPlanned {
--- a/internal/route/pickertypes.go
+++ b/internal/route/pickertypes.go
@@ -68,8 +68,8 @@
 	OutputTokens int
 	// FailureDomain is the entry's own.
 	FailureDomain string
-	// WantedVersion is the preferred weights version, 0 for any.
-	WantedVersion uint64
+	// DesiredVersion is the preferred weights version, 0 for any.
+	DesiredVersion uint64
 	// MaxWaitMs is the expected wait, in milliseconds, above which a replica isn't picked while
 	// peers' loads are known; 0 for no bound.
 	MaxWaitMs float64
--- a/internal/spread/gateway.go
+++ b/internal/spread/gateway.go
@@ -2,7 +2,7 @@
 
 // Gateway returns the entry of the local failure domain that exchanges digests of the replicas'
 // state with a remote one; a different entry for each remote domain as far as there are enough.
-// members are the local entries that are in touch, domains all failure domains.
+// members are the local entries that count as alive, domains all failure domains.
 func Gateway(members []string, local, remote string, domains []string) string {
 	if len(members) == 0 {
 		return ""
--- a/internal/spread/params.go
+++ b/internal/spread/params.go
@@ -19,7 +19,7 @@
 	// FanIn is how many entries one entry answers.
 	FanIn int
 	// FirstProbesPerSecond bounds the first reads of all entries together that assume
-	// so, ProbesPerSecond the later ones. The first rate is higher: the peers without fresh
+	// an outage, ProbesPerSecond the later ones. The first rate is higher: the peers without fresh
 	// data may be cut off themselves, and then an entry that the store answers must be
 	// found before any entry's age limit is reached.
 	FirstProbesPerSecond, ProbesPerSecond float64
@@ -65,7 +65,7 @@
 func MaxAge(within time.Duration) time.Duration { return max(minMaxAge, within-reserve) }
 
 // readWait returns how long a read of the store may wait for a record so that no entry's data
-// gets old in a fleet without failures: of two consecutive reads with a pause between, the first
+// becomes stale in a fleet without failures: of two consecutive reads with a pause between, the first
 // one counts until the second is answered, and each hop queries once per QueryInterval.
 func (p *Params) readWait(maxAge, pause time.Duration, hops int) time.Duration {
 	propagation := time.Duration(hops) * (p.QueryInterval + p.QueryTimeout/2)
--- a/internal/spread/queriers.go
+++ b/internal/spread/queriers.go
@@ -11,7 +11,7 @@
 const queriersPerReplica = 2
 
 // ShouldQuery reports whether an entry is one of those that query a replica for its state,
-// given the entries in touch with it. Entries with the same view choose alike.
+// given the entries that it counts as alive. Entries with the same view choose alike.
 func ShouldQuery(self string, alive []string, replica string) bool {
 	if len(alive) < queriersPerReplica {
 		return true
--- a/internal/spread/tail.go
+++ b/internal/spread/tail.go
@@ -22,7 +22,7 @@
 //
 // Invariant: records are those from offset first on, without a gap.
 type Tail struct {
-	hasKeys bool
+	keyed   bool
 	first   uint64
 	records []fleet.Record
 	// appendedAt has the time at which each of records was appended.
@@ -31,26 +31,26 @@
 	// dropped is set once appended records were dropped.
 	dropped bool
 	newest  map[string]fleet.Record
-	// beforeRestore holds the newest records of keys from before the store was restored from
+	// preRestore holds the newest records of keys from before the store was restored from
 	// an older copy, until the key is written again or beforeRestoreTTL has passed.
-	beforeRestore map[string]fleet.Record
-	restoredAt    time.Duration
+	preRestore map[string]fleet.Record
+	restoredAt time.Duration
 }
 
 // NewTail returns an empty tail of a topic with or without keys.
 func NewTail(keyed bool) *Tail {
-	return &Tail{hasKeys: keyed, newest: make(map[string]fleet.Record), beforeRestore: make(map[string]fleet.Record)}
+	return &Tail{keyed: keyed, newest: make(map[string]fleet.Record), preRestore: make(map[string]fleet.Record)}
 }
 
 // StoreRestored records that what follows is from a store that was restored from an older
 // copy. The records known until now are still forwarded, since the copy may lack them.
 func (t *Tail) StoreRestored(now time.Duration) {
-	maps.Copy(t.beforeRestore, t.newest)
+	maps.Copy(t.preRestore, t.newest)
 	t.restoredAt = now
 }
 
-// beforeRestoreTTL is how long a key may take to be written again: a replica that hasn't done so is gone.
-const beforeRestoreTTL = 10 * time.Second
+// preRestoreTTL is how long a key may take to be written again: a replica that hasn't done so is gone.
+const preRestoreTTL = 10 * time.Second
 
 // Reset starts again at an offset, with the newest record of each key before it.
 func (t *Tail) Reset(newest []fleet.Record, next uint64) {
@@ -63,10 +63,10 @@
 
 // Append appends the next record.
 func (t *Tail) Append(r fleet.Record, now time.Duration) {
-	delete(t.beforeRestore, r.Key)
-	if t.hasKeys && r.Value == nil {
+	delete(t.preRestore, r.Key)
+	if t.keyed && r.Value == nil {
 		delete(t.newest, r.Key)
-	} else if t.hasKeys {
+	} else if t.keyed {
 		t.newest[r.Key] = r
 	}
 	t.records, t.appendedAt = append(t.records, r), append(t.appendedAt, now)
@@ -102,10 +102,10 @@
 // restored come first.
 func (t *Tail) Newest(now time.Duration) []fleet.Record {
 	list := slices.Collect(maps.Values(t.newest))
-	if now-t.restoredAt > beforeRestoreTTL {
-		clear(t.beforeRestore)
+	if now-t.restoredAt > preRestoreTTL {
+		clear(t.preRestore)
 	}
-	list = slices.AppendSeq(list, maps.Values(t.beforeRestore))
+	list = slices.AppendSeq(list, maps.Values(t.preRestore))
 	slices.SortFunc(list, func(a, b fleet.Record) int { return cmp.Compare(a.Offset, b.Offset) })
 	return list
 }
--- a/internal/spread/tail_test.go
+++ b/internal/spread/tail_test.go
@@ -35,7 +35,7 @@
 	if got, want := values(time.Minute), []string{"version 2", "config 6"}; !slices.Equal(got, want) {
 		t.Errorf("%q after a key was written again, want %q", got, want)
 	}
-	if got, want := values(time.Minute+beforeRestoreTTL+1), []string{"config 6"}; !slices.Equal(got, want) {
+	if got, want := values(time.Minute+preRestoreTTL+1), []string{"config 6"}; !slices.Equal(got, want) {
 		t.Errorf("%q after beforeRestoreTTL, want %q", got, want)
 	}
 }
--- a/internal/spread/upstream.go
+++ b/internal/spread/upstream.go
@@ -127,7 +127,7 @@
 
 // ReadWait returns how long a read of the store may wait for a record of a topic with an age
 // limit, given the pause between reads and an upper bound. If other entries may query this one,
-// it is short enough that their data doesn't get old in a fleet without failures.
+// it is short enough that their data doesn't become stale in a fleet without failures.
 func (s *UpstreamSelector) ReadWait(maxAge, pause, longest time.Duration) time.Duration {
 	if s.size <= len(s.preference)+1 {
 		return longest // no entry comes after it in the order
