--- a/internal/direct/follow.go
+++ b/internal/direct/follow.go
@@ -22,8 +22,8 @@
 	maxRetryPause = 400 * time.Millisecond
 	// operatorReadWait is how long a read of the operator's topic waits for a record. A connection
 	// that has gone silent is noticed after this wait and callTimeout; together they must be less
-	// than the three seconds for which the store must have answered an entry before the entry is
-	// bound by acknowledged records.
+	// than the three seconds for which the store must have answered an entry before the
+	// platform holds the entry to acknowledged records.
 	operatorReadWait = 1500 * time.Millisecond
 	// replicasReadWait is the same for the replicas' topic, replicasPause the least pause between
 	// its reads: after a crash of many replicas their records arrive in a burst. The pause grows
--- a/internal/endpoint/admission.go
+++ b/internal/endpoint/admission.go
@@ -102,7 +102,7 @@
 // startAdmitted sends admitted attempts to the back end, as far as poison suspects
 // allow: one of those runs alone.
 func (e *Endpoint) startAdmitted() {
-	if e.placement.loading {
+	if e.weights.loading {
 		return // the engine would refuse them while it loads weights
 	}
 	admitted := e.admitted
--- a/internal/endpoint/admission_test.go
+++ b/internal/endpoint/admission_test.go
@@ -47,7 +47,7 @@
 	e.pool = wire.NewPool(wire.Options{Key: fleetKey, Self: e.identity, Handler: peerHandler{e}})
 	defer e.pool.Close()
 	e.config = follow.FromSettings(e.settings, e.platformLog, nil, e.pool, e.log)
-	e.placement.loading = true // nothing is sent to the engine
+	e.weights.loading = true // nothing is sent to the engine
 	e.group.view.InstancesListed([]member.Instance{{ID: "ep-2", Address: freeAddress(t), Group: "g"}}, e.now())
 	for i, tokens := range []int{100, 10000} {
 		run := chat(byte(i))
--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -62,7 +62,7 @@
 	executions      executionTable
 	admitted        []*execution
 	claims          claims
-	placement       placement
+	weights         weightReconciler
 	transfers       transfers
 	watch           engineWatch
 	drain           drainState
@@ -117,7 +117,7 @@
 	}
 	e.platformLog = platform.NewLog(s.Platform.Log)
 	e.claims = e.newClaims()
-	e.placement = e.newPlacement()
+	e.weights = e.newWeightReconciler()
 	if s.Endpoint.Kind == kindService {
 		e.service = engine.NewService(s.Endpoint.Backend)
 	} else {
@@ -158,7 +158,7 @@
 	if e.engine != nil {
 		go e.watchEngine(ctx)
 		go e.watchEvents(ctx)
-		go e.placement.reader.run(ctx)
+		go e.weights.reader.run(ctx)
 	}
 }
 
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -119,7 +119,7 @@
 	e.performResync(e.cacheView.Observe(now, now-reportedAt, load.Incarnation, load.Weights))
 	w.up, w.missedReports = true, 0
 	w.incarnation = load.Incarnation
-	if !e.placement.loading && (e.placement.loadedAt == 0 || reportedAt > e.placement.loadedAt) {
+	if !e.weights.loading && (e.weights.loadedAt == 0 || reportedAt > e.weights.loadedAt) {
 		// The report lags: it names the old weights for a while after the engine's
 		// state was read back with the new ones. Accepting it would start the orders
 		// again.
@@ -247,7 +247,7 @@
 
 func (e *Endpoint) engineState() engineState {
 	w := &e.watch
-	return engineState{up: w.up && !e.placement.loading, incarnation: w.incarnation, model: w.model, version: w.version}
+	return engineState{up: w.up && !e.weights.loading, incarnation: w.incarnation, model: w.model, version: w.version}
 }
 
 // load returns this endpoint's load summary.
--- a/internal/endpoint/enginewatch_test.go
+++ b/internal/endpoint/enginewatch_test.go
@@ -30,7 +30,7 @@
 	} {
 		e, _ := newTestEndpoint(t)
 		e.watch.model, e.watch.version = "m", "v2"
-		e.placement.loadedAt = c.done
+		e.weights.loadedAt = c.done
 		e.onLoad(c.asked, engine.Load{Incarnation: "i1", Model: "m", Version: "v1", AgeMs: c.ageMs}, nil)
 		if e.watch.version != c.want {
 			t.Errorf("%s: engine is taken for %s, want %s", c.name, e.watch.version, c.want)
--- a/internal/endpoint/freeze.go
+++ b/internal/endpoint/freeze.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordRunEnd tells the poison tracker that an attempt has left the engine.
+// recordRunEnd reports to the poison tracker that an attempt has left the engine.
 //
 // A frozen engine may still have the attempt, and whether it crashes is only seen
 // when it answers again. The attempt counts as running until then: otherwise no crash
--- a/internal/endpoint/orders.go
+++ b/internal/endpoint/orders.go
@@ -28,8 +28,8 @@
 
 var errStaleLeaseCheck = errors.New("endpoint: paused too long between the lease check and the order")
 
-// placement keeps the engine's weights equal to those of the configuration.
-type placement struct {
+// weightReconciler keeps the engine's weights equal to those of the configuration.
+type weightReconciler struct {
 	leases *lease.Leases
 	permit *lease.Permit
 	orders *lease.OrderReconciler
@@ -47,10 +47,10 @@
 	loadedAt time.Duration
 }
 
-func (e *Endpoint) newPlacement() placement {
+func (e *Endpoint) newWeightReconciler() weightReconciler {
 	name := lease.OrderName(e.settings.ID)
 	leases := lease.NewLeases(e.settings.ID, e.tel.Epoch, lease.DefaultParams, e.rng)
-	return placement{
+	return weightReconciler{
 		leases: leases,
 		permit: lease.NewPermit(leases, config.DefaultLoadPermits, e.rng),
 		orders: lease.NewOrderReconciler(leases, name, orderPollInterval),
@@ -78,7 +78,7 @@
 	if e.engine == nil {
 		return
 	}
-	p := &e.placement
+	p := &e.weights
 	now := e.now()
 	if want, ok := e.desiredWeights(); ok && (!p.active || p.desired != want) {
 		p.desired, p.active = want, true
@@ -103,7 +103,7 @@
 // mayLoad reports whether the engine may load weights right now: under a permit,
 // and with enough other replicas of the group serving.
 func (e *Endpoint) mayLoad() bool {
-	p := &e.placement
+	p := &e.weights
 	now := e.now()
 	if !p.permit.Check(now) {
 		p.loadPostponed = false
@@ -174,13 +174,13 @@
 func (e *Endpoint) appendLease(action lease.Append) {
 	ctx, stop := context.WithTimeout(context.Background(), appendTimeout)
 	defer stop()
-	_, err := e.platformLog.Append(ctx, e.placement.reader.stream, [][]byte{action.Data})
+	_, err := e.platformLog.Append(ctx, e.weights.reader.stream, [][]byte{action.Data})
 	if err == nil {
 		return // the record is read back from the stream
 	}
 	e.loop.postUnbounded(func() {
 		e.log.Warn("lease record not appended", "error", err)
-		e.performLease(e.placement.leases.AppendFailed(action.Seq, e.now()))
+		e.performLease(e.weights.leases.AppendFailed(action.Seq, e.now()))
 	})
 }
 
@@ -204,17 +204,17 @@
 	e.loop.postUnbounded(func() {
 		now := e.now()
 		if err != nil {
-			e.placement.orders.ReadFailed(now)
+			e.weights.orders.ReadFailed(now)
 			return
 		}
-		want := e.placement.desired
+		want := e.weights.desired
 		if state.Loading {
 			// An order of an earlier process: the group must not count on this engine,
 			// or another one would load at the same time.
-			e.placement.loading = true
+			e.weights.loading = true
 			e.advertiseEngineState()
 		}
-		e.performOrders(e.placement.orders.Observe(lease.Observed{
+		e.performOrders(e.weights.orders.Observe(lease.Observed{
 			Fence:   state.Fence,
 			Matches: !state.Loading && state.Model == want.Model && state.Version == want.Version,
 			Loading: state.Loading,
@@ -224,7 +224,7 @@
 
 // sendOrder sends an order to the engine, if the leases are held right now.
 func (e *Endpoint) sendOrder(action lease.SendOrder) {
-	p := &e.placement
+	p := &e.weights
 	now := e.now()
 	if fence, ok := p.leases.Check(p.name, now); !ok || fence != action.Fence || !e.mayLoad() {
 		p.orders.OrderUnanswered(now)
@@ -232,7 +232,7 @@
 	}
 	p.loading = true
 	e.advertiseEngineState()
-	e.recordPlacement(action, "ordered")
+	e.recordOrder(action, "ordered")
 	go func() {
 		err := e.writeOrder(action, now)
 		e.loop.postUnbounded(func() { e.orderAnswered(action, err) })
@@ -258,33 +258,33 @@
 	now := e.now()
 	switch {
 	case err == nil:
-		e.placement.orders.OrderAnswered(now)
+		e.weights.orders.OrderAnswered(now)
 	case errors.Is(err, engine.ErrStaleFence):
-		e.recordPlacement(action, "stale_fence")
-		e.placement.orders.OrderRefused(now)
+		e.recordOrder(action, "stale_fence")
+		e.weights.orders.OrderRefused(now)
 	case errors.Is(err, engine.ErrNotRun), errors.Is(err, errStaleLeaseCheck):
-		e.recordPlacement(action, "not_sent")
-		e.placement.orders.OrderAnswered(now) // reading the state shows what to do next
+		e.recordOrder(action, "not_sent")
+		e.weights.orders.OrderAnswered(now) // reading the state shows what to do next
 	default:
-		e.recordPlacement(action, "answer_lost")
-		e.placement.orders.OrderUnanswered(now)
+		e.recordOrder(action, "answer_lost")
+		e.weights.orders.OrderUnanswered(now)
 	}
 }
 
 func (e *Endpoint) orderDone(order lease.Order) {
-	p := &e.placement
+	p := &e.weights
 	now := e.now()
 	p.active, p.loading = false, false
 	p.loadedAt = now
 	e.watch.model, e.watch.version = order.Model, order.Version
 	e.advertiseEngineState()
-	e.recordPlacement(lease.SendOrder{Order: order}, "in_force")
+	e.recordOrder(lease.SendOrder{Order: order}, "in_force")
 	e.performLease(p.permit.Release(now))
 	e.performLease(p.leases.Release(p.name, now))
 	e.startAdmitted()
 }
 
-func (e *Endpoint) recordPlacement(action lease.SendOrder, reason string) {
+func (e *Endpoint) recordOrder(action lease.SendOrder, reason string) {
 	o := action.Order
 	e.tel.Decisions.Record(protocol.DecisionRecord{
 		Request:  fmt.Sprintf("%s:%s@%s", o.Op, o.Model, o.Version),
--- a/internal/endpoint/orders_test.go
+++ b/internal/endpoint/orders_test.go
@@ -70,7 +70,7 @@
 // one.
 func TestLoadsOnlyWithAnotherAtWork(t *testing.T) {
 	e, log := newTestEndpoint(t)
-	p := &e.placement
+	p := &e.weights
 	p.leases.CaughtUp(e.now())
 	for _, a := range p.permit.Acquire(e.now()) {
 		p.leases.ApplyRecord(1, a.(lease.Append).Data, e.now())
--- a/internal/endpoint/resume.go
+++ b/internal/endpoint/resume.go
@@ -74,7 +74,7 @@
 func (e *Endpoint) refuseResume(s *wire.Session, m *protocol.Resume) {
 	e.recordDropped("resume of an unknown attempt", s, "attempt", m.Attempt.String())
 	end := &protocol.End{Attempt: m.Attempt, Seq: m.Seq, Outcome: protocol.Unknown, Code: protocol.CodeUnknownOutcome}
-	go s.Send(end) // lost only when the session is, which tells the peer the same
+	go s.Send(end) // lost only when the session is, which has the same meaning to the peer
 }
 
 // onResolve reports the outcome of an attempt, and fences an unseen one.
--- a/internal/entry/plandriver.go
+++ b/internal/entry/plandriver.go
@@ -131,7 +131,7 @@
 	d.conn = nil
 }
 
-// notifyChooser tells the baseline policy that the request has ended at the
+// notifyChooser notifies the baseline policy that the request has ended at the
 // endpoint that it chose.
 func (d *planDriver) notifyChooser() {
 	if d.chosen != "" {
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// finished tells the policy that a request has ended at the endpoint that it chose.
+// finished notifies the policy that a request has ended at the endpoint that it chose.
 func (c *chooser) finished(j *job, endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -9,7 +9,7 @@
 
 // Params are the times and sizes of shares of a limit.
 type Params struct {
-	// Burst is the least number of requests that all entries together may save up, 1 or more.
+	// Burst is the least number of requests that all entries together may accumulate, 1 or more.
 	Burst float64
 	// BurstPeriod is the time for which a share of a large rate may accumulate.
 	BurstPeriod time.Duration
@@ -42,7 +42,7 @@
 
 // limit is what is known of one replica's rate limit.
 //
-// Invariant: a limit that was just announced has nothing saved up, as the requests under way
+// Invariant: a limit that was just announced has nothing accumulated, as the requests under way
 // have used it.
 type limit struct {
 	rate float64
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// Guards against saved-up requests that all entries send at the same moment.
+// Guards against accumulated requests that all entries send at the same moment.
 func TestWhatIsSavedUpFitsALimit(t *testing.T) {
 	for _, entries := range []int{3, 30, 300} {
 		for _, rate := range []float64{0.2, 1.6, 20, 200} {
@@ -246,7 +246,7 @@
 	}
 }
 
-// Guards against a lowered limit whose earlier savings are still spent, and a raised one that can't be used.
+// Guards against a lowered limit whose accumulated requests are still spent, and a raised one that can't be used.
 func TestALimitFollowsTheAnswers(t *testing.T) {
 	now := 10 * time.Second
 	l := New("a", DefaultParams, rand.Float64)
--- a/internal/ratelimit/share.go
+++ b/internal/ratelimit/share.go
@@ -12,7 +12,7 @@
 const maxSharers = 1 << 20
 
 // share returns an entry's share of a replica's rate, in requests a second, how many requests may be
-// saved up, and among how many entries the rate is divided. Entries with the same list and rate
+// accumulated, and among how many entries the rate is divided. Entries with the same list and rate
 // compute shares that sum to the rate.
 func (p *Params) share(self, replica string, whole float64, entries []string) (rate, depth float64, among int) {
 	among = min(len(entries), int(min(whole, maxSharers)+p.Burst))
--- a/internal/spread/watermark_test.go
+++ b/internal/spread/watermark_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Guards against a watermark without a read that never gets old.
+// Guards against a watermark without a read that never becomes stale.
 func TestAgeOfWhatWasNeverReadRunsFromTheStart(t *testing.T) {
 	w := NewWatermark(2 * time.Second)
 	if age := w.Age(7 * time.Second); age != 5*time.Second || w.Confirmed() {
