--- a/internal/admit/shed.go
+++ b/internal/admit/shed.go
@@ -195,26 +195,26 @@
 }
 
 // advance accounts for the time since the last event.
-func (s *rateEstimate) advance(now time.Duration, busy bool) {
-	if s.busy && now > s.updatedAt {
-		elapsed := ms(now - s.updatedAt)
-		keep := math.Exp(-elapsed / cmp.Or(s.window, throughputWindow))
-		s.completed *= keep
-		s.elapsed = s.elapsed*keep + elapsed
+func (r *rateEstimate) advance(now time.Duration, busy bool) {
+	if r.busy && now > r.updatedAt {
+		elapsed := ms(now - r.updatedAt)
+		keep := math.Exp(-elapsed / cmp.Or(r.window, throughputWindow))
+		r.completed *= keep
+		r.elapsed = r.elapsed*keep + elapsed
 	}
-	s.updatedAt = max(s.updatedAt, now)
-	s.busy = busy
+	r.updatedAt = max(r.updatedAt, now)
+	r.busy = busy
 }
 
-func (s *rateEstimate) add(cost float64) {
-	if s.busy {
-		s.completed += cost
+func (r *rateEstimate) add(cost float64) {
+	if r.busy {
+		r.completed += cost
 	}
 }
 
 // minThroughput keeps estimates finite while an engine makes no progress.
 const minThroughput = 0.05
 
-func (s *rateEstimate) rate() float64 { return max(minThroughput, s.mean()) }
+func (r *rateEstimate) rate() float64 { return max(minThroughput, r.mean()) }
 
-func (s *rateEstimate) mean() float64 { return s.completed / max(1, s.elapsed) }
+func (r *rateEstimate) mean() float64 { return r.completed / max(1, r.elapsed) }
--- a/internal/admit/supply.go
+++ b/internal/admit/supply.go
@@ -24,9 +24,9 @@
 const maxAdvisedWait = time.Minute
 
 // AcceptedBy is how many requests will have been accepted by the given time.
-func (s UpcomingCapacity) AcceptedBy(until time.Duration) int {
+func (c UpcomingCapacity) AcceptedBy(until time.Duration) int {
 	n := 0.0
-	for _, o := range s {
+	for _, o := range c {
 		switch {
 		case o.At > until:
 		case o.Rate == Unlimited:
@@ -40,8 +40,8 @@
 
 // TimeUntil is the time from now until n requests will have been accepted, at most
 // maxAdvisedWait.
-func (s UpcomingCapacity) TimeUntil(n int, now time.Duration) time.Duration {
+func (c UpcomingCapacity) TimeUntil(n int, now time.Duration) time.Duration {
 	const steps = int(maxAdvisedWait / (10 * time.Millisecond))
-	at := sort.Search(steps, func(i int) bool { return s.AcceptedBy(now+maxAdvisedWait/time.Duration(steps)*time.Duration(i)) >= n })
+	at := sort.Search(steps, func(i int) bool { return c.AcceptedBy(now+maxAdvisedWait/time.Duration(steps)*time.Duration(i)) >= n })
 	return maxAdvisedWait / time.Duration(steps) * time.Duration(at)
 }
--- a/internal/admit/wait_queue.go
+++ b/internal/admit/wait_queue.go
@@ -169,8 +169,8 @@
 	return 0
 }
 
-func (u *dispatchedWork) decayed(now, halfLife time.Duration) float64 {
-	return u.work * decayFactor(now-u.at, halfLife)
+func (w *dispatchedWork) decayed(now, halfLife time.Duration) float64 {
+	return w.work * decayFactor(now-w.at, halfLife)
 }
 
 // RemoveExpired removes and returns the requests for which waiting is pointless.
--- a/internal/attempt/once_outbox.go
+++ b/internal/attempt/once_outbox.go
@@ -34,38 +34,38 @@
 	settlements []pendingSettlement
 }
 
-func (b *outbox) addSettlement(k *keyState, ran protocol.Outcome, now time.Duration) {
-	b.settlements = append(b.settlements, pendingSettlement{Settlement{Key: k.key, Claim: k.winner.offset, Outcome: ran}, now})
+func (o *outbox) addSettlement(k *keyState, ran protocol.Outcome, now time.Duration) {
+	o.settlements = append(o.settlements, pendingSettlement{Settlement{Key: k.key, Claim: k.winner.offset, Outcome: ran}, now})
 }
 
-func (b *outbox) addRelease(k *keyState) { b.releases = append(b.releases, k) }
+func (o *outbox) addRelease(k *keyState) { o.releases = append(o.releases, k) }
 
-func (b *outbox) takeInFlight(id uint64) *inFlightBatch {
-	if b.inFlight == nil || b.inFlight.id != id {
+func (o *outbox) takeInFlight(id uint64) *inFlightBatch {
+	if o.inFlight == nil || o.inFlight.id != id {
 		return nil
 	}
-	out := b.inFlight
-	b.inFlight = nil
+	out := o.inFlight
+	o.inFlight = nil
 	return out
 }
 
-func (b *outbox) schedule(next time.Duration) { b.nextAppend, b.backoff = next, 0 }
+func (o *outbox) schedule(next time.Duration) { o.nextAppend, o.backoff = next, 0 }
 
-func (b *outbox) backOff(p OnceParams, retryAfter, now time.Duration) {
-	b.backoff = min(max(2*b.backoff, p.AppendInterval), p.MaxBackoff)
-	b.nextAppend = now + max(b.backoff, retryAfter)
+func (o *outbox) backOff(p OnceParams, retryAfter, now time.Duration) {
+	o.backoff = min(max(2*o.backoff, p.AppendInterval), p.MaxBackoff)
+	o.nextAppend = now + max(o.backoff, retryAfter)
 }
 
 // due returns when the next append should be sent, and false if there is none to send.
-func (b *outbox) due(p OnceParams) (time.Duration, bool) {
-	if b.inFlight != nil {
+func (o *outbox) due(p OnceParams) (time.Duration, bool) {
+	if o.inFlight != nil {
 		return 0, false
 	}
-	if len(b.claims) > 0 || len(b.releases) > 0 || len(b.carriedClaims) > 0 {
-		return b.nextAppend, true
+	if len(o.claims) > 0 || len(o.releases) > 0 || len(o.carriedClaims) > 0 {
+		return o.nextAppend, true
 	}
-	if len(b.settlements) > 0 {
-		return max(b.nextAppend, b.settlements[0].queuedAt+p.SettlementDelay), true
+	if len(o.settlements) > 0 {
+		return max(o.nextAppend, o.settlements[0].queuedAt+p.SettlementDelay), true
 	}
 	return 0, false
 }
--- a/internal/direct/poll.go
+++ b/internal/direct/poll.go
@@ -108,9 +108,9 @@
 	Orders   uint64            `cbor:"5,keyasint,omitempty"`
 }
 
-func (a *replicaReport) equal(b *replicaReport) bool {
-	return a.Replica == b.Replica && maps.Equal(a.Weights, b.Weights) &&
-		a.Draining == b.Draining && a.Busy == b.Busy && a.Orders == b.Orders
+func (r *replicaReport) equal(b *replicaReport) bool {
+	return r.Replica == b.Replica && maps.Equal(r.Weights, b.Weights) &&
+		r.Draining == b.Draining && r.Busy == b.Busy && r.Orders == b.Orders
 }
 
 // sentReport is a report and how many times it was sent.
--- a/internal/direct/replicas.go
+++ b/internal/direct/replicas.go
@@ -46,7 +46,7 @@
 	f.onRecord = e.applyReplicaRecord
 	f.onSnapshot = e.applyReplicaList
 	f.onRestore = func(first uint64) {
-		e.tel.Log.Warn("store is back from an older copy", "stream", topic, "era", fleet.Era(first))
+		e.tel.Log.Warn("store restored from an older copy", "stream", topic, "era", fleet.Era(first))
 		e.state.mu.Lock()
 		e.state.listRestoredAt = e.clock.now()
 		e.state.mu.Unlock()
--- a/internal/direct/rollouts.go
+++ b/internal/direct/rollouts.go
@@ -144,7 +144,7 @@
 		r.nextOffset = first
 		r.applyLeaseActions(ctx, r.leases.LogRestored(first+1, bootTime()))
 		r.mu.Unlock()
-		r.entry.tel.Log.Warn("store is back from an older copy", "stream", topicEntries, "era", fleet.Era(first))
+		r.entry.tel.Log.Warn("store restored from an older copy", "stream", topicEntries, "era", fleet.Era(first))
 		r.entry.rewriteAnnouncements()
 	}
 	f.onCaughtUp = func() {
--- a/internal/direct/stream.go
+++ b/internal/direct/stream.go
@@ -37,32 +37,32 @@
 func newSSEReader(r io.Reader) *sseReader { return &sseReader{r: bufio.NewReaderSize(r, sseBuffer)} }
 
 // next reads one event with the blank line that ends it. It returns io.EOF only between events.
-func (e *sseReader) next() error {
-	e.raw, e.id = e.raw[:0], ""
+func (s *sseReader) next() error {
+	s.raw, s.id = s.raw[:0], ""
 	for {
-		begin := len(e.raw)
-		if err := e.readLine(); err != nil {
-			if err == io.EOF && len(e.raw) > 0 {
+		begin := len(s.raw)
+		if err := s.readLine(); err != nil {
+			if err == io.EOF && len(s.raw) > 0 {
 				return io.ErrUnexpectedEOF
 			}
 			return err
 		}
-		line := bytes.TrimRight(e.raw[begin:], "\r\n")
+		line := bytes.TrimRight(s.raw[begin:], "\r\n")
 		if len(line) == 0 {
 			return nil
 		}
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.id = string(bytes.TrimSpace(id))
+			s.id = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
 // readLine appends one line to raw.
-func (e *sseReader) readLine() error {
+func (s *sseReader) readLine() error {
 	for {
-		chunk, err := e.r.ReadSlice('\n')
-		e.raw = append(e.raw, chunk...)
-		if len(e.raw) > maxEventSize {
+		chunk, err := s.r.ReadSlice('\n')
+		s.raw = append(s.raw, chunk...)
+		if len(s.raw) > maxEventSize {
 			return errEventTooLong
 		}
 		if err == bufio.ErrBufferFull {
--- a/internal/endpoint/drain.go
+++ b/internal/endpoint/drain.go
@@ -41,7 +41,7 @@
 	e.admission.Drain()
 	e.performClaims(e.claims.once.Drain(e.now()))
 	e.sendHeartbeatToAll()
-	e.log.Info("draining", "reason", reason, "in_flight", e.executions.inFlight())
+	e.log.Info("leaving", "reason", reason, "in_flight", e.executions.inFlight())
 }
 
 // stopWhenDrained handles SIGTERM.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -147,7 +147,7 @@
 // followConfig keeps the configuration up to date.
 func (e *Entry) followConfig(ctx context.Context) {
 	if err := e.config.Run(ctx); err != nil && ctx.Err() == nil {
-		e.tel.Log.Error("following the configuration failed", "error", err)
+		e.tel.Log.Error("configuration follower stopped", "error", err)
 	}
 }
 
--- a/internal/route/heat.go
+++ b/internal/route/heat.go
@@ -11,21 +11,21 @@
 	at    time.Duration
 }
 
-func (m *decayedSum) add(now, halfLife time.Duration, v float64) {
-	m.value = m.read(now, halfLife) + v
-	m.at = now
+func (s *decayedSum) add(now, halfLife time.Duration, v float64) {
+	s.value = s.read(now, halfLife) + v
+	s.at = now
 }
 
-func (m *decayedSum) read(now, halfLife time.Duration) float64 {
-	if m.value == 0 || now <= m.at {
-		return m.value
+func (s *decayedSum) read(now, halfLife time.Duration) float64 {
+	if s.value == 0 || now <= s.at {
+		return s.value
 	}
-	return m.value * math.Exp2(-float64(now-m.at)/float64(halfLife))
+	return s.value * math.Exp2(-float64(now-s.at)/float64(halfLife))
 }
 
 // rate returns the sum as a rate per second.
-func (m *decayedSum) rate(now, halfLife time.Duration) float64 {
-	return m.read(now, halfLife) * math.Ln2 / halfLife.Seconds()
+func (s *decayedSum) rate(now, halfLife time.Duration) float64 {
+	return s.read(now, halfLife) * math.Ln2 / halfLife.Seconds()
 }
 
 // smoothedWait is an exponential moving average with time constant waitTimeConstant. Requests
--- a/internal/spread/tail.go
+++ b/internal/spread/tail.go
@@ -98,7 +98,7 @@
 	return t.records[next-t.first:], true
 }
 
-// Newest returns the newest record of each key by position. Those from before the store was
+// Newest returns the newest record of each key, by offset. Those from before the store was
 // restored come first.
 func (t *Tail) Newest(now time.Duration) []fleet.Record {
 	list := slices.Collect(maps.Values(t.newest))
--- a/internal/strictjson/problem.go
+++ b/internal/strictjson/problem.go
@@ -52,4 +52,4 @@
 }
 
 // Error returns the parts as Problem.String does.
-func (m *ValueError) Error() string { return m.Wrong + "; want " + m.Want }
+func (e *ValueError) Error() string { return e.Wrong + "; want " + e.Want }
