--- a/internal/admit/core.go
+++ b/internal/admit/core.go
@@ -61,7 +61,7 @@
 		return []Action{Refuse{item.ID, protocol.CodeDraining, 0, "this endpoint is draining"}}
 	}
 	e := c.newEntry(now, item)
-	if refusal := c.overQuota(e); refusal != nil {
+	if refusal := c.overLimit(e); refusal != nil {
 		return []Action{*refusal}
 	}
 	c.enqueue(e)
--- a/internal/admit/shed.go
+++ b/internal/admit/shed.go
@@ -15,8 +15,8 @@
 	maxRetryAfter = time.Minute
 )
 
-// overQuota refuses an item whose organisation has reached a limit at this endpoint.
-func (c *Core) overQuota(e *entry) *Refuse {
+// overLimit refuses an item whose organisation has reached a limit at this endpoint.
+func (c *Core) overLimit(e *entry) *Refuse {
 	o := e.org
 	limit := e.item.MaxInFlight
 	if limit > 0 && o.running+len(o.queue) >= limit {
@@ -171,7 +171,7 @@
 // rateEstimate measures how much is done per millisecond while requests wait for it:
 // the engine's work in milliseconds of engine time, or the starts of one organisation.
 type rateEstimate struct {
-	window    float64 // ms, speedMemory if 0
+	window    float64 // ms, throughputWindow if 0
 	completed float64
 	elapsed   float64 // ms
 	updatedAt time.Duration
--- a/internal/cachemap/levels.go
+++ b/internal/cachemap/levels.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Track tracks the levels of a request that arrived here. owner is its rendezvous key
+// Track tracks the levels of a request that arrived here. ownerKey is its rendezvous key
 // (route.OwnerKey).
 func (v *View) Track(ownerKey uint64, levels []prefix.Level) {
 	var parent prefix.Hash
--- a/internal/measure/slopes_fit.go
+++ b/internal/measure/slopes_fit.go
@@ -58,7 +58,7 @@
 	return n
 }
 
-// line describes one line that is fitted to the points of a file.
+// lineSpec describes one line that is fitted to the points of a file.
 type lineSpec[P any] struct {
 	name, unit, per string
 	// pick returns a point's x, and its y in unit. ok is false for points that
--- a/internal/ratelimit/limits.go
+++ b/internal/ratelimit/limits.go
@@ -106,66 +106,66 @@
 	if !l.entries.ListConfirmed(asOf, l.params.MaxListAge) {
 		return
 	}
-	for _, k := range l.known {
+	for _, lim := range l.known {
 		// The time for which the list was too old keeps its reduced rate.
-		l.refill(k, now)
-		k.bucket.StaleAt = l.entries.StaleAt
+		l.refill(lim, now)
+		lim.bucket.StaleAt = l.entries.StaleAt
 	}
 }
 
 func (l *Limits) redivide(now time.Duration) {
-	for id, k := range l.known {
-		l.resize(id, k, now)
+	for id, lim := range l.known {
+		l.resize(id, lim, now)
 	}
 }
 
 // resize sets this entry's share of a limit as of now.
-func (l *Limits) resize(id string, k *limit, now time.Duration) {
-	l.refill(k, now)
+func (l *Limits) resize(id string, lim *limit, now time.Duration) {
+	l.refill(lim, now)
 	var rate, depth float64
-	rate, depth, k.sharers = l.params.share(l.entries.Self, id, k.rate, l.entries.Names)
-	k.bucket.Resize(rate, depth, now)
+	rate, depth, lim.sharers = l.params.share(l.entries.Self, id, lim.rate, l.entries.Names)
+	lim.bucket.Resize(rate, depth, now)
 }
 
 // refill adds what came in up to now. Nothing comes in before the entry's shares begin.
-func (l *Limits) refill(k *limit, now time.Duration) {
-	k.bucket.RefilledAt = max(k.bucket.RefilledAt, min(now, l.entries.ActiveAt))
-	k.bucket.Refill(now)
+func (l *Limits) refill(lim *limit, now time.Duration) {
+	lim.bucket.RefilledAt = max(lim.bucket.RefilledAt, min(now, l.entries.ActiveAt))
+	lim.bucket.Refill(now)
 }
 
 // AnswerWithLimit takes an answer in which a replica announces a limit. It reports whether the
 // limit is new or differs from the last one by more than rateTolerance.
 func (l *Limits) AnswerWithLimit(id string, rate float64, now time.Duration) bool {
-	k, changed := l.set(id, rate, now)
-	k.announcedAt = now
-	l.refreshed(k, now)
+	lim, changed := l.set(id, rate, now)
+	lim.announcedAt = now
+	l.refreshed(lim, now)
 	if changed {
-		k.sendsLeft = sendsPerUpdate
+		lim.sendsLeft = sendsPerUpdate
 	}
 	return changed
 }
 
-func (l *Limits) set(id string, rate float64, now time.Duration) (k *limit, changed bool) {
+func (l *Limits) set(id string, rate float64, now time.Duration) (lim *limit, changed bool) {
 	delete(l.lifted, id)
-	k = l.known[id]
-	if k == nil {
-		k = &limit{bucket: divide.Bucket{RefilledAt: now, StaleAt: l.entries.StaleAt}}
-		l.known[id] = k
+	lim = l.known[id]
+	if lim == nil {
+		lim = &limit{bucket: divide.Bucket{RefilledAt: now, StaleAt: l.entries.StaleAt}}
+		l.known[id] = lim
 		changed = true
 	}
-	changed = changed || math.Abs(k.rate-rate) > rateTolerance*k.rate
-	if changed || k.rate != rate {
-		l.refill(k, now)
-		k.rate = rate
-		l.resize(id, k, now)
+	changed = changed || math.Abs(lim.rate-rate) > rateTolerance*lim.rate
+	if changed || lim.rate != rate {
+		l.refill(lim, now)
+		lim.rate = rate
+		l.resize(id, lim, now)
 	}
-	return k, changed
+	return lim, changed
 }
 
 // refreshed records that an answer or update confirmed a limit now.
-func (l *Limits) refreshed(k *limit, now time.Duration) {
-	k.lastReceived = now
-	k.probeAt = now + l.params.LimitTTL + l.jitter()
+func (l *Limits) refreshed(lim *limit, now time.Duration) {
+	lim.lastReceived = now
+	lim.probeAt = now + l.params.LimitTTL + l.jitter()
 }
 
 // jitter is a random delay, so that the entries don't all probe at the same time.
@@ -177,8 +177,8 @@
 // time. It reports whether that ends a limit: if the request was sent before the limit was last
 // confirmed, the answer may be older than the limit.
 func (l *Limits) AnswerWithoutLimit(id string, sent time.Duration) bool {
-	k := l.known[id]
-	if k == nil || sent <= k.lastReceived {
+	lim := l.known[id]
+	if lim == nil || sent <= lim.lastReceived {
 		return false
 	}
 	delete(l.known, id)
@@ -188,60 +188,60 @@
 
 // UpdateReceived takes another entry's update. It reports whether it changes anything.
 func (l *Limits) UpdateReceived(u Update, now time.Duration) bool {
-	k := l.known[u.Replica]
-	if k != nil && k.announcedAt != 0 && now-k.announcedAt <= l.params.ReplicaPrecedence {
+	lim := l.known[u.Replica]
+	if lim != nil && lim.announcedAt != 0 && now-lim.announcedAt <= l.params.ReplicaPrecedence {
 		return false
 	}
 	if u.Lifted {
 		delete(l.known, u.Replica)
-		return k != nil
+		return lim != nil
 	}
 	if !(u.Rate >= 0) || math.IsInf(u.Rate, 0) {
 		return false
 	}
-	k, changed := l.set(u.Replica, u.Rate, now)
-	k.lastAdvertised = now
-	l.refreshed(k, now)
+	lim, changed := l.set(u.Replica, u.Rate, now)
+	lim.lastAdvertised = now
+	l.refreshed(lim, now)
 	return changed
 }
 
 // Allows reports whether a request may be sent to a replica now.
 func (l *Limits) Allows(id string, now time.Duration) bool {
-	k := l.known[id]
-	if k == nil {
+	lim := l.known[id]
+	if lim == nil {
 		return true
 	}
-	l.refill(k, now)
-	if now >= k.probeAt && now-k.lastChecked > l.params.LimitTTL {
+	l.refill(lim, now)
+	if now >= lim.probeAt && now-lim.lastChecked > l.params.LimitTTL {
 		// All entries may have had nothing to send for that long.
-		k.probeAt = now + l.jitter()
+		lim.probeAt = now + l.jitter()
 	}
-	k.lastChecked = now
-	return k.bucket.Level >= 1 || now >= k.probeAt
+	lim.lastChecked = now
+	return lim.bucket.Level >= 1 || now >= lim.probeAt
 }
 
 // Take counts a request that is sent to a replica.
 func (l *Limits) Take(id string, now time.Duration) {
-	k := l.known[id]
-	if k == nil {
+	lim := l.known[id]
+	if lim == nil {
 		return
 	}
-	l.refill(k, now)
-	if !k.bucket.Take(1, now) && now >= k.probeAt {
-		k.probeAt = now + l.params.LimitTTL + l.jitter()
+	l.refill(lim, now)
+	if !lim.bucket.Take(1, now) && now >= lim.probeAt {
+		lim.probeAt = now + l.params.LimitTTL + l.jitter()
 	}
 }
 
 // Next returns when a request may be sent to a replica, as far as is known now.
 func (l *Limits) Next(id string, now time.Duration) time.Duration {
-	k := l.known[id]
-	if k == nil {
+	lim := l.known[id]
+	if lim == nil {
 		return now
 	}
-	l.refill(k, now)
-	next := max(now, k.probeAt)
-	if k.bucket.Rate > 0 && l.entries.ActiveAt-now < l.params.LimitTTL {
-		missing := max(0, 1-k.bucket.Level) / k.bucket.Rate
+	l.refill(lim, now)
+	next := max(now, lim.probeAt)
+	if lim.bucket.Rate > 0 && l.entries.ActiveAt-now < l.params.LimitTTL {
+		missing := max(0, 1-lim.bucket.Level) / lim.bucket.Rate
 		next = min(next, max(now, l.entries.ActiveAt)+time.Duration(missing*float64(time.Second)))
 	}
 	return next
@@ -257,14 +257,14 @@
 			delete(l.lifted, id)
 		}
 	}
-	for id, k := range l.known {
-		renew := k.announcedAt > k.lastAdvertised && now-k.lastAdvertised >= l.params.RenewInterval
-		if k.sendsLeft == 0 && !renew {
+	for id, lim := range l.known {
+		renew := lim.announcedAt > lim.lastAdvertised && now-lim.lastAdvertised >= l.params.RenewInterval
+		if lim.sendsLeft == 0 && !renew {
 			continue
 		}
-		k.sendsLeft = max(0, k.sendsLeft-1)
-		k.lastAdvertised = now
-		updates = append(updates, Update{Replica: id, Rate: k.rate})
+		lim.sendsLeft = max(0, lim.sendsLeft-1)
+		lim.lastAdvertised = now
+		updates = append(updates, Update{Replica: id, Rate: lim.rate})
 	}
 	return updates
 }
@@ -289,9 +289,9 @@
 
 // State returns the state of a replica's limit, false if it has none.
 func (l *Limits) State(id string, now time.Duration) (State, bool) {
-	k := l.known[id]
-	if k == nil {
+	lim := l.known[id]
+	if lim == nil {
 		return State{}, false
 	}
-	return State{Rate: k.rate, Share: k.bucket.Rate, Sharers: k.sharers, Age: now - k.lastReceived, FromReplica: k.announcedAt != 0}, true
+	return State{Rate: lim.rate, Share: lim.bucket.Rate, Sharers: lim.sharers, Age: now - lim.lastReceived, FromReplica: lim.announcedAt != 0}, true
 }
--- a/internal/spread/upstream.go
+++ b/internal/spread/upstream.go
@@ -143,18 +143,18 @@
 	}
 	s.nextRound = now + s.params.QueryInterval
 	var out []Query
-	asked := 0
+	queried := 0
 	for _, id := range s.preference {
 		if s.candidates[id].backoffUntil > now {
 			continue
 		}
 		out = s.appendQuery(out, id, now)
-		asked++
-		if id == s.upstream || asked >= s.params.OutageQuorum {
+		queried++
+		if id == s.upstream || queried >= s.params.OutageQuorum {
 			break
 		}
 	}
-	if s.upstream != "" && asked >= s.params.OutageQuorum {
+	if s.upstream != "" && queried >= s.params.OutageQuorum {
 		out = s.appendQuery(out, s.upstream, now)
 	}
 	if s.hasHint(now) {
