--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -178,19 +178,19 @@
 	if !ok {
 		return nil, nil
 	}
-	o := a.pendingFor(part)
-	if o.asOf != part.AsOf || len(o.parts) != part.Parts {
+	p := a.pendingFor(part)
+	if p.asOf != part.AsOf || len(p.parts) != part.Parts {
 		return nil, fmt.Errorf("%w: parts of snapshot %.40q differ in offset or part count", ErrMalformedState, part.ID)
 	}
-	if o.parts[part.Part] == nil {
-		o.parts[part.Part] = part.Data
-		o.missing--
+	if p.parts[part.Part] == nil {
+		p.parts[part.Part] = part.Data
+		p.missing--
 	}
-	if o.missing > 0 {
+	if p.missing > 0 {
 		return nil, nil
 	}
 	delete(a.pending, part.ID)
-	return &Snapshot{AsOf: part.AsOf, Data: bytes.Join(o.parts, nil)}, nil
+	return &Snapshot{AsOf: part.AsOf, Data: bytes.Join(p.parts, nil)}, nil
 }
 
 // pendingFor returns the incomplete snapshot that part belongs to and adds it if it
@@ -199,21 +199,21 @@
 	if a.pending == nil {
 		a.pending = map[string]*pendingSnapshot{}
 	}
-	if o := a.pending[part.ID]; o != nil {
-		return o
+	if p := a.pending[part.ID]; p != nil {
+		return p
 	}
 	if len(a.pending) >= maxPendingSnapshots {
 		a.dropOldest()
 	}
-	o := &pendingSnapshot{asOf: part.AsOf, parts: make([][]byte, part.Parts), missing: part.Parts}
-	a.pending[part.ID] = o
-	return o
+	p := &pendingSnapshot{asOf: part.AsOf, parts: make([][]byte, part.Parts), missing: part.Parts}
+	a.pending[part.ID] = p
+	return p
 }
 
 func (a *Assembler) dropOldest() {
 	oldest := ""
-	for id, o := range a.pending {
-		if oldest == "" || o.asOf < a.pending[oldest].asOf {
+	for id, p := range a.pending {
+		if oldest == "" || p.asOf < a.pending[oldest].asOf {
 			oldest = id
 		}
 	}
--- a/internal/follow/exchange.go
+++ b/internal/follow/exchange.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer.SnapshotTTLMs = f.snapshots.left(f.now()).Milliseconds()
+	answer.SnapshotTTLMs = f.snapshots.freshFor(f.now()).Milliseconds()
 	return answer, nil
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -101,7 +101,7 @@
 	}
 	for _, r := range page.Records {
 		record, err := config.ParseRecord(r.Data, "record")
-		if _, mark := record.SnapshotMarker(); err != nil || record.Kind == config.KindSnapshot && !mark {
+		if _, marker := record.SnapshotMarker(); err != nil || record.Kind == config.KindSnapshot && !marker {
 			f.t.Errorf("the configuration stream has %s: %v", r.Data, err)
 		}
 	}
@@ -380,18 +380,18 @@
 }
 
 // Guards against each started process writing a snapshot of its own, because only a process that
-// has read the last snapshot's mark knows its age. One process reads the mark, another one gets its
+// has read the last snapshot's marker knows its age. One process reads the marker, another one gets its
 // state from it, and a third one, which is as up to date from the log, asks the second.
 func TestPeersTellOfTheSnapshot(t *testing.T) {
 	f := newFixture(t, standin.Control{})
 	first := f.publish(0)
 	peer := f.follow(Options{})
 	f.waitForOffset(peer, first, SourceLog)
-	mark, err := config.SnapshotMarker{AsOf: first, ID: "w"}.Encode()
+	marker, err := config.SnapshotMarker{AsOf: first, ID: "w"}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.log.Append(t.Context(), Stream, [][]byte{mark}); err != nil {
+	if _, err := f.log.Append(t.Context(), Stream, [][]byte{marker}); err != nil {
 		t.Fatal(err)
 	}
 	f.waitForOffset(peer, first+1, SourceLog)
--- a/internal/follow/snapshot.go
+++ b/internal/follow/snapshot.go
@@ -45,7 +45,7 @@
 	return at
 }
 
-func (s *snapshots) left(now time.Duration) (left time.Duration) {
+func (s *snapshots) freshFor(now time.Duration) (left time.Duration) {
 	s.with(func(c *config.SnapshotSchedule) { left = c.FreshFor(now) })
 	return left
 }
@@ -66,14 +66,14 @@
 	s.with(func(c *config.SnapshotSchedule) { c.RecordWrite(at) })
 }
 
-// observeSnapshot records a snapshot that is mentioned on the configuration stream: by its mark,
+// observeSnapshot records a snapshot that is mentioned on the configuration stream: by its marker,
 // or by its parts if an older build wrote it.
 func (t *tail) observeSnapshot(v config.Verdict) {
 	if v.Reason != config.ReasonSnapshot {
 		return
 	}
-	if mark, ok := v.Record.SnapshotMarker(); ok {
-		t.f.snapshots.observed(mark.AsOf)
+	if marker, ok := v.Record.SnapshotMarker(); ok {
+		t.f.snapshots.observed(marker.AsOf)
 		return
 	}
 	snapshot, err := t.assembler.Add(v.Record)
@@ -157,7 +157,7 @@
 }
 
 // writeSnapshot appends a snapshot if one is due. A lost answer does no harm: if the snapshot's
-// mark doesn't show up on the log, the next attempt writes it again.
+// marker doesn't show up on the log, the next attempt writes it again.
 func (t *tail) writeSnapshot(ctx context.Context) {
 	now := t.f.now()
 	if !t.caughtUp || t.state.Offset == 0 || now < t.f.snapshots.due() {
@@ -169,7 +169,7 @@
 	t.f.opts.Logger.Info("snapshot written", "as_of", t.state.Offset, "id", id, "error", err)
 }
 
-// appendSnapshot appends all parts, and then the mark. If the mark came first, it would keep all
+// appendSnapshot appends all parts, and then the marker. If the marker came first, it would keep all
 // others from writing a snapshot although the writer may die before it is complete.
 func appendSnapshot(ctx context.Context, log Log, s *config.State, id string) error {
 	records, err := config.SnapshotRecords(s, id)
@@ -181,12 +181,12 @@
 			return fmt.Errorf("follow: append snapshot: %w", err)
 		}
 	}
-	mark, err := config.SnapshotMarker{AsOf: s.Offset, ID: id}.Encode()
+	marker, err := config.SnapshotMarker{AsOf: s.Offset, ID: id}.Encode()
 	if err != nil {
 		return err
 	}
-	if _, err := log.Append(ctx, Stream, [][]byte{mark}); err != nil {
-		return fmt.Errorf("follow: append snapshot mark: %w", err)
+	if _, err := log.Append(ctx, Stream, [][]byte{marker}); err != nil {
+		return fmt.Errorf("follow: append snapshot marker: %w", err)
 	}
 	return nil
 }
--- a/internal/route/pickerload.go
+++ b/internal/route/pickerload.go
@@ -84,14 +84,14 @@
 // replica, by ReplicaKey.
 func (p *Picker) DomainLoads(now time.Duration) map[uint64]Load {
 	sums := p.peers.directSums(now)
-	taken := maps.Clone(p.domainAddedTokens)
+	added := maps.Clone(p.domainAddedTokens)
 	for id, l := range p.loads {
 		key := ReplicaKey(id)
 		sum := sums[key]
 		sums[key] = Load{PrefillTokens: sum.PrefillTokens + l.prefillTokens, Running: sum.Running + l.running}
-		taken[key] += l.addedTokens
+		added[key] += l.addedTokens
 	}
-	for key, tokens := range taken {
+	for key, tokens := range added {
 		sum := sums[key]
 		sum.AddedTokens = uint16(uint64(tokens) / AddedTokensUnit)
 		sums[key] = sum
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -35,7 +35,7 @@
 	// Retries counts repeated attempts, Hedges routing questions sent to a further
 	// endpoint.
 	Retries, Hedges metrics.Counter
-	// Dropped counts messages that are late, have crossed another or match nothing.
+	// Dropped counts messages that are late, belong to another attempt or match nothing.
 	Dropped metrics.Counter
 
 	promptTokens, cachedTokens, recomputedTokens metrics.Counter
