--- a/internal/parameters/parameters.go
+++ b/internal/parameters/parameters.go
@@ -47,7 +47,7 @@
 }
 
 // unsupportedOutputFields are fields that make an engine answer with something other than text, which
-// wire.Chunk can't carry: the caller would get an empty answer.
+// protocol.Chunk can't carry: the caller would get an empty answer.
 var unsupportedOutputFields = []string{
 	"tools", "tool_choice", "parallel_tool_calls", "functions", "function_call",
 	"logprobs", "top_logprobs", "prompt_logprobs", "modalities", "audio",
--- a/internal/settings/direct.go
+++ b/internal/settings/direct.go
@@ -46,8 +46,8 @@
 	// reads it.
 	StoreReaders string `json:"store_readers"`
 	// QuotaWindow is the period over which the operator counts an organisation's
-	// usage, 0 if limits are exact. Over it, usage may exceed a limit by the fraction
-	// QuotaExcess, 0 or more, plus QuotaSlack in the limit's unit.
+	// usage, 0 if quotas are exact. Over it, usage may exceed a quota by the fraction
+	// QuotaExcess, 0 or more, plus QuotaSlack in the quota's unit.
 	QuotaWindow Duration `json:"quota_window"`
 	QuotaExcess float64  `json:"quota_excess"`
 	QuotaSlack  float64  `json:"quota_slack"`
