--- a/internal/attempt/poison.go
+++ b/internal/attempt/poison.go
@@ -10,9 +10,9 @@
 
 // PoisonParams configures a PoisonTracker.
 type PoisonParams struct {
-	// MaxCrashes is the number of counted crashes at which a request is given up, 2 or
-	// more. With one crash less it runs exclusively, so that the last crash is
-	// conclusive.
+	// MaxCrashes is the number of counted crashes at which a request is given up (not run
+	// again until TTL has passed), 2 or more. With one crash less it runs exclusively, so
+	// that the last crash is conclusive.
 	MaxCrashes int
 	// MaxClears is how often a completion resets a request's crash count. Without a
 	// bound, a request that crashes every other engine would go on for ever.
@@ -27,7 +27,7 @@
 	ExclusiveGap  time.Duration
 	// MaxEntries bounds the fingerprints remembered.
 	MaxEntries int
-	// MaxPerHeartbeat bounds the strikes in one heartbeat.
+	// MaxPerHeartbeat bounds the crash counts in one heartbeat.
 	MaxPerHeartbeat int
 }
 
@@ -91,9 +91,9 @@
 
 // PoisonTracker remembers which requests were running when engines crashed. Every
 // endpoint process of a group has one: as an owner it judges requests, as an executor
-// it protects its own engine, and it merges the strikes in its peers' heartbeats.
+// it protects its own engine, and it merges the crash counts in its peers' heartbeats.
 //
-// Bound: if all peers receive the strikes, a request that crashes every engine it runs
+// Bound: if all peers receive the crash counts, a request that crashes every engine it runs
 // on crashes MaxCrashes of them within TTL: MaxCrashes-1 in crashes shared with
 // whatever ran beside it, and one while running exclusively. Copies that were already
 // running on k other engines during one of the shared crashes, and owners that have
@@ -121,11 +121,11 @@
 
 // Judge returns how a request may run.
 func (p *PoisonTracker) Judge(fingerprint uint64, now time.Duration) Verdict {
-	s := p.recent(fingerprint, now)
+	r := p.recent(fingerprint, now)
 	switch {
-	case s != nil && s.givenUp:
-		return Verdict{Kind: VerdictGivenUp, RetryAfter: s.lastCrash + p.params.TTL - now}
-	case s != nil && s.count >= p.params.ExclusiveFrom():
+	case r != nil && r.givenUp:
+		return Verdict{Kind: VerdictGivenUp, RetryAfter: r.lastCrash + p.params.TTL - now}
+	case r != nil && r.count >= p.params.ExclusiveFrom():
 		return Verdict{Kind: VerdictExclusive}
 	default:
 		return Verdict{Kind: VerdictClear}
@@ -219,36 +219,36 @@
 	if p.running[fingerprint]--; p.running[fingerprint] == 0 {
 		delete(p.running, fingerprint)
 	}
-	s := p.recent(fingerprint, now)
-	if !completed || s == nil || s.givenUp || s.count == 0 || s.generation >= p.params.MaxClears {
+	r := p.recent(fingerprint, now)
+	if !completed || r == nil || r.givenUp || r.count == 0 || r.generation >= p.params.MaxClears {
 		return
 	}
-	s.generation++
-	s.count = 0
-	s.changedAt = now
+	r.generation++
+	r.count = 0
+	r.changedAt = now
 }
 
 // RecordCrash records that this process's engine was lost with all requests that it
-// ran. Only a request that ran alone gets the last strike: one that happened to run
+// ran. Only a request that ran alone is charged with the last crash: one that happened to run
 // beside several culprits must not be given up in their place.
 func (p *PoisonTracker) RecordCrash(now time.Duration) []protocol.CrashCount {
 	ranAlone := p.runningTotal == 1
-	strikes := make([]protocol.CrashCount, 0, len(p.running))
+	crashCounts := make([]protocol.CrashCount, 0, len(p.running))
 	for f, n := range p.running {
 		p.lostRuns[f] += n
-		s := p.recent(f, now)
-		if s == nil {
-			s = p.addRecord(f, now)
+		r := p.recent(f, now)
+		if r == nil {
+			r = p.addRecord(f, now)
 		}
-		if s.count < p.params.ExclusiveFrom() || ranAlone {
-			s.count++
+		if r.count < p.params.ExclusiveFrom() || ranAlone {
+			r.count++
 		}
-		s.givenUp = s.givenUp || s.count >= p.params.MaxCrashes
-		s.lastCrash, s.changedAt = now, now
-		strikes = append(strikes, s.toStrike(f, now))
+		r.givenUp = r.givenUp || r.count >= p.params.MaxCrashes
+		r.lastCrash, r.changedAt = now, now
+		crashCounts = append(crashCounts, r.toCrashCount(f, now))
 	}
 	clear(p.running)
 	p.runningTotal = 0
-	slices.SortFunc(strikes, func(a, b protocol.CrashCount) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
-	return strikes
+	slices.SortFunc(crashCounts, func(a, b protocol.CrashCount) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	return crashCounts
 }
--- a/internal/attempt/poison_merge.go
+++ b/internal/attempt/poison_merge.go
@@ -8,38 +8,38 @@
 	"skylarklead/internal/protocol"
 )
 
-// Merge merges a peer's strikes. It is idempotent and independent of order.
-func (p *PoisonTracker) Merge(strikes []protocol.CrashCount, now time.Duration) {
-	for _, strike := range strikes {
-		crashedAt := now - millis(max(strike.AgeMs, 0))
+// Merge merges a peer's crash counts. It is idempotent and independent of order.
+func (p *PoisonTracker) Merge(crashCounts []protocol.CrashCount, now time.Duration) {
+	for _, received := range crashCounts {
+		crashedAt := now - millis(max(received.AgeMs, 0))
 		if now-crashedAt >= p.params.TTL {
 			continue
 		}
-		s := p.recent(strike.Fingerprint, now)
-		if s == nil {
-			s = p.addRecord(strike.Fingerprint, now)
-			s.lastCrash = crashedAt
+		r := p.recent(received.Fingerprint, now)
+		if r == nil {
+			r = p.addRecord(received.Fingerprint, now)
+			r.lastCrash = crashedAt
 		}
-		s.merge(strike, crashedAt, now)
+		r.merge(received, crashedAt, now)
 	}
 }
 
-func (s *crashRecord) merge(strike protocol.CrashCount, crashedAt, now time.Duration) {
-	newer := strike.Generation > s.generation || strike.Generation == s.generation && strike.Count > s.count
+func (r *crashRecord) merge(received protocol.CrashCount, crashedAt, now time.Duration) {
+	newer := received.Generation > r.generation || received.Generation == r.generation && received.Count > r.count
 	if newer {
-		s.generation, s.count = strike.Generation, strike.Count
+		r.generation, r.count = received.Generation, received.Count
 	}
-	if newer || strike.GivenUp && !s.givenUp {
-		s.changedAt = now
-		s.lastCrash = max(s.lastCrash, crashedAt)
+	if newer || received.GivenUp && !r.givenUp {
+		r.changedAt = now
+		r.lastCrash = max(r.lastCrash, crashedAt)
 	}
-	s.givenUp = s.givenUp || strike.GivenUp
+	r.givenUp = r.givenUp || received.GivenUp
 }
 
-// HeartbeatStrikes returns the strikes for the next heartbeat: the latest changes
+// HeartbeatCrashCounts returns the crash counts for the next heartbeat: the latest changes
 // first, then the others in rotation, so that a peer that missed some receives them
 // again.
-func (p *PoisonTracker) HeartbeatStrikes(now time.Duration) []protocol.CrashCount {
+func (p *PoisonTracker) HeartbeatCrashCounts(now time.Duration) []protocol.CrashCount {
 	p.sweep(now)
 	if len(p.records) == 0 {
 		return nil
@@ -59,27 +59,27 @@
 		p.cursor = others[len(others)-1]
 		fingerprints = slices.Concat(fingerprints[:newest], others)
 	}
-	strikes := make([]protocol.CrashCount, len(fingerprints))
+	crashCounts := make([]protocol.CrashCount, len(fingerprints))
 	for i, f := range fingerprints {
-		strikes[i] = p.records[f].toStrike(f, now)
+		crashCounts[i] = p.records[f].toCrashCount(f, now)
 	}
-	return strikes
+	return crashCounts
 }
 
-func (s *crashRecord) toStrike(fingerprint uint64, now time.Duration) protocol.CrashCount {
+func (r *crashRecord) toCrashCount(fingerprint uint64, now time.Duration) protocol.CrashCount {
 	return protocol.CrashCount{
-		Fingerprint: fingerprint, Count: s.count, GivenUp: s.givenUp,
-		Generation: s.generation, AgeMs: (now - s.lastCrash).Milliseconds(),
+		Fingerprint: fingerprint, Count: r.count, GivenUp: r.givenUp,
+		Generation: r.generation, AgeMs: (now - r.lastCrash).Milliseconds(),
 	}
 }
 
 // recent returns a record that has not expired.
 func (p *PoisonTracker) recent(fingerprint uint64, now time.Duration) *crashRecord {
-	s, ok := p.records[fingerprint]
-	if !ok || now-s.lastCrash >= p.params.TTL {
+	r, ok := p.records[fingerprint]
+	if !ok || now-r.lastCrash >= p.params.TTL {
 		return nil
 	}
-	return s
+	return r
 }
 
 func (p *PoisonTracker) addRecord(fingerprint uint64, now time.Duration) *crashRecord {
@@ -87,14 +87,14 @@
 		p.sweep(now)
 		p.evict()
 	}
-	s := &crashRecord{lastCrash: now, changedAt: now}
-	p.records[fingerprint] = s
-	return s
+	r := &crashRecord{lastCrash: now, changedAt: now}
+	p.records[fingerprint] = r
+	return r
 }
 
 func (p *PoisonTracker) sweep(now time.Duration) {
-	for f, s := range p.records {
-		if now-s.lastCrash >= p.params.TTL {
+	for f, r := range p.records {
+		if now-r.lastCrash >= p.params.TTL {
 			delete(p.records, f)
 		}
 	}
@@ -107,17 +107,17 @@
 	}
 	var oldest uint64
 	var at *crashRecord
-	for f, s := range p.records {
-		if at == nil || s.evictBefore(at) {
-			oldest, at = f, s
+	for f, r := range p.records {
+		if at == nil || r.evictBefore(at) {
+			oldest, at = f, r
 		}
 	}
 	delete(p.records, oldest)
 }
 
-func (s *crashRecord) evictBefore(t *crashRecord) bool {
-	if s.givenUp != t.givenUp {
+func (r *crashRecord) evictBefore(t *crashRecord) bool {
+	if r.givenUp != t.givenUp {
 		return t.givenUp
 	}
-	return s.lastCrash < t.lastCrash
+	return r.lastCrash < t.lastCrash
 }
--- a/internal/endpoint/enginewatch.go
+++ b/internal/endpoint/enginewatch.go
@@ -119,7 +119,7 @@
 	e.performResync(e.cacheView.Observe(now, now-reportedAt, load.Incarnation, load.Weights))
 	w.up, w.missedReports = true, 0
 	w.incarnation = load.Incarnation
-	if !e.placement.loading && (e.placement.loadedAt == 0 || reportedAt > e.placement.loadedAt) {
+	if !e.weights.loading && (e.weights.loadedAt == 0 || reportedAt > e.weights.loadedAt) {
 		// The report lags: it names the old weights for a while after the engine's
 		// state was read back with the new ones. Accepting it would start the orders
 		// again.
@@ -166,15 +166,15 @@
 func (e *Endpoint) recordCrash(incarnation string) {
 	e.watch.lostIncarnation = incarnation
 	e.watch.crashCount++
-	strikes := e.poison.RecordCrash(e.now())
+	crashCounts := e.poison.RecordCrash(e.now())
 	e.tel.Metrics.Count("engine_crashes", 1)
-	e.log.Warn("engine crashed", "incarnation", incarnation, "struck", len(strikes))
-	for _, s := range strikes {
+	e.log.Warn("engine crashed", "incarnation", incarnation, "struck", len(crashCounts))
+	for _, s := range crashCounts {
 		if s.GivenUp {
 			e.log.Warn("request given up", "fingerprint", fmt.Sprintf("%016x", s.Fingerprint))
 		}
 	}
-	if len(strikes) > 0 {
+	if len(crashCounts) > 0 {
 		// An owner without this report would run a suspect beside other requests, or
 		// on one engine more than the limit.
 		e.sendHeartbeatToAll()
@@ -247,7 +247,7 @@
 
 func (e *Endpoint) engineState() engineState {
 	w := &e.watch
-	return engineState{up: w.up && !e.placement.loading, incarnation: w.incarnation, model: w.model, version: w.version}
+	return engineState{up: w.up && !e.weights.loading, incarnation: w.incarnation, model: w.model, version: w.version}
 }
 
 // load returns this endpoint's load summary.
