--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -154,8 +154,8 @@
 }
 
 # group_met reports whether each engine's endpoint process has received heartbeats of the other two.
-# Before that, an owner can't yet know what a peer's engine holds, so that the
-# demo's first hit would depend on its timing.
+# Before that, an owner can't yet know which blocks the engines of its peers have cached, and
+# the demo's first hit would depend on its timing.
 group_met() {
 	local status
 	status=$("$bin/skylarkctl" status -o json --address "${peers[0]}" --address "${peers[1]}" --address "${peers[2]}") || return 1
